--- a/crates/balancer/benches/growth.rs
+++ b/crates/balancer/benches/growth.rs
@@ -1,4 +1,5 @@
-//! How the module's cost grows with the fleet: a whole list, a change of one server, and a request with its outcome.
+//! Cost of the balancer by the size of the fleet: a complete list, a change of one server, and a request with
+//! its outcome.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use hallpin_balancer::{
--- a/crates/balancer/src/balance/arrival.rs
+++ b/crates/balancer/src/balance/arrival.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request as it arrives: its times, its first probe, its tenant's quota.
+//! Admission of a new request: its deadline, its first probe and its tenant's quota.
 
 use super::due_timers::Due;
 use super::hash_ring::hash_key;
@@ -28,10 +28,11 @@
     }
 
     fn take_request(&mut self, new: &NewRequest) -> Request {
-        // The last class of the settings is for requests of an unknown one.
+        // Requests of an unknown class use the class that `add_unknown_class` put last.
         let unknown_class = self.settings.classes.len() - 1;
         let key = new.key.unwrap_or(Key(hash_key(Key(new.id.0), 0)));
-        // Answered two rounds ahead of the client's deadline, whatever else happens.
+        // The request is ended two event-delivery intervals before the client's deadline, whatever else
+        // happens.
         let time = (new.left - 2.0 * self.settings.round).max(0.0);
         Request {
             class: new.class.map_or(unknown_class, |class| class.0.min(unknown_class)),
@@ -47,16 +48,16 @@
         }
     }
 
-    /// Where on its key's probe sequence a request begins. At a server far too small for it a hot key looks
-    /// idle to each of many nodes, so the cap on what one server holds is kept over the last requests as
-    /// well.
+    /// The index at which a request starts on its key's probe sequence. To each of many nodes, a hot key's
+    /// owner looks idle even if it is far too small for the key, so the cap on what one server holds is also
+    /// applied to the last requests.
     fn first_probe(&mut self, key: Key) -> u64 {
         let asked = self.popularity.note(key, self.servers.totals().ready);
         let fair_share = ((1.0 + EPSILON) * self.servers.next_mean_in_flight()).ceil();
         (asked - 1) / fair_share as u64
     }
 
-    /// Whether a request is ended unsent because hardly any that wait so briefly are served.
+    /// Whether a request is ended unsent because hardly any requests with so short a deadline are served.
     fn is_throttled(&mut self, left: Seconds) -> bool {
         let probability = self.brief_throttle.admission_probability();
         self.is_brief(left) && probability < 1.0 && self.jitter.next() >= probability
--- a/crates/balancer/src/balance/brief_throttle.rs
+++ b/crates/balancer/src/balance/brief_throttle.rs
@@ -2,20 +2,20 @@
 
 use crate::interface::Seconds;
 
-/// A request is brief if its client waits for less than this many times the usual answer time. Clients that
-/// leave early and come again at once would otherwise fill the servers with work for nobody.
+/// A deadline is short if the client waits for less than this multiple of the usual answer time. Clients that
+/// leave early and retry at once would otherwise fill the servers with work that nobody reads.
 const BRIEF_ANSWER_TIMES: f64 = 2.0;
-/// Brief requests are admitted at this multiple of the share of them that was served of late: adaptive
-/// throttling, as in Beyer and others, "Site Reliability Engineering", ch. 21.
+/// Ratio of admitted to recently served requests with a short deadline: adaptive throttling as in Beyer and
+/// others, "Site Reliability Engineering", ch. 21.
 const OVERCOMMIT: f64 = 2.0;
-/// So many are admitted all the same, so that better times are noticed.
+/// Least probability of admission, so that a recovery is noticed.
 const LEAST_PROBABILITY: f64 = 0.02;
-/// Weight of one outcome in the share served.
+/// Weight of one outcome in the served share.
 const SMOOTHING: f64 = 0.05;
-/// Time in which a bad share is forgotten without any outcomes, in seconds.
+/// Time in which a low served share recovers without any outcomes.
 const RECOVERY: Seconds = 60.0;
 
-/// The smoothed share of brief requests' attempts that served them.
+/// Smoothed share of attempts with a short deadline that succeeded.
 pub(super) struct BriefThrottle {
     served_share: f64,
 }
@@ -25,7 +25,7 @@
         BriefThrottle { served_share: 1.0 }
     }
 
-    /// Whether a client that waits for this long is too brief for the usual answer time.
+    /// Whether a client that waits for `left` leaves before the usual answer time allows an answer.
     pub(super) fn is_brief(left: Seconds, answer_time: Seconds) -> bool {
         left < answer_time * BRIEF_ANSWER_TIMES
     }
--- a/crates/balancer/src/balance/completion.rs
+++ b/crates/balancer/src/balance/completion.rs
@@ -1,11 +1,11 @@
-//! How a request ends, and what is cancelled then.
+//! The end of a request: its final answer and the cancellation of its attempts.
 
 use super::due_timers::Due;
 use super::state::BalancerState;
 use crate::interface::{Action, AttemptId, RequestId, Seconds};
 
 impl BalancerState {
-    /// Ends a request: rejected where coming again is harmless, else failed.
+    /// Ends a request: rejects it where a retry by the client is harmless, else fails it.
     pub(super) fn end(&mut self, id: RequestId) {
         let spread = 0.5 + self.jitter.next();
         let request = self.requests.get(&id).filter(|request| !request.ended && !request.streaming);
@@ -19,14 +19,14 @@
         self.on_finished(id);
     }
 
-    /// When a rejected client is to come again: there is room within an answer's time, and clients must not
-    /// come together.
+    /// When a rejected client should retry: capacity frees within about one answer time, and clients must not
+    /// retry at the same moment.
     fn retry_after(&self, spread: f64) -> Option<Seconds> {
         let wait = (self.latency.answer_time() * spread).min(self.settings.limits.max_retry_after);
         (wait > 0.0).then_some(wait)
     }
 
-    /// The client reads this attempt's answer: what else is out for the request serves nobody.
+    /// The client reads this attempt's answer, so all other attempts of the request are cancelled.
     pub(super) fn on_stream_started(&mut self, id: RequestId, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let was_streaming = std::mem::replace(&mut request.streaming, true);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Cancels what is out, where that is allowed, except for one attempt.
+    /// Cancels the attempts in flight, except for one, where the settings allow cancellation.
     fn cancel_attempts(&mut self, id: RequestId, except: Option<AttemptId>) {
         if !self.settings.limits.cancel {
             return;
@@ -45,8 +45,8 @@
         self.actions.extend(out.map(|attempt| Action::Cancel { request: id, attempt }));
     }
 
-    /// The request has its final answer, or nobody waits: cancels what is out, and forgets it once all have
-    /// ended.
+    /// The request has its final answer, or its client has left: cancels the attempts in flight, and drops
+    /// the request once all of them have ended.
     pub(super) fn on_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         self.timers.cancel(request.give_up_at, Due::GiveUp, id);
--- a/crates/balancer/src/balance/demand.rs
+++ b/crates/balancer/src/balance/demand.rs
@@ -1,36 +1,38 @@
-//! What this node's clients ask of each server now, against what servers were seen to bear.
+//! Estimates of the request rate that this node offers to each server now, and of the rate that servers were
+//! seen to sustain.
 
 use crate::interface::Seconds;
 
-/// So many windows in which servers fall count in the usual demand.
+/// Length of the usual demand's average, in overload windows (`Fleet::window`).
 const REMEMBERED_WINDOWS: f64 = 10.0;
-/// This part of a window counts in the present demand: a surge has to be seen before it fills a window.
+/// Length of the recent demand's average, in overload windows: a surge has to be seen before it fills a
+/// window.
 const RECENT_WINDOWS: f64 = 0.5;
-/// Requests in a window, to all servers, below which the usual demand tells nothing.
+/// Requests in a window, to all servers, below which the usual demand is unknown.
 const LEAST_KNOWN: f64 = 1.0;
-/// Least ratio of usual to present demand: a node that had little to do may take over the clients of others.
+/// Least ratio of usual to recent demand: a node that had little traffic may take over the clients of others.
 const LEAST_RATIO: f64 = 1.0 / 8.0;
 
-/// Requests a second for each ready server.
+/// Request rates for each ready server, in requests a second.
 #[derive(Default)]
 pub(super) struct Demand {
-    /// Requests that arrived since the last update.
+    /// Requests that have arrived since the last update.
     arrived: u32,
     /// Requests that were served since the last update.
     served: u32,
     recent: f64,
     usual: f64,
-    /// For how long the usual demand has been learnt, up to what is remembered.
+    /// Time over which the usual demand has been averaged, up to `REMEMBERED_WINDOWS` windows.
     learnt_for: Seconds,
     updated_at: Option<Seconds>,
 }
 
-/// The servers that a demand is spread over.
+/// The servers that the demand is spread over.
 pub(super) struct Fleet {
     pub(super) ready: usize,
-    /// Whether all of them have warmed up.
+    /// Whether all ready servers have warmed up.
     pub(super) all_warm: bool,
-    /// The time in which a server falls that gets too much, from the settings.
+    /// Time for which a server must be over its capacity to go down, from the settings.
     pub(super) window: Seconds,
 }
 
@@ -43,7 +45,7 @@
         self.served += 1;
     }
 
-    /// Takes in what has come since the last update.
+    /// Updates the averages with the requests counted since the last update.
     pub(super) fn update(&mut self, now: Seconds, fleet: &Fleet) {
         let passed = now - self.updated_at.replace(now).unwrap_or(now);
         if passed <= 0.0 {
@@ -54,7 +56,7 @@
         let served = f64::from(std::mem::take(&mut self.served)) * per_server;
         let recent_window = (fleet.window * RECENT_WINDOWS).max(passed);
         self.recent += (arrived - self.recent) * (passed / recent_window);
-        // A node that has just started, or had nothing to do, takes what it is asked at first for the usual.
+        // A node that has just started, or was idle, takes its first arrivals as its usual demand.
         if self.usual * fleet.ready as f64 * fleet.window < LEAST_KNOWN {
             self.learnt_for = 0.0;
         }
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Which part of the present demand is usual: below 1 in a surge, or when clients come again and again.
+    /// The ratio of usual to recent demand: below 1 in a surge, or when rejected clients retry.
     pub(super) fn usual_ratio(&self) -> f64 {
         if self.learnt_for <= 0.0 || self.recent <= self.usual {
             return 1.0;
--- a/crates/balancer/src/balance/dispatch.rs
+++ b/crates/balancer/src/balance/dispatch.rs
@@ -1,4 +1,5 @@
-//! When an attempt goes out: at once, behind another's fetch, in turn as there is room, or never.
+//! Dispatch of attempts: a request is sent at once, joins another request's fetch of its key, is held until
+//! there is capacity, or is ended.
 
 use std::collections::VecDeque;
 
@@ -9,41 +10,42 @@
 use super::state::BalancerState;
 use crate::interface::{Action, CacheMode, Effect, RequestId, ServerId};
 
-/// Part of the latency objective, or of the client's time where that is less, for which a request is held
+/// Share of the latency objective, or of the client's time where that is less, for which a request is held
 /// when all servers are full.
 pub(super) const HOLD_TIME: f64 = 0.25;
-/// The same of a request over its tenant's quota, as a part of that time.
+/// Factor on the hold time of a request over its tenant's quota.
 const HOLD_TIME_OVER_QUOTA: f64 = 0.1;
-/// Held requests tried at an outcome before the rest must wait for the next one: trying all at each outcome
-/// is work that grows with the square of the load. The tick tries all.
+/// Held requests that may fail to dispatch after an outcome before the remaining ones wait for the next
+/// outcome: trying all of them at each outcome would cost work that grows with the square of the load. The
+/// tick tries all.
 pub(super) const MAX_IN_VAIN: usize = 8;
 
-/// How far held requests are tried.
+/// How many held requests a scan tries.
 #[derive(Clone, Copy, PartialEq)]
 enum Tries {
     All,
-    /// Until so many of one kind stay held.
+    /// Stops once this many requests of one queue were tried and stay held.
     InVain(usize),
 }
 
-/// Where an attempt would go.
+/// The target of a request's next attempt.
 struct Target {
     server: Option<ServerId>,
-    /// Whether it is expected to reach the origin.
+    /// Whether the attempt is expected to reach the origin.
     to_origin: bool,
-    /// No server takes it in a cold fleet.
+    /// Whether load shedding ends the request: the whole fleet is cold and no server admits it.
     is_shed: bool,
 }
 
 impl BalancerState {
-    /// Sends a request that has no attempt out on its way, holds it, or ends it.
+    /// Sends a request that has no attempt in flight, holds it, or ends it.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         if let Some(hold) = self.try_dispatch(id) {
             self.held.push(hold, id);
         }
     }
 
-    /// As `dispatch`, and says what a request that neither went nor ended is to be held for.
+    /// Like `dispatch`, but returns the reason to hold a request that was neither sent nor ended.
     fn try_dispatch(&mut self, id: RequestId) -> Option<Hold> {
         let request =
             self.requests.get(&id).filter(|request| !request.ended && request.attempts_out() == 0)?;
@@ -53,7 +55,7 @@
             self.end(id);
             return None;
         }
-        // One fetch for each key: who would ask for it too waits for its end.
+        // One fetch for each key at a time: other reads of the key wait until it ends.
         if !write && target.to_origin && self.origin.join_fetch(key, id) {
             return None;
         }
@@ -85,7 +87,7 @@
         Some(Target { server, to_origin, is_shed })
     }
 
-    /// Where no health check is allowed, a first read probes an ejected server.
+    /// Where health checks are not allowed, the first attempt of a read probes an ejected server.
     fn probe_by_request(&mut self, id: RequestId) -> Option<ServerId> {
         let request = self.requests.get(&id)?;
         let is_first = request.attempts.is_empty();
@@ -96,7 +98,8 @@
         self.next_to_probe_by_read()
     }
 
-    /// Whether a request for which there is no room is held: as long as the objective can still be met.
+    /// Whether a request that no server has capacity for is held: only while its latency objective can still
+    /// be met.
     fn may_hold(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let class = self.class(request);
@@ -129,7 +132,7 @@
         self.schedule_late(id);
     }
 
-    /// Sets when the last attempt of a request is late.
+    /// Schedules the time at which the last attempt of a request is late.
     fn schedule_late(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let late_at = self.now + self.time_until_late(request);
@@ -149,7 +152,7 @@
         self.dispatch_held(Tries::All);
     }
 
-    /// Tries held requests after an outcome, which made room for some.
+    /// Tries held requests after an outcome, which may have freed capacity.
     pub(super) fn dispatch_some_held(&mut self) {
         self.dispatch_held(Tries::InVain(MAX_IN_VAIN));
     }
@@ -166,7 +169,7 @@
                     None => {}
                 }
             }
-            // Those that stay keep their turn.
+            // Requests that stay held keep their order.
             stay.into_iter().rev().for_each(|id| queue.push_front(id));
             self.held.put_back(hold, queue);
         }
--- a/crates/balancer/src/balance/due_timers.rs
+++ b/crates/balancer/src/balance/due_timers.rs
@@ -1,26 +1,26 @@
-//! What is to be looked at when, behind one timer of the host's.
+//! Timers of requests, multiplexed onto one timer of the host.
 
 use std::collections::BTreeSet;
 
 use crate::interface::{RequestId, Seconds};
 
-/// What is due within this is due now: hosts that count in microseconds fire that little early, in seconds.
+/// Tolerance within which a timer counts as due: hosts that count in microseconds fire up to this much early.
 pub(super) const EARLY: Seconds = 1e-5;
 
-/// Why a request is looked at.
+/// What a timer of a request is for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Due {
-    /// Its time is nearly up.
+    /// The request's time to be answered is almost over.
     GiveUp,
-    /// Its last attempt is late.
+    /// The request's last attempt is late.
     Late,
 }
 
-/// Times in order, and the timer that is set for the first of them. Timers cannot be taken back: with a timer
-/// for each request most would fire for a request that was long answered.
+/// Timers in order, and the host timer that is set for the first of them. Host timers cannot be cancelled:
+/// with one host timer for each request, most would fire for requests that were answered long ago.
 #[derive(Default)]
 pub(super) struct DueTimers {
-    /// Times as their bits, whose order is that of the times.
+    /// Times are stored as their bit patterns, which sort like the (non-negative) times.
     due: BTreeSet<(u64, Due, RequestId)>,
     armed_for: Option<Seconds>,
 }
@@ -34,12 +34,12 @@
         self.due.remove(&(at.to_bits(), why, request));
     }
 
-    /// The host's timer has fired.
+    /// Notes that the host's timer has fired.
     pub(super) fn fired(&mut self, now: Seconds) {
         self.armed_for = self.armed_for.filter(|at| *at > now + EARLY);
     }
 
-    /// Takes the first that is due.
+    /// Removes and returns the first timer that is due.
     pub(super) fn pop_due(&mut self, now: Seconds) -> Option<(Due, RequestId)> {
         let (at, why, request) = *self.due.first()?;
         if f64::from_bits(at) > now + EARLY {
@@ -49,7 +49,7 @@
         Some((why, request))
     }
 
-    /// After how long the host's timer has to fire, if it has to be set anew.
+    /// The delay after which the host's timer has to fire; `None` if it is already set early enough.
     pub(super) fn arm(&mut self, now: Seconds) -> Option<Seconds> {
         let (first, ..) = self.due.first()?;
         let at = f64::from_bits(*first);
--- a/crates/balancer/src/balance/endpoint_subscription.rs
+++ b/crates/balancer/src/balance/endpoint_subscription.rs
@@ -1,29 +1,29 @@
-//! Following the endpoint list where it has to be polled: when it is asked for, and how long to back off
+//! Subscription to the endpoint list where it has to be polled: when discovery is called, and the backoff
 //! after a failure.
 
 use crate::interface::Seconds;
 
-/// A call that is not answered within this part of the polling interval is taken as failed.
+/// Share of the poll interval after which a call without an answer counts as failed.
 const UNANSWERED_AFTER: f64 = 0.5;
-/// First backoff, as a part of the polling interval, and its bounds in seconds.
+/// First backoff, as a share of the poll interval, and its bounds in seconds.
 const FIRST_BACKOFF: f64 = 0.13;
 const LEAST_FIRST_BACKOFF: Seconds = 0.1;
 const MOST_FIRST_BACKOFF: Seconds = 0.2;
-/// How often the backoff doubles.
+/// Number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// Whether the list is followed, and when it is asked for next.
+/// Whether the list is subscribed to, and when the next call is due.
 #[derive(Default)]
 pub(super) struct EndpointSubscription {
     subscribed: bool,
-    /// When the call that is out was made.
+    /// Time at which the pending call was made.
     called_at: Option<Seconds>,
     next_call_at: Seconds,
     failed_calls: u32,
 }
 
 impl EndpointSubscription {
-    /// Whether discovery is to be called now; then it counts as called.
+    /// Whether discovery is to be called now; if so, the call is noted as made.
     pub(super) fn call_if_due(&mut self, now: Seconds, poll_interval: Seconds) -> bool {
         let is_due = match self.called_at {
             Some(called_at) => now - called_at > poll_interval * UNANSWERED_AFTER,
@@ -36,14 +36,14 @@
         calls
     }
 
-    /// The list, or a change of it, has come.
+    /// The list, or a change of it, has arrived.
     pub(super) fn succeeded(&mut self) {
         self.subscribed |= self.called_at.take().is_some();
         self.failed_calls = 0;
     }
 
-    /// A call has failed, or the subscription broke. Calls that failed together must not be made again
-    /// together; yet a call that hangs, this backoff and a call that succeeds fit into 6 s, or four polling
+    /// A call has failed, or the subscription broke. Nodes whose calls failed together must not repeat them
+    /// together; yet a call that hangs, this backoff and a call that succeeds fit into 6 s, or into four poll
     /// intervals if that is less. `random` is from 0 to 1.
     pub(super) fn failed(&mut self, now: Seconds, poll_interval: Seconds, random: f64) {
         let first = (FIRST_BACKOFF * poll_interval).clamp(LEAST_FIRST_BACKOFF, MOST_FIRST_BACKOFF);
--- a/crates/balancer/src/balance/endpoints.rs
+++ b/crates/balancer/src/balance/endpoints.rs
@@ -1,4 +1,4 @@
-//! What is taken from the endpoint list, and when the list is asked for.
+//! Handling of the endpoint list: its updates, and the calls to discovery.
 
 use super::state::BalancerState;
 use crate::interface::{Action, Membership, RosterEntry, RosterNews};
@@ -45,7 +45,7 @@
         self.dispatch_all_held();
     }
 
-    /// Brings all that follows from the list or the placement table up to date.
+    /// Updates all that follows from the endpoint list or the placement table.
     pub(super) fn refresh_members(&mut self) {
         self.servers.rebuild_ring(&self.settings);
         self.forget_ejections();
--- a/crates/balancer/src/balance/fleet_totals.rs
+++ b/crates/balancer/src/balance/fleet_totals.rs
@@ -1,17 +1,17 @@
-//! Sums over the servers in the slot array.
+//! Totals over the servers in the slot array.
 
 use super::server::Server;
 use crate::interface::{Guarantees, Seconds};
 
-/// Sums over the servers in the slot array.
+/// Totals over the servers in the slot array.
 #[derive(Default)]
 pub(super) struct FleetTotals {
     pub(super) ready: usize,
     pub(super) share: f64,
     pub(super) limit: f64,
-    /// Those that have warmed up.
+    /// Servers that have warmed up.
     pub(super) warm: usize,
-    /// Those that have by their listed start alone.
+    /// Servers that have warmed up by their listed start time alone.
     pub(super) listed_warm: usize,
 }
 
--- a/crates/balancer/src/balance/hash_ring.rs
+++ b/crates/balancer/src/balance/hash_ring.rs
@@ -1,4 +1,4 @@
-//! The hash ring: which server owns a slot of the fixed slot array.
+//! The hash ring, which maps each slot of a fixed slot array to the server that owns it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,27 +6,29 @@
 
 use crate::interface::{Key, ServerId};
 
-/// Length of the slot array, as a power of two: more than the points of a large fleet, so that few collide.
+/// Length of the slot array, as a power of two: more slots than a large fleet has points, so that few
+/// collide.
 const SLOT_BITS: u32 = 16;
-/// Points of a server of weight 1; shares vary by about 1/sqrt(128), 9 %.
+/// Points of a server of weight 1; shares of servers vary by about 1/sqrt(128), 9 %.
 const POINTS: f64 = 128.0;
 
-/// Servers and their weights.
+/// Weights by server.
 pub(crate) type Weights = BTreeMap<ServerId, f64>;
 
-/// XXH3, so that keys have the same owners at every node. Numbers are hashed as bytes and not used as seeds:
-/// a seed meets a short id in one xor, and servers whose ids differ in a digit would get the same points.
+/// XXH3, so that every node maps a key to the same owners. Numbers are hashed as bytes and not used as seeds:
+/// a short input meets the seed in a single xor, and servers whose ids differ in one digit would get the same
+/// points.
 fn hash(bytes: &[u8]) -> u64 {
     XxHash3_64::oneshot(bytes)
 }
 
-/// A hash of a key and a number.
+/// Hash of a key and a number.
 pub(super) fn hash_key(key: Key, number: u64) -> u64 {
     let both = u128::from(number) << 64 | u128::from(key.0);
     hash(&both.to_le_bytes())
 }
 
-/// What weights are divided by, so that the heaviest server has the points of one to two.
+/// The power of two that weights are divided by, so that the heaviest server has a scaled size from 1 to 2.
 pub(crate) fn scale(weights: impl Iterator<Item = f64>) -> f64 {
     let heaviest = weights.fold(0.0, f64::max);
     if heaviest > 0.0 {
@@ -36,7 +38,7 @@
     }
 }
 
-/// A server's part of the array; 1 where no weight is known.
+/// A server's scaled size in the slot array; 1 where its weight is unknown.
 pub(crate) fn scaled_size(weight: f64, scale: f64) -> f64 {
     if weight > 0.0 {
         weight / scale
@@ -45,13 +47,13 @@
     }
 }
 
-/// The points of a server of this size.
+/// Number of points of a server of this scaled size.
 pub(crate) fn point_count(size: f64) -> u16 {
     (POINTS * size).round().max(1.0) as u16
 }
 
-/// A virtual node of a server. Its slot is the top of its hash. Of a server of a slow kind only points of low
-/// rank are active, as building the array anew at each change takes more time than a node has.
+/// A virtual node of a server; its slot is the top bits of its hash. Only the points of low rank of a server
+/// of a slow kind are active, as rebuilding the ring at each change of speed takes more time than a node has.
 pub(crate) struct Point {
     hash: u64,
     server: ServerId,
@@ -68,14 +70,14 @@
     }
 }
 
-/// All points, by their hash.
+/// All points, sorted by hash.
 #[derive(Default)]
 pub(crate) struct HashRing {
     points: Vec<Point>,
 }
 
 impl HashRing {
-    /// Adds a server's points. The ring has to be sorted before it is asked.
+    /// Adds a server's points. The ring has to be sorted before the next lookup.
     pub(crate) fn add(&mut self, server: &ServerId, count: u16) {
         let point = |rank: u16| {
             let hash = hash(&[server.0.as_bytes(), &rank.to_le_bytes()].concat());
@@ -84,12 +86,13 @@
         self.points.extend((0..count).map(point));
     }
 
-    /// Drops the points of these servers.
+    /// Removes the points of these servers.
     pub(super) fn remove(&mut self, servers: &BTreeSet<ServerId>) {
         self.points.retain(|point| !servers.contains(&point.server));
     }
 
-    /// A stable sort, as that is quick on a sorted run with a short one behind it.
+    /// Sorts the points. A stable sort is quick here: most points are one sorted run, followed by a short
+    /// unsorted one.
     pub(crate) fn sort(&mut self) {
         self.points.sort_by_key(|point| point.hash);
     }
@@ -111,8 +114,9 @@
         clockwise.into_iter().find(|point| is_active(point)).map(Point::server)
     }
 
-    /// The first point of a slot or of one beyond. Hashes are spread evenly, so it is near its part of the
-    /// array; a binary search of a large array is a look into far memory at each step.
+    /// Index of the first point at or after a slot. Hashes are spread evenly, so the point is near the index
+    /// that is proportional to the slot; each step of a binary search of a large ring would miss the CPU
+    /// cache.
     fn first_at(&self, slot: u64) -> usize {
         let is_before = |point: &&Point| point.hash >> (64 - SLOT_BITS) < slot;
         let guess = (slot as usize * self.points.len()) >> SLOT_BITS;
--- a/crates/balancer/src/balance/hedging.rs
+++ b/crates/balancer/src/balance/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: when an attempt is late, and what is done about it.
+//! Hedged requests: when an attempt counts as late, and the second attempt that follows.
 
 use super::due_timers::EARLY;
 use super::request::Request;
@@ -7,9 +7,9 @@
 use super::state::BalancerState;
 use crate::interface::{Effect, Key, RequestId, Seconds, ServerId};
 
-/// An attempt is late after this part of the latency objective.
+/// Share of the latency objective after which an attempt is late.
 pub(super) const LATE_AFTER: f64 = 0.4;
-/// It is late at the earliest after this many times the usual answer time and its own cost.
+/// Least time until an attempt is late, as a multiple of the usual answer time and of the request's own cost.
 const LATE_ANSWER_TIMES: f64 = 4.0;
 
 impl BalancerState {
@@ -19,8 +19,8 @@
         by_objective.max(LATE_ANSWER_TIMES * self.latency.answer_time().max(request.work))
     }
 
-    /// Sends a hedged request if the last attempt is late: a server that is silent, hangs or is crowded would
-    /// otherwise fail the request.
+    /// Sends a hedged request if the last attempt is late: otherwise a server that hangs, is unreachable or
+    /// is overloaded would fail the request.
     pub(super) fn on_late(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(late_server) = self.late_server(request) else { return };
@@ -36,32 +36,34 @@
                 let to_origin = write || !self.is_cached(&(key, server.clone()));
                 self.send(id, &server, to_origin);
             }
-            // All who wait for this fetch would wait as long as its server is silent.
+            // All requests that wait for this fetch would otherwise wait as long as its server is silent.
             None => self.release_waiters(key, id, next_probe),
         }
     }
 
-    /// The server of a request's last attempt if that is late, and the server to blame.
+    /// The server of a request's last attempt, if that attempt is late and its server is to blame.
     fn late_server(&self, request: &Request) -> Option<ServerId> {
         let last = request.attempts.last()?;
         let is_over = request.ended || request.streaming || request.give_up_at <= self.now + EARLY;
         let due = last.sent_at + self.time_until_late(request) - self.settings.round;
         let is_late = last.is_out() && self.now >= due;
-        // With a slow origin all are late; a server that answered another is alive, and the request is slow.
+        // If the origin is slow, all attempts are late; if the server answered another attempt since, it is
+        // alive and only this request is slow.
         let server = self.servers.get(&last.server);
         let is_alive = server.is_none_or(|server| server.answered_since(last.sent_at));
         let is_excused = is_alive || self.origin.is_straining();
         (is_late && !is_over && !is_excused).then(|| last.server.clone())
     }
 
-    /// The first further probe of a request's key whose owner is another server.
+    /// The next probe of a request's key whose owner is a different server; the request's first probe if
+    /// there is none.
     fn next_owner_probe(&self, request: &Request, server: &ServerId) -> u64 {
         let is_other = |probe: &u64| self.owner(request, *probe).map(|(id, _)| id) != Some(server);
         let first = request.first_probe;
         (first + 1..first + MAX_PROBES).find(is_other).unwrap_or(first)
     }
 
-    /// Those who wait for this request's fetch of a key ask for themselves, from this probe on.
+    /// Ends this request's fetch of a key and dispatches the reads that wait for it, from `first_probe` on.
     pub(super) fn release_waiters(&mut self, key: Key, leader: RequestId, first_probe: u64) {
         for waiter in self.origin.end_fetch(key, leader) {
             if let Some(request) = self.requests.get_mut(&waiter) {
--- a/crates/balancer/src/balance/hold_queues.rs
+++ b/crates/balancer/src/balance/hold_queues.rs
@@ -1,26 +1,26 @@
-//! Requests that are held until there is room, by what they wait for.
+//! Queues of held requests, by the reason for which they are held.
 
 use std::collections::VecDeque;
 
 use crate::interface::RequestId;
 
-/// What a request is held for.
+/// Reason for which a request is held.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Hold {
-    /// The origin to bear one more write.
+    /// The origin has no capacity for another write.
     Write,
-    /// The origin to bear one more fetch.
+    /// The origin has no capacity for another fetch.
     Fetch,
-    /// Room at a server.
+    /// No server has capacity.
     Server,
 }
 
 impl Hold {
-    /// In the order in which they are dispatched.
+    /// All reasons, in the order in which their queues are dispatched.
     pub(super) const ALL: [Hold; 3] = [Hold::Write, Hold::Fetch, Hold::Server];
 }
 
-/// The held requests of each kind, first come first served.
+/// The held requests of each queue, first in, first out.
 #[derive(Default)]
 pub(super) struct HoldQueues {
     queues: [VecDeque<RequestId>; 3],
@@ -31,12 +31,12 @@
         self.queues[hold as usize].push_back(request);
     }
 
-    /// Takes a whole queue, to be given back by [`HoldQueues::put_back`].
+    /// Takes a complete queue; [`HoldQueues::put_back`] returns it.
     pub(super) fn take(&mut self, hold: Hold) -> VecDeque<RequestId> {
         std::mem::take(&mut self.queues[hold as usize])
     }
 
-    /// Gives a queue back ahead of the requests that were pushed meanwhile.
+    /// Returns a queue, ahead of the requests that were pushed since it was taken.
     pub(super) fn put_back(&mut self, hold: Hold, mut queue: VecDeque<RequestId>) {
         let queued = &mut self.queues[hold as usize];
         queue.append(queued);
--- a/crates/balancer/src/balance/key_locations.rs
+++ b/crates/balancer/src/balance/key_locations.rs
@@ -1,19 +1,19 @@
-//! The key-location cache: which server is taken to have which key, and for how long.
+//! The key-location cache: which servers are assumed to have a key cached, and for how long.
 
 use std::collections::BTreeMap;
 
 use crate::interface::{Key, Seconds, ServerId};
 
-/// How long a key is taken to be cached where it was last served, in seconds.
+/// Time for which a key is assumed to be cached by the server that last served it.
 const TIME_TO_LIVE: Seconds = 15.0;
-/// Most locations that are remembered.
+/// Most locations that the cache holds.
 pub(super) const MAX_LOCATIONS: usize = 1 << 17;
 
 /// A key and a server that was asked for it.
 pub(super) type KeyLocation = (Key, ServerId);
 
-/// When servers last answered keys, in two generations of which the older is dropped as a whole. At the bound
-/// the generations turn early, so a client that asks for ever new keys cannot make it grow.
+/// When servers last answered keys, in two generations, of which the older is dropped as one. The generations
+/// also rotate when the younger one is full, so a client that asks for ever new keys cannot grow the cache.
 #[derive(Default)]
 pub(super) struct KeyLocationCache {
     young: BTreeMap<KeyLocation, Seconds>,
--- a/crates/balancer/src/balance/key_popularity.rs
+++ b/crates/balancer/src/balance/key_popularity.rs
@@ -1,14 +1,14 @@
-//! How often each key was asked for of late, which spreads a hot key over more than its owner.
+//! Recent request counts of keys, by which a hot key is spread over more servers than its owner.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::Key;
 
-/// A key is hot when it comes again within the last (ready servers / this) requests, so many times a fair
-/// share.
+/// A key is hot when it recurs within the last (ready servers / this factor) requests, that is, at this
+/// multiple of its fair share.
 pub(super) const HOT: f64 = 4.0;
 
-/// The keys of the last requests.
+/// The keys of the last requests and their counts.
 #[derive(Default)]
 pub(super) struct KeyPopularity {
     recent: VecDeque<Key>,
@@ -16,8 +16,7 @@
 }
 
 impl KeyPopularity {
-    /// Notes one more request for a key; returns how many of the last requests were for it, this one
-    /// included.
+    /// Records a request for a key; returns how many of the last requests were for it, this one included.
     pub(super) fn note(&mut self, key: Key, ready_servers: usize) -> u64 {
         while self.recent.len() as f64 > ready_servers as f64 / HOT {
             self.forget_oldest();
@@ -36,7 +35,7 @@
         }
     }
 
-    /// Requests remembered, and keys among them.
+    /// Number of requests remembered, and of distinct keys among them.
     pub(super) fn sizes(&self) -> (usize, usize) {
         (self.recent.len(), self.counts.len())
     }
--- a/crates/balancer/src/balance/kind_latency.rs
+++ b/crates/balancer/src/balance/kind_latency.rs
@@ -1,14 +1,14 @@
-//! How slow servers of one kind are, where the settings' weights do not tell.
+//! Relative latency of each kind of server, for settings whose weights do not give it.
 
-/// Least share of its points that a server of a slow kind keeps.
+/// Least relative speed of a slow kind: the least share of its points that a server keeps active.
 pub(super) const SLOWEST: f64 = 0.125;
-/// Answers that the usual time counts for in a kind's mean.
+/// Number of samples of slowness 1 that a kind's mean starts with.
 const PRIOR: f64 = 3.0;
-/// Most answers that the mean remembers.
+/// Effective number of samples that the mean remembers.
 const MEMORY: f64 = 50.0;
 
-/// What servers of one kind took for an answer from cache, against what was expected. The kind is only a
-/// label under which a node sees enough answers.
+/// Mean slowness of one kind's answers from cache: the time taken divided by the time expected. Servers are
+/// grouped by kind because a node sees too few answers from a single one.
 #[derive(Default)]
 pub(super) struct KindLatency {
     sum: f64,
--- a/crates/balancer/src/balance/latency_estimate.rs
+++ b/crates/balancer/src/balance/latency_estimate.rs
@@ -1,11 +1,11 @@
-//! What answers from cache take, and what requests are said to cost.
+//! Estimates of the latency of answers from cache and of the usual work of a request.
 
 use super::SMOOTHING;
 use crate::interface::Seconds;
 
-/// Part of the tightest latency objective from which an answer from cache shows a crowded server.
+/// Share of the tightest latency objective beyond which an answer from cache shows an overloaded server.
 pub(super) const CROWDED: f64 = 0.5;
-/// First guess of an answer's time, as a multiple of the work that its request is said to be.
+/// Initial estimate of an answer's time, as a multiple of its request's work hint.
 const FIRST_TIME_PER_WORK: f64 = 2.0;
 /// Weight of one request in the usual work.
 const WORK_SMOOTHING: f64 = SMOOTHING / 10.0;
@@ -31,7 +31,7 @@
         self.answer_time
     }
 
-    /// The work that requests usually are said to be; 0 until one said it.
+    /// The usual work hint of a request; 0 until a request had one.
     pub(super) fn usual_work(&self) -> Seconds {
         self.usual_work
     }
@@ -42,7 +42,8 @@
         self.usual_work += weight * (work - self.usual_work);
     }
 
-    /// How slow an answer was: its time against what its work, or else the usual answer, lets expect.
+    /// Slowness of an answer: its time divided by the time expected from its request's work hint, or by the
+    /// usual answer time where there is no hint.
     pub(super) fn slowness(&self, time: Seconds, work: Seconds) -> f64 {
         let expected = if work > 0.0 { work * self.time_per_work } else { self.answer_time };
         time / expected
--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -1,9 +1,9 @@
-//! Every decision of the balancer, and which part takes which event. Types that pass to the host are in
+//! The balancer's decisions, and the dispatch of events to them. Types that pass to the host are in
 //! `src/interface/`.
 //!
 //! The ordinary path is RJ-CH (Chen, Coleman, Shrivastava, "Revisiting Consistent Hashing with Bounded
 //! Loads"): a key goes to the owner of slot h(key, 0) of a fixed array, and from an owner at its cap on to
-//! the owners of h(key, 1), h(key, 2) and so on. What departs from that says when it acts.
+//! the owners of h(key, 1), h(key, 2) and so on. Each deviation from that path documents when it applies.
 
 mod arrival;
 mod brief_throttle;
@@ -45,9 +45,9 @@
 
 use crate::interface::{Action, Event, Seconds, Status, TimerToken};
 
-/// Time between two housekeeping ticks, in seconds: short against any latency objective.
+/// Time between two housekeeping ticks: short against any latency objective.
 const TICK: Seconds = 0.05;
-/// Time between two looks at each server, in seconds: short against any slow start.
+/// Time between two sweeps over all servers: short against any slow start.
 const SWEEP: Seconds = 0.25;
 /// Weight of a new observation in smoothed figures.
 const SMOOTHING: f64 = 0.1;
@@ -56,7 +56,7 @@
 const DUE_TIMER: TimerToken = TimerToken(1);
 
 impl BalancerState {
-    /// Takes one event.
+    /// Handles one event.
     pub(crate) fn handle(&mut self, now: Seconds, event: Event) {
         self.now = now;
         if !self.has_started {
@@ -92,7 +92,7 @@
         self.dispatch_all_held();
     }
 
-    /// Housekeeping that looks at each server.
+    /// Housekeeping that visits each server.
     fn sweep(&mut self) {
         if self.settings.limits.probes {
             let ejected = self.next_to_probe();
@@ -106,7 +106,7 @@
         self.demand.update(self.now, &fleet);
     }
 
-    /// Sets the host's timer for what is due first, unless it is set.
+    /// Sets the host's timer for the first request timer that is due, unless it is already set.
     fn arm_timer(&mut self) {
         if let Some(after) = self.timers.arm(self.now) {
             self.actions.push(Action::SetTimer { token: DUE_TIMER, after });
--- a/crates/balancer/src/balance/observation.rs
+++ b/crates/balancer/src/balance/observation.rs
@@ -1,4 +1,4 @@
-//! What an outcome tells of its server, of the key's location and of the origin.
+//! What an outcome shows about its server, the location of its key and the origin.
 
 use super::hedging::LATE_AFTER;
 use super::key_locations::KeyLocation;
@@ -8,35 +8,35 @@
 
 /// Weight of a lost connection or a time-out among a server's failures.
 const FAILURE: f64 = 1.0;
-/// Weight of an error, or of a lost race against a hedged request.
+/// Weight of an error, or of an attempt that a hedged request overtook.
 const HALF_FAILURE: f64 = 0.5;
 
-/// An attempt that has ended, as it was sent.
+/// An attempt that has ended, with what is needed of its request.
 pub(super) struct EndedAttempt {
     pub(super) key: Key,
     pub(super) server: ServerId,
     pub(super) write: bool,
-    /// What its request is said to cost.
+    /// The request's work hint.
     pub(super) work: Seconds,
     pub(super) to_origin: bool,
-    /// Its request's first probe.
+    /// The request's first probe.
     pub(super) first_probe: u64,
-    /// Its request has ended otherwise.
+    /// The request had ended before this attempt did.
     pub(super) request_ended: bool,
 }
 
-/// What an outcome shows, as its server stood before it.
+/// Facts derived from an outcome and from the state of its server before it.
 struct Evidence {
-    /// The client left early: its time-out is no sign of a sick server or origin.
+    /// The client left early: its time-out is no sign of a faulty server or origin.
     is_early_timeout: bool,
-    /// The server has answered another attempt since this one was sent. A time-out of a lost zone is no late
-    /// fetch.
+    /// The server has answered another attempt since this one was sent. Without such an answer, a time-out
+    /// may come from a lost zone and does not count as a late fetch.
     server_answered: bool,
     /// The server has warmed up.
     is_warm: bool,
-    /// The key was known to be cached there.
+    /// The key was assumed to be cached by the server.
     was_cached: bool,
-    /// The attempt's time against what was expected.
+    /// The attempt's time divided by the time expected.
     slowness: f64,
     /// Attempts in flight at the server, this one included.
     load: f64,
@@ -52,7 +52,8 @@
         if was_ejected && outcome.status == Status::Success {
             return self.readmit(&attempt.server);
         }
-        // That no connection came up is the server's own fault: two dead servers of eight are no sick origin.
+        // A failed connection is the server's own fault and does not count towards the fleet's errors: two
+        // dead servers of eight do not mean a faulty origin.
         let may_have_run = outcome.status.may_have_run();
         let failed = may_have_run && outcome.status != Status::Success && !evidence.is_early_timeout;
         self.outliers.learn(failed);
@@ -88,8 +89,8 @@
         server.attempt_ended();
         let shows_slowness = match status {
             Status::Success => from_cache,
-            // It would have taken longer still. A node with little traffic knows no key's location at a
-            // server that came back, so a hit cannot be distinguished from a fetch.
+            // The attempt would have taken even longer. A node with little traffic knows no locations of keys
+            // at a server that has just restarted, so it cannot distinguish a hit from a fetch.
             Status::TimedOut | Status::Cancelled => evidence.slowness > server.slowness(),
             _ => false,
         };
@@ -121,7 +122,7 @@
         }
     }
 
-    /// An answer from cache tells how long answers take.
+    /// Updates the latency estimates with an answer from cache.
     fn learn_latency(&mut self, attempt: &EndedAttempt, took: Seconds, evidence: &Evidence) {
         if evidence.is_warm {
             self.servers.learn_kind(&attempt.server, evidence.slowness);
@@ -129,12 +130,12 @@
         self.latency.learn(took, attempt.work);
     }
 
-    /// What an outcome tells of the origin.
+    /// Updates the estimates of the origin's load.
     fn observe_origin(&mut self, attempt: &EndedAttempt, outcome: &Outcome, evidence: &Evidence) {
         let (status, took) = (outcome.status, outcome.elapsed);
         let is_read_of_unknown = !attempt.write && !evidence.was_cached;
         if is_read_of_unknown && matches!(status, Status::Success | Status::Error) {
-            // A read that ends in an error was no hit.
+            // A read that ends in an error was not a hit.
             let missed = status == Status::Error || outcome.note != Some(CacheNote::Hit);
             self.origin.learn_miss(missed);
         }
@@ -151,7 +152,7 @@
         }
     }
 
-    /// What an outcome tells of where the key is cached now. A write voids what is cached.
+    /// Updates the location of the key. A write invalidates the cached value.
     fn observe_location(&mut self, attempt: &EndedAttempt, location: KeyLocation, status: Status) {
         let is_through = self.settings.cache == CacheMode::Through;
         match status {
--- a/crates/balancer/src/balance/origin_load.rs
+++ b/crates/balancer/src/balance/origin_load.rs
@@ -1,4 +1,5 @@
-//! What reaches the slow origin, how much of it the origin bears, and which fetches others wait for.
+//! Load of the slow origin: how many fetches are in flight, how many it sustains, and which reads wait for
+//! one.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +8,13 @@
 use super::SMOOTHING;
 use crate::interface::{Key, RequestId, Seconds};
 
-/// Reads of keys not known to be cached that a node first has out at once; learnt from then on.
+/// Initial limit on reads in flight of keys that are not known to be cached; adapted from then on.
 const FIRST_FETCHES: f64 = 64.0;
-/// The origin is slow when this share of fetches is late; their mean varies too much.
+/// The origin is slow when this share of fetches is late. Their mean time varies too much to tell.
 const SLOW_SHARE: f64 = 0.6;
-/// Writes may have this many times the room of fetches.
+/// Limit of writes as a multiple of the limit of fetches.
 const WRITE_ROOM: f64 = 2.0;
-/// Weight of one read in the share of misses.
+/// Weight of one read in the miss share.
 const MISS_SMOOTHING: f64 = SMOOTHING / 2.0;
 
 /// The request that fetches a key, and the reads that wait for it.
@@ -22,15 +23,15 @@
     waiters: Vec<RequestId>,
 }
 
-/// The origin's load from this node.
+/// This node's load on the origin.
 pub(super) struct OriginLoad {
-    /// Attempts out that are expected to reach the origin.
+    /// Attempts in flight that are expected to reach the origin.
     in_flight: u32,
     /// Smoothed share of fetches that fail or are late.
     late_share: f64,
-    /// How many fetches the origin was seen to bear.
+    /// Limit on concurrent fetches, learnt from their times.
     limit: ConcurrencyLimit,
-    /// Smoothed share of reads of keys not known to be cached that were misses.
+    /// Smoothed share of misses among reads of keys not known to be cached.
     miss_share: f64,
     fetches: BTreeMap<Key, Fetch>,
 }
@@ -46,20 +47,21 @@
         }
     }
 
-    /// Whether the origin bears one more write or fetch. Writes go first, and hits must not queue with
-    /// either.
+    /// Whether the origin has capacity for one more write or fetch. Writes go first, and cache hits must not
+    /// queue with either.
     pub(super) fn has_room(&self, hold: Hold) -> bool {
         let room = if hold == Hold::Write { WRITE_ROOM } else { 1.0 };
         self.expected_fetches(self.in_flight) < self.limit.value() * room
     }
 
-    /// How many of so many attempts reach the origin. A node among hundreds knows next to no key; counting
-    /// each of its reads as a fetch would hold back reads that servers answer from cache.
+    /// Expected number of these attempts that reach the origin. A node among hundreds knows the location of
+    /// almost no key; counting each of its reads as a fetch would hold back reads that servers answer from
+    /// cache.
     fn expected_fetches(&self, attempts: u32) -> f64 {
         f64::from(attempts) * self.miss_share
     }
 
-    /// Whether most fetches are late: then no single server is to blame for a late attempt.
+    /// Whether so many fetches are late that a late attempt is not the fault of its server.
     pub(super) fn is_straining(&self) -> bool {
         self.late_share > SLOW_SHARE / 2.0
     }
@@ -72,14 +74,14 @@
         self.in_flight -= 1;
     }
 
-    /// Lets a read wait for the fetch of its key that is out already. `false` if there is none.
+    /// Lets a read wait for a fetch of its key that is in flight. `false` if there is none.
     pub(super) fn join_fetch(&mut self, key: Key, request: RequestId) -> bool {
         let Some(fetch) = self.fetches.get_mut(&key) else { return false };
         fetch.waiters.push(request);
         true
     }
 
-    /// A request fetches a key, unless another does so already.
+    /// Makes a request the leader of its key's fetch, unless another request is.
     pub(super) fn lead_fetch(&mut self, key: Key, leader: RequestId) {
         self.fetches.entry(key).or_insert(Fetch { leader, waiters: Vec::new() });
     }
@@ -92,12 +94,12 @@
         self.fetches.remove(&key).map(|fetch| fetch.waiters).unwrap_or_default()
     }
 
-    /// A read of a key that was not known to be cached has ended.
+    /// Records a read of a key that was not known to be cached.
     pub(super) fn learn_miss(&mut self, missed: bool) {
         self.miss_share += MISS_SMOOTHING * (f64::from(missed) - self.miss_share);
     }
 
-    /// A fetch has ended, late or in time.
+    /// Records a fetch that was late or in time.
     pub(super) fn learn_fetch(&mut self, late: bool, now: Seconds, took: Seconds) {
         self.late_share += SMOOTHING * (f64::from(late) - self.late_share);
         let load = self.expected_fetches(self.in_flight + 1);
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Requests that fetch, and those that wait for one.
+    /// Number of requests that fetch or wait for a fetch.
     pub(super) fn len(&self) -> usize {
         self.fetches.values().map(|fetch| 1 + fetch.waiters.len()).sum()
     }
--- a/crates/balancer/src/balance/outcome.rs
+++ b/crates/balancer/src/balance/outcome.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt: the final answer, a retry, or neither.
+//! Handling of an attempt's outcome: the final answer, a retry, or neither.
 
 use super::hedging::LATE_AFTER;
 use super::observation::EndedAttempt;
@@ -11,7 +11,8 @@
         let Some(ended) = self.take_outcome(&outcome) else { return };
         self.observe(&ended, &outcome);
         if ended.to_origin {
-            // The fetch is over, well or badly: those who waited for it ask where it was made.
+            // The fetch is over, whether it succeeded or not: the reads that waited for it are dispatched to
+            // where it was made.
             self.release_waiters(ended.key, outcome.request, ended.first_probe);
         }
         if ended.request_ended || outcome.finished {
@@ -22,7 +23,8 @@
         self.dispatch_some_held();
     }
 
-    /// Notes that an attempt has ended, and what it was. `None` where that is known already.
+    /// Records the outcome of an attempt and returns what is known of it. `None` if the attempt is unknown or
+    /// its outcome is already recorded.
     fn take_outcome(&mut self, outcome: &Outcome) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&outcome.request)?;
         let attempt = request.attempts.get_mut(outcome.attempt.0 as usize)?;
@@ -55,7 +57,8 @@
         Some(ended)
     }
 
-    /// An error is the server's, however long the client waits.
+    /// Records whether an attempt with a short deadline succeeded. An error is the server's fault, however
+    /// long the client waits, and does not count.
     fn learn_brief(&mut self, client_waited_for: Seconds, status: Status) {
         let is_servers_fault = matches!(status, Status::Error | Status::Unknown);
         if self.is_brief(client_waited_for) && !is_servers_fault {
@@ -63,7 +66,7 @@
         }
     }
 
-    /// What follows an attempt that did not serve its request.
+    /// Retries a request whose attempt did not serve it, or ends the request.
     fn retry(&mut self, id: RequestId, outcome: &Outcome, to_origin: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_over = self.now + 2.0 * self.settings.round >= request.deadline;
@@ -72,9 +75,10 @@
         }
         request.missed |= outcome.status == Status::Absent;
         let was_called_off = matches!(outcome.status, Status::Cancelled | Status::Void);
-        // A failed fetch fails elsewhere too, but for one that a server failed by itself.
+        // A fetch that failed at the origin fails at other servers too; while most attempts of the fleet
+        // succeed, the error is taken for the server's own.
         let origin_fails = outcome.status == Status::Error && to_origin && self.outliers.is_fleet_failing();
-        // What never came up cost no server any work.
+        // An attempt that never ran cost no server any work.
         let was_free = matches!(outcome.status, Status::Absent | Status::Unreachable);
         let price = if was_free { 0.0 } else { RETRY_PRICE };
         if is_over || was_called_off || origin_fails || !self.retry_budget.affords(price) {
--- a/crates/balancer/src/balance/outlier_detection.rs
+++ b/crates/balancer/src/balance/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: which servers get nothing though they are listed, and when they are probed again.
+//! Outlier detection: which listed servers are ejected, and when they are probed again.
 
 use std::collections::VecDeque;
 
@@ -7,20 +7,21 @@
 use crate::interface::{Action, Seconds, ServerId};
 
 /// Share of failed attempts over all servers from which no single server is to blame: ejecting one would only
-/// add misses.
+/// add cache misses.
 const FLEET_ERROR_SHARE: f64 = 0.2;
-/// At most this share of the list is ejected; beyond it the fault is not the servers'.
+/// Most of the listed servers that may be ejected, as a share; if more fail, the cause is not the servers.
 const MAX_EJECTED_SHARE: f64 = 0.34;
-/// Time between probes of ejected servers, one at a time, in seconds: each costs a health check or risks a
-/// request.
+/// Time between probes of ejected servers, of which one is probed at a time: each probe costs a health check
+/// or risks a request.
 const PROBE_INTERVAL: Seconds = 1.0;
-/// Failures in a row that eject a server: 1 and one more for each attempt out at the mean server, up to this.
-/// A node that sends a server a request in a minute would otherwise lose as many to its death as a busy one.
+/// Most consecutive failures that are needed to eject a server; the number needed is 1 plus the attempts in
+/// flight at the mean server. With a fixed number, a node that sends a server one request a minute would lose
+/// as many requests to its death as a busy node.
 const MAX_FAILURES: f64 = 3.0;
-/// The same for a server that peers suspect.
+/// Failures needed to eject a server that peers suspect.
 const FAILURES_OF_SUSPECTED: f64 = 0.5;
 
-/// Which servers are ejected, and how many attempts fail in all.
+/// The ejected servers, and the error share of the fleet.
 #[derive(Default)]
 pub(super) struct OutlierDetection {
     /// Smoothed share of attempts that ended in an error or without an answer.
@@ -44,7 +45,7 @@
         self.ejected.len()
     }
 
-    /// Whether one more server may be ejected, with so many ready.
+    /// Whether one more server may be ejected while this many are ready.
     fn may_eject(&self, ready: usize) -> bool {
         let listed = ready + self.ejected.len();
         let most = (listed as f64 * MAX_EJECTED_SHARE).max(1.0);
@@ -57,7 +58,7 @@
     }
 }
 
-/// Failures in a row that eject a server with so many attempts out at the mean one.
+/// Consecutive failures that eject a server, given the attempts in flight at the mean server.
 fn failures_to_eject(mean_in_flight: f64, suspected: bool) -> f64 {
     if suspected {
         return FAILURES_OF_SUSPECTED;
@@ -66,7 +67,7 @@
 }
 
 impl BalancerState {
-    /// Ejects a server that has failed too often, unless all of them fail.
+    /// Ejects a server that has failed too often, unless the whole fleet is failing.
     pub(super) fn eject_if_failing(&mut self, id: &ServerId) {
         let Some(server) = self.servers.get(id) else { return };
         let needed = failures_to_eject(self.servers.mean_in_flight(), server.is_suspected(self.now));
@@ -97,13 +98,13 @@
         self.servers.refresh_shares(&self.settings, self.now);
     }
 
-    /// Forgets the ejection of servers that have left or restarted.
+    /// Drops servers that have left or restarted from the ejected ones.
     pub(super) fn forget_ejections(&mut self) {
         let servers = &self.servers;
         self.outliers.ejected.retain(|id| servers.get(id).is_some_and(|server| server.is_ejected()));
     }
 
-    /// The ejected server that is to be probed now: one for each interval, in turn.
+    /// The ejected server to probe now: one for each interval, in turn.
     pub(super) fn next_to_probe(&mut self) -> Option<ServerId> {
         if self.now < self.outliers.next_probe_at {
             return None;
--- a/crates/balancer/src/balance/peer_reports.rs
+++ b/crates/balancer/src/balance/peer_reports.rs
@@ -1,13 +1,13 @@
-//! What is taken from other nodes: the placement table, and what they report of servers.
+//! Handling of what other nodes send: the placement table and their reports on servers.
 
 use super::state::BalancerState;
 use crate::interface::{FleetNews, Seconds, ServerEvidence};
 
-/// How long it counts that peers found a server silent, and against it that it answered this node, in
-/// seconds.
+/// Time for which a server stays suspected after peers reported it silent, and for which an answer to this
+/// node prevents suspicion.
 const SUSPICION: Seconds = 5.0;
-/// At least so many peers must have found a server silent, and none not. One peer whose own link is broken,
-/// or that lies, would otherwise have all nodes suspect sound servers.
+/// Least number of peers that must report a server silent, with none reporting an answer. Otherwise one peer
+/// whose own link is broken, or that lies, would make all nodes suspect healthy servers.
 const LEAST_REPORTERS: u16 = 3;
 
 impl BalancerState {
@@ -27,9 +27,10 @@
         }
     }
 
-    /// Reports alone eject no server: with them, one failure that this node meets itself is enough.
+    /// Updates a server's suspicion. Reports alone eject no server; they only make one failure seen by this
+    /// node enough.
     fn take_report(&mut self, report: &ServerEvidence) {
-        // A report of an earlier start of the server is void.
+        // A report on an earlier incarnation of the server is ignored.
         let server = self.servers.get_mut(&report.server);
         let Some(server) = server.filter(|server| server.is_current_start(report.started)) else { return };
         let answers_here = server.answered_within(self.now, SUSPICION);
--- a/crates/balancer/src/balance/request.rs
+++ b/crates/balancer/src/balance/request.rs
@@ -1,4 +1,4 @@
-//! What is known of a request and its attempts until the last of them has ended.
+//! A request and its attempts, kept until the last attempt has ended.
 
 use crate::interface::{AttemptId, Key, Seconds, ServerId, Status};
 
@@ -6,9 +6,9 @@
 pub(super) struct Attempt {
     pub(super) server: ServerId,
     pub(super) sent_at: Seconds,
-    /// Whether it is expected to reach the origin.
+    /// Whether the attempt is expected to reach the origin.
     pub(super) to_origin: bool,
-    /// How it ended; `None` while it is out.
+    /// How the attempt ended; `None` while it is in flight.
     pub(super) status: Option<Status>,
 }
 
@@ -17,39 +17,39 @@
         self.status.is_none()
     }
 
-    /// Whether it may have run, or may still.
+    /// Whether the attempt may have run, or may still run.
     pub(super) fn may_have_run(&self) -> bool {
         self.status.is_none_or(Status::may_have_run)
     }
 }
 
-/// One request.
+/// A request in progress.
 #[derive(Default)]
 pub(super) struct Request {
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub(super) class: usize,
     pub(super) key: Key,
     pub(super) write: bool,
     pub(super) arrived_at: Seconds,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub(super) deadline: Seconds,
-    /// What it is said to cost; 0 where that is not said.
+    /// Work hint, in core time; 0 if there is none.
     pub(super) work: Seconds,
-    /// Whether its tenant was over its quota at this node when it arrived.
+    /// Whether the tenant was over its quota at this node when the request arrived.
     pub(super) over_quota: bool,
-    /// When to give up on it.
+    /// When the request is ended if it has no answer.
     pub(super) give_up_at: Seconds,
-    /// When its last attempt is late; 0 before the first.
+    /// When the last attempt becomes late; 0 before the first attempt.
     pub(super) late_at: Seconds,
-    /// Where on its key's probe sequence it begins: one further for each time that the key was asked for of
-    /// late.
+    /// Index at which the request starts on its key's probe sequence; it grows with the recent requests for
+    /// the key.
     pub(super) first_probe: u64,
     pub(super) attempts: Vec<Attempt>,
-    /// A cache server lacked its key, so the origin is next (aside mode).
+    /// A cache server lacked the key, so the origin is asked next (cache-aside mode).
     pub(super) missed: bool,
-    /// Its client reads an answer already.
+    /// The client already reads an answer.
     pub(super) streaming: bool,
-    /// It has its final answer, or nobody waits for one.
+    /// The request has its final answer, or its client has left.
     pub(super) ended: bool,
 }
 
@@ -58,18 +58,18 @@
         self.attempts.iter().filter(|attempt| attempt.is_out()).count()
     }
 
-    /// The attempts that are out, by number.
+    /// Ids of the attempts in flight.
     pub(super) fn out(&self) -> impl Iterator<Item = AttemptId> + '_ {
         let numbered = (0..).map(AttemptId).zip(&self.attempts);
         numbered.filter(|(_, attempt)| attempt.is_out()).map(|(number, _)| number)
     }
 
-    /// Whether any of its attempts may have run.
+    /// Whether any attempt of the request may have run.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Whether this server was tried already, and did not merely lack the key.
+    /// Whether an attempt was sent to this server and ended otherwise than by a missing key.
     pub(super) fn has_tried(&self, server: &ServerId) -> bool {
         self.attempts
             .iter()
--- a/crates/balancer/src/balance/retry_budget.rs
+++ b/crates/balancer/src/balance/retry_budget.rs
@@ -1,16 +1,17 @@
-//! The retry budget, which hedged requests draw on too.
+//! The retry budget, which retries and hedged requests share.
 
 /// Tokens earned by each answer that is not late.
 const EARNED: f64 = 0.2;
-/// Most tokens that are saved at full load.
+/// Most tokens that the bucket holds at full load.
 pub(super) const MAX_SAVED: f64 = 10.0;
-/// Share of `MAX_SAVED` that is saved at least: the savings of many idle nodes would be a retry storm.
+/// Share of `MAX_SAVED` that the bucket holds at least: the full buckets of many idle nodes would add up to a
+/// retry storm.
 const LEAST_SAVED: f64 = 0.1;
-/// What one retry, or one late attempt, costs.
+/// Tokens that one retry, or one late attempt, costs.
 pub(super) const RETRY_PRICE: f64 = 1.0;
 
-/// A token bucket of further attempts. Each late attempt takes a token, hedged or not: where most are late,
-/// further attempts help nobody.
+/// A token bucket for retries and hedged requests. Each late attempt costs a token, whether it is hedged or
+/// not: where most attempts are late, more attempts do not help.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
@@ -20,7 +21,7 @@
         RetryBudget { tokens: RETRY_PRICE }
     }
 
-    /// An answer came in time, while the mean server had this many attempts in flight.
+    /// Earns tokens for an answer in time, while the mean server had this many attempts in flight.
     pub(super) fn earn(&mut self, mean_in_flight: f64) {
         let most = MAX_SAVED * mean_in_flight.clamp(LEAST_SAVED, 1.0);
         self.tokens = (self.tokens + EARNED).min(most);
--- a/crates/balancer/src/balance/retry_rules.rs
+++ b/crates/balancer/src/balance/retry_rules.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may be sent, and whether a request may be rejected, by the rules that bind every node.
+//! The rules by which an attempt may be sent and a request may be rejected. They bind every node.
 
 use super::request::{Attempt, Request};
 use super::server::Server;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether this server drops the repeat of an attempt with an idempotency key.
+    /// Whether this server deduplicates a repeat of an earlier attempt with an idempotency key.
     fn drops_repeats(&self, class: &Class, attempt: &Attempt, id: &ServerId, server: &Server) -> bool {
         match (class.group, self.servers.get(&attempt.server)) {
             (Group::All, _) => true,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether a request may be rejected with the promise that coming again is harmless.
+    /// Whether a request may be rejected, which promises the client that a retry is harmless.
     pub(super) fn may_reject(&self, request: &Request) -> bool {
         let class = self.class(request);
         class.effect == Effect::Safe
--- a/crates/balancer/src/balance/server.rs
+++ b/crates/balancer/src/balance/server.rs
@@ -1,42 +1,42 @@
-//! What is known of one server, and the sums over all that are ready.
+//! The state of one server.
 
 use super::concurrency_limit::{ConcurrencyLimit, CUT};
 use super::hash_ring::{point_count, Point};
 use super::slow_start::{admitted_share, slow_start_factor};
 use crate::interface::{CacheMode, Guarantees, RosterEntry, Seconds, ServerState, Settings};
 
-/// Weight of a new figure in the slowness of a server that warms up: a node with little traffic meets it a
-/// few times in all, and is to learn from those.
+/// Weight of a new sample in the slowness of a server that is warming up: a node with little traffic sees
+/// only a few samples in all, and has to learn from those.
 const SLOWNESS_SMOOTHING: f64 = 0.2;
-/// A server's first limit, as a multiple of the floor of the cap.
+/// Initial concurrency limit of a server, as a multiple of the floor of the cap.
 const FIRST_LIMIT_FLOORS: f64 = 2.0;
 
 /// One server.
 #[derive(Default)]
 pub(super) struct Server {
-    /// As last listed, but that `started` is set anew behind an ejection.
+    /// The entry as last listed, except that `started` is reset on readmission after an ejection.
     entry: RosterEntry,
-    /// Its start as it was last listed.
+    /// Start time as last listed.
     listed_start: Option<Seconds>,
     in_flight: u32,
-    /// Its part of the slot array by weight, and its part now.
+    /// Share of the slot array by weight, and the effective share now.
     size: f64,
     share: f64,
-    /// Its points in the slot array, and those that are active now.
+    /// Points in the slot array, and the number of them that are active now.
     points: u16,
     active_points: u16,
-    /// The share of the requests for its keys that it takes while it warms up.
+    /// Share of the requests for its keys that the server admits while it is warming up.
     admitted_share: f64,
-    /// How many attempts in flight slow its answers down, learnt from their times.
+    /// Limit on attempts in flight, learnt from the times of answers.
     limit: ConcurrencyLimit,
     last_answer_at: Seconds,
-    /// Smoothed time of its answers against what was expected, since it last started cold.
+    /// Smoothed ratio of the answers' time to the time expected, since the server last started cold.
     slowness: f64,
-    /// Signs of failure since its last answer; a lost race against a hedged request counts half.
+    /// Weighted failures since the last success; an attempt that a hedged request overtook counts half.
     failures: f64,
-    /// Until when it counts that peers found it silent.
+    /// Time until which reports of peers make the server suspected.
     suspected_until: Seconds,
-    /// Ejected, until a probe of it succeeds.
+    /// Ejected until a probe of it succeeds.
     ejected: bool,
 }
 
@@ -78,12 +78,12 @@
         self.ejected
     }
 
-    /// Whether it is sent what belongs to it.
+    /// Whether the server owns keys: ready, not ejected, and with points in the slot array.
     pub(super) fn is_in_array(&self) -> bool {
         self.is_ready() && !self.ejected && self.points > 0
     }
 
-    /// The share of the requests for its keys that it takes while others are warm.
+    /// Share of the requests for its keys that the server admits while others are warm.
     pub(super) fn admitted_share(&self) -> f64 {
         self.admitted_share
     }
@@ -96,7 +96,7 @@
         self.slow_start_factor(now, guarantees) < 1.0
     }
 
-    /// Whether it is warm by its listed start, without the guess that a server which was ejected has
+    /// Whether the server is warm by its listed start time, without the assumption that an ejected server has
     /// restarted.
     pub(super) fn is_listed_warm(&self, now: Seconds, guarantees: &Guarantees) -> bool {
         slow_start_factor(self.listed_start, now, guarantees) >= 1.0
@@ -106,7 +106,7 @@
         point.rank() < self.active_points
     }
 
-    /// Whether its answer came after this time.
+    /// Whether the last successful answer came after this time.
     pub(super) fn answered_since(&self, time: Seconds) -> bool {
         self.last_answer_at > time
     }
@@ -115,13 +115,13 @@
         self.last_answer_at > 0.0 && now < self.last_answer_at + time
     }
 
-    /// Whether this start is the one that is listed, or a later one.
+    /// Whether this start time is the listed one or a later one.
     pub(super) fn is_current_start(&self, started: Option<Seconds>) -> bool {
         started >= self.listed_start
     }
 
-    /// Takes what is listed of it. For one that is new, is back after it was gone or has just started, what
-    /// was held against the process before is void.
+    /// Applies a list entry. For a server that is new, is back after it was gone, or has restarted, the state
+    /// of the previous process is reset.
     pub(super) fn apply(&mut self, entry: RosterEntry, floor: f64) {
         let has_restarted =
             entry.started.is_some_and(|started| self.entry.started.is_none_or(|known| started > known));
@@ -141,14 +141,14 @@
         self.entry.state = ServerState::Gone;
     }
 
-    /// Sets its part of the slot array by weight; `true` if its number of points changed.
+    /// Sets the size of its share of the slot array; `true` if the number of points changed.
     pub(super) fn resize(&mut self, size: f64, takes_points: bool) -> bool {
         self.size = size;
         let points = if takes_points { point_count(size) } else { 0 };
         std::mem::replace(&mut self.points, points) != points
     }
 
-    /// Brings its share up to date. `speed`: against the fastest kind of server, from 0 to 1.
+    /// Updates the effective share. `speed` is relative to the fastest kind of server, from 0 to 1.
     pub(super) fn refresh_share(&mut self, speed: f64, now: Seconds, guarantees: &Guarantees) {
         let factor = slow_start_factor(self.entry.started, now, guarantees);
         self.admitted_share = admitted_share(factor, self.slowness);
@@ -169,7 +169,7 @@
         self.in_flight -= 1;
     }
 
-    /// An attempt shows how slow a server that warms up is.
+    /// Records a sample of the slowness of a server that is warming up.
     pub(super) fn learn_slowness(&mut self, slowness: f64) {
         self.slowness += SLOWNESS_SMOOTHING * (slowness - self.slowness);
     }
@@ -183,7 +183,7 @@
         self.last_answer_at = now;
     }
 
-    /// It served from cache, quickly, while it had this many attempts in flight.
+    /// Records a quick answer from cache while this many attempts were in flight.
     pub(super) fn grow_limit(&mut self, load: f64) {
         self.limit.grow(load);
     }
@@ -192,7 +192,7 @@
         self.limit.cut(CUT, f64::MAX, now, took);
     }
 
-    /// It rejected an attempt as overloaded.
+    /// Records an attempt that the server rejected as overloaded.
     pub(super) fn overloaded(&mut self, now: Seconds, took: Seconds) {
         self.limit.lower_to(f64::from(self.in_flight + 1));
         self.cut_limit(now, took);
@@ -210,7 +210,7 @@
         self.suspected_until = until;
     }
 
-    /// It has answered in some way, whatever peers found.
+    /// The server has answered in some way, so what peers reported no longer counts.
     pub(super) fn clear_suspicion(&mut self) {
         self.suspected_until = 0.0;
     }
@@ -223,7 +223,8 @@
         self.ejected = true;
     }
 
-    /// Back, as if just started: a server that was out may have restarted and be cold.
+    /// Readmits the server as if it had just started: it may have restarted while it was ejected, and be
+    /// cold.
     pub(super) fn readmit(&mut self, now: Seconds) {
         self.ejected = false;
         self.failures = 0.0;
@@ -232,7 +233,7 @@
     }
 }
 
-/// Whether a server is the origin itself (aside mode).
+/// Whether a server is the origin itself (cache-aside mode).
 pub(super) fn is_origin(settings: &Settings, server: &Server) -> bool {
     matches!(&settings.cache, CacheMode::Aside { origin_kind } if *origin_kind == server.entry.kind)
 }
--- a/crates/balancer/src/balance/servers.rs
+++ b/crates/balancer/src/balance/servers.rs
@@ -1,5 +1,5 @@
-//! The table of servers: what is listed and in flight, who owns a key, and how much a server may have at
-//! once.
+//! The server table: which servers are listed, the attempts in flight at each, the owners of keys, and the
+//! caps.
 
 mod array;
 
@@ -14,8 +14,8 @@
 use super::server::Server;
 use crate::interface::{Key, RosterEntry, ServerId, Settings, TableEntry};
 
-/// The ε of the cap on a server's attempts in flight. A jump costs a miss at the slow origin, so the cap is
-/// to stop crowding, not to even out.
+/// The ε of the cap on a server's attempts in flight. Each jump to another server costs a miss at the slow
+/// origin, so the cap prevents overload and does not even out the load.
 pub(super) const EPSILON: f64 = 0.7;
 /// Floor of the cap, shared by all nodes: a few requests a core.
 const FLEET_FLOOR: f64 = 8.0;
@@ -29,20 +29,21 @@
     weights: Weights,
 }
 
-/// All servers that are listed, or have attempts out.
+/// All servers that are listed or have attempts in flight.
 #[derive(Default)]
 pub(super) struct ServerTable {
-    /// Looked up at each probe of a key: by hash, as comparing ids took most of a placement in a large fleet.
+    /// Looked up at each probe of a key. A hash map, because comparing ids took most of the time of a lookup
+    /// in a large fleet.
     servers: IndexMap<ServerId, Server, FxBuildHasher>,
     ring: HashRing,
     placement: Option<PlacementTable>,
     kinds: BTreeMap<String, KindLatency>,
     totals: FleetTotals,
-    /// Attempts out at all servers.
+    /// Attempts in flight at all servers.
     in_flight: u32,
 }
 
-/// The least that the cap of a server falls to: 1 or more for each node.
+/// The least value of a server's cap: this node's share of the fleet's floor, 1 or more.
 pub(super) fn cap_floor(settings: &Settings) -> f64 {
     (FLEET_FLOOR / f64::from(settings.balancers)).ceil()
 }
@@ -73,7 +74,7 @@
         f64::from(self.in_flight) / self.ready_or_one()
     }
 
-    /// The same once one more is out.
+    /// Attempts in flight at the mean server once one more is sent.
     pub(super) fn next_mean_in_flight(&self) -> f64 {
         f64::from(self.in_flight + 1) / self.ready_or_one()
     }
@@ -89,13 +90,14 @@
         }
     }
 
-    /// Counts an attempt as ended in the sum over all servers; its server counts it as it learns from the
-    /// outcome.
+    /// Subtracts an attempt from the total over all servers; the server's own count falls when the outcome is
+    /// observed.
     pub(super) fn attempt_ended(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// max(floor, ⌈(1+ε)n/k⌉), with n/k in proportion to the server's share where sizes differ.
+    /// The cap on a server's attempts in flight: max(floor, ⌈(1+ε)n/k⌉), with n/k scaled by the server's
+    /// share where sizes differ.
     pub(super) fn cap(&self, server: &Server, floor: f64) -> f64 {
         let mean_share = self.totals.share / self.ready_or_one();
         let in_flight = f64::from(self.in_flight + 1);
@@ -104,7 +106,7 @@
         bound.ceil().max(floor.ceil())
     }
 
-    /// The owner of one probe of a key among the servers that take it.
+    /// The owner of one probe of a key among the servers for which `takes` holds.
     pub(super) fn owner(
         &self,
         key: Key,
@@ -118,27 +120,28 @@
         self.servers.get_key_value(id)
     }
 
-    /// Whether all servers have just started by the list. Readmitted servers count as just started too, but
-    /// only by a guess: where one is warm by the list, no request is rejected for that.
+    /// Whether all servers have just started by their listed start times. Readmitted servers also count as
+    /// just started, but only by assumption: while a server is warm by the list, no request is rejected on
+    /// that ground.
     pub(super) fn is_cold_fleet(&self) -> bool {
         self.totals.warm == 0 && self.totals.listed_warm == 0
     }
 
-    /// Marks the servers that a complete list does not name as gone.
+    /// Marks the servers that are missing from a complete list as gone.
     pub(super) fn mark_unlisted_gone(&mut self, listed: &[RosterEntry]) {
         let listed: BTreeSet<&ServerId> = listed.iter().map(|entry| &entry.server).collect();
         let unlisted = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
         unlisted.for_each(|(_, server)| server.mark_gone());
     }
 
-    /// Takes one entry of the list.
+    /// Applies one entry of the list.
     pub(super) fn apply(&mut self, entry: RosterEntry, settings: &Settings) {
         let server = self.servers.entry(entry.server.clone()).or_default();
         server.apply(entry, cap_floor(settings));
     }
 
-    /// Takes a placement table if it is newer than the one held: never back to an older one, and never
-    /// another under the same version.
+    /// Takes a placement table if it is newer than the current one: never an older table, and never a
+    /// different one under the same version.
     pub(super) fn take_placement(&mut self, version: TableVersion, entries: Vec<TableEntry>) -> bool {
         let is_newer = self.placement.as_ref().is_none_or(|held| held.version < version);
         if is_newer {
@@ -148,13 +151,13 @@
         is_newer
     }
 
-    /// An answer from cache tells how slow servers of this one's kind are.
+    /// Records the slowness of an answer from cache for the kind of this server.
     pub(super) fn learn_kind(&mut self, id: &ServerId, slowness: f64) {
         let Some(server) = self.servers.get(id) else { return };
         self.kinds.entry(server.entry().kind.clone()).or_default().learn(slowness);
     }
 
-    /// How many servers are listed, and how many of them get nothing new: they drain, or are ejected.
+    /// How many servers are listed, and how many of them are unavailable (draining or ejected).
     pub(super) fn members(&self) -> (usize, usize) {
         let listed = || self.servers.values().filter(|server| !server.is_gone());
         let avoided = listed().filter(|server| server.is_ejected() || !server.is_ready());
--- a/crates/balancer/src/balance/servers/array.rs
+++ b/crates/balancer/src/balance/servers/array.rs
@@ -1,4 +1,4 @@
-//! Each server's part of the slot array: by weight, slow start and kind, and none while it is ejected.
+//! Each server's share of the slot array: by weight, slow start and kind, and none while it is ejected.
 
 use std::collections::BTreeSet;
 
@@ -13,11 +13,12 @@
 const SPEED_STEPS: f64 = 16.0;
 
 impl ServerTable {
-    /// Gives the listed servers their points by weight, and forgets those that are gone.
+    /// Gives the listed servers their points by weight, and drops the servers that are gone.
     pub(in crate::balance) fn rebuild_ring(&mut self, settings: &Settings) {
         let by_weight = matches!(settings.weights, WeightSource::Nominal | WeightSource::Rough);
         let listed_weight = |server: &Server| if by_weight { server.entry().weight } else { 0.0 };
-        // With none of its servers ready, all requests would wait for the switch to the next table.
+        // A placement table without any ready server is ignored: all requests would wait for the switch to
+        // the next table.
         let is_ready = |id: &ServerId| self.servers.get(id).is_some_and(Server::is_ready);
         let placement = self.placement.as_ref().map(|table| &table.weights);
         let placement = placement.filter(|weights| weights.keys().any(is_ready));
@@ -41,13 +42,13 @@
         self.forget_unlisted_kinds();
     }
 
-    /// Puts the points of these servers into the ring anew.
+    /// Replaces the points of these servers in the ring.
     fn move_points(&mut self, changed: &BTreeSet<ServerId>) {
         if changed.is_empty() {
             return;
         }
         self.ring.remove(changed);
-        // In the order of the table, which decides between points of one hash.
+        // In the order of the server table, which breaks ties between points with equal hashes.
         for (id, server) in &self.servers {
             if changed.contains(id) {
                 self.ring.add(id, server.points());
@@ -56,21 +57,21 @@
         self.ring.sort();
     }
 
-    /// Forgets kinds of which no server is left: they would stay for ever, and a quick one would make all
-    /// others look slow.
+    /// Drops kinds without any server left: they would accumulate, and a quick one would make all others look
+    /// slow.
     fn forget_unlisted_kinds(&mut self) {
         let listed: BTreeSet<&str> =
             self.servers.values().map(|server| server.entry().kind.as_str()).collect();
         self.kinds.retain(|kind, _| listed.contains(kind.as_str()));
     }
 
-    /// Brings slow start, ejections and the sums over the fleet up to date; no request pays for that.
+    /// Updates slow start, ejections and the totals over the fleet, so that no request has to.
     pub(in crate::balance) fn refresh_shares(&mut self, settings: &Settings, now: Seconds) {
         let learns_kinds = settings.weights != WeightSource::Nominal;
         let fastest = self.kinds.values().map(KindLatency::slowness).fold(f64::MAX, f64::min);
         let mut totals = FleetTotals::default();
         for server in self.servers.values_mut() {
-            // Machines of unlike speed: slow ones drown in a share that fast ones hardly feel.
+            // Kinds differ in speed: a slow machine is overloaded by a share that a fast one hardly notices.
             let kind = self.kinds.get(&server.entry().kind).filter(|_| learns_kinds);
             let speed = kind.map_or(1.0, |kind| fastest / kind.slowness());
             let speed = (speed.max(SLOWEST) * SPEED_STEPS).round() / SPEED_STEPS;
--- a/crates/balancer/src/balance/slow_start.rs
+++ b/crates/balancer/src/balance/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start: which part of the requests for its keys a server takes while it warms up, so that the sum over
-//! all nodes stays within what it bears. No node sees what the others send: each takes the same part of what
-//! it sees.
+//! Slow start: the share of the requests for its keys that a server admits while it warms up, such that the
+//! sum over all nodes stays within its capacity. No node sees what the others send: each admits the same
+//! share of what it sees.
 
 use super::hash_ring::hash_key;
 use super::request::Request;
@@ -8,35 +8,34 @@
 use super::state::BalancerState;
 use crate::interface::{Guarantees, Seconds, ServerId};
 
-/// Least share of its requests that a server gets while it warms up, so that nodes meet it at all.
+/// Least share of its requests that a server admits while it is warming up, so that each node sends it some.
 const LEAST_SHARE: f64 = 1.0 / 16.0;
-/// Of the multiple of its present capacity that brings a server down, the part that is relied on where no
-/// server is warm.
+/// Share of the multiple of a server's present capacity that overloads it (`Guarantees::fall_multiple`) that
+/// is used where no server is warm.
 const USED_MULTIPLE: f64 = 0.5;
-/// Reads a second, over all nodes, that probe an ejected server which warms up.
+/// Reads a second, over all nodes, that probe an ejected server that is warming up.
 const PROBES_PER_SECOND: f64 = 3.0;
 
-/// The share of its capacity that a server of this start can be trusted with, from the settings: 1 once it is
-/// warm.
+/// Share of its full capacity that a server with this start time has, by the settings; 1 once it is warm.
 pub(super) fn slow_start_factor(started: Option<Seconds>, now: Seconds, guarantees: &Guarantees) -> f64 {
     let Some(started) = started.filter(|started| now < started + guarantees.ramp) else { return 1.0 };
     let age = (now - started).max(0.0) / guarantees.ramp;
     guarantees.cold_from + (1.0 - guarantees.cold_from) * age
 }
 
-/// The share of its requests that a server takes by its age: half of what it can do at first, as nodes that
-/// have not been notified of its start yet send it all.
+/// Share of its requests that a server admits by its age: half of its capacity at first, as nodes that are
+/// not yet notified of its start send it all of them.
 fn share_by_age(factor: f64) -> f64 {
     factor * (1.0 + factor) / 2.0
 }
 
-/// The share that it takes by its latency: a server that comes back cold and is slow besides would be
-/// overloaded by what its age allows.
+/// Share of its requests that a server admits by its latency: a server that is both cold and slow would be
+/// overloaded by the share that its age allows.
 fn share_by_latency(slowness: f64) -> f64 {
     1.0 / slowness.max(1.0)
 }
 
-/// The share of the requests for its keys that a server takes while others are warm.
+/// Share of the requests for its keys that a server admits while others are warm.
 pub(super) fn admitted_share(factor: f64, slowness: f64) -> f64 {
     if factor >= 1.0 {
         return 1.0;
@@ -45,8 +44,8 @@
 }
 
 impl BalancerState {
-    /// Whether a server takes this request for one of its keys. The sample is the request's, the same for
-    /// each server, and drawn anew when its client comes again.
+    /// Whether a server admits this request for one of its keys. The sample is drawn from the request, so it
+    /// is the same for each server, and is drawn again when the client retries.
     pub(super) fn admits(&self, server: &Server, request: &Request) -> bool {
         if server.admitted_share() >= 1.0 {
             return true;
@@ -62,8 +61,8 @@
         if !self.servers.is_cold_fleet() {
             return 1.0;
         }
-        // No other server can be leaned on. Clients that are rejected come again, and the same share of twice
-        // the requests is twice as much.
+        // No warm server can take the rest. Rejected clients retry, and the same share of twice the requests
+        // is twice the load.
         let guarantees = &self.settings.guarantees;
         let relied_on = (guarantees.fall_multiple * USED_MULTIPLE).min(1.0);
         let bearable = share_by_age(server.slow_start_factor(self.now, guarantees)) * relied_on;
@@ -71,8 +70,8 @@
         bearable.min(by_latency) * self.demand.usual_ratio()
     }
 
-    /// The probe at which a server that warms up takes a request: as its key's owner, not the overflow of
-    /// others.
+    /// The last probe at which a server that is warming up takes a request: it takes those of its own keys,
+    /// not the overflow of others.
     pub(super) fn owners_probe(&self, request: &Request) -> u64 {
         if self.servers.is_cold_fleet() {
             request.first_probe
@@ -81,8 +80,8 @@
         }
     }
 
-    /// Whether no server is warm, and the only one that could have this request does not take it: nothing
-    /// will change while its client waits.
+    /// Whether no server is warm, and the only one that could serve this request does not admit it: nothing
+    /// changes while its client waits.
     pub(super) fn is_shed(&self, request: &Request) -> bool {
         if !self.servers.is_cold_fleet() || self.servers.totals().ready == 0 {
             return false;
@@ -91,8 +90,9 @@
         self.owner(request, request.first_probe).is_none_or(|(id, _)| was_tried(id))
     }
 
-    /// Whether it is this node's turn to probe an ejected server with a read. At 300 nodes one read a second
-    /// from each is more than a server that warms up bears. Once it must be warm, each node probes it.
+    /// Whether this node probes an ejected server with a read now. At 300 nodes, one read a second from each
+    /// is more than a server that is warming up can serve. After the slow start, each node probes the server
+    /// on its own.
     pub(super) fn may_probe_by_read(&mut self, id: &ServerId, interval: Seconds) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
         if !server.is_warming_up(self.now, &self.settings.guarantees) {
--- a/crates/balancer/src/balance/state.rs
+++ b/crates/balancer/src/balance/state.rs
@@ -1,5 +1,4 @@
-//! The state of one balancer: the settings, the parts that each own some of it, and the actions that wait to
-//! be taken.
+//! The state of one balancer: its settings, its components, and the actions not yet taken by the host.
 
 use std::collections::BTreeMap;
 
@@ -22,17 +21,18 @@
 use super::tenant_quota::TenantQuotas;
 use crate::interface::{Action, Class, Effect, Group, RequestId, Seconds, Settings, Sizes};
 
-/// Spreads waits and probes over the nodes; it never decides where keys go.
+/// Random jitter that spreads waits and probes over the nodes; it never decides the owners of keys.
 pub(super) struct Jitter(Pcg64Mcg);
 
 impl Jitter {
-    /// The next number from 0 to 1.
+    /// The next random number from 0 to 1.
     pub(super) fn next(&mut self) -> f64 {
         self.0.random()
     }
 }
 
-/// All that one balancer holds. The files beside this one decide; each part changes only by its own methods.
+/// The complete state of a balancer. The other files of this folder decide; each component changes only by
+/// its own methods.
 pub(crate) struct BalancerState {
     pub(super) settings: Settings,
     /// The shortest latency objective of all classes.
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Moves the actions that wait to the end of this list.
+    /// Moves the pending actions to the end of this list.
     pub(crate) fn take_actions(&mut self, actions: &mut Vec<Action>) {
         actions.append(&mut self.actions);
     }
 
-    /// How many servers are listed, and how many of them get nothing new: they drain, or are ejected.
+    /// How many servers are listed, and how many of them are unavailable (draining or ejected).
     pub(crate) fn members(&self) -> (usize, usize) {
         self.servers.members()
     }
@@ -118,7 +118,7 @@
     }
 }
 
-/// Adds one more class, for requests of an unknown one: handled as the most restrictive kind.
+/// Adds a class for requests of an unknown class, with the most restrictive effect and the shortest deadline.
 fn add_unknown_class(settings: &mut Settings) {
     let shortest = settings.classes.iter().min_by(|one, other| one.deadline.total_cmp(&other.deadline));
     if let Some(shortest) = shortest {
--- a/crates/balancer/src/balance/tenant_quota.rs
+++ b/crates/balancer/src/balance/tenant_quota.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Seconds, Settings, TenantId};
 
-/// Longest time for which a bucket fills, in seconds.
+/// Longest time for which a bucket fills.
 const LONGEST_REFILL: Seconds = 1.0;
 
 struct TokenBucket {
@@ -10,7 +10,7 @@
     refilled_at: Seconds,
 }
 
-/// One bucket for each tenant of the settings, filled at this node's part of the tenant's quota.
+/// One bucket for each tenant of the settings, filled at this node's share of the tenant's quota.
 #[derive(Default)]
 pub(super) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
@@ -22,7 +22,7 @@
         TenantQuotas { buckets: std::iter::repeat_with(empty).take(tenants).collect() }
     }
 
-    /// Takes a token for one request; `true` if its tenant has none left.
+    /// Takes a token for one request; `true` if the tenant has none left.
     pub(super) fn is_over_quota(
         &mut self,
         tenant: Option<TenantId>,
--- a/crates/balancer/src/balance/tests/bounds.rs
+++ b/crates/balancer/src/balance/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What is held at most, and what happens at the bound. The table of bounds stands in docs/hardening-review.md.
+//! Bounds of the tables and behaviour at each bound. docs/hardening-review.md lists the bounds.
 
 use super::common::{self, entry, id, read, sent, settings};
 use super::{audit, end, fleet, out, settled};
@@ -24,7 +24,8 @@
     assert!(known(2 * most) && known(2 * most - most / 2 + 1) && !known(1) && !known(most - 1));
 }
 
-/// Where all are cold none takes overflow, so with the home of a key at its cap every jump is in vain.
+/// In a cold fleet no server takes overflow, so while the owner of a key is at its cap all further probes
+/// fail.
 #[test]
 fn behind_the_last_jump_a_request_is_held_and_then_refused_with_advice() {
     let mut limits = settings().limits;
@@ -36,7 +37,8 @@
     node.forget();
     let goes: Vec<bool> = keys.iter().map(|k| !sent(&node.request(read(*k, *k))).is_empty()).collect();
     assert_eq!(goes, [true, true, true, true, false, false], "the floor of the cap");
-    // Room frees: the first that is held goes, the other stays and is refused in time, with advice.
+    // Capacity frees: the first held request is sent; the other stays held and is rejected in time, with
+    // `retry_after`.
     let served = end(&mut node, keys[0], 0, Status::Success, true);
     assert_eq!(sent(&served), [id(3)]);
     assert_eq!(out(&node, keys[4]), [0]);
@@ -59,7 +61,7 @@
     keys.for_each(|n| drop(node.request(read(n, 7 + n))));
     node.event(Event::Roster(RosterNews::Full(fleet(5).into_iter().filter(|e| e.server != home).collect())));
     audit(&node);
-    // Listed again under its id: what is out there still counts.
+    // Listed again under the same id: its attempts in flight still count.
     node.event(Event::Roster(RosterNews::Full(fleet(5))));
     audit(&node);
     node.event(Event::Roster(RosterNews::Full(vec![])));
--- a/crates/balancer/src/balance/tests/cut_short.rs
+++ b/crates/balancer/src/balance/tests/cut_short.rs
@@ -1,25 +1,25 @@
-//! What is left over after each way in which a request can be cut short at each stage of it.
+//! Every way to interrupt a request at every stage: the one final answer, and that no state is left over.
 
 use super::common::{self, failed, read, refused, settings, KEYED, READ, UNSAFE};
 use super::{audit, end, fleet, out, settled};
 use crate::balance::DUE_TIMER;
 use crate::interface::*;
 
-/// A stage of request 1 on its way, reached on a node of eight servers.
+/// A stage of request 1, reached on a node with eight servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     /// No server is listed.
     Held,
-    /// Another request's fetch of its key is out.
+    /// Another request's fetch of its key is in flight.
     Waiting,
     Sent,
-    /// Its first attempt was turned away and it has gone on.
+    /// Its first attempt was rejected and a second one is in flight.
     Jumped,
-    /// A second attempt is out beside the first.
+    /// A second attempt is in flight beside the first.
     Hedged,
-    /// Its first attempt ended with an error that may have run, and another is out.
+    /// Its first attempt ended with an error that may have run, and another is in flight.
     Retried,
-    /// It has its final answer, and an attempt is still out.
+    /// It has its final answer, and an attempt is still in flight.
     Answered,
     /// Its server has left the list.
     Orphaned,
@@ -47,7 +47,7 @@
 ];
 const CUTS: [Cut; 4] = [Cut::ClientLeaves, Cut::TimeIsUp, Cut::UpstreamCloses, Cut::LateAnswer];
 
-/// Leads request 1 to a stage; `None` where its class never gets there.
+/// Brings request 1 to a stage; `None` where its class cannot reach the stage.
 fn lead(node: &mut common::Node, class: ClassId, stage: Stage) -> Option<()> {
     let new = NewRequest { class: Some(class), write: class != READ, ..read(1, 7) };
     match stage {
@@ -81,11 +81,12 @@
         Stage::Hedged => 2,
         _ => 1,
     };
-    // A class that may not be repeated is failed or stays with its one attempt.
+    // A request of a class that must not be repeated has failed or keeps its one attempt.
     (out(node, 1).len() == want).then_some(())
 }
 
-/// What came of it: `-` nobody is owed, `R` refused, `F` failed, `S` served; and how many attempts more went out.
+/// The final answer (`-` none is due, `R` rejected, `F` failed, `S` served) and the number of further
+/// attempts sent.
 fn cut(node: &mut common::Node, stage: Stage, cut: Cut) -> (char, usize) {
     let sends = |node: &common::Node| node.sends.get(&RequestId(1)).map_or(0, Vec::len);
     let (before, answered) = (sends(node), stage == Stage::Answered);
@@ -112,7 +113,7 @@
     }
     audit(node);
     let more = sends(node) - before;
-    // Every attempt has one outcome, whatever was answered; nothing goes out behind the final answer.
+    // Ends every attempt with one outcome, whatever was answered; nothing may be sent after the final answer.
     let over = served || node.balancer.0.requests.get(&RequestId(1)).is_none_or(|r| r.ended);
     node.now = node.now.max(101.0);
     actions.extend(node.event(Event::Timer(DUE_TIMER)));
@@ -167,7 +168,8 @@
             }
         }
     }
-    // Columns: client leaves, time is up, upstream closes, a late answer comes; +1: one attempt more went out.
+    // Columns: the client leaves, the deadline passes, the upstream closes, a late answer arrives. +1: one
+    // more attempt was sent.
     let want = include_str!("stages.txt");
     assert_eq!(table, want, "\n{table}");
 }
--- a/crates/balancer/src/balance/tests/mod.rs
+++ b/crates/balancer/src/balance/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the balancer holds, seen from inside: its tables agree with each other, and nothing is left over.
+//! Tests of the balancer's internal state: its tables agree with each other, and nothing is left over.
 
 #[path = "../../../tests/common/mod.rs"]
 mod common;
@@ -22,7 +22,8 @@
     (1..=n).map(entry).collect()
 }
 
-/// Counts agree with each other and with the attempts that have no outcome, and every table holds live things only.
+/// Checks that counts agree with each other and with the attempts in flight, and that no table holds stale
+/// entries.
 pub(super) fn audit(node: &common::Node) {
     let state = &node.balancer.0;
     audit_attempts(state);
@@ -33,7 +34,7 @@
     );
     assert!(state.timers.len() <= 2 * state.requests.len());
     assert!(state.key_locations.len() <= MAX_LOCATIONS);
-    // Cut at the next request, so what counts is the largest fleet of these tests.
+    // Trimmed at the next request, so the bound follows from the largest fleet of these tests.
     let (recent_requests, recent_keys) = state.popularity.sizes();
     assert!(recent_requests as f64 <= 8.0 / HOT + 1.0);
     assert!(recent_keys <= recent_requests);
@@ -69,7 +70,7 @@
     assert_eq!(to_probe, ejected, "the queue of probes holds who is ejected, once");
 }
 
-/// Nothing is in flight, held, due or waited for.
+/// Checks that no request is in flight, held, scheduled or waiting for a fetch.
 pub(super) fn settled(node: &mut common::Node) {
     node.pass(TICK);
     audit(node);
@@ -79,7 +80,7 @@
     assert_eq!(state.held.len(), 0);
 }
 
-/// Ends the attempt of this number.
+/// Ends the attempt with this number.
 pub(super) fn end(
     node: &mut common::Node,
     request: u64,
--- a/crates/balancer/src/balance/tests/recovery.rs
+++ b/crates/balancer/src/balance/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! How the module settles after trouble.
+//! Recovery after faults.
 
 use super::common::{self, entry, id, read, settings};
 use super::{audit, end, fleet, out, settled};
@@ -6,7 +6,7 @@
 use crate::balance::{DUE_TIMER, SWEEP, TICK};
 use crate::interface::*;
 
-/// The queue of trials names each server that is out once, however often it comes and goes.
+/// The probe queue contains each ejected server once, however often it is ejected and readmitted.
 #[test]
 fn a_server_that_comes_back_and_fails_again_is_counted_as_out_once() {
     let mut node = common::Node::with(settings(), 1, fleet(8));
@@ -38,7 +38,7 @@
     };
     let mut node = common::Node::with(settings(), 1, fleet(8));
     let before = keys(&mut node, 1);
-    // Gone and back cold, ejected and readmitted, drained and ready again.
+    // Gone and back cold, drained and ready again; then, below, ejected and readmitted.
     let started = RosterEntry { started: Some(node.now), ..entry(3) };
     let drained = RosterEntry { state: ServerState::Draining, ..entry(3) };
     let absent = fleet(8).into_iter().filter(|e| e.server != id(3)).collect();
@@ -58,7 +58,8 @@
     settled(&mut node);
 }
 
-/// An origin that fails and comes back: its limit falls to 1 at the least, and is back by what it then answers.
+/// The origin fails and recovers: its limit falls to 1 at the least and is restored by the answers that
+/// follow.
 #[test]
 fn the_fetch_limit_and_the_retry_budget_recover() {
     let mut node = common::Node::with(settings(), 1, fleet(8));
@@ -92,7 +93,8 @@
     audit(&node);
 }
 
-/// A read that waits for another's fetch goes its own way once that fetch is late, and is served in time.
+/// A read that waits for another's fetch is sent on its own once that fetch is late, so that it is served in
+/// time.
 #[test]
 fn a_read_behind_a_fetch_that_is_late_goes_its_own_way() {
     let mut limits = settings().limits;
--- a/crates/balancer/src/balance/tests/weeks.rs
+++ b/crates/balancer/src/balance/tests/weeks.rs
@@ -1,4 +1,4 @@
-//! That three weeks of churn leave nothing behind.
+//! Three weeks of churn leave no state behind.
 
 use super::common::{self, entry, read, refused, settings};
 use super::{end, fleet, out, settled};
@@ -13,7 +13,7 @@
         node.pass(1.0);
         (0..64).map(|key| node.home(from + key, key)).collect()
     };
-    // How long a request is held that no server can take.
+    // Time for which a request is held while no server is listed, in ticks.
     let held = |node: &mut common::Node, request| {
         node.event(Event::Roster(RosterNews::Full(vec![])));
         let since = node.now;
@@ -52,7 +52,7 @@
         sizes.push(size(&node));
     }
     assert_eq!(sizes.get(1), sizes.last(), "sizes in the second hour and in the last");
-    // Ejections are of the last hour; a probe ends them.
+    // Ejections of the last hour remain until a probe ends them, so the list is cleared.
     node.event(Event::Roster(RosterNews::Full(vec![])));
     let last = (homes(&mut node, 1 << 52), held(&mut node, 1 << 53));
     assert_eq!(first.0, last.0);
--- a/crates/balancer/src/interface/actions.rs
+++ b/crates/balancer/src/interface/actions.rs
@@ -1,48 +1,48 @@
-//! What a balancer asks its host to do.
+//! Actions that a balancer requests of its host.
 
 use super::names::{AttemptId, RequestId, Seconds, ServerId, TimerToken};
 
-/// What a balancer asks its host to do, in this order.
+/// An action for the host. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Launch the request's next attempt.
+    /// Send the request's next attempt.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The server to send the attempt to.
         server: ServerId,
-        /// Give it up after this long; `None`: as long as the client waits.
+        /// Time after which to abandon the attempt; `None`: when the client stops waiting.
         timeout: Option<Seconds>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// Final answer: not served, and trying again is harmless.
+    /// Final answer: not served, and a retry by the client is harmless.
     Refuse {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// How long the client should hold off.
+        /// Time that the client should wait before a retry.
         retry_after: Option<Seconds>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed, with no statement on whether the request ran.
     Fail(RequestId),
-    /// Ask for [`Event::Timer`](crate::Event::Timer).
+    /// Set a timer, which fires as [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// Comes back as given.
+        /// Token that the timer event returns.
         token: TimerToken,
-        /// From now.
+        /// Delay from now.
         after: Seconds,
     },
-    /// Health-check a server.
+    /// Send a health check to a server.
     Probe(ServerId),
-    /// Send a message to all other nodes.
+    /// Broadcast a message to all other nodes.
     Tell(Vec<u8>),
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/balancer/src/interface/classes.rs
+++ b/crates/balancer/src/interface/classes.rs
@@ -1,57 +1,57 @@
-//! What a deployment says of requests: classes, tenants, what may run twice.
+//! Request classes and tenants: latency objectives, quotas, and which requests may run twice.
 
 use super::names::Seconds;
 
-/// May a request run more than once?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Idempotent: repeats are harmless.
     Safe,
-    /// Servers of one group drop repeats for a while.
+    /// Carries an idempotency key: the servers of one group drop its repeats for a while.
     Keyed,
     /// Must never run twice. Unknown effects are handled as this one.
     Unsafe,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// The servers among which repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those in one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those in one cell.
+    /// The servers of one cell.
     Cell,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class in the settings.
     pub name: String,
-    /// An answer within this time earns its full worth.
+    /// Latency objective: an answer within this time earns the full priority weight.
     pub aim: Seconds,
-    /// The client waits this long, over all its tries.
+    /// Time for which the client waits, over all its tries.
     pub deadline: Seconds,
-    /// Worth of an answer within the aim.
+    /// Priority weight of an answer within the latency objective.
     pub worth: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Share of the priority weight that an answer after the latency objective still earns.
     pub late_worth: f64,
-    /// May it run again?
+    /// Whether a request of the class may run again.
     pub effect: Effect,
     /// Where repeats are dropped, for keyed classes.
     pub group: Group,
-    /// How long repeats are dropped, from the first send that may have run.
+    /// Time for which repeats are dropped, from the first send that may have run.
     pub window: Seconds,
-    /// The answer is a stream.
+    /// Whether the answer is a stream.
     pub streamed: bool,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant in the settings.
     pub name: String,
-    /// Requests a second within its share, over all nodes.
+    /// Requests a second within the quota, over all nodes.
     pub quota: f64,
 }
--- a/crates/balancer/src/interface/events.rs
+++ b/crates/balancer/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What a host tells a balancer.
+//! Events that a host passes to a balancer.
 
 use super::fleet::FleetNews;
 use super::names::{AttemptId, ClassId, Key, RequestId, Seconds, ServerId, TenantId, TimerToken};
@@ -7,30 +7,30 @@
 /// A request that has just arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its id.
+    /// Id of the request, chosen by the host.
     pub id: RequestId,
-    /// Time until the client gives this try up.
+    /// Time until the client abandons this try.
     pub left: Seconds,
-    /// Its class; `None` if unknown.
+    /// Class of the request; `None` if unknown.
     pub class: Option<ClassId>,
-    /// Its tenant, if it has one.
+    /// Tenant of the request, if it has one.
     pub tenant: Option<TenantId>,
-    /// Its key, if it has one.
+    /// Cache key of the request, if it has one.
     pub key: Option<Key>,
-    /// It writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// A guess of its cost in core time.
+    /// Work hint: the estimated cost of the request in core time.
     pub work: Option<Seconds>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Served.
     Success,
     /// Answered with an error; may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the server before it ran.
     Overloaded,
     /// No answer in time; may have run or still run.
     TimedOut,
@@ -44,7 +44,7 @@
     Void,
     /// The server lacks the key; nothing ran.
     Absent,
-    /// A code this library does not know; counts as may-have-run.
+    /// A status code that this library does not know; counts as may-have-run.
     Unknown,
 }
 
@@ -54,75 +54,75 @@
         !matches!(self, Status::Overloaded | Status::Unreachable | Status::Void | Status::Absent)
     }
 
-    /// The server said something, be it that it will not.
+    /// Whether the server answered at all, rejections included.
     pub fn answered(self) -> bool {
         use Status::{Absent, Error, Overloaded, Success, Unknown};
         matches!(self, Success | Error | Overloaded | Absent | Unknown)
     }
 }
 
-/// What the server reported of its cache.
+/// What the server reported about its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheNote {
-    /// It had the key.
+    /// The server had the key cached.
     Hit,
-    /// It lacked the key.
+    /// The server lacked the key.
     Miss,
-    /// It lacked the key and another request fetches it.
+    /// The server lacked the key, and another request is already fetching it.
     MissFetching,
 }
 
-/// The one outcome of an attempt.
+/// The outcome of an attempt; each attempt has exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: Status,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub elapsed: Seconds,
-    /// The request is finished; no answer is owed.
+    /// Whether the request is finished, so that no final answer is due.
     pub finished: bool,
-    /// What the server reported of its cache.
+    /// What the server reported about its cache.
     pub note: Option<CacheNote>,
 }
 
-/// What a host tells a balancer.
+/// An event for the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the servers.
+    /// An update of the endpoint list.
     Roster(RosterNews),
     /// A request arrived.
     Request(NewRequest),
     /// A streamed answer has begun.
     StreamStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// The attempt that the client now reads.
+        /// The attempt whose answer the client now reads.
         attempt: AttemptId,
     },
     /// An attempt ended.
     Outcome(Outcome),
-    /// Nobody waits for this request any more.
+    /// The client has left: no answer to this request is needed.
     Withdrawn(RequestId),
-    /// A timer is due.
+    /// A timer fired.
     Timer(TimerToken),
-    /// A probe ended.
+    /// A health check ended.
     Probed {
-        /// The server probed.
+        /// The server that was checked.
         server: ServerId,
-        /// What came of it.
+        /// Result of the health check.
         status: Status,
     },
-    /// What the other nodes agreed on and found.
+    /// An update from the other nodes: a placement table or reports on servers.
     Fleet(FleetNews),
     /// Another node sent a message.
     Message {
-        /// The sender.
+        /// Number of the sending node.
         from: u32,
-        /// Its bytes.
+        /// Payload of the message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/balancer/src/interface/fleet.rs
+++ b/crates/balancer/src/interface/fleet.rs
@@ -1,48 +1,48 @@
-//! What a node is notified of what the other nodes agreed on and found.
+//! Updates from the other nodes: the agreed placement table and their reports on servers.
 
 use super::names::{Seconds, ServerId};
 
-/// News from the plane between nodes. Where it never comes, the module acts by its list and its own
-/// experience alone.
+/// An update from the control plane between nodes. If none ever arrives, the balancer acts by its endpoint
+/// list and its own observations alone.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetNews {
-    /// The placement table in force: from now on the slot array is made of these entries and not of the ready
-    /// entries of the list; whether a server may be sent to is still the list's to say. One that is not newer
-    /// than the table held, by epoch and then by version, changes nothing. The plane bounds how many entries
-    /// there are.
+    /// The placement table in force: the slot array consists of these entries instead of the ready entries of
+    /// the endpoint list; whether a server may be sent to still depends on the list. A table that is not
+    /// newer than the current one, by epoch and then by version, is ignored. The control plane bounds the
+    /// number of entries.
     Table {
-        /// Epoch of the federation that decided it.
+        /// Epoch in which the table was decided.
         epoch: u64,
-        /// Its version within that epoch.
+        /// Version of the table within its epoch.
         version: u64,
-        /// Its servers; of two entries for one server the last counts.
+        /// Servers of the table; of two entries for one server the last counts.
         entries: Vec<TableEntry>,
     },
-    /// Merged evidence of peers, for some servers or all. It counts for a few seconds and is then void.
+    /// Merged reports of peers, on some servers or all. They expire after a few seconds.
     Servers(Vec<ServerEvidence>),
 }
 
 /// One server of a placement table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableEntry {
-    /// Its address.
+    /// Address of the server.
     pub server: ServerId,
-    /// Its part of the slot array, against the other entries' weights; 1 for all where weights tell nothing.
-    /// A weight that is not above 0 counts as an unknown one.
+    /// Weight of the server's share of the slot array, relative to the other entries; 1 for all where weights
+    /// are unknown. A weight that is not above 0 counts as unknown.
     pub weight: f64,
 }
 
-/// What other nodes found of one incarnation of a server, each of them counted once.
+/// What other nodes observed of one incarnation of a server, with each node counted once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEvidence {
-    /// Its address.
+    /// Address of the server.
     pub server: ServerId,
-    /// Start of the incarnation that is meant, as listed, on the host's clock.
+    /// Start time of the observed incarnation, as listed, on the host's clock.
     pub started: Option<Seconds>,
-    /// Peers that asked it of late and had no answer.
+    /// Number of peers that recently sent to the server and had no answer.
     pub silent: u16,
-    /// Peers that had an answer of late.
+    /// Number of peers that recently had an answer.
     pub answering: u16,
-    /// Requests that peers have in flight there. No decision rests on it yet.
+    /// Requests that peers have in flight at the server. No decision uses it yet.
     pub in_flight: u32,
 }
--- a/crates/balancer/src/interface/mod.rs
+++ b/crates/balancer/src/interface/mod.rs
@@ -1,6 +1,6 @@
-//! Settings, events and actions: all that passes between a [`Balancer`](crate::Balancer) and its host.
+//! Settings, events and actions: all types that pass between a [`Balancer`](crate::Balancer) and its host.
 //!
-//! Nothing in this folder decides anything. Times are in seconds on the host's clock.
+//! This folder contains no decisions. Times are in seconds on the host's clock.
 
 mod actions;
 mod classes;
--- a/crates/balancer/src/interface/names.rs
+++ b/crates/balancer/src/interface/names.rs
@@ -1,23 +1,23 @@
-//! What things are called: times, requests, servers, keys.
+//! Identifiers and units: times, requests, servers, keys.
 
 use std::sync::Arc;
 
-/// A point on the host's clock, or a length of time, in seconds.
+/// A point on the host's clock or a duration, in seconds.
 pub type Seconds = f64;
 
-/// A request, numbered by the host; never used twice.
+/// A request, numbered by the host; numbers are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The place of an attempt among the attempts of its request, from 0.
+/// Index of an attempt among the attempts of its request, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId(pub u32);
 
-/// The address of a server. It alone decides the server's place in the slot array.
+/// Address of a server. The server's points in the slot array depend on it alone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ServerId(pub Arc<str>);
 
-/// What a request concerns; requests with one key share a home.
+/// Cache key of a request; requests with the same key have the same owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Key(pub u64);
 
@@ -29,6 +29,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Chosen by the balancer and given back when the timer is due.
+/// Identifies a timer: chosen by the balancer and returned when the timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
--- a/crates/balancer/src/interface/roster.rs
+++ b/crates/balancer/src/interface/roster.rs
@@ -1,47 +1,47 @@
-//! News of the servers.
+//! The endpoint list and its updates.
 
 use super::names::{Seconds, ServerId};
 
-/// State of a roster entry.
+/// State of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Wraps up; must be sent nothing new. Unknown states are handled as this one.
+    /// Finishes its requests and must be sent no new ones. Unknown states are handled as this one.
     #[default]
     Draining,
-    /// Left the list.
+    /// Has left the list.
     Gone,
 }
 
-/// One server in a roster.
+/// One server in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RosterEntry {
-    /// Its address.
+    /// Address of the server.
     pub server: ServerId,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// A number to set against other servers' numbers.
+    /// Weight relative to other servers; [`WeightSource`](crate::WeightSource) gives its meaning.
     pub weight: f64,
-    /// Its machine kind.
+    /// Machine kind of the server.
     pub kind: String,
-    /// When it last started, if lately.
+    /// Time of the last start, if it was recent.
     pub started: Option<Seconds>,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u64,
 }
 
-/// What a roster event brings.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RosterNews {
     /// The changed entries.
     Delta(Vec<RosterEntry>),
-    /// The complete list; who is absent has left.
+    /// The complete list; a server that is absent has left.
     Full(Vec<RosterEntry>),
-    /// The complete list as this node last had it, maybe old.
+    /// The complete list as this node last stored it, possibly outdated.
     Cached(Vec<RosterEntry>),
-    /// A call failed or the subscription broke; the old list stands.
+    /// A discovery call failed or the subscription broke; the current list stays in force.
     Failed,
 }
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -1,114 +1,116 @@
-//! All that a node is given at its start.
+//! Settings of a node, which it is given at its start.
 
 use super::classes::{Class, Tenant};
 use super::names::Seconds;
 use super::settings_error::SettingsError;
 
-/// How the list of servers reaches the node.
+/// How the endpoint list reaches the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Membership {
     #[default]
-    /// Changes arrive by themselves.
+    /// The host sends updates unrequested.
     Pushed,
-    /// Only after [`Action::Subscribe`](crate::Action::Subscribe).
+    /// Updates arrive only after [`Action::Subscribe`](crate::Action::Subscribe).
     OnRequest,
 }
 
-/// What servers do with a key that they lack.
+/// Where a key is fetched from that a cache server lacks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum CacheMode {
     #[default]
-    /// They fetch it from the origin and forward writes to it.
+    /// The cache server fetches the key from the origin and forwards writes to it (read-through,
+    /// write-through).
     Through,
-    /// They answer [`Status::Absent`](crate::Status::Absent); the node asks the origin, which is a roster entry of this kind.
+    /// The cache server answers [`Status::Absent`](crate::Status::Absent), and the node asks the origin,
+    /// which is a listed endpoint of this kind.
     Aside {
-        /// Kind of the origin.
+        /// Machine kind of the origin.
         origin_kind: String,
     },
 }
 
-/// What [`RosterEntry::weight`](crate::RosterEntry::weight) holds.
+/// Meaning of [`RosterEntry::weight`](crate::RosterEntry::weight).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
     #[default]
-    /// Always the same number.
+    /// The same for all servers.
     Off,
     /// The registered size.
     Nominal,
-    /// The size, give or take.
+    /// An approximate size.
     Rough,
-    /// Size over load; changes from list to list.
+    /// Size divided by load; changes from list to list.
     Live,
 }
 
-/// Figures of the rules that every node keeps.
+/// Parameters of the rules that bind every node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Guarantees {
-    /// A final answer counts until this long past the client's deadline.
+    /// Time after the client's deadline until which a final answer still counts.
     pub answer_grace: Seconds,
-    /// Longest time without a subscription or a fetch of the list.
+    /// Longest time without a subscription or a fetch of the endpoint list.
     pub ask_every: Seconds,
-    /// A server starts at this share of its capacity, or more.
+    /// Least share of its capacity with which a server starts.
     pub cold_from: f64,
-    /// And is warm after this long.
+    /// Duration of the slow start, after which a server is warm.
     pub ramp: Seconds,
-    /// Sends to a draining server end within this time.
+    /// Time within which sends to a draining server must end.
     pub drain_grace: Seconds,
-    /// More than this many times its present capacity ...
+    /// Load that overloads a server which has just started, as a multiple of its present capacity ...
     pub fall_multiple: f64,
-    /// ... for this long brings a just-started server down.
+    /// ... if the load stays above it for this long.
     pub fall_for: Seconds,
 }
 
 /// What the deployment allows; by default nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// [`Action::Cancel`](crate::Action::Cancel) is allowed.
+    /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancel: bool,
-    /// [`Action::Probe`](crate::Action::Probe) is allowed.
+    /// Whether [`Action::Probe`](crate::Action::Probe) is allowed.
     pub probes: bool,
-    /// [`Action::Tell`](crate::Action::Tell) is allowed.
+    /// Whether [`Action::Tell`](crate::Action::Tell) is allowed.
     pub peers: bool,
-    /// A request may have two attempts out at once. The rules never need it.
+    /// Whether a request may have two attempts in flight (hedging). The rules never require it.
     pub second_copies: bool,
-    /// Clients are given the advice of [`Action::Refuse`](crate::Action::Refuse).
+    /// Whether clients receive the `retry_after` of [`Action::Refuse`](crate::Action::Refuse).
     pub retry_after: bool,
-    /// Longest advice that clients heed.
+    /// Longest `retry_after` that clients obey.
     pub max_retry_after: Seconds,
-    /// Attempts for one request.
+    /// Most attempts of one request.
     pub max_attempts: u32,
-    /// A connection not up by then fails.
+    /// Time after which a connection that is not established fails.
     pub connect_timeout: Seconds,
 }
 
-/// All that a node is given at its start. The default makes no sense yet: it has no classes and no balancers.
+/// Settings of a node. The default is invalid: it has no classes and no balancers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Nodes that share the servers, this one included.
+    /// Number of nodes that share the servers, this one included.
     pub balancers: u32,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// How the list of servers arrives.
+    /// How the endpoint list reaches the node.
     pub membership: Membership,
-    /// What servers do with a key that they lack.
+    /// Where a key is fetched from that a cache server lacks.
     pub cache: CacheMode,
-    /// What roster weights mean.
+    /// Meaning of the endpoints' weights.
     pub weights: WeightSource,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub guarantees: Guarantees,
-    /// What is allowed.
+    /// What the deployment allows.
     pub limits: Limits,
-    /// Events are handed over at most this often.
+    /// Least interval between two batches of events from the host.
     pub round: Seconds,
 }
 
 impl Settings {
-    /// Finds values that make no sense.
+    /// Checks all values.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first setting that is invalid.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.balancers == 0 {
             return Err(SettingsError::TooFew { what: "balancers", expected: "1", found: "0" });
@@ -139,7 +141,7 @@
         Ok(())
     }
 
-    /// All times that are no class's, and what they are for.
+    /// All times that do not belong to a class, each with its name in error messages.
     fn own_times(&self) -> Vec<(&'static str, Seconds)> {
         let guarantees = &self.guarantees;
         vec![
--- a/crates/balancer/src/interface/settings_error.rs
+++ b/crates/balancer/src/interface/settings_error.rs
@@ -1,79 +1,79 @@
-//! What can be wrong with settings.
+//! Errors in settings.
 
-/// A setting that cannot be used.
+/// A missing or invalid setting.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// The settings are not an object at all.
+    /// The settings are not a JSON object.
     #[error("settings as a JSON object expected")]
     NotAnObject,
-    /// A list holds something else than objects.
+    /// A list contains a value that is not an object.
     #[error("setting {setting}: objects expected")]
     NotObjects {
-        /// The list.
+        /// Name of the list.
         setting: &'static str,
     },
-    /// A setting is not there.
+    /// A required setting is missing.
     #[error("setting {setting}: missing")]
     Missing {
-        /// The setting, with the object that it is expected in.
+        /// Name of the setting, with the object that should contain it.
         setting: String,
     },
-    /// A setting has another type.
+    /// A setting has the wrong type.
     #[error("setting {setting}: {expected} expected, got {found}")]
     WrongType {
-        /// The setting.
+        /// Name of the setting.
         setting: String,
-        /// What was expected.
+        /// The expected type.
         expected: &'static str,
-        /// What was found, as JSON.
+        /// The value that was found, as JSON.
         found: String,
     },
-    /// A setting is none of the words that are known.
+    /// A setting has none of its known values.
     #[error("setting {setting}: {expected} expected, got {found}")]
     UnknownWord {
-        /// The setting.
+        /// Name of the setting.
         setting: &'static str,
-        /// The words that are known.
+        /// The known values.
         expected: &'static str,
-        /// What was found.
+        /// The value that was found.
         found: String,
     },
-    /// A count is larger than can be held.
+    /// A count exceeds the range of its type.
     #[error("setting {setting}: too many")]
     TooMany {
-        /// The setting.
+        /// Name of the setting.
         setting: &'static str,
     },
-    /// A list that has to name at least one thing is empty, or a count is 0.
+    /// A list that needs at least one entry is empty, or a count is 0.
     #[error("{what}: at least {expected} expected, got {found}")]
     TooFew {
-        /// What is counted.
+        /// Name of the list or count.
         what: &'static str,
-        /// The least that is needed.
+        /// The least number.
         expected: &'static str,
-        /// What was found.
+        /// The number that was found.
         found: &'static str,
     },
-    /// A class whose requests could not be served in time.
+    /// A class whose latency objective or deadline is 0.
     #[error("class {class}: aim and deadline above 0 expected")]
     ClassWithoutTime {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// A length of time that cannot be one.
+    /// A duration is negative or not finite.
     #[error("{what}: a time of 0 or more expected, got {found}")]
     NoTime {
-        /// What the time is for.
+        /// Name of the duration.
         what: &'static str,
-        /// What was found, in seconds.
+        /// The value that was found, in seconds.
         found: f64,
     },
-    /// A share that cannot be one.
+    /// A share is not above 0 and at most 1.
     #[error("{what}: a share above 0 and up to 1 expected, got {found}")]
     NoShare {
-        /// What it is the share of.
+        /// Name of the share.
         what: &'static str,
-        /// What was found.
+        /// The value that was found.
         found: f64,
     },
 }
--- a/crates/balancer/src/interface/sizes.rs
+++ b/crates/balancer/src/interface/sizes.rs
@@ -1,28 +1,29 @@
-//! How much a node holds.
+//! Sizes of the balancer's tables.
 
-/// How much a node holds, table by table, for those who watch that nothing grows.
+/// Size of each table, for monitoring and tests that check that nothing grows without bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Sizes {
-    /// Requests that have no final answer, or an attempt out.
+    /// Requests without a final answer or with an attempt in flight.
     pub requests: usize,
-    /// Of those, the ones that wait to be sent.
+    /// Requests among them that are held.
     pub waiting: usize,
-    /// Servers known.
+    /// Known servers.
     pub servers: usize,
-    /// Points on the ring.
+    /// Points on the hash ring.
     pub points: usize,
-    /// Places at which keys are known to be kept.
+    /// Entries of the key-location cache: pairs of a key and a server.
     pub places: usize,
-    /// Fetches out, and the reads that wait for one.
+    /// Fetches in flight, and the reads that wait for one.
     pub fetches: usize,
-    /// Times at which something is due.
+    /// Scheduled timers.
     pub due: usize,
-    /// Keys asked for of late, kinds of servers, servers taken out, and entries of the placement table.
+    /// Total of the small tables: recent requests and their keys, kinds of servers, ejected servers, and
+    /// entries of the placement table.
     pub small: usize,
 }
 
 impl Sizes {
-    /// The more of each.
+    /// The maximum of each size.
     #[must_use]
     pub fn most(self, other: Sizes) -> Sizes {
         Sizes {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Each table's name and size.
+    /// Name and size of each table.
     pub fn tables(&self) -> [(&'static str, usize); 8] {
         [
             ("requests", self.requests),
--- a/crates/balancer/src/key_owner.rs
+++ b/crates/balancer/src/key_owner.rs
@@ -1,10 +1,11 @@
-//! Where a placement table has a key, by the code that the balancer places by.
+//! The owner of a key under a placement table, computed by the balancer's own code.
 
 use crate::balance::hash_ring::{point_count, scale, scaled_size, HashRing, Weights};
 use crate::interface::{Key, ServerId, TableEntry};
 
-/// The owner of slot h(key, 0) in an array of these entries, all of them warm and ready: where a node whose table has
-/// them sends a key that has room there. `None` where there are no entries. Builds the array anew at each call.
+/// The owner of slot h(key, 0) in an array of these entries, all of them warm and ready: the server to which
+/// a node with this table sends a key while that server has capacity. `None` if there are no entries. Builds
+/// the array anew at each call.
 #[must_use]
 pub fn key_owner(entries: &[TableEntry], key: Key) -> Option<ServerId> {
     let weights: Weights = entries.iter().map(|entry| (entry.server.clone(), entry.weight)).collect();
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of a proxy that spreads keys over cache servers before a slow origin.
 //!
-//! The crate holds a sans-IO state machine. A host feeds a [`Balancer`] with [`Event`]s and carries out the
-//! [`Action`]s that it answers. It has no clock, no threads and no I/O; the same events give the same actions.
+//! The crate is a sans-IO state machine. A host passes [`Event`]s to a [`Balancer`] and carries out the [`Action`]s
+//! that it returns. It has no clock, no threads and no I/O; the same events give the same actions.
 //!
 //! ```
 //! use hallpin_balancer::*;
@@ -48,7 +48,7 @@
 //! };
 //! balancer.handle(0.0, Event::Roster(RosterNews::Full(vec![server.clone()])), &mut actions);
 //!
-//! // A request arrives; the host is asked to send it on.
+//! // A request arrives; the balancer asks the host to send it.
 //! let request = NewRequest {
 //!     id: RequestId(1),
 //!     left: 1.0,
@@ -62,7 +62,7 @@
 //! balancer.handle(0.1, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: s, .. } if *s == server.server)));
 //!
-//! // The server answers; the answer has gone to the client and nothing is left to do.
+//! // The server answers; the client has its answer and no action follows.
 //! let outcome = Outcome {
 //!     request: RequestId(1),
 //!     attempt: AttemptId(0),
@@ -78,13 +78,13 @@
 //! # }
 //! ```
 //!
-//! All decisions are in `src/balance/`, a file for each matter; all types are in `src/interface/`. `src/balancer.rs`
-//! hands events in and actions out; `src/settings.rs` reads the settings that hosts are given.
+//! All decisions are in `src/balance/`, one file for each subject; the types of the interface are in
+//! `src/interface/`. `src/balancer.rs` passes events in and actions out; `src/settings.rs` reads the settings.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-// The tests of the crate's inside share helpers with those of its outside.
+// Lets the unit tests share helpers with the integration tests.
 #[cfg(test)]
 extern crate self as hallpin_balancer;
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as both hosts are given them: a JSON object in the deployment's words.
+//! Reads the settings from JSON, in the form that both hosts receive them.
 
 use std::collections::HashMap;
 
@@ -10,16 +10,16 @@
 };
 
 impl Settings {
-    /// Reads the settings; keys that this library does not know are passed over.
+    /// Reads the settings; unknown keys are ignored.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first setting that is missing or invalid.
     pub fn from_json(setup: &Value) -> Result<Self, SettingsError> {
         settings(setup)
     }
 }
 
-/// Where the names of classes and tenants stand in the settings.
+/// Maps the names of classes and tenants to their indices in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     classes: HashMap<String, ClassId>,
@@ -34,7 +34,7 @@
         Names { classes: classes.collect(), tenants: tenants.collect() }
     }
 
-    /// The class of this name; unknown ones are handled as the most restrictive kind.
+    /// The class of this name. `None` is handled like the most restrictive class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied()
     }
@@ -47,12 +47,13 @@
 
 type Object = Map<String, Value>;
 
-/// An object among the settings; where there is none, its settings are missing each for itself.
+/// A nested object of the settings; `empty` where it is absent, so that each required setting in it is
+/// reported as missing.
 fn object<'a>(from: &'a Object, name: &str, none: &'a Object) -> &'a Object {
     from.get(name).and_then(Value::as_object).unwrap_or(none)
 }
 
-/// An optional setting of one JSON type.
+/// An optional setting of one JSON type; an error if the setting has another type.
 fn optional<'a, T>(
     from: &'a Object,
     name: &str,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, its settings, and a checker of rules one to three.
+//! A node under test, its settings, and helpers that read its actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -88,7 +88,7 @@
     }
 }
 
-/// A balancer and what it has sent and not heard of yet.
+/// A balancer and the attempts that it has sent.
 pub(crate) struct Node {
     pub balancer: Balancer,
     pub now: Seconds,
@@ -123,7 +123,7 @@
         self.event(Event::Request(new))
     }
 
-    /// The last attempt of a request ends.
+    /// Ends the last attempt of a request.
     pub(crate) fn outcome(&mut self, request: u64, status: Status, note: Option<CacheNote>) -> Vec<Action> {
         let request = RequestId(request);
         let attempts = &self.sends[&request];
@@ -142,7 +142,7 @@
         self.outcome(request, Status::Success, Some(CacheNote::Hit))
     }
 
-    /// Lets time pass in housekeeping steps.
+    /// Advances the time in housekeeping ticks.
     pub(crate) fn pass(&mut self, time: Seconds) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + time;
@@ -153,7 +153,7 @@
         actions
     }
 
-    /// Other requests enough for none of the ones before to count as recent.
+    /// Sends enough other requests that no earlier one counts as recent.
     pub(crate) fn forget(&mut self) {
         for n in 0..16 {
             let id = (1 << 40) + self.forgotten;
@@ -164,12 +164,14 @@
         }
     }
 
-    /// Where a read of this key goes while nothing is in flight and none was asked for it of late.
+    /// The server that a read of this key is sent to while nothing is in flight and the key was not asked for
+    /// recently.
     pub(crate) fn home(&mut self, request: u64, key: u64) -> ServerId {
         self.home_if_sent(request, key).expect("a read is sent")
     }
 
-    /// As `home`; `None` where it is refused, as no server is warm. At one moment a key draws the same lot again.
+    /// Like `owner`; `None` where the read is rejected because no server is warm. At the same time, a key
+    /// draws the same slow-start sample again.
     pub(crate) fn home_if_sent(&mut self, request: u64, key: u64) -> Option<ServerId> {
         self.forget();
         let sent = sent(&self.request(read(request, key)));
--- a/crates/balancer/tests/growth.rs
+++ b/crates/balancer/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a node holds in memory must not grow with the requests, keys and servers that it has seen.
+//! A node's memory must not grow with the requests, keys and servers that it has seen.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 static LIVE: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: hands everything on to the system's allocator and only counts bytes.
+// SAFETY: forwards every call to the system's allocator and only counts bytes.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         LIVE.fetch_add(layout.size(), Ordering::Relaxed);
@@ -28,7 +28,7 @@
 #[global_allocator]
 static COUNTING: Counting = Counting;
 
-/// One simulated minute: fresh keys all the time, all kinds of ends, a server replaced each second.
+/// One simulated minute: new keys throughout, all kinds of outcomes, and a server replaced each second.
 fn minute(node: &mut Node, next: &mut u64) {
     for second in 0..60 {
         let first = *next / 100;
@@ -50,7 +50,7 @@
                 node.outcome(*next, status, Some(CacheNote::Miss));
             }
             node.event(Event::Withdrawn(RequestId(*next)));
-            // Attempts that were sent again before the client left end too.
+            // Retries that were sent before the client left end too.
             if let Some(attempts) = node.sends.remove(&RequestId(*next)) {
                 for attempt in 0..attempts.len() as u32 {
                     node.event(Event::Outcome(Outcome {
--- a/crates/balancer/tests/ramp/main.rs
+++ b/crates/balancer/tests/ramp/main.rs
@@ -1,10 +1,11 @@
-//! Rule four over a fleet: what reaches servers that have just started, summed over all nodes.
+//! Rule four over a fleet: the load on servers that have just started, summed over all nodes.
 //!
-//! Many instances of the module play in virtual time, each with its own events only, before servers that queue, clients
-//! that come again, hedges, and a list that tells each node of the starts at another time. Of what reaches a server that
-//! warms up the work is summed over all nodes in every window of the settings' length. It bears N + 2 root N + 2 requests
-//! of mean work, N being what the settings allow it then, and is pushed over by more if over two thirds of that came
-//! from nodes that had been told.
+//! Many balancers run in virtual time, each with its own events only, with servers that queue, clients that
+//! retry, hedging, and an endpoint list that notifies each node of the starts at a different time. The work
+//! that reaches a server that is warming up is summed over all nodes in every window of the settings' length.
+//! The server sustains N + 2 sqrt(N) + 2 requests of mean work, where N is what the settings allow it at that
+//! time, and fails above that. The nodes are to blame if over two thirds of the work came from nodes that had
+//! been notified of the start.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -22,16 +23,17 @@
     assert!(seen.pushed_over == 0 && seen.most_informed <= 1.0, "{name}: {seen:.2?}\n{site:?}");
 }
 
-/// None is pushed over, and those who know do not use up what it bears.
+/// Checks that the notified nodes overloaded no server, and that their load alone never exceeded a server's
+/// capacity.
 fn holds(name: &str, site: &Site) {
     let seen = play(site, 1);
     none_pushed_over(name, site, &seen);
-    // It is not kept by sending nothing there.
+    // The limit must not be kept by sending nothing to the cold servers.
     assert!(seen.used > 0.1 && seen.served * 2 > seen.requests, "{name}: {seen:.2?}");
 }
 
-/// A few of the servers start anew, half of them, and nine in ten; told late and unlike; thin and heavy traffic; with
-/// and without hints of the work.
+/// A few of the servers restart, half of them, and nine in ten; late and uneven notification; low and high
+/// load; with and without work hints.
 fn all_hold(nodes: u32, servers: u64) {
     let site = Site { nodes, servers, ..Site::default() };
     for cold in [servers.div_ceil(20), servers / 2, servers * 9 / 10] {
@@ -54,13 +56,14 @@
     all_hold(20, 24);
 }
 
-/// Nearly all start anew at once, and the few that are warm are at their limits.
+/// Nearly all servers restart at once, and the few that are warm are at their limits.
 #[test]
 fn servers_that_warm_up_bear_what_30_nodes_send() {
     holds("nine in ten", &Site { nodes: 30, servers: 60, cold: 54, ..Site::default() });
 }
 
-/// Each sees a few requests a second, and of a key that all ask for none sees that it is too much for its home.
+/// Each node sees a few requests a second; of a key that all nodes ask for, none sees that it is too much for
+/// its owner.
 #[test]
 fn servers_that_warm_up_bear_what_300_thin_nodes_send() {
     let site = Site { nodes: 300, servers: 100, cold: 60, ..Site::default() };
@@ -68,7 +71,7 @@
     holds("all restarted just before", &Site { young: Some(4.0), ..site });
 }
 
-/// All start anew at once: there is none to turn to, and what they don't bear is refused.
+/// All servers restart at once: no warm server can take over, and what they cannot sustain is rejected.
 fn all_start_at_once(nodes: u32, servers: u64) {
     let site = Site { nodes, servers, cold: servers, ..Site::default() };
     let worlds = [
@@ -84,7 +87,7 @@
     for (name, site) in worlds {
         let seen = play(&site, 1);
         none_pushed_over(name, &site, &seen);
-        // What they can do is used.
+        // The servers' capacity is used.
         assert!(seen.used > 0.3, "{name}: {seen:.2?}");
     }
 }
@@ -104,7 +107,7 @@
     all_start_at_once(300, 30);
 }
 
-/// Clients come again ten times, or ask for half as much again as all servers can do.
+/// Clients retry ten times, or offer one and a half times the capacity of all servers.
 #[test]
 fn servers_that_warm_up_bear_surges_at_3_nodes() {
     let site = Site { nodes: 3, servers: 12, cold: 6, ..Site::default() };
@@ -115,7 +118,8 @@
     assert!(seen.used > 0.3, "overload: {seen:.2?}");
 }
 
-/// Servers of unlike age: the older of those that warm up don't get more than they bear of what the younger ones shed.
+/// Servers that restart one after the other: the older of those that are warming up must not be overloaded by
+/// what the younger ones shed.
 #[test]
 fn servers_that_start_one_after_the_other_bear_what_all_nodes_send() {
     for (nodes, servers, cold) in [(3, 12, 11), (30, 24, 22), (300, 30, 28)] {
@@ -124,7 +128,7 @@
     }
 }
 
-/// Each node makes new connections to a server that has started, and each costs it work.
+/// Each node opens new connections to a server that has restarted, and each connection costs the server work.
 #[test]
 fn servers_that_warm_up_bear_the_connections_that_all_nodes_make() {
     for (nodes, servers, cold) in [(3, 12, 6), (30, 24, 12), (300, 100, 60)] {
--- a/crates/balancer/tests/ramp/servers.rs
+++ b/crates/balancer/tests/ramp/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: how long each takes, and what has reached those that are cold.
+//! Simulated cache servers: their service times, and the load on the cold ones.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -6,9 +6,9 @@
 
 use crate::site::{Site, START};
 
-/// Longest wait at a server before it turns requests away.
+/// Longest queueing time at a server before it rejects requests.
 const QUEUE: Seconds = 0.3;
-/// What the origin takes for a key that a server lacks.
+/// Time that the origin takes for a key that a server lacks.
 const FETCH: Seconds = 0.15;
 
 #[derive(Default)]
@@ -16,21 +16,22 @@
     pub started: Option<Seconds>,
     busy: Seconds,
     kept: HashSet<u64>,
-    /// Work of late: when, how much, and whether its sender knew of the start.
+    /// Work of the last window: arrival time, amount, and whether the sender had been notified of the start.
     sent: VecDeque<(Seconds, f64, bool)>,
     pub fallen: bool,
 }
 
-/// What was seen at the cold servers, and of all requests.
+/// Measurements at the cold servers, and totals over all requests.
 #[derive(Default, Debug)]
 pub(crate) struct Seen {
-    /// The most within any window of what the server bore then, and of that what came from those who knew.
+    /// The largest work within a window as a share of what the server sustained then; and the same for work
+    /// from notified nodes only.
     pub most: f64,
     pub most_informed: f64,
-    /// Servers that fell, and those of which over two thirds came from nodes that had been told.
+    /// Servers that failed, and those of them with over two thirds of the work from notified nodes.
     pub fallen: u64,
     pub pushed_over: u64,
-    /// Work that reached cold servers, as a share of what they could do.
+    /// Work that reached cold servers; at the end of a run, as a share of their capacity.
     pub used: f64,
     pub requests: u64,
     pub served: u64,
@@ -39,12 +40,12 @@
 }
 
 impl CacheServer {
-    /// It starts anew, empty.
+    /// Restarts the server with an empty cache.
     pub(crate) fn start(&mut self, now: Seconds) {
         *self = CacheServer { started: Some(now), busy: now, ..CacheServer::default() };
     }
 
-    /// A request reaches it: its outcome, and when.
+    /// Serves a request: the time of its outcome, its status and the cache note.
     pub(crate) fn take(
         &mut self,
         site: &Site,
@@ -67,11 +68,11 @@
         let hit = write || !self.kept.insert(key);
         seen.misses += u64::from(!hit);
         let note = if hit { CacheNote::Hit } else { CacheNote::Miss };
-        // A core each of its speed: other requests run beside it.
+        // A server has several cores of its speed, so other requests run in parallel.
         (self.busy + work + 0.002 + if hit { 0.0 } else { FETCH }, Status::Success, note)
     }
 
-    /// Counts what reaches it while it is cold, as the referee does.
+    /// Adds work to the window while the server is cold, as the simulation's invariant checker does.
     pub(crate) fn weigh(&mut self, site: &Site, now: Seconds, work: f64, told: bool, seen: &mut Seen) {
         let Some(age) = self.started.map(|at| now - at).filter(|age| *age < site.guarantees.ramp) else {
             return;
--- a/crates/balancer/tests/ramp/site.rs
+++ b/crates/balancer/tests/ramp/site.rs
@@ -1,39 +1,39 @@
-//! A site: its nodes, servers, traffic and figures.
+//! A scenario: its nodes, servers, traffic and parameters.
 
 use hallpin_balancer::*;
 
 use crate::common;
 
-/// When the servers that are to be cold have started.
+/// Time of the first start of the cold servers.
 pub(crate) const START: Seconds = 6.0;
 
-/// What is played.
+/// Parameters of one simulated run.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
     pub nodes: u32,
     pub servers: u64,
-    /// Servers that start anew at [`START`].
+    /// Number of servers that restart at [`START`].
     pub cold: u64,
-    /// The starts lie so far apart, from the first to the last.
+    /// Time from the first restart to the last; the restarts are evenly spaced.
     pub starts_within: Seconds,
-    /// Of the capacity of all warm servers, what is asked of them.
+    /// Offered load as a share of the capacity of all servers when warm.
     pub load: f64,
     /// Work that a warm server does in a second.
     pub capacity: f64,
-    /// Mean work of a request; told where `hints`.
+    /// Mean work of a request; sent as a hint where `hints` is set.
     pub work: Seconds,
     pub hints: bool,
     pub keys: usize,
     /// The popularity of the key of rank r is (r + offset)^-zipf.
     pub zipf: f64,
     pub offset: f64,
-    /// Nodes are told of the starts within so long of them.
+    /// Longest delay after which a node is notified of a start.
     pub told_within: Seconds,
     /// Work that a new connection costs a server.
     pub connection: Seconds,
-    /// Times that a client comes again.
+    /// Number of times that a client retries.
     pub retries: u32,
-    /// All nodes start anew so long before the servers do.
+    /// Longest time before the servers' start at which each node itself restarts.
     pub young: Option<Seconds>,
     pub guarantees: Guarantees,
     pub length: Seconds,
@@ -82,13 +82,13 @@
         self.load * self.servers as f64 * self.capacity / self.work
     }
 
-    /// Share of its capacity that a server has so long after its start.
+    /// Share of its capacity that a server has at this age.
     pub(crate) fn warmth(&self, age: Seconds) -> f64 {
         let g = &self.guarantees;
         (g.cold_from + (1.0 - g.cold_from) * age / g.ramp).min(1.0)
     }
 
-    /// Work that a server bears within the settings' time, so long after its start.
+    /// Work that a server of this age sustains within the settings' window.
     pub(crate) fn bears(&self, age: Seconds) -> f64 {
         let g = &self.guarantees;
         let n = g.fall_multiple * self.capacity * self.warmth(age) * g.fall_for / self.work;
--- a/crates/balancer/tests/ramp/trials.rs
+++ b/crates/balancer/tests/ramp/trials.rs
@@ -1,4 +1,5 @@
-//! An ejected server that warms up, where no probe is allowed: what the reads that try it come to over all nodes.
+//! Probes of an ejected server that is warming up by reads, where health checks are not allowed: their number
+//! over all nodes.
 
 use hallpin_balancer::*;
 
@@ -6,7 +7,7 @@
 use crate::site::Site;
 
 const SERVERS: u64 = 12;
-/// Requests that each node sees in a second.
+/// Requests a second that each node sees.
 const RATE: u64 = 5;
 
 fn took_out(actions: &[Action]) -> bool {
@@ -14,7 +15,7 @@
     actions.iter().any(out)
 }
 
-/// A node that has ejected server 1, which started at this moment, as reads there found no connection.
+/// A node that has ejected server 1, which started at this moment, because reads found no connection to it.
 fn node_without_server_one(site: &Site, seed: u64) -> Node {
     let mut settings = site.settings();
     settings.limits.probes = false;
@@ -37,7 +38,7 @@
     panic!("server 1 was not taken out");
 }
 
-/// Reads that tried server 1, by the second, over all nodes, up to some seconds after it is warm.
+/// Reads that probed server 1, by the second, over all nodes, until some seconds after it is warm.
 fn trials_by_second(site: &Site) -> Vec<usize> {
     let mut nodes: Vec<Node> =
         (0..u64::from(site.nodes)).map(|seed| node_without_server_one(site, seed)).collect();
@@ -77,7 +78,7 @@
         assert!(most as f64 * site.work < site.bears(0.0), "{nodes} nodes: {most} in {window} s: {trials:?}");
         let in_all: usize = cold.iter().sum();
         assert!(in_all >= ramp, "{nodes} nodes: recovery is looked for: {trials:?}");
-        // Once it must be warm, each node finds out for itself.
+        // Once the server must be warm, each node probes it on its own.
         let warm: usize = trials[ramp..].iter().sum();
         assert!(warm >= 2 * nodes as usize, "{nodes} nodes: {trials:?}");
     }
--- a/crates/balancer/tests/ramp/world.rs
+++ b/crates/balancer/tests/ramp/world.rs
@@ -1,4 +1,4 @@
-//! The nodes' events in virtual time.
+//! The simulation: nodes, servers and clients in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,9 +13,9 @@
 
 const DEADLINE: Seconds = 1.0;
 const BACKOFF: Seconds = 0.1;
-/// Share of writes.
+/// Share of writes among the requests.
 const WRITES: f64 = 0.05;
-/// Share of requests that are this many times as dear as the others.
+/// Share of expensive requests, and their work as a multiple of the others'.
 const DEAR: f64 = 0.03;
 const DEAR_TIMES: f64 = 10.0;
 
@@ -28,7 +28,7 @@
         left: u32,
     },
     Starts(usize),
-    /// A node is told of all starts up to this time.
+    /// A node is notified of all starts up to this time.
     Told(usize, Seconds),
     Rings(usize, TimerToken),
     Ends(usize, Outcome),
@@ -43,12 +43,12 @@
     sent: Vec<(usize, Seconds, bool)>,
 }
 
-/// Idle connections of nodes to servers: a new one is made where there is none.
+/// Idle connections from nodes to servers; a new connection is opened where there is none.
 #[derive(Default)]
 struct Connections(BTreeMap<(usize, usize), u32>);
 
 impl Connections {
-    /// Takes an idle connection; says whether there was none.
+    /// Takes an idle connection; `true` if there was none.
     fn take(&mut self, node: usize, server: usize) -> bool {
         let idle = self.0.entry((node, server)).or_default();
         let is_new = *idle == 0;
@@ -60,7 +60,7 @@
         *self.0.entry((node, server)).or_default() += 1;
     }
 
-    /// The server starts anew.
+    /// Drops the connections to a server that restarts.
     fn reset(&mut self, server: usize) {
         self.0.retain(|(_, to), _| *to != server);
     }
@@ -74,7 +74,7 @@
     what: BTreeMap<u64, What>,
     next: u64,
     nodes: Vec<Balancer>,
-    /// Up to when each node knows of all starts.
+    /// For each node, the time up to which it has been notified of starts.
     told: Vec<Seconds>,
     connections: Connections,
     servers: Vec<CacheServer>,
@@ -84,7 +84,7 @@
     seen: Seen,
 }
 
-/// Plays a site's day.
+/// Simulates a scenario.
 pub(crate) fn play(site: &Site, seed: u64) -> Seen {
     let rank = |r: usize| (r as f64 + site.offset).powf(-site.zipf);
     let mut sum = 0.0;
@@ -180,7 +180,7 @@
         self.tell(node, Event::Roster(RosterNews::Full(entries)));
     }
 
-    /// A client asks: Poisson arrivals, at any node.
+    /// A client sends a request to a random node; arrivals are Poisson.
     fn asks(&mut self) {
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.site.rate();
         self.at(self.now + gap, What::Asks);
@@ -281,7 +281,7 @@
         self.tell(node, Event::Outcome(outcome));
     }
 
-    /// The client of a request that was turned away comes again, as another request.
+    /// The client of a rejected or failed request retries, as a new request.
     fn again(&mut self, request: u64) {
         let Some(open) = self.open.get(&request) else { return };
         let Open { key, write, work, left, .. } = *open;
--- a/crates/balancer/tests/rules/answers.rs
+++ b/crates/balancer/tests/rules/answers.rs
@@ -12,7 +12,7 @@
     let mut node = Node::with(settings(), 1, fleet(4));
     assert_eq!(sent(&node.request(NewRequest { key: None, ..read(1, 0) })).len(), 1);
     assert_eq!(sent(&node.request(NewRequest { class: None, ..read(2, 0) })).len(), 1);
-    // Unknown classes never run twice.
+    // Requests of unknown classes never run twice.
     let after = node.outcome(2, Status::TimedOut, None);
     assert!(sent(&after).is_empty() && failed(&after));
 }
@@ -38,7 +38,8 @@
         let actions = node.event(Event::Timer(TimerToken(1)));
         assert!(refused(&actions) || failed(&actions), "{class:?}");
         assert!(sent(&actions).is_empty());
-        // A batch that ran late brings the time-out and the timer after the end: both are ignored.
+        // A batch that is delivered late contains the time-out and the timer after the final answer: both are
+        // ignored.
         node.now += 0.02;
         let late = node.outcome(1, Status::TimedOut, None);
         assert!(!refused(&late) && !failed(&late) && sent(&late).is_empty());
@@ -76,8 +77,8 @@
     assert!(node.event(Event::Timer(TimerToken(1))).is_empty());
 }
 
-/// A hedge beside the attempt that the client reads serves nobody: it is called off as the answer begins, not held in
-/// flight until its time is up.
+/// A hedged attempt beside the one that the client reads is useless: it is cancelled when the answer begins,
+/// instead of staying in flight until its deadline.
 #[test]
 fn a_stream_that_begins_ends_what_is_out_beside_it() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -90,8 +91,8 @@
     assert!(node.event(begins).is_empty(), "once");
 }
 
-/// A thousand requests that are answered leave a timer or two, not two thousand; one that is not answered is given up
-/// on in time by the timers that were asked for, and by nothing else.
+/// A thousand answered requests leave a few timers, not two thousand; a request without an answer is ended in
+/// time by the timers that were set, and by nothing else.
 #[test]
 fn timers_do_not_outlive_their_requests_and_ring_in_time() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -109,7 +110,8 @@
         let actions = node.serve(n);
         note(&mut timers, node.now, &actions);
     }
-    // A few more than two, as the time from which an attempt is late falls while the node learns.
+    // Slightly more than two, as the time until an attempt is late falls while the node learns the usual
+    // answer time.
     assert!((1..=12).contains(&timers.len()), "{} timers", timers.len());
     let actions = node.request(read(2000, 1));
     note(&mut timers, node.now, &actions);
@@ -117,7 +119,7 @@
     let mut ended = None;
     while let Some(at) = timers.iter().copied().reduce(f64::min) {
         timers.retain(|t| *t != at);
-        // A shell that counts in microseconds.
+        // A host that counts in microseconds.
         node.now = (at * 1e6).floor() / 1e6;
         let actions = node.event(Event::Timer(TimerToken(1)));
         note(&mut timers, node.now, &actions);
@@ -130,8 +132,8 @@
     assert!((0.98..=0.99001).contains(&ended), "after {ended} s");
 }
 
-/// Refused without a time, clients come again at once and together; never longer than they heed, and not at all
-/// where the settings allow no advice.
+/// Without a `retry_after`, rejected clients retry at once and together. The advice is never longer than
+/// clients obey, and is absent where the settings allow none.
 #[test]
 fn a_refusal_says_when_to_come_again() {
     for max_retry_after in [0.0, 0.05, 9.0] {
@@ -157,7 +159,7 @@
     }
 }
 
-/// Of a request whose client waits for less than the aim, the client's time is what may be spent on holding it.
+/// If a client waits for less than the latency objective, the hold time is a share of the client's time.
 #[test]
 fn a_request_is_held_for_no_more_than_a_quarter_of_its_clients_time() {
     let held_for = |left: Seconds| {
--- a/crates/balancer/tests/rules/cold.rs
+++ b/crates/balancer/tests/rules/cold.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// A server that warms up is brought down by work, not by requests: one that is said to be dear goes elsewhere, unless
-/// there is no warm server.
+/// A server that is warming up is overloaded by work, not by the number of requests: a request with a large
+/// work hint goes elsewhere, unless there is no warm server.
 #[test]
 fn a_dear_request_keeps_away_from_a_server_that_warms_up() {
     let started = |all: bool| {
@@ -50,7 +50,7 @@
     for (all, work, goes) in [(false, 0.05, true), (false, 0.3, true), (false, 1.0, false), (true, 1.0, true)]
     {
         let mut node = started(all);
-        // At the same moment a request of the same key draws the same lot.
+        // At the same time, a request for the same key draws the same slow-start sample.
         let mut goes_there = |key: &u64| node.home_if_sent(1000 + key, *key) == Some(id(3));
         let key = (0..200).find(|key| goes_there(key)).expect("a key at home there");
         node.forget();
@@ -60,8 +60,8 @@
     }
 }
 
-/// How many of a thousand keys a server that just came back owns, after a read of an unknown key there took long: it
-/// was called off, or served as a miss, which tells nothing.
+/// How many of a thousand keys a server that has just restarted owns, after a read of an unknown key took
+/// long there: it was cancelled, or was served as a miss, which says nothing about the server.
 fn owned_when_cold(status: Status) -> usize {
     let mut entries = fleet(8);
     entries[0].started = Some(100.0);
@@ -83,21 +83,22 @@
     (10_000..11_000).filter(|&n| node.home(n, n) == id(1)).count()
 }
 
-/// One that is slow besides cannot bear what its age allows, and most nodes meet it at keys that they do not know.
+/// A server that is both cold and slow cannot sustain what its age allows, and most nodes only see it at keys
+/// whose location they do not know.
 #[test]
 fn a_cold_server_at_which_reads_are_late_owns_fewer_keys() {
     let (quick, slow) = (owned_when_cold(Status::Success), owned_when_cold(Status::Cancelled));
     assert!(0 < slow && slow < quick && quick < 1000 / 8 / 4, "{slow}, {quick}");
 }
 
-/// A fleet of which all servers have just started.
+/// A fleet in which all servers have just started.
 fn all_cold(settings: Settings) -> Node {
     let cold = |n| RosterEntry { started: Some(100.0), ..entry(n) };
     Node::with(settings, 1, (1..=8).map(cold).collect())
 }
 
-/// With no warm server to turn to, the part that servers bear is sent, and the rest is answered at once: read or write,
-/// with the time to come again.
+/// With no warm server to take over, the share that the servers sustain is sent and the rest, read or write,
+/// is rejected at once with a `retry_after`.
 #[test]
 fn what_servers_that_all_warm_up_cannot_bear_is_refused_at_once() {
     let mut limits = settings().limits;
@@ -118,11 +119,12 @@
             admitted += 1;
         }
     }
-    // They start at a quarter of their capacity, and at first some more than half of that is sent.
+    // The servers start at a quarter of their capacity, and at first somewhat more than half of that is sent.
     assert!((250..400).contains(&admitted) && refusals + admitted == 2000, "{admitted} of 2000");
 }
 
-/// Further attempts and hedges of requests of a fleet that warms up go nowhere but home: one attempt each.
+/// In a fleet that is warming up, retries and hedged requests go to no server but the owner: one attempt
+/// each.
 #[test]
 fn what_fails_at_a_server_that_warms_up_goes_to_no_other_that_does() {
     let mut node = all_cold(settings());
--- a/crates/balancer/tests/rules/crowds.rs
+++ b/crates/balancer/tests/rules/crowds.rs
@@ -1,4 +1,5 @@
-//! Who gives way: tenants over their quota, and clients that leave early.
+//! Which requests are rejected first: those of tenants over their quota, and those of clients that leave
+//! early.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +8,8 @@
 use crate::common::*;
 use crate::fleet;
 
-/// The cap alone binds requests within their quota: while servers have room to queue, none is refused for what was
-/// learnt of them. A tenant over its quota gives way once the fleet is at its limits, and not before.
+/// Only the cap binds requests within their quota: while servers can queue, none is rejected for the learnt
+/// limit. A tenant over its quota gives way once the fleet is at its limits, and not before.
 #[test]
 fn the_learnt_limit_binds_requests_over_the_quota_alone() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -18,7 +19,7 @@
         at_home += sent(&node.request(read(1000 + n, n))).iter().filter(|s| **s == homes[&n]).count();
     }
     let all: usize = (1000..1400).filter(|&n| node.sends.contains_key(&RequestId(n))).count();
-    // The cap may hand on one while few are in flight.
+    // While few requests are in flight, the cap may pass one on to another server.
     assert!(all == 400 && at_home + 1 >= all, "{at_home} of {all} at home");
 
     let tenants = vec![Tenant { name: "a".into(), quota: 1.0 }];
@@ -42,8 +43,9 @@
     assert!(served[1] * 5 > served[0], "{served:?} of 50 and 10");
 }
 
-/// Clients that wait for less than an answer takes, and come again at once, are sent on only as far as they are served;
-/// those that wait longer are not touched, and the brief ones are let in again once they would be served.
+/// Requests whose clients wait for less than an answer takes, and retry at once, are admitted only as far as
+/// they are served; clients that wait longer are not affected, and requests with short deadlines are admitted
+/// again once they would be served.
 #[test]
 fn brief_requests_are_sent_on_as_far_as_they_are_served() {
     let mut node = Node::with(settings(), 1, fleet(64));
@@ -64,7 +66,8 @@
         node.pass(1.0);
         (sent_on, refused_at_once)
     };
-    // What an answer is taken to need before any has come: a quarter of the aim, so twice that is brief.
+    // The initial estimate of an answer's time is a quarter of the latency objective; a deadline below twice
+    // that is short.
     assert_eq!(play(100, 0.2, true), (100, 0), "while they are served all go");
     play(300, 0.03, false);
     let (sent_on, refused_at_once) = play(1000, 0.03, false);
--- a/crates/balancer/tests/rules/ejection.rs
+++ b/crates/balancer/tests/rules/ejection.rs
@@ -1,4 +1,4 @@
-//! Servers that fail: who is taken out, who is not, and who comes back.
+//! Servers that fail: which are ejected, which are not, and which are readmitted.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use crate::common::*;
 use crate::fleet;
 
-/// Reads of keys of server 1 that are never answered, one at a time, until it is taken out.
+/// Sends reads of server 1's keys that are never answered, one at a time, until it is ejected.
 fn silence_of_server_one(settings: Settings) -> (Node, u64) {
     let mut node = Node::with(settings, 1, fleet(6));
     let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(8).collect();
@@ -43,7 +43,7 @@
     assert_eq!(tried, 1);
 }
 
-/// Errors of all servers at once are the origin's: taking servers out for them only adds misses.
+/// Errors of all servers at once come from the origin: ejecting servers for them only adds cache misses.
 #[test]
 fn errors_of_the_whole_fleet_take_nobody_out_but_those_of_one_server_do() {
     let play = |bad: &dyn Fn(&ServerId) -> bool| {
@@ -76,7 +76,7 @@
     assert!(out <= 3, "{out} of 9");
 }
 
-/// An old process's failures do not outlast it: a fresh start time clears them.
+/// Failures of a previous process do not count against the new one: a later start time clears them.
 #[test]
 fn a_restarted_server_is_not_held_to_what_its_last_process_did() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -104,7 +104,8 @@
     assert!((2..=4).contains(&probes), "{probes} probes in 3 s");
 }
 
-/// Two dead servers of eight are more failures than one sick server brings, and are no sign of a sick origin.
+/// Two dead servers of eight cause more failures than one faulty server does, and are no sign of a faulty
+/// origin.
 #[test]
 fn dead_servers_cost_no_request_and_are_taken_out_though_they_are_many() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -126,7 +127,7 @@
     assert!(!out.is_empty(), "nobody was taken out");
 }
 
-/// Nor are they taken for signs of a sick server, within the time in which no attempt is late.
+/// Time-outs of clients that leave before any attempt counts as late are no sign of a faulty server.
 #[test]
 fn time_outs_of_clients_that_leave_early_take_no_server_out() {
     let taken_out = |left: Seconds| {
--- a/crates/balancer/tests/rules/listed.rs
+++ b/crates/balancer/tests/rules/listed.rs
@@ -1,4 +1,4 @@
-//! Rule three and discovery: the list of servers, and asking for it.
+//! Rule three and discovery: the endpoint list, and the calls for it.
 
 use hallpin_balancer::*;
 
@@ -63,8 +63,8 @@
     assert!(asks(&node.pass(9.0)) >= 1);
 }
 
-/// A restarted node has only its last list: it works by it, asks at once, and a start that the list hid counts from the
-/// moment that it is told.
+/// A restarted node has only its stored list: it uses that, calls discovery at once, and counts a start that
+/// the stored list lacked from the moment that it is notified.
 #[test]
 fn a_restarted_node_works_by_its_old_list_until_it_is_told_more() {
     let mut node = Node::new(asking(), 7);
--- a/crates/balancer/tests/rules/main.rs
+++ b/crates/balancer/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The module without any bench, from outside: a file for each matter.
+//! Tests of the balancer through its public interface, without a simulation: one file for each subject.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -17,7 +17,7 @@
 use common::entry;
 use hallpin_balancer::RosterEntry;
 
-/// The entries of so many servers.
+/// The entries of this many servers.
 pub fn fleet(n: u64) -> Vec<RosterEntry> {
     (1..=n).map(entry).collect()
 }
--- a/crates/balancer/tests/rules/origin.rs
+++ b/crates/balancer/tests/rules/origin.rs
@@ -1,4 +1,4 @@
-//! What reaches the origin: one fetch a key, and no more at once than it bears.
+//! Load on the origin: one fetch for each key, and no more fetches at once than it sustains.
 
 use hallpin_balancer::*;
 
@@ -12,7 +12,7 @@
     assert!(sent(&node.request(read(2, 3))).is_empty());
     let released = node.outcome(1, Status::Success, Some(CacheNote::Miss));
     assert_eq!(sent(&released).len(), 1);
-    // Known to be kept now: reads no longer wait for one another.
+    // The location of the key is known now: reads no longer wait for one another.
     assert_eq!(sent(&node.request(read(3, 3))).len(), 1);
 }
 
@@ -31,13 +31,13 @@
     }
     let unknown = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
     assert!(unknown < 10, "{unknown} sent");
-    // One alone may find its home at the cap, and its next place does not have it.
+    // A known key may find its owner at its cap, and the next server on its probe sequence lacks it.
     let known = (0..50).filter(|&n| !sent(&node.request(read(3000 + n, n))).is_empty()).count();
     assert!(known > 40, "{known} of 50 sent");
 }
 
-/// What the origin bears no more is held in turn: each end of a fetch lets one more go, the one that came first, and
-/// a write before all reads.
+/// Requests beyond the origin's limit are held in order: each fetch that ends frees one, the oldest first,
+/// and a write before all reads.
 #[test]
 fn held_fetches_go_one_for_one_in_turn_and_writes_first() {
     let mut node = Node::with(settings(), 1, fleet(100));
@@ -57,7 +57,8 @@
         (1, Some(RequestId(200))),
         "the write, though it came last"
     );
-    // Each that ends now makes room for a read only once the writes leave the half that is theirs.
+    // A fetch that ends makes room for a read only once the writes, which may use twice the limit, are below
+    // the limit of reads.
     let ended =
         (1..64).map(|n| sent(&node.outcome(n, Status::Success, Some(CacheNote::Miss))).len()).sum::<usize>();
     assert_eq!(ended, 0);
@@ -86,7 +87,7 @@
     assert_eq!(sent(&node.serve(1)), [home]);
 }
 
-/// Writes reach the origin too: while it fails, they and second copies must not keep it flooded.
+/// Writes reach the origin too: while it fails, writes and hedged requests must not keep it overloaded.
 #[test]
 fn while_the_origin_fails_writes_are_held_back_too() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -102,8 +103,8 @@
     assert!((1..10).contains(&writes), "{writes} sent");
 }
 
-/// Where many nodes share an origin each uses little of its limit: when the origin is slow, the limit must
-/// fall from what is in use, or it takes tens of cuts before it acts.
+/// Where many nodes share an origin, each uses little of its limit. When the origin is slow, the limit must
+/// fall from the load in use; otherwise it takes tens of cuts before it has an effect.
 #[test]
 fn a_fetch_limit_far_above_what_is_in_use_falls_fast() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -122,8 +123,8 @@
     assert!(unknown <= 4, "{unknown} sent");
 }
 
-/// Single fetches vary much. While half of them were in time and half far from it, a limit that went by their
-/// mean fell to nothing and kept most reads out for twenty seconds.
+/// Times of single fetches vary much. With half of the fetches in time and half far too late, a limit that
+/// followed their mean fell to nothing and blocked most reads for twenty seconds.
 #[test]
 fn fetches_of_which_half_are_in_time_do_not_lower_the_fetch_limit() {
     let mut node = Node::with(settings(), 1, fleet(16));
@@ -136,8 +137,8 @@
     assert!(unknown > 25, "{unknown} sent");
 }
 
-/// Reads of ever new keys that all time out after so long, at one server that answers another read meanwhile or not:
-/// how many unknown keys go out at once then.
+/// How many unknown keys are sent at once after reads of ever new keys have all timed out after `left`, at
+/// one server that does or does not answer another read meanwhile.
 fn sent_after_time_outs(left: Seconds, answers: bool) -> usize {
     let mut node = Node::with(settings(), 1, fleet(1));
     for n in 0..200 {
@@ -155,22 +156,22 @@
     (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count()
 }
 
-/// Clients that leave before any fetch can be there tell nothing of the origin.
+/// Time-outs of clients that leave before any fetch can complete say nothing about the origin.
 #[test]
 fn time_outs_of_clients_that_leave_early_do_not_lower_the_fetch_limit() {
     let (early, late) = (sent_after_time_outs(0.3, true), sent_after_time_outs(0.9, true));
     assert!(early > 40 && late < 10, "{early}, {late}");
 }
 
-/// Nor does a server that answers nobody.
+/// Time-outs at a server that answers nobody say nothing about the origin either.
 #[test]
 fn time_outs_at_a_silent_server_do_not_lower_the_fetch_limit() {
     let (silent, alive) = (sent_after_time_outs(0.9, false), sent_after_time_outs(0.9, true));
     assert!(silent > 40 && alive < 10, "{silent}, {alive}");
 }
 
-/// One of many nodes knows next to no key. While the origin is slow, reads that servers answer from cache are not to
-/// wait for the few that it fetches.
+/// One of many nodes knows the location of almost no key. While the origin is slow, reads that servers answer
+/// from cache must not wait for the few that it fetches.
 #[test]
 fn a_fetch_limit_counts_reads_by_how_many_of_them_are_misses() {
     let mut node = Node::with(settings(), 1, fleet(64));
--- a/crates/balancer/tests/rules/peers.rs
+++ b/crates/balancer/tests/rules/peers.rs
@@ -1,4 +1,4 @@
-//! What other nodes agreed on and found: the table that all place by, and evidence about servers.
+//! Input from other nodes: the common placement table, and reports on servers.
 
 use hallpin_balancer::*;
 
@@ -18,7 +18,7 @@
     node.event(Event::Fleet(FleetNews::Table { epoch, version, entries }))
 }
 
-/// Whether each of many keys lives where an array of these entries has it.
+/// Whether each of many keys has the owner that an array of these entries gives it.
 fn lives_by(node: &mut Node, from: u64, entries: &[TableEntry]) -> bool {
     (0..300).all(|n| Some(node.home(from + n, n * 7919)) == key_owner(entries, Key(n * 7919)))
 }
@@ -36,7 +36,7 @@
     assert!(lives_by(&mut node, 9000, &even(1..=6)), "the switch to a table of a later epoch");
 }
 
-/// Whether nodes have all of a table's servers on their lists must not move the keys of the others.
+/// Keys of the other servers must not move when a node's endpoint list lacks some of the table's servers.
 #[test]
 fn who_may_not_be_sent_to_is_passed_over_at_once_in_the_same_array() {
     let weights = [(1, 1.0), (2, 0.5), (3, 5.0), (4, f64::NAN), (5, 0.0), (6, 1.5)];
@@ -72,7 +72,8 @@
 
 #[test]
 fn what_is_held_for_want_of_room_goes_with_the_switch() {
-    // Where all are cold none takes overflow: what the home of a key has no room for is held.
+    // In a cold fleet no server takes overflow: a request for which the owner of its key has no capacity is
+    // held.
     let cold = fleet(8).into_iter().map(|e| RosterEntry { started: Some(100.0), ..e }).collect();
     let mut node = Node::with(settings(), 1, cold);
     table(&mut node, 1, 1, &even(1..=8));
@@ -105,7 +106,7 @@
     assert!(actions.is_empty() && node.balancer.members().1 == 0, "hearsay alone takes nobody out");
 }
 
-/// A read at server 1 ends so, 0.01 s after it was sent.
+/// Sends a read to server 1 and ends it with this status 0.01 s later.
 fn ends(node: &mut Node, request: u64, status: Status) -> Vec<Action> {
     let of_one = |key: &u64| key_owner(&even(1..=6), Key(*key)) == Some(id(1));
     let key = (0..).filter(of_one).nth(request as usize % 50).expect("a key");
@@ -114,7 +115,8 @@
     node.outcome(request, status, Some(CacheNote::Hit))
 }
 
-/// Of what peers found, or what this node knows better, depends whether one sign of failure is enough on a busy node.
+/// Whether one failure ejects a server on a busy node depends on what peers reported, and on what this node
+/// has seen itself.
 #[test]
 fn one_own_sign_is_enough_where_peers_found_a_server_silent_and_nothing_speaks_against_it() {
     type Before = fn(&mut Node);
--- a/crates/balancer/tests/rules/placement.rs
+++ b/crates/balancer/tests/rules/placement.rs
@@ -1,4 +1,4 @@
-//! Where keys live, and where they go when their home is full.
+//! Owners of keys, and overflow from an owner at its cap.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,7 +56,7 @@
     let home = node.home(1, 1);
     let mut load: BTreeMap<ServerId, usize> = BTreeMap::new();
     let mut overflow = BTreeSet::new();
-    // Keys of one home, each asked for once and never answered.
+    // Keys of one owner, each asked for once and never answered.
     let keys: Vec<u64> = (2..4000).filter(|&k| node.home(k, k) == home).take(28).collect();
     for (n, key) in keys.into_iter().enumerate() {
         for server in sent(&node.request(read(10_000 + n as u64, key))) {
@@ -81,7 +81,7 @@
     assert!(at_home <= 3 && servers.len() > at_home, "{at_home} of {}", servers.len());
 }
 
-/// Danger: homes of their own in each zone are as many copies of a key, and as many fetches from the origin.
+/// Separate owners in each zone would mean as many copies of a key, and as many fetches from the origin.
 #[test]
 fn a_key_has_one_home_for_the_nodes_of_all_zones() {
     let told = |zone: &str| {
--- a/crates/balancer/tests/rules/repeats.rs
+++ b/crates/balancer/tests/rules/repeats.rs
@@ -1,4 +1,4 @@
-//! Rule two: what may be sent again, and how often it is.
+//! Rule two: what may be retried, and how often.
 
 use hallpin_balancer::*;
 
@@ -32,7 +32,7 @@
             } else if status.may_have_run() && class == UNSAFE {
                 assert!(again.is_empty() && !refused(&actions), "{status:?} {actions:?}");
             } else if status.may_have_run() && class == KEYED {
-                // Zones alternate by number; the group is the zone.
+                // Zones alternate by the server's number; the group is the zone.
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").ends_with(['0', '2', '4', '6', '8']);
                 assert!(again.iter().all(|s| zone(s) == zone(&first)), "{status:?} {again:?}");
                 assert!(!refused(&actions), "{status:?}");
@@ -90,8 +90,8 @@
     assert_eq!(hedged(6, false, UNSAFE), 0);
 }
 
-/// A server that fails reads at once is not the origin: its reads are asked for elsewhere, while few fail. Once all
-/// fail it is the origin that does, and asking elsewhere would only load it more.
+/// An error of a server that fails reads at once is not the origin's: its reads are retried elsewhere, while
+/// few attempts fail. Once all fail, the fault is the origin's, and retries would only add to its load.
 #[test]
 fn a_read_that_a_server_fails_is_asked_for_elsewhere_but_not_when_all_fail() {
     let mut node = Node::with(settings(), 1, fleet(64));
--- a/crates/balancer/tests/rules/settings.rs
+++ b/crates/balancer/tests/rules/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that make no sense.
+//! Invalid settings.
 
 use hallpin_balancer::*;
 
--- a/crates/balancer/tests/size.rs
+++ b/crates/balancer/tests/size.rs
@@ -1,10 +1,10 @@
-//! The decision code stays in small, narrow files, and all of it is named in deploy/balancer.toml.
+//! Decision files stay short and narrow, and all of them are named in deploy/balancer.toml.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 const WIDEST: usize = 110;
-/// No file is longer, blank lines too.
+/// Most lines of a file, blank ones included.
 const LONGEST: usize = 250;
 
 fn root() -> PathBuf {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The source files of a folder and those below it, but for the tests of its inside.
+/// Collects the source files of a folder and its subfolders, except for unit tests.
 fn collect_sources(folder: &str, files: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(root().join(folder)).expect("the folder") {
         let entry = entry.expect("an entry");
