--- a/crates/balancer/benches/growth.rs
+++ b/crates/balancer/benches/growth.rs
@@ -48,22 +48,22 @@
     }
 }
 
-fn list(boxes: usize) -> Vec<RosterEntry> {
-    (0..boxes).map(|n| entry(n, ServerState::Ready)).collect()
+fn list(servers: usize) -> Vec<RosterEntry> {
+    (0..servers).map(|n| entry(n, ServerState::Ready)).collect()
 }
 
-fn node(boxes: usize) -> Balancer {
-    let mut node = Balancer::new(settings(), 1).expect("settings that make sense");
-    node.handle(0.0, Event::Roster(RosterNews::Full(list(boxes))), &mut Vec::new());
+fn node(servers: usize) -> Balancer {
+    let mut node = Balancer::new(settings(), 1).expect("valid settings");
+    node.handle(0.0, Event::Roster(RosterNews::Full(list(servers))), &mut Vec::new());
     node
 }
 
 fn growth(c: &mut Criterion) {
-    for boxes in [12, 100, 1_000, 10_000] {
+    for servers in [12, 100, 1_000, 10_000] {
         let mut group = c.benchmark_group("module");
         group.sample_size(10);
-        group.bench_with_input(BenchmarkId::new("whole list", boxes), &boxes, |b, &boxes| {
-            let fresh = || (Balancer::new(settings(), 1).expect("settings"), list(boxes));
+        group.bench_with_input(BenchmarkId::new("whole list", servers), &servers, |b, &servers| {
+            let fresh = || (Balancer::new(settings(), 1).expect("settings"), list(servers));
             b.iter_batched(
                 fresh,
                 |(mut node, list)| {
@@ -73,16 +73,16 @@
                 BatchSize::LargeInput,
             );
         });
-        group.bench_with_input(BenchmarkId::new("one change", boxes), &boxes, |b, &boxes| {
-            let (mut node, mut ready) = (node(boxes), false);
+        group.bench_with_input(BenchmarkId::new("one change", servers), &servers, |b, &servers| {
+            let (mut node, mut ready) = (node(servers), false);
             b.iter(|| {
                 let state = if ready { ServerState::Ready } else { ServerState::Draining };
                 ready = !ready;
                 node.handle(1.0, Event::Roster(RosterNews::Delta(vec![entry(0, state)])), &mut Vec::new());
             });
         });
-        group.bench_with_input(BenchmarkId::new("request", boxes), &boxes, |b, &boxes| {
-            let (mut node, mut id, mut actions) = (node(boxes), 0, Vec::new());
+        group.bench_with_input(BenchmarkId::new("request", servers), &servers, |b, &servers| {
+            let (mut node, mut id, mut actions) = (node(servers), 0, Vec::new());
             b.iter(|| {
                 id += 1;
                 let now = id as f64 * 1e-4;
--- a/crates/balancer/src/balance/arrival.rs
+++ b/crates/balancer/src/balance/arrival.rs
@@ -1,6 +1,6 @@
 //! Admission of a new request: its deadline, its first probe and its tenant's quota.
 
-use super::due_timers::Due;
+use super::due_timers::TimerKind;
 use super::hash_ring::hash_key;
 use super::request::Request;
 use super::servers::EPSILON;
@@ -8,41 +8,41 @@
 use crate::interface::{Key, NewRequest, Seconds};
 
 impl BalancerState {
-    pub(super) fn on_request(&mut self, new: NewRequest) {
-        if self.requests.contains_key(&new.id) {
+    pub(super) fn on_request(&mut self, new_request: NewRequest) {
+        if self.requests.contains_key(&new_request.id) {
             return;
         }
-        self.demand.note_arrived();
-        if let Some(work) = new.work.filter(|work| work.is_finite()) {
+        self.demand.record_arrival();
+        if let Some(work) = new_request.work.filter(|work| work.is_finite()) {
             self.latency.learn_work(work);
         }
-        let request = self.take_request(&new);
-        self.timers.schedule(request.give_up_at, Due::GiveUp, new.id);
-        self.requests.insert(new.id, request);
-        if self.is_throttled(new.left) {
-            self.end(new.id);
+        let request = self.build_request(&new_request);
+        self.timers.schedule(request.give_up_at, TimerKind::GiveUp, new_request.id);
+        self.requests.insert(new_request.id, request);
+        if self.is_throttled(new_request.left) {
+            self.end(new_request.id);
         } else {
-            self.dispatch(new.id);
+            self.dispatch(new_request.id);
         }
         self.arm_timer();
     }
 
-    fn take_request(&mut self, new: &NewRequest) -> Request {
+    fn build_request(&mut self, new_request: &NewRequest) -> Request {
         // Requests of an unknown class use the class that `add_unknown_class` put last.
         let unknown_class = self.settings.classes.len() - 1;
-        let key = new.key.unwrap_or(Key(hash_key(Key(new.id.0), 0)));
+        let key = new_request.key.unwrap_or(Key(hash_key(Key(new_request.id.0), 0)));
         // The request is ended two event-delivery intervals before the client's deadline, whatever else
         // happens.
-        let time = (new.left - 2.0 * self.settings.round).max(0.0);
+        let time_to_answer = (new_request.left - 2.0 * self.settings.round).max(0.0);
         Request {
-            class: new.class.map_or(unknown_class, |class| class.0.min(unknown_class)),
+            class: new_request.class.map_or(unknown_class, |class| class.0.min(unknown_class)),
             key,
-            write: new.write,
+            write: new_request.write,
             arrived_at: self.now,
-            deadline: self.now + new.left,
-            work: new.work.unwrap_or(0.0),
-            over_quota: self.tenant_quotas.is_over_quota(new.tenant, &self.settings, self.now),
-            give_up_at: self.now + time,
+            deadline: self.now + new_request.left,
+            work: new_request.work.unwrap_or(0.0),
+            over_quota: self.tenant_quotas.is_over_quota(new_request.tenant, &self.settings, self.now),
+            give_up_at: self.now + time_to_answer,
             first_probe: self.first_probe(key),
             ..Request::default()
         }
@@ -52,14 +52,14 @@
     /// owner looks idle even if it is far too small for the key, so the cap on what one server holds is also
     /// applied to the last requests.
     fn first_probe(&mut self, key: Key) -> u64 {
-        let asked = self.popularity.note(key, self.servers.totals().ready);
+        let request_count = self.popularity.record(key, self.servers.totals().ready);
         let fair_share = ((1.0 + EPSILON) * self.servers.next_mean_in_flight()).ceil();
-        (asked - 1) / fair_share as u64
+        (request_count - 1) / fair_share as u64
     }
 
     /// Whether a request is ended unsent because hardly any requests with so short a deadline are served.
     fn is_throttled(&mut self, left: Seconds) -> bool {
-        let probability = self.brief_throttle.admission_probability();
-        self.is_brief(left) && probability < 1.0 && self.jitter.next() >= probability
+        let probability = self.short_deadline_throttle.admission_probability();
+        self.is_short_deadline(left) && probability < 1.0 && self.jitter.next() >= probability
     }
 }
--- a/crates/balancer/src/balance/brief_throttle.rs
+++ b/crates/balancer/src/balance/brief_throttle.rs
@@ -4,34 +4,34 @@
 
 /// A deadline is short if the client waits for less than this multiple of the usual answer time. Clients that
 /// leave early and retry at once would otherwise fill the servers with work that nobody reads.
-const BRIEF_ANSWER_TIMES: f64 = 2.0;
+const SHORT_DEADLINE_ANSWER_TIMES: f64 = 2.0;
 /// Ratio of admitted to recently served requests with a short deadline: adaptive throttling as in Beyer and
 /// others, "Site Reliability Engineering", ch. 21.
-const OVERCOMMIT: f64 = 2.0;
+const OVERADMISSION_FACTOR: f64 = 2.0;
 /// Least probability of admission, so that a recovery is noticed.
-const LEAST_PROBABILITY: f64 = 0.02;
+const MIN_PROBABILITY: f64 = 0.02;
 /// Weight of one outcome in the served share.
 const SMOOTHING: f64 = 0.05;
 /// Time in which a low served share recovers without any outcomes.
-const RECOVERY: Seconds = 60.0;
+const RECOVERY_TIME: Seconds = 60.0;
 
 /// Smoothed share of attempts with a short deadline that succeeded.
-pub(super) struct BriefThrottle {
+pub(super) struct ShortDeadlineThrottle {
     served_share: f64,
 }
 
-impl BriefThrottle {
+impl ShortDeadlineThrottle {
     pub(super) fn new() -> Self {
-        BriefThrottle { served_share: 1.0 }
+        ShortDeadlineThrottle { served_share: 1.0 }
     }
 
     /// Whether a client that waits for `left` leaves before the usual answer time allows an answer.
-    pub(super) fn is_brief(left: Seconds, answer_time: Seconds) -> bool {
-        left < answer_time * BRIEF_ANSWER_TIMES
+    pub(super) fn is_short_deadline(left: Seconds, answer_time: Seconds) -> bool {
+        left < answer_time * SHORT_DEADLINE_ANSWER_TIMES
     }
 
     pub(super) fn admission_probability(&self) -> f64 {
-        (self.served_share * OVERCOMMIT).max(LEAST_PROBABILITY)
+        (self.served_share * OVERADMISSION_FACTOR).max(MIN_PROBABILITY)
     }
 
     pub(super) fn learn(&mut self, served: bool) {
@@ -39,6 +39,6 @@
     }
 
     pub(super) fn recover(&mut self, elapsed: Seconds) {
-        self.served_share += (1.0 - self.served_share) * elapsed / RECOVERY;
+        self.served_share += (1.0 - self.served_share) * elapsed / RECOVERY_TIME;
     }
 }
--- a/crates/balancer/src/balance/completion.rs
+++ b/crates/balancer/src/balance/completion.rs
@@ -1,6 +1,6 @@
 //! The end of a request: its final answer and the cancellation of its attempts.
 
-use super::due_timers::Due;
+use super::due_timers::TimerKind;
 use super::state::BalancerState;
 use crate::interface::{Action, AttemptId, RequestId, Seconds};
 
@@ -41,21 +41,21 @@
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let out = request.out().filter(|attempt| Some(*attempt) != except);
-        self.actions.extend(out.map(|attempt| Action::Cancel { request: id, attempt }));
+        let in_flight = request.in_flight().filter(|attempt| Some(*attempt) != except);
+        self.actions.extend(in_flight.map(|attempt| Action::Cancel { request: id, attempt }));
     }
 
     /// The request has its final answer, or its client has left: cancels the attempts in flight, and drops
     /// the request once all of them have ended.
     pub(super) fn on_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        self.timers.cancel(request.give_up_at, Due::GiveUp, id);
-        self.timers.cancel(request.late_at, Due::Late, id);
+        self.timers.cancel(request.give_up_at, TimerKind::GiveUp, id);
+        self.timers.cancel(request.late_at, TimerKind::Late, id);
         let had_ended = std::mem::replace(&mut request.ended, true);
         if !had_ended && !request.streaming {
             self.cancel_attempts(id, None);
         }
-        if self.requests.get(&id).is_some_and(|request| request.attempts_out() == 0) {
+        if self.requests.get(&id).is_some_and(|request| request.attempts_in_flight() == 0) {
             self.requests.remove(&id);
         }
     }
--- a/crates/balancer/src/balance/concurrency_limit.rs
+++ b/crates/balancer/src/balance/concurrency_limit.rs
@@ -4,11 +4,11 @@
 use crate::interface::Seconds;
 
 /// Factor by which a limit is cut when answers are slow.
-pub(super) const CUT: f64 = 0.8;
+pub(super) const CUT_FACTOR: f64 = 0.8;
 /// Factor for the limit of fetches from the origin; a deeper cut, as slow fetches are noticed late.
-pub(super) const FETCH_CUT: f64 = 0.5;
+pub(super) const FETCH_CUT_FACTOR: f64 = 0.5;
 /// Lowest limit: one attempt at a time.
-const LEAST: f64 = 1.0;
+const MIN_LIMIT: f64 = 1.0;
 
 /// A limit on attempts in flight that grows while answers are quick and falls when they are slow.
 #[derive(Default)]
@@ -40,15 +40,15 @@
 
     /// Cuts the limit to `share` of the load, which is clamped between half the limit and the limit. An
     /// attempt that was sent before the last cut says nothing about the limit since, so it is ignored.
-    pub(super) fn cut(&mut self, share: f64, load: f64, now: Seconds, took: Seconds) {
-        if now - took > self.changed_at {
-            self.value = (load.clamp(self.value / 2.0, self.value) * share).max(LEAST);
+    pub(super) fn cut(&mut self, share: f64, load: f64, now: Seconds, elapsed: Seconds) {
+        if now - elapsed > self.changed_at {
+            self.value = (load.clamp(self.value / 2.0, self.value) * share).max(MIN_LIMIT);
             self.changed_at = now;
         }
     }
 
     /// Lowers the limit to this number of attempts.
     pub(super) fn lower_to(&mut self, in_flight: f64) {
-        self.value = self.value.min(in_flight).max(LEAST);
+        self.value = self.value.min(in_flight).max(MIN_LIMIT);
     }
 }
--- a/crates/balancer/src/balance/demand.rs
+++ b/crates/balancer/src/balance/demand.rs
@@ -9,9 +9,9 @@
 /// window.
 const RECENT_WINDOWS: f64 = 0.5;
 /// Requests in a window, to all servers, below which the usual demand is unknown.
-const LEAST_KNOWN: f64 = 1.0;
+const MIN_KNOWN_REQUESTS: f64 = 1.0;
 /// Least ratio of usual to recent demand: a node that had little traffic may take over the clients of others.
-const LEAST_RATIO: f64 = 1.0 / 8.0;
+const MIN_RATIO: f64 = 1.0 / 8.0;
 
 /// Request rates for each ready server, in requests a second.
 #[derive(Default)]
@@ -37,11 +37,11 @@
 }
 
 impl Demand {
-    pub(super) fn note_arrived(&mut self) {
+    pub(super) fn record_arrival(&mut self) {
         self.arrived += 1;
     }
 
-    pub(super) fn note_served(&mut self) {
+    pub(super) fn record_served(&mut self) {
         self.served += 1;
     }
 
@@ -57,7 +57,7 @@
         let recent_window = (fleet.window * RECENT_WINDOWS).max(passed);
         self.recent += (arrived - self.recent) * (passed / recent_window);
         // A node that has just started, or was idle, takes its first arrivals as its usual demand.
-        if self.usual * fleet.ready as f64 * fleet.window < LEAST_KNOWN {
+        if self.usual * fleet.ready as f64 * fleet.window < MIN_KNOWN_REQUESTS {
             self.learnt_for = 0.0;
         }
         let is_new = self.learnt_for < fleet.window;
@@ -73,6 +73,6 @@
         if self.learnt_for <= 0.0 || self.recent <= self.usual {
             return 1.0;
         }
-        (self.usual / self.recent).max(LEAST_RATIO)
+        (self.usual / self.recent).max(MIN_RATIO)
     }
 }
--- a/crates/balancer/src/balance/dispatch.rs
+++ b/crates/balancer/src/balance/dispatch.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-use super::due_timers::Due;
-use super::hold_queues::Hold;
+use super::due_timers::TimerKind;
+use super::hold_queues::HoldReason;
 use super::key_locations::KeyLocation;
 use super::request::{Attempt, Request};
 use super::state::BalancerState;
@@ -12,20 +12,20 @@
 
 /// Share of the latency objective, or of the client's time where that is less, for which a request is held
 /// when all servers are full.
-pub(super) const HOLD_TIME: f64 = 0.25;
+pub(super) const HOLD_TIME_SHARE: f64 = 0.25;
 /// Factor on the hold time of a request over its tenant's quota.
-const HOLD_TIME_OVER_QUOTA: f64 = 0.1;
+const OVER_QUOTA_HOLD_FACTOR: f64 = 0.1;
 /// Held requests that may fail to dispatch after an outcome before the remaining ones wait for the next
 /// outcome: trying all of them at each outcome would cost work that grows with the square of the load. The
 /// tick tries all.
-pub(super) const MAX_IN_VAIN: usize = 8;
+pub(super) const MAX_STILL_HELD: usize = 8;
 
 /// How many held requests a scan tries.
 #[derive(Clone, Copy, PartialEq)]
-enum Tries {
+enum HeldScan {
     All,
     /// Stops once this many requests of one queue were tried and stay held.
-    InVain(usize),
+    UntilStillHeld(usize),
 }
 
 /// The target of a request's next attempt.
@@ -46,9 +46,9 @@
     }
 
     /// Like `dispatch`, but returns the reason to hold a request that was neither sent nor ended.
-    fn try_dispatch(&mut self, id: RequestId) -> Option<Hold> {
+    fn try_dispatch(&mut self, id: RequestId) -> Option<HoldReason> {
         let request =
-            self.requests.get(&id).filter(|request| !request.ended && request.attempts_out() == 0)?;
+            self.requests.get(&id).filter(|request| !request.ended && request.attempts_in_flight() == 0)?;
         let (key, write) = (request.key, request.write);
         let target = self.target(id)?;
         if target.is_shed {
@@ -59,31 +59,32 @@
         if !write && target.to_origin && self.origin.join_fetch(key, id) {
             return None;
         }
-        let hold = if write { Hold::Write } else { Hold::Fetch };
+        let hold = if write { HoldReason::Write } else { HoldReason::Fetch };
         let is_aside = self.settings.cache != CacheMode::Through;
-        let origin_bears = is_aside || !target.to_origin || self.origin.has_room(hold);
-        let waits_for = if target.server.is_some() { hold } else { Hold::Server };
-        if let Some(server) = target.server.filter(|_| origin_bears) {
+        let origin_has_capacity = is_aside || !target.to_origin || self.origin.has_capacity(hold);
+        let hold_reason = if target.server.is_some() { hold } else { HoldReason::Server };
+        if let Some(server) = target.server.filter(|_| origin_has_capacity) {
             self.send(id, &server, target.to_origin);
             return None;
         }
         if self.may_hold(id) {
-            return Some(waits_for);
+            return Some(hold_reason);
         }
         self.end(id);
         None
     }
 
     fn target(&mut self, id: RequestId) -> Option<Target> {
-        let probed = self.probe_by_request(id);
+        let probe_target = self.probe_by_request(id);
         let request = self.requests.get(&id)?;
         let is_aside = self.settings.cache != CacheMode::Through;
         let at_origin = is_aside && (request.write || request.missed);
-        let chosen = || if at_origin { self.choose_origin(request) } else { self.choose(request) };
-        let server = probed.or_else(chosen);
+        let chosen_target = || if at_origin { self.choose_origin(request) } else { self.choose(request) };
+        let server = probe_target.or_else(chosen_target);
         let is_shed = server.is_none() && !at_origin && self.is_shed(request);
-        let unknown = server.as_ref().is_some_and(|server| !self.is_cached(&(request.key, server.clone())));
-        let to_origin = request.write || (unknown && (request.missed || !is_aside));
+        let is_location_unknown =
+            server.as_ref().is_some_and(|server| !self.is_cached(&(request.key, server.clone())));
+        let to_origin = request.write || (is_location_unknown && (request.missed || !is_aside));
         Some(Target { server, to_origin, is_shed })
     }
 
@@ -103,13 +104,13 @@
     fn may_hold(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let class = self.class(request);
-        let wanted = class.aim.min(request.deadline - request.arrived_at);
-        let quota_factor = if request.over_quota { HOLD_TIME_OVER_QUOTA } else { 1.0 };
-        let hold_time = wanted * HOLD_TIME * quota_factor;
+        let time_limit = class.aim.min(request.deadline - request.arrived_at);
+        let quota_factor = if request.over_quota { OVER_QUOTA_HOLD_FACTOR } else { 1.0 };
+        let hold_time = time_limit * HOLD_TIME_SHARE * quota_factor;
         let may_not_repeat = request.may_have_run() && class.effect != Effect::Safe;
-        let is_spent = request.attempts.len() >= self.settings.limits.max_attempts as usize;
+        let has_no_attempts_left = request.attempts.len() >= self.settings.limits.max_attempts as usize;
         let is_late = self.now >= request.arrived_at + hold_time || self.now >= request.deadline;
-        !(may_not_repeat || is_spent || is_late)
+        !(may_not_repeat || has_no_attempts_left || is_late)
     }
 
     pub(super) fn is_cached(&self, location: &KeyLocation) -> bool {
@@ -137,8 +138,8 @@
         let Some(request) = self.requests.get(&id) else { return };
         let late_at = self.now + self.time_until_late(request);
         let before = self.set_late_at(id, late_at);
-        self.timers.cancel(before, Due::Late, id);
-        self.timers.schedule(late_at, Due::Late, id);
+        self.timers.cancel(before, TimerKind::Late, id);
+        self.timers.schedule(late_at, TimerKind::Late, id);
         self.arm_timer();
     }
 
@@ -149,19 +150,19 @@
 
     /// Tries all held requests.
     pub(super) fn dispatch_all_held(&mut self) {
-        self.dispatch_held(Tries::All);
+        self.dispatch_held(HeldScan::All);
     }
 
     /// Tries held requests after an outcome, which may have freed capacity.
     pub(super) fn dispatch_some_held(&mut self) {
-        self.dispatch_held(Tries::InVain(MAX_IN_VAIN));
+        self.dispatch_held(HeldScan::UntilStillHeld(MAX_STILL_HELD));
     }
 
-    fn dispatch_held(&mut self, tries: Tries) {
-        for hold in Hold::ALL {
+    fn dispatch_held(&mut self, scan: HeldScan) {
+        for hold in HoldReason::ALL {
             let mut queue = self.held.take(hold);
             let mut stay = VecDeque::new();
-            while self.tries_on(tries, hold, stay.len()) {
+            while self.continues_scan(scan, hold, stay.len()) {
                 let Some(id) = queue.pop_front() else { break };
                 match self.try_dispatch(id) {
                     Some(same) if same == hold => stay.push_back(id),
@@ -175,10 +176,12 @@
         }
     }
 
-    fn tries_on(&self, tries: Tries, hold: Hold, in_vain: usize) -> bool {
-        match tries {
-            Tries::All => true,
-            Tries::InVain(most) => in_vain < most && (hold == Hold::Server || self.origin.has_room(hold)),
+    fn continues_scan(&self, scan: HeldScan, hold: HoldReason, still_held: usize) -> bool {
+        match scan {
+            HeldScan::All => true,
+            HeldScan::UntilStillHeld(most) => {
+                still_held < most && (hold == HoldReason::Server || self.origin.has_capacity(hold))
+            }
         }
     }
 }
--- a/crates/balancer/src/balance/due_timers.rs
+++ b/crates/balancer/src/balance/due_timers.rs
@@ -5,11 +5,11 @@
 use crate::interface::{RequestId, Seconds};
 
 /// Tolerance within which a timer counts as due: hosts that count in microseconds fire up to this much early.
-pub(super) const EARLY: Seconds = 1e-5;
+pub(super) const TIMER_TOLERANCE: Seconds = 1e-5;
 
 /// What a timer of a request is for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
+pub(super) enum TimerKind {
     /// The request's time to be answered is almost over.
     GiveUp,
     /// The request's last attempt is late.
@@ -21,32 +21,32 @@
 #[derive(Default)]
 pub(super) struct DueTimers {
     /// Times are stored as their bit patterns, which sort like the (non-negative) times.
-    due: BTreeSet<(u64, Due, RequestId)>,
+    due: BTreeSet<(u64, TimerKind, RequestId)>,
     armed_for: Option<Seconds>,
 }
 
 impl DueTimers {
-    pub(super) fn schedule(&mut self, at: Seconds, why: Due, request: RequestId) {
-        self.due.insert((at.to_bits(), why, request));
+    pub(super) fn schedule(&mut self, at: Seconds, kind: TimerKind, request: RequestId) {
+        self.due.insert((at.to_bits(), kind, request));
     }
 
-    pub(super) fn cancel(&mut self, at: Seconds, why: Due, request: RequestId) {
-        self.due.remove(&(at.to_bits(), why, request));
+    pub(super) fn cancel(&mut self, at: Seconds, kind: TimerKind, request: RequestId) {
+        self.due.remove(&(at.to_bits(), kind, request));
     }
 
     /// Notes that the host's timer has fired.
     pub(super) fn fired(&mut self, now: Seconds) {
-        self.armed_for = self.armed_for.filter(|at| *at > now + EARLY);
+        self.armed_for = self.armed_for.filter(|at| *at > now + TIMER_TOLERANCE);
     }
 
     /// Removes and returns the first timer that is due.
-    pub(super) fn pop_due(&mut self, now: Seconds) -> Option<(Due, RequestId)> {
-        let (at, why, request) = *self.due.first()?;
-        if f64::from_bits(at) > now + EARLY {
+    pub(super) fn pop_due(&mut self, now: Seconds) -> Option<(TimerKind, RequestId)> {
+        let (at, kind, request) = *self.due.first()?;
+        if f64::from_bits(at) > now + TIMER_TOLERANCE {
             return None;
         }
         self.due.pop_first();
-        Some((why, request))
+        Some((kind, request))
     }
 
     /// The delay after which the host's timer has to fire; `None` if it is already set early enough.
--- a/crates/balancer/src/balance/endpoint_subscription.rs
+++ b/crates/balancer/src/balance/endpoint_subscription.rs
@@ -4,11 +4,11 @@
 use crate::interface::Seconds;
 
 /// Share of the poll interval after which a call without an answer counts as failed.
-const UNANSWERED_AFTER: f64 = 0.5;
+const CALL_TIMEOUT_SHARE: f64 = 0.5;
 /// First backoff, as a share of the poll interval, and its bounds in seconds.
-const FIRST_BACKOFF: f64 = 0.13;
-const LEAST_FIRST_BACKOFF: Seconds = 0.1;
-const MOST_FIRST_BACKOFF: Seconds = 0.2;
+const FIRST_BACKOFF_SHARE: f64 = 0.13;
+const MIN_FIRST_BACKOFF: Seconds = 0.1;
+const MAX_FIRST_BACKOFF: Seconds = 0.2;
 /// Number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 2;
 
@@ -26,14 +26,14 @@
     /// Whether discovery is to be called now; if so, the call is noted as made.
     pub(super) fn call_if_due(&mut self, now: Seconds, poll_interval: Seconds) -> bool {
         let is_due = match self.called_at {
-            Some(called_at) => now - called_at > poll_interval * UNANSWERED_AFTER,
+            Some(called_at) => now - called_at > poll_interval * CALL_TIMEOUT_SHARE,
             None => now >= self.next_call_at,
         };
-        let calls = is_due && !self.subscribed;
-        if calls {
+        let should_call = is_due && !self.subscribed;
+        if should_call {
             self.called_at = Some(now);
         }
-        calls
+        should_call
     }
 
     /// The list, or a change of it, has arrived.
@@ -46,7 +46,7 @@
     /// together; yet a call that hangs, this backoff and a call that succeeds fit into 6 s, or into four poll
     /// intervals if that is less. `random` is from 0 to 1.
     pub(super) fn failed(&mut self, now: Seconds, poll_interval: Seconds, random: f64) {
-        let first = (FIRST_BACKOFF * poll_interval).clamp(LEAST_FIRST_BACKOFF, MOST_FIRST_BACKOFF);
+        let first = (FIRST_BACKOFF_SHARE * poll_interval).clamp(MIN_FIRST_BACKOFF, MAX_FIRST_BACKOFF);
         let doubled = first * f64::from(2u32 << self.failed_calls.min(MAX_DOUBLINGS));
         let backoff = doubled * (0.25 + 0.5 * random);
         self.subscribed = false;
--- a/crates/balancer/src/balance/endpoints.rs
+++ b/crates/balancer/src/balance/endpoints.rs
@@ -14,30 +14,30 @@
         }
     }
 
-    pub(super) fn on_endpoints(&mut self, news: RosterNews) {
-        match news {
+    pub(super) fn on_endpoints(&mut self, update: RosterNews) {
+        match update {
             RosterNews::Failed => {
                 let random = self.jitter.next();
                 self.subscription.failed(self.now, self.settings.guarantees.ask_every, random);
             }
-            RosterNews::Cached(entries) => self.take_complete_list(entries),
+            RosterNews::Cached(entries) => self.apply_complete_list(entries),
             RosterNews::Full(entries) => {
                 self.subscription.succeeded();
-                self.take_complete_list(entries);
+                self.apply_complete_list(entries);
             }
             RosterNews::Delta(entries) => {
                 self.subscription.succeeded();
-                self.take_entries(entries);
+                self.apply_entries(entries);
             }
         }
     }
 
-    fn take_complete_list(&mut self, entries: Vec<RosterEntry>) {
+    fn apply_complete_list(&mut self, entries: Vec<RosterEntry>) {
         self.servers.mark_unlisted_gone(&entries);
-        self.take_entries(entries);
+        self.apply_entries(entries);
     }
 
-    fn take_entries(&mut self, entries: Vec<RosterEntry>) {
+    fn apply_entries(&mut self, entries: Vec<RosterEntry>) {
         for entry in entries {
             self.servers.apply(entry, &self.settings);
         }
--- a/crates/balancer/src/balance/hash_ring.rs
+++ b/crates/balancer/src/balance/hash_ring.rs
@@ -10,7 +10,7 @@
 /// collide.
 const SLOT_BITS: u32 = 16;
 /// Points of a server of weight 1; shares of servers vary by about 1/sqrt(128), 9 %.
-const POINTS: f64 = 128.0;
+const POINTS_PER_UNIT_WEIGHT: f64 = 128.0;
 
 /// Weights by server.
 pub(crate) type Weights = BTreeMap<ServerId, f64>;
@@ -49,7 +49,7 @@
 
 /// Number of points of a server of this scaled size.
 pub(crate) fn point_count(size: f64) -> u16 {
-    (POINTS * size).round().max(1.0) as u16
+    (POINTS_PER_UNIT_WEIGHT * size).round().max(1.0) as u16
 }
 
 /// A virtual node of a server; its slot is the top bits of its hash. Only the points of low rank of a server
@@ -109,7 +109,7 @@
         is_active: impl Fn(&Point) -> bool,
     ) -> Option<&ServerId> {
         let slot = hash_key(key, probe) >> (64 - SLOT_BITS);
-        let first = self.first_at(slot);
+        let first = self.first_index_at(slot);
         let clockwise = self.points[first..].iter().chain(&self.points[..first]);
         clockwise.into_iter().find(|point| is_active(point)).map(Point::server)
     }
@@ -117,7 +117,7 @@
     /// Index of the first point at or after a slot. Hashes are spread evenly, so the point is near the index
     /// that is proportional to the slot; each step of a binary search of a large ring would miss the CPU
     /// cache.
-    fn first_at(&self, slot: u64) -> usize {
+    fn first_index_at(&self, slot: u64) -> usize {
         let is_before = |point: &&Point| point.hash >> (64 - SLOT_BITS) < slot;
         let guess = (slot as usize * self.points.len()) >> SLOT_BITS;
         let back = self.points[..guess].iter().rev().take_while(|point| !is_before(point)).count();
--- a/crates/balancer/src/balance/hedging.rs
+++ b/crates/balancer/src/balance/hedging.rs
@@ -1,22 +1,22 @@
 //! Hedged requests: when an attempt counts as late, and the second attempt that follows.
 
-use super::due_timers::EARLY;
+use super::due_timers::TIMER_TOLERANCE;
 use super::request::Request;
-use super::retry_budget::RETRY_PRICE;
+use super::retry_budget::RETRY_COST;
 use super::routing::MAX_PROBES;
 use super::state::BalancerState;
 use crate::interface::{Effect, Key, RequestId, Seconds, ServerId};
 
 /// Share of the latency objective after which an attempt is late.
-pub(super) const LATE_AFTER: f64 = 0.4;
+pub(super) const LATE_OBJECTIVE_SHARE: f64 = 0.4;
 /// Least time until an attempt is late, as a multiple of the usual answer time and of the request's own cost.
-const LATE_ANSWER_TIMES: f64 = 4.0;
+const LATE_ANSWER_TIME_FACTOR: f64 = 4.0;
 
 impl BalancerState {
     /// Time after which an attempt counts as late.
     pub(super) fn time_until_late(&self, request: &Request) -> Seconds {
-        let by_objective = self.class(request).aim * LATE_AFTER;
-        by_objective.max(LATE_ANSWER_TIMES * self.latency.answer_time().max(request.work))
+        let by_objective = self.class(request).aim * LATE_OBJECTIVE_SHARE;
+        by_objective.max(LATE_ANSWER_TIME_FACTOR * self.latency.answer_time().max(request.work))
     }
 
     /// Sends a hedged request if the last attempt is late: otherwise a server that hangs, is unreachable or
@@ -27,10 +27,10 @@
         let key = request.key;
         let next_probe = self.next_owner_probe(request, &late_server);
         let may_repeat = self.settings.limits.second_copies && self.class(request).effect != Effect::Unsafe;
-        let hedges = may_repeat && self.retry_budget.affords(RETRY_PRICE);
-        let target = self.choose(request).filter(|_| hedges);
+        let may_hedge = may_repeat && self.retry_budget.affords(RETRY_COST);
+        let target = self.choose(request).filter(|_| may_hedge);
         let write = request.write;
-        self.retry_budget.spend(if may_repeat { RETRY_PRICE } else { 0.0 });
+        self.retry_budget.spend(if may_repeat { RETRY_COST } else { 0.0 });
         match target {
             Some(server) => {
                 let to_origin = write || !self.is_cached(&(key, server.clone()));
@@ -44,14 +44,14 @@
     /// The server of a request's last attempt, if that attempt is late and its server is to blame.
     fn late_server(&self, request: &Request) -> Option<ServerId> {
         let last = request.attempts.last()?;
-        let is_over = request.ended || request.streaming || request.give_up_at <= self.now + EARLY;
+        let is_over = request.ended || request.streaming || request.give_up_at <= self.now + TIMER_TOLERANCE;
         let due = last.sent_at + self.time_until_late(request) - self.settings.round;
-        let is_late = last.is_out() && self.now >= due;
+        let is_late = last.is_in_flight() && self.now >= due;
         // If the origin is slow, all attempts are late; if the server answered another attempt since, it is
         // alive and only this request is slow.
         let server = self.servers.get(&last.server);
         let is_alive = server.is_none_or(|server| server.answered_since(last.sent_at));
-        let is_excused = is_alive || self.origin.is_straining();
+        let is_excused = is_alive || self.origin.is_slow();
         (is_late && !is_over && !is_excused).then(|| last.server.clone())
     }
 
--- a/crates/balancer/src/balance/hold_queues.rs
+++ b/crates/balancer/src/balance/hold_queues.rs
@@ -6,7 +6,7 @@
 
 /// Reason for which a request is held.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Hold {
+pub(super) enum HoldReason {
     /// The origin has no capacity for another write.
     Write,
     /// The origin has no capacity for another fetch.
@@ -15,9 +15,9 @@
     Server,
 }
 
-impl Hold {
+impl HoldReason {
     /// All reasons, in the order in which their queues are dispatched.
-    pub(super) const ALL: [Hold; 3] = [Hold::Write, Hold::Fetch, Hold::Server];
+    pub(super) const ALL: [HoldReason; 3] = [HoldReason::Write, HoldReason::Fetch, HoldReason::Server];
 }
 
 /// The held requests of each queue, first in, first out.
@@ -27,17 +27,17 @@
 }
 
 impl HoldQueues {
-    pub(super) fn push(&mut self, hold: Hold, request: RequestId) {
+    pub(super) fn push(&mut self, hold: HoldReason, request: RequestId) {
         self.queues[hold as usize].push_back(request);
     }
 
     /// Takes a complete queue; [`HoldQueues::put_back`] returns it.
-    pub(super) fn take(&mut self, hold: Hold) -> VecDeque<RequestId> {
+    pub(super) fn take(&mut self, hold: HoldReason) -> VecDeque<RequestId> {
         std::mem::take(&mut self.queues[hold as usize])
     }
 
     /// Returns a queue, ahead of the requests that were pushed since it was taken.
-    pub(super) fn put_back(&mut self, hold: Hold, mut queue: VecDeque<RequestId>) {
+    pub(super) fn put_back(&mut self, hold: HoldReason, mut queue: VecDeque<RequestId>) {
         let queued = &mut self.queues[hold as usize];
         queue.append(queued);
         *queued = queue;
--- a/crates/balancer/src/balance/key_locations.rs
+++ b/crates/balancer/src/balance/key_locations.rs
@@ -18,7 +18,7 @@
 pub(super) struct KeyLocationCache {
     young: BTreeMap<KeyLocation, Seconds>,
     old: BTreeMap<KeyLocation, Seconds>,
-    turned_at: Seconds,
+    rotated_at: Seconds,
 }
 
 impl KeyLocationCache {
@@ -29,9 +29,9 @@
 
     pub(super) fn insert(&mut self, location: KeyLocation, now: Seconds) {
         let is_full = self.young.len() >= MAX_LOCATIONS / 2;
-        if is_full || now >= self.turned_at + TIME_TO_LIVE {
+        if is_full || now >= self.rotated_at + TIME_TO_LIVE {
             self.old = std::mem::take(&mut self.young);
-            self.turned_at = now;
+            self.rotated_at = now;
         }
         self.young.insert(location, now);
     }
--- a/crates/balancer/src/balance/key_popularity.rs
+++ b/crates/balancer/src/balance/key_popularity.rs
@@ -6,7 +6,7 @@
 
 /// A key is hot when it recurs within the last (ready servers / this factor) requests, that is, at this
 /// multiple of its fair share.
-pub(super) const HOT: f64 = 4.0;
+pub(super) const HOT_KEY_FACTOR: f64 = 4.0;
 
 /// The keys of the last requests and their counts.
 #[derive(Default)]
@@ -17,8 +17,8 @@
 
 impl KeyPopularity {
     /// Records a request for a key; returns how many of the last requests were for it, this one included.
-    pub(super) fn note(&mut self, key: Key, ready_servers: usize) -> u64 {
-        while self.recent.len() as f64 > ready_servers as f64 / HOT {
+    pub(super) fn record(&mut self, key: Key, ready_servers: usize) -> u64 {
+        while self.recent.len() as f64 > ready_servers as f64 / HOT_KEY_FACTOR {
             self.forget_oldest();
         }
         self.recent.push_back(key);
--- a/crates/balancer/src/balance/kind_latency.rs
+++ b/crates/balancer/src/balance/kind_latency.rs
@@ -1,11 +1,11 @@
 //! Relative latency of each kind of server, for settings whose weights do not give it.
 
 /// Least relative speed of a slow kind: the least share of its points that a server keeps active.
-pub(super) const SLOWEST: f64 = 0.125;
+pub(super) const MIN_KIND_SPEED: f64 = 0.125;
 /// Number of samples of slowness 1 that a kind's mean starts with.
-const PRIOR: f64 = 3.0;
+const PRIOR_SAMPLES: f64 = 3.0;
 /// Effective number of samples that the mean remembers.
-const MEMORY: f64 = 50.0;
+const MAX_SAMPLES: f64 = 50.0;
 
 /// Mean slowness of one kind's answers from cache: the time taken divided by the time expected. Servers are
 /// grouped by kind because a node sees too few answers from a single one.
@@ -17,12 +17,12 @@
 
 impl KindLatency {
     pub(super) fn learn(&mut self, slowness: f64) {
-        let keep = 1.0 - 1.0 / MEMORY;
-        self.sum = self.sum * keep + slowness.min(1.0 / SLOWEST);
-        self.count = self.count * keep + 1.0;
+        let decay = 1.0 - 1.0 / MAX_SAMPLES;
+        self.sum = self.sum * decay + slowness.min(1.0 / MIN_KIND_SPEED);
+        self.count = self.count * decay + 1.0;
     }
 
     pub(super) fn slowness(&self) -> f64 {
-        (PRIOR + self.sum) / (PRIOR + self.count)
+        (PRIOR_SAMPLES + self.sum) / (PRIOR_SAMPLES + self.count)
     }
 }
--- a/crates/balancer/src/balance/latency_estimate.rs
+++ b/crates/balancer/src/balance/latency_estimate.rs
@@ -4,9 +4,9 @@
 use crate::interface::Seconds;
 
 /// Share of the tightest latency objective beyond which an answer from cache shows an overloaded server.
-pub(super) const CROWDED: f64 = 0.5;
+pub(super) const OVERLOAD_OBJECTIVE_SHARE: f64 = 0.5;
 /// Initial estimate of an answer's time, as a multiple of its request's work hint.
-const FIRST_TIME_PER_WORK: f64 = 2.0;
+const INITIAL_TIME_PER_WORK: f64 = 2.0;
 /// Weight of one request in the usual work.
 const WORK_SMOOTHING: f64 = SMOOTHING / 10.0;
 
@@ -20,8 +20,8 @@
 impl LatencyEstimate {
     pub(super) fn new(tightest_objective: Seconds) -> Self {
         LatencyEstimate {
-            answer_time: tightest_objective * CROWDED / 2.0,
-            time_per_work: FIRST_TIME_PER_WORK,
+            answer_time: tightest_objective * OVERLOAD_OBJECTIVE_SHARE / 2.0,
+            time_per_work: INITIAL_TIME_PER_WORK,
             usual_work: 0.0,
         }
     }
--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -40,15 +40,15 @@
 mod tests;
 
 use demand::Fleet;
-use due_timers::Due;
+use due_timers::TimerKind;
 pub(crate) use state::BalancerState;
 
 use crate::interface::{Action, Event, Seconds, Status, TimerToken};
 
 /// Time between two housekeeping ticks: short against any latency objective.
-const TICK: Seconds = 0.05;
+const TICK_INTERVAL: Seconds = 0.05;
 /// Time between two sweeps over all servers: short against any slow start.
-const SWEEP: Seconds = 0.25;
+const SWEEP_INTERVAL: Seconds = 0.25;
 /// Weight of a new observation in smoothed figures.
 const SMOOTHING: f64 = 0.1;
 
@@ -61,15 +61,15 @@
         self.now = now;
         if !self.has_started {
             self.has_started = true;
-            self.set_tick();
+            self.schedule_tick();
             self.follow_endpoints();
         }
         match event {
-            Event::Roster(news) => self.on_endpoints(news),
+            Event::Roster(update) => self.on_endpoints(update),
             Event::Request(new) => self.on_request(new),
             Event::StreamStarted { request, attempt } => self.on_stream_started(request, attempt),
             Event::Outcome(outcome) => self.on_outcome(outcome),
-            Event::Fleet(news) => self.on_fleet_news(news),
+            Event::Fleet(update) => self.on_fleet_update(update),
             Event::Withdrawn(request) => self.on_finished(request),
             Event::Timer(TICK_TIMER) => self.on_tick(),
             Event::Timer(_) => self.on_due(),
@@ -78,14 +78,14 @@
         }
     }
 
-    fn set_tick(&mut self) {
-        self.actions.push(Action::SetTimer { token: TICK_TIMER, after: TICK });
+    fn schedule_tick(&mut self) {
+        self.actions.push(Action::SetTimer { token: TICK_TIMER, after: TICK_INTERVAL });
     }
 
     fn on_tick(&mut self) {
-        self.set_tick();
+        self.schedule_tick();
         if self.now >= self.next_sweep_at {
-            self.next_sweep_at = self.now + SWEEP;
+            self.next_sweep_at = self.now + SWEEP_INTERVAL;
             self.sweep();
         }
         self.follow_endpoints();
@@ -98,7 +98,7 @@
             let ejected = self.next_to_probe();
             self.actions.extend(ejected.map(Action::Probe));
         }
-        self.brief_throttle.recover(SWEEP);
+        self.short_deadline_throttle.recover(SWEEP_INTERVAL);
         self.servers.refresh_shares(&self.settings, self.now);
         let totals = self.servers.totals();
         let window = self.settings.guarantees.fall_for;
@@ -115,10 +115,10 @@
 
     fn on_due(&mut self) {
         self.timers.fired(self.now);
-        while let Some((why, request)) = self.timers.pop_due(self.now) {
-            match why {
-                Due::GiveUp => self.end(request),
-                Due::Late => self.on_late(request),
+        while let Some((kind, request)) = self.timers.pop_due(self.now) {
+            match kind {
+                TimerKind::GiveUp => self.end(request),
+                TimerKind::Late => self.on_late(request),
             }
         }
         self.arm_timer();
--- a/crates/balancer/src/balance/observation.rs
+++ b/crates/balancer/src/balance/observation.rs
@@ -1,15 +1,15 @@
 //! What an outcome shows about its server, the location of its key and the origin.
 
-use super::hedging::LATE_AFTER;
+use super::hedging::LATE_OBJECTIVE_SHARE;
 use super::key_locations::KeyLocation;
-use super::latency_estimate::CROWDED;
+use super::latency_estimate::OVERLOAD_OBJECTIVE_SHARE;
 use super::state::BalancerState;
 use crate::interface::{CacheMode, CacheNote, Key, Outcome, Seconds, ServerId, Status};
 
 /// Weight of a lost connection or a time-out among a server's failures.
-const FAILURE: f64 = 1.0;
+const FAILURE_WEIGHT: f64 = 1.0;
 /// Weight of an error, or of an attempt that a hedged request overtook.
-const HALF_FAILURE: f64 = 0.5;
+const PARTIAL_FAILURE_WEIGHT: f64 = 0.5;
 
 /// An attempt that has ended, with what is needed of its request.
 pub(super) struct EndedAttempt {
@@ -69,21 +69,21 @@
         outcome: &Outcome,
     ) -> Option<Evidence> {
         let server = self.servers.get(&attempt.server)?;
-        let took = outcome.elapsed;
-        let is_early = took <= self.tightest_objective * LATE_AFTER;
+        let elapsed = outcome.elapsed;
+        let is_early = elapsed <= self.tightest_objective * LATE_OBJECTIVE_SHARE;
         Some(Evidence {
             is_early_timeout: outcome.status == Status::TimedOut && is_early,
-            server_answered: server.answered_since(self.now - took),
+            server_answered: server.answered_since(self.now - elapsed),
             is_warm: !server.is_warming_up(self.now, &self.settings.guarantees),
             was_cached: self.is_cached(location),
-            slowness: self.latency.slowness(took, attempt.work),
+            slowness: self.latency.slowness(elapsed, attempt.work),
             load: f64::from(server.in_flight()),
         })
     }
 
     fn observe_server(&mut self, attempt: &EndedAttempt, outcome: &Outcome, evidence: &Evidence) {
-        let (now, took, status) = (self.now, outcome.elapsed, outcome.status);
-        let is_crowded = took > self.tightest_objective * CROWDED;
+        let (now, elapsed, status) = (self.now, outcome.elapsed, outcome.status);
+        let is_overload_slow = elapsed > self.tightest_objective * OVERLOAD_OBJECTIVE_SHARE;
         let from_cache = status == Status::Success && outcome.note != Some(CacheNote::Miss);
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         server.attempt_ended();
@@ -102,44 +102,44 @@
         }
         match status {
             Status::Success => server.succeeded(now),
-            Status::Overloaded => server.overloaded(now, took),
+            Status::Overloaded => server.overloaded(now, elapsed),
             Status::TimedOut if evidence.is_early_timeout => {}
-            Status::Unreachable | Status::Broken | Status::TimedOut => server.add_failures(FAILURE),
-            Status::Error | Status::Unknown => server.add_failures(HALF_FAILURE),
-            Status::Cancelled if took > self.tightest_objective * LATE_AFTER => {
-                server.add_failures(HALF_FAILURE);
+            Status::Unreachable | Status::Broken | Status::TimedOut => server.add_failures(FAILURE_WEIGHT),
+            Status::Error | Status::Unknown => server.add_failures(PARTIAL_FAILURE_WEIGHT),
+            Status::Cancelled if elapsed > self.tightest_objective * LATE_OBJECTIVE_SHARE => {
+                server.add_failures(PARTIAL_FAILURE_WEIGHT);
             }
             Status::Cancelled | Status::Void | Status::Absent => {}
         }
         let timed_out_on_hit = status == Status::TimedOut && evidence.was_cached;
-        if timed_out_on_hit || (from_cache && is_crowded) {
-            server.cut_limit(now, took);
+        if timed_out_on_hit || (from_cache && is_overload_slow) {
+            server.cut_limit(now, elapsed);
         } else if from_cache {
             server.grow_limit(evidence.load);
         }
         if from_cache {
-            self.learn_latency(attempt, took, evidence);
+            self.learn_latency(attempt, elapsed, evidence);
         }
     }
 
     /// Updates the latency estimates with an answer from cache.
-    fn learn_latency(&mut self, attempt: &EndedAttempt, took: Seconds, evidence: &Evidence) {
+    fn learn_latency(&mut self, attempt: &EndedAttempt, elapsed: Seconds, evidence: &Evidence) {
         if evidence.is_warm {
             self.servers.learn_kind(&attempt.server, evidence.slowness);
         }
-        self.latency.learn(took, attempt.work);
+        self.latency.learn(elapsed, attempt.work);
     }
 
     /// Updates the estimates of the origin's load.
     fn observe_origin(&mut self, attempt: &EndedAttempt, outcome: &Outcome, evidence: &Evidence) {
-        let (status, took) = (outcome.status, outcome.elapsed);
+        let (status, elapsed) = (outcome.status, outcome.elapsed);
         let is_read_of_unknown = !attempt.write && !evidence.was_cached;
         if is_read_of_unknown && matches!(status, Status::Success | Status::Error) {
             // A read that ends in an error was not a hit.
             let missed = status == Status::Error || outcome.note != Some(CacheNote::Hit);
             self.origin.learn_miss(missed);
         }
-        let is_late = took > self.tightest_objective;
+        let is_late = elapsed > self.tightest_objective;
         let is_fetch_late = match status {
             Status::Success if outcome.note == Some(CacheNote::Miss) => Some(is_late),
             Status::TimedOut if !evidence.was_cached && evidence.server_answered && is_late => Some(true),
@@ -148,7 +148,7 @@
         };
         let is_through = self.settings.cache == CacheMode::Through;
         if let Some(late) = is_fetch_late.filter(|_| is_through) {
-            self.origin.learn_fetch(late, self.now, took);
+            self.origin.learn_fetch(late, self.now, elapsed);
         }
     }
 
--- a/crates/balancer/src/balance/origin_load.rs
+++ b/crates/balancer/src/balance/origin_load.rs
@@ -3,17 +3,17 @@
 
 use std::collections::BTreeMap;
 
-use super::concurrency_limit::{ConcurrencyLimit, FETCH_CUT};
-use super::hold_queues::Hold;
+use super::concurrency_limit::{ConcurrencyLimit, FETCH_CUT_FACTOR};
+use super::hold_queues::HoldReason;
 use super::SMOOTHING;
 use crate::interface::{Key, RequestId, Seconds};
 
 /// Initial limit on reads in flight of keys that are not known to be cached; adapted from then on.
-const FIRST_FETCHES: f64 = 64.0;
+const INITIAL_FETCH_LIMIT: f64 = 64.0;
 /// The origin is slow when this share of fetches is late. Their mean time varies too much to tell.
-const SLOW_SHARE: f64 = 0.6;
+const SLOW_ORIGIN_LATE_SHARE: f64 = 0.6;
 /// Limit of writes as a multiple of the limit of fetches.
-const WRITE_ROOM: f64 = 2.0;
+const WRITE_LIMIT_FACTOR: f64 = 2.0;
 /// Weight of one read in the miss share.
 const MISS_SMOOTHING: f64 = SMOOTHING / 2.0;
 
@@ -41,7 +41,7 @@
         OriginLoad {
             in_flight: 0,
             late_share: 0.0,
-            limit: ConcurrencyLimit::new(FIRST_FETCHES),
+            limit: ConcurrencyLimit::new(INITIAL_FETCH_LIMIT),
             miss_share: 1.0,
             fetches: BTreeMap::new(),
         }
@@ -49,9 +49,9 @@
 
     /// Whether the origin has capacity for one more write or fetch. Writes go first, and cache hits must not
     /// queue with either.
-    pub(super) fn has_room(&self, hold: Hold) -> bool {
-        let room = if hold == Hold::Write { WRITE_ROOM } else { 1.0 };
-        self.expected_fetches(self.in_flight) < self.limit.value() * room
+    pub(super) fn has_capacity(&self, hold: HoldReason) -> bool {
+        let factor = if hold == HoldReason::Write { WRITE_LIMIT_FACTOR } else { 1.0 };
+        self.expected_fetches(self.in_flight) < self.limit.value() * factor
     }
 
     /// Expected number of these attempts that reach the origin. A node among hundreds knows the location of
@@ -62,8 +62,8 @@
     }
 
     /// Whether so many fetches are late that a late attempt is not the fault of its server.
-    pub(super) fn is_straining(&self) -> bool {
-        self.late_share > SLOW_SHARE / 2.0
+    pub(super) fn is_slow(&self) -> bool {
+        self.late_share > SLOW_ORIGIN_LATE_SHARE / 2.0
     }
 
     pub(super) fn attempt_sent(&mut self) {
@@ -100,11 +100,11 @@
     }
 
     /// Records a fetch that was late or in time.
-    pub(super) fn learn_fetch(&mut self, late: bool, now: Seconds, took: Seconds) {
+    pub(super) fn learn_fetch(&mut self, late: bool, now: Seconds, elapsed: Seconds) {
         self.late_share += SMOOTHING * (f64::from(late) - self.late_share);
         let load = self.expected_fetches(self.in_flight + 1);
-        if self.late_share > SLOW_SHARE {
-            self.limit.cut(FETCH_CUT, load, now, took);
+        if self.late_share > SLOW_ORIGIN_LATE_SHARE {
+            self.limit.cut(FETCH_CUT_FACTOR, load, now, elapsed);
         } else {
             self.limit.grow(load);
         }
--- a/crates/balancer/src/balance/outlier_detection.rs
+++ b/crates/balancer/src/balance/outlier_detection.rs
@@ -17,9 +17,9 @@
 /// Most consecutive failures that are needed to eject a server; the number needed is 1 plus the attempts in
 /// flight at the mean server. With a fixed number, a node that sends a server one request a minute would lose
 /// as many requests to its death as a busy node.
-const MAX_FAILURES: f64 = 3.0;
+const MAX_FAILURES_TO_EJECT: f64 = 3.0;
 /// Failures needed to eject a server that peers suspect.
-const FAILURES_OF_SUSPECTED: f64 = 0.5;
+const FAILURES_TO_EJECT_SUSPECTED: f64 = 0.5;
 
 /// The ejected servers, and the error share of the fleet.
 #[derive(Default)]
@@ -48,8 +48,8 @@
     /// Whether one more server may be ejected while this many are ready.
     fn may_eject(&self, ready: usize) -> bool {
         let listed = ready + self.ejected.len();
-        let most = (listed as f64 * MAX_EJECTED_SHARE).max(1.0);
-        listed >= 2 && (self.ejected.len() + 1) as f64 <= most
+        let max_ejected = (listed as f64 * MAX_EJECTED_SHARE).max(1.0);
+        listed >= 2 && (self.ejected.len() + 1) as f64 <= max_ejected
     }
 
     #[cfg(test)]
@@ -61,9 +61,9 @@
 /// Consecutive failures that eject a server, given the attempts in flight at the mean server.
 fn failures_to_eject(mean_in_flight: f64, suspected: bool) -> f64 {
     if suspected {
-        return FAILURES_OF_SUSPECTED;
+        return FAILURES_TO_EJECT_SUSPECTED;
     }
-    (1.0 + mean_in_flight).min(MAX_FAILURES)
+    (1.0 + mean_in_flight).min(MAX_FAILURES_TO_EJECT)
 }
 
 impl BalancerState {
--- a/crates/balancer/src/balance/peer_reports.rs
+++ b/crates/balancer/src/balance/peer_reports.rs
@@ -5,23 +5,23 @@
 
 /// Time for which a server stays suspected after peers reported it silent, and for which an answer to this
 /// node prevents suspicion.
-const SUSPICION: Seconds = 5.0;
+const SUSPICION_DURATION: Seconds = 5.0;
 /// Least number of peers that must report a server silent, with none reporting an answer. Otherwise one peer
 /// whose own link is broken, or that lies, would make all nodes suspect healthy servers.
-const LEAST_REPORTERS: u16 = 3;
+const MIN_REPORTERS: u16 = 3;
 
 impl BalancerState {
-    pub(super) fn on_fleet_news(&mut self, news: FleetNews) {
-        match news {
+    pub(super) fn on_fleet_update(&mut self, update: FleetNews) {
+        match update {
             FleetNews::Table { epoch, version, entries } => {
-                if self.servers.take_placement((epoch, version), entries) {
+                if self.servers.apply_placement((epoch, version), entries) {
                     self.refresh_members();
                     self.dispatch_all_held();
                 }
             }
             FleetNews::Servers(reports) => {
                 for report in &reports {
-                    self.take_report(report);
+                    self.apply_report(report);
                 }
             }
         }
@@ -29,12 +29,12 @@
 
     /// Updates a server's suspicion. Reports alone eject no server; they only make one failure seen by this
     /// node enough.
-    fn take_report(&mut self, report: &ServerEvidence) {
+    fn apply_report(&mut self, report: &ServerEvidence) {
         // A report on an earlier incarnation of the server is ignored.
         let server = self.servers.get_mut(&report.server);
         let Some(server) = server.filter(|server| server.is_current_start(report.started)) else { return };
-        let answers_here = server.answered_within(self.now, SUSPICION);
-        let is_silent = report.silent >= LEAST_REPORTERS && report.answering == 0 && !answers_here;
-        server.suspect_until(if is_silent { self.now + SUSPICION } else { 0.0 });
+        let answered_this_node = server.answered_within(self.now, SUSPICION_DURATION);
+        let is_silent = report.silent >= MIN_REPORTERS && report.answering == 0 && !answered_this_node;
+        server.suspect_until(if is_silent { self.now + SUSPICION_DURATION } else { 0.0 });
     }
 }
--- a/crates/balancer/src/balance/request.rs
+++ b/crates/balancer/src/balance/request.rs
@@ -13,7 +13,7 @@
 }
 
 impl Attempt {
-    pub(super) fn is_out(&self) -> bool {
+    pub(super) fn is_in_flight(&self) -> bool {
         self.status.is_none()
     }
 
@@ -54,14 +54,14 @@
 }
 
 impl Request {
-    pub(super) fn attempts_out(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.is_out()).count()
+    pub(super) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
     }
 
     /// Ids of the attempts in flight.
-    pub(super) fn out(&self) -> impl Iterator<Item = AttemptId> + '_ {
+    pub(super) fn in_flight(&self) -> impl Iterator<Item = AttemptId> + '_ {
         let numbered = (0..).map(AttemptId).zip(&self.attempts);
-        numbered.filter(|(_, attempt)| attempt.is_out()).map(|(number, _)| number)
+        numbered.filter(|(_, attempt)| attempt.is_in_flight()).map(|(number, _)| number)
     }
 
     /// Whether any attempt of the request may have run.
--- a/crates/balancer/src/balance/retry_rules.rs
+++ b/crates/balancer/src/balance/retry_rules.rs
@@ -10,9 +10,9 @@
     pub(super) fn may_send(&self, request: &Request, id: &ServerId, server: &Server) -> bool {
         let limits = &self.settings.limits;
         let is_over = request.ended || request.streaming || self.now >= request.deadline;
-        let is_spent = request.attempts.len() >= limits.max_attempts as usize;
-        let is_out = request.attempts_out() > usize::from(limits.second_copies);
-        if !server.is_ready() || is_over || is_spent || is_out {
+        let has_no_attempts_left = request.attempts.len() >= limits.max_attempts as usize;
+        let has_too_many_in_flight = request.attempts_in_flight() > usize::from(limits.second_copies);
+        if !server.is_ready() || is_over || has_no_attempts_left || has_too_many_in_flight {
             return false;
         }
         let class = self.class(request);
--- a/crates/balancer/src/balance/routing.rs
+++ b/crates/balancer/src/balance/routing.rs
@@ -8,17 +8,17 @@
 
 /// A low-priority request may use a server's limit divided by 1 + this factor x the usual answer time / the
 /// latency objective.
-const GIVE_WAY: f64 = 6.0;
+const LOW_PRIORITY_LATENCY_FACTOR: f64 = 6.0;
 /// Probes tried before a request is held.
 pub(super) const MAX_PROBES: u64 = 32;
 /// A request with this multiple of the usual work is not sent to servers that are warming up: they are
 /// overloaded by work, and one request in a hundred can cost as much as all others together.
-const HEAVY: f64 = 8.0;
+const HEAVY_WORK_FACTOR: f64 = 8.0;
 
 /// Routing properties of a request that do not depend on the server.
 struct Route {
     /// Whether requests of tenants within their quota go first.
-    gives_way: bool,
+    is_low_priority: bool,
     /// Whether the request is too expensive for a server that is warming up.
     is_heavy: bool,
 }
@@ -28,7 +28,7 @@
     Take,
     Next,
     /// Ends the search: further servers are reserved for other requests too.
-    GiveWay,
+    Stop,
 }
 
 impl BalancerState {
@@ -55,7 +55,7 @@
             match self.probe(request, &route, probe, id, server) {
                 Probe::Take => return Some(id.clone()),
                 Probe::Next => {}
-                Probe::GiveWay => return None,
+                Probe::Stop => return None,
             }
         }
         None
@@ -67,23 +67,23 @@
         // While the fleet has spare capacity that harms nobody; at its limits, requests within their quota go
         // first.
         let is_full = f64::from(self.servers.in_flight()) > totals.limit;
-        let is_dear = request.work > HEAVY * self.latency.usual_work();
-        Route { gives_way: request.over_quota && is_full, is_heavy: is_dear && totals.warm > 0 }
+        let is_expensive = request.work > HEAVY_WORK_FACTOR * self.latency.usual_work();
+        Route { is_low_priority: request.over_quota && is_full, is_heavy: is_expensive && totals.warm > 0 }
     }
 
     fn probe(&self, request: &Request, route: &Route, probe: u64, id: &ServerId, server: &Server) -> Probe {
         // A server that is warming up takes requests for its own keys, not the overflow of others.
         let is_cold = server.is_warming_up(self.now, &self.settings.guarantees);
-        let is_spared = is_cold && (probe > self.owners_probe(request) || route.is_heavy);
-        if request.has_tried(id) || is_spared || !self.may_send(request, id, server) {
+        let is_excluded = is_cold && (probe > self.last_probe_while_warming_up(request) || route.is_heavy);
+        if request.has_tried(id) || is_excluded || !self.may_send(request, id, server) {
             return Probe::Next;
         }
         let floor = cap_floor(&self.settings);
         let in_flight = f64::from(server.in_flight());
         // The learnt limit binds low-priority requests only: if it bound all of them, requests would be
         // rejected while servers can still queue.
-        if route.gives_way && in_flight >= self.limit_when_giving_way(server, floor) {
-            return Probe::GiveWay;
+        if route.is_low_priority && in_flight >= self.low_priority_limit(server, floor) {
+            return Probe::Stop;
         }
         if in_flight < self.servers.cap(server, floor) {
             Probe::Take
@@ -92,22 +92,23 @@
         }
     }
 
-    fn limit_when_giving_way(&self, server: &Server, floor: f64) -> f64 {
-        let divisor = 1.0 + GIVE_WAY * self.latency.answer_time() / self.tightest_objective;
+    fn low_priority_limit(&self, server: &Server, floor: f64) -> f64 {
+        let divisor =
+            1.0 + LOW_PRIORITY_LATENCY_FACTOR * self.latency.answer_time() / self.tightest_objective;
         (server.limit() / divisor).floor().max(floor)
     }
 
     /// The origin, if it has capacity for one more fetch. Writes are always sent; they are few.
     pub(super) fn choose_origin(&self, request: &Request) -> Option<ServerId> {
-        let has_room = |server: &Server| request.write || f64::from(server.in_flight()) < server.limit();
+        let has_capacity = |server: &Server| request.write || f64::from(server.in_flight()) < server.limit();
         let fits = |(id, server): &(&ServerId, &Server)| {
-            is_origin(&self.settings, server) && has_room(server) && self.may_send(request, id, server)
+            is_origin(&self.settings, server) && has_capacity(server) && self.may_send(request, id, server)
         };
         self.servers.iter().find(fits).map(|(id, _)| id.clone())
     }
 
     /// Whether a client leaves before the usual answer time allows an answer.
-    pub(super) fn is_brief(&self, left: Seconds) -> bool {
-        super::brief_throttle::BriefThrottle::is_brief(left, self.latency.answer_time())
+    pub(super) fn is_short_deadline(&self, left: Seconds) -> bool {
+        super::brief_throttle::ShortDeadlineThrottle::is_short_deadline(left, self.latency.answer_time())
     }
 }
--- a/crates/balancer/src/balance/server.rs
+++ b/crates/balancer/src/balance/server.rs
@@ -1,6 +1,6 @@
 //! The state of one server.
 
-use super::concurrency_limit::{ConcurrencyLimit, CUT};
+use super::concurrency_limit::{ConcurrencyLimit, CUT_FACTOR};
 use super::hash_ring::{point_count, Point};
 use super::slow_start::{admitted_share, slow_start_factor};
 use crate::interface::{CacheMode, Guarantees, RosterEntry, Seconds, ServerState, Settings};
@@ -9,7 +9,7 @@
 /// only a few samples in all, and has to learn from those.
 const SLOWNESS_SMOOTHING: f64 = 0.2;
 /// Initial concurrency limit of a server, as a multiple of the floor of the cap.
-const FIRST_LIMIT_FLOORS: f64 = 2.0;
+const INITIAL_LIMIT_FLOORS: f64 = 2.0;
 
 /// One server.
 #[derive(Default)]
@@ -130,7 +130,7 @@
             self.failures = 0.0;
             self.suspected_until = 0.0;
             self.slowness = 1.0;
-            self.limit = ConcurrencyLimit::new(FIRST_LIMIT_FLOORS * floor);
+            self.limit = ConcurrencyLimit::new(INITIAL_LIMIT_FLOORS * floor);
             self.entry.started = entry.started;
         }
         self.listed_start = entry.started;
@@ -188,14 +188,14 @@
         self.limit.grow(load);
     }
 
-    pub(super) fn cut_limit(&mut self, now: Seconds, took: Seconds) {
-        self.limit.cut(CUT, f64::MAX, now, took);
+    pub(super) fn cut_limit(&mut self, now: Seconds, elapsed: Seconds) {
+        self.limit.cut(CUT_FACTOR, f64::MAX, now, elapsed);
     }
 
     /// Records an attempt that the server rejected as overloaded.
-    pub(super) fn overloaded(&mut self, now: Seconds, took: Seconds) {
+    pub(super) fn overloaded(&mut self, now: Seconds, elapsed: Seconds) {
         self.limit.lower_to(f64::from(self.in_flight + 1));
-        self.cut_limit(now, took);
+        self.cut_limit(now, elapsed);
     }
 
     pub(super) fn add_failures(&mut self, weight: f64) {
--- a/crates/balancer/src/balance/servers.rs
+++ b/crates/balancer/src/balance/servers.rs
@@ -18,7 +18,7 @@
 /// origin, so the cap prevents overload and does not even out the load.
 pub(super) const EPSILON: f64 = 0.7;
 /// Floor of the cap, shared by all nodes: a few requests a core.
-const FLEET_FLOOR: f64 = 8.0;
+const FLEET_CAP_FLOOR: f64 = 8.0;
 
 /// Epoch and version of a placement table.
 type TableVersion = (u64, u64);
@@ -45,7 +45,7 @@
 
 /// The least value of a server's cap: this node's share of the fleet's floor, 1 or more.
 pub(super) fn cap_floor(settings: &Settings) -> f64 {
-    (FLEET_FLOOR / f64::from(settings.balancers)).ceil()
+    (FLEET_CAP_FLOOR / f64::from(settings.balancers)).ceil()
 }
 
 impl ServerTable {
@@ -142,7 +142,7 @@
 
     /// Takes a placement table if it is newer than the current one: never an older table, and never a
     /// different one under the same version.
-    pub(super) fn take_placement(&mut self, version: TableVersion, entries: Vec<TableEntry>) -> bool {
+    pub(super) fn apply_placement(&mut self, version: TableVersion, entries: Vec<TableEntry>) -> bool {
         let is_newer = self.placement.as_ref().is_none_or(|held| held.version < version);
         if is_newer {
             let weights = entries.into_iter().map(|entry| (entry.server, entry.weight)).collect();
--- a/crates/balancer/src/balance/servers/array.rs
+++ b/crates/balancer/src/balance/servers/array.rs
@@ -5,7 +5,7 @@
 use super::ServerTable;
 use crate::balance::fleet_totals::FleetTotals;
 use crate::balance::hash_ring::{scale, scaled_size};
-use crate::balance::kind_latency::{KindLatency, SLOWEST};
+use crate::balance::kind_latency::{KindLatency, MIN_KIND_SPEED};
 use crate::balance::server::{is_origin, Server};
 use crate::interface::{Seconds, ServerId, Settings, WeightSource};
 
@@ -37,13 +37,13 @@
                 changed.insert(id.clone());
             }
         }
-        self.move_points(&changed);
+        self.replace_points(&changed);
         self.servers.retain(|_, server| !server.is_gone() || server.in_flight() > 0);
         self.forget_unlisted_kinds();
     }
 
     /// Replaces the points of these servers in the ring.
-    fn move_points(&mut self, changed: &BTreeSet<ServerId>) {
+    fn replace_points(&mut self, changed: &BTreeSet<ServerId>) {
         if changed.is_empty() {
             return;
         }
@@ -74,7 +74,7 @@
             // Kinds differ in speed: a slow machine is overloaded by a share that a fast one hardly notices.
             let kind = self.kinds.get(&server.entry().kind).filter(|_| learns_kinds);
             let speed = kind.map_or(1.0, |kind| fastest / kind.slowness());
-            let speed = (speed.max(SLOWEST) * SPEED_STEPS).round() / SPEED_STEPS;
+            let speed = (speed.max(MIN_KIND_SPEED) * SPEED_STEPS).round() / SPEED_STEPS;
             server.refresh_share(speed, now, &settings.guarantees);
             if server.is_in_array() {
                 totals.add(server, now, &settings.guarantees);
--- a/crates/balancer/src/balance/slow_start.rs
+++ b/crates/balancer/src/balance/slow_start.rs
@@ -9,7 +9,7 @@
 use crate::interface::{Guarantees, Seconds, ServerId};
 
 /// Least share of its requests that a server admits while it is warming up, so that each node sends it some.
-const LEAST_SHARE: f64 = 1.0 / 16.0;
+const MIN_SHARE: f64 = 1.0 / 16.0;
 /// Share of the multiple of a server's present capacity that overloads it (`Guarantees::fall_multiple`) that
 /// is used where no server is warm.
 const USED_MULTIPLE: f64 = 0.5;
@@ -40,7 +40,7 @@
     if factor >= 1.0 {
         return 1.0;
     }
-    share_by_age(factor).min(share_by_latency(slowness)).max(LEAST_SHARE)
+    share_by_age(factor).min(share_by_latency(slowness)).max(MIN_SHARE)
 }
 
 impl BalancerState {
@@ -64,15 +64,15 @@
         // No warm server can take the rest. Rejected clients retry, and the same share of twice the requests
         // is twice the load.
         let guarantees = &self.settings.guarantees;
-        let relied_on = (guarantees.fall_multiple * USED_MULTIPLE).min(1.0);
-        let bearable = share_by_age(server.slow_start_factor(self.now, guarantees)) * relied_on;
-        let by_latency = share_by_latency(server.slowness()).max(LEAST_SHARE);
-        bearable.min(by_latency) * self.demand.usual_ratio()
+        let usable_multiple = (guarantees.fall_multiple * USED_MULTIPLE).min(1.0);
+        let sustainable = share_by_age(server.slow_start_factor(self.now, guarantees)) * usable_multiple;
+        let by_latency = share_by_latency(server.slowness()).max(MIN_SHARE);
+        sustainable.min(by_latency) * self.demand.usual_ratio()
     }
 
     /// The last probe at which a server that is warming up takes a request: it takes those of its own keys,
     /// not the overflow of others.
-    pub(super) fn owners_probe(&self, request: &Request) -> u64 {
+    pub(super) fn last_probe_while_warming_up(&self, request: &Request) -> u64 {
         if self.servers.is_cold_fleet() {
             request.first_probe
         } else {
--- a/crates/balancer/src/balance/state.rs
+++ b/crates/balancer/src/balance/state.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::brief_throttle::BriefThrottle;
+use super::brief_throttle::ShortDeadlineThrottle;
 use super::demand::Demand;
 use super::due_timers::DueTimers;
 use super::endpoint_subscription::EndpointSubscription;
@@ -51,7 +51,7 @@
     pub(super) origin: OriginLoad,
     pub(super) key_locations: KeyLocationCache,
     pub(super) popularity: KeyPopularity,
-    pub(super) brief_throttle: BriefThrottle,
+    pub(super) short_deadline_throttle: ShortDeadlineThrottle,
     pub(super) demand: Demand,
     pub(super) retry_budget: RetryBudget,
     pub(super) tenant_quotas: TenantQuotas,
@@ -78,7 +78,7 @@
             origin: OriginLoad::new(),
             key_locations: KeyLocationCache::default(),
             popularity: KeyPopularity::default(),
-            brief_throttle: BriefThrottle::new(),
+            short_deadline_throttle: ShortDeadlineThrottle::new(),
             demand: Demand::default(),
             retry_budget: RetryBudget::new(),
             tenant_quotas: TenantQuotas::new(settings.tenants.len()),
@@ -100,7 +100,7 @@
     /// The size of each table.
     pub(crate) fn sizes(&self) -> Sizes {
         let (recent_requests, recent_keys) = self.popularity.sizes();
-        let small_of_servers = self.servers.kind_count() + self.servers.placement_len();
+        let small_server_tables = self.servers.kind_count() + self.servers.placement_len();
         Sizes {
             requests: self.requests.len(),
             waiting: self.held.len(),
@@ -109,7 +109,7 @@
             places: self.key_locations.len(),
             fetches: self.origin.len(),
             due: self.timers.len(),
-            small: recent_requests + recent_keys + small_of_servers + self.outliers.ejected_count(),
+            small: recent_requests + recent_keys + small_server_tables + self.outliers.ejected_count(),
         }
     }
 
--- a/crates/balancer/src/balance/tenant_quota.rs
+++ b/crates/balancer/src/balance/tenant_quota.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Seconds, Settings, TenantId};
 
 /// Longest time for which a bucket fills.
-const LONGEST_REFILL: Seconds = 1.0;
+const MAX_REFILL_TIME: Seconds = 1.0;
 
 struct TokenBucket {
     tokens: f64,
@@ -34,11 +34,11 @@
             return false;
         };
         let rate = tenant.quota / f64::from(settings.balancers);
-        let refill = rate * (now - bucket.refilled_at).min(LONGEST_REFILL);
+        let refill = rate * (now - bucket.refilled_at).min(MAX_REFILL_TIME);
         bucket.tokens = (bucket.tokens + refill).min(rate.max(1.0));
         bucket.refilled_at = now;
-        let over = bucket.tokens < 1.0;
-        bucket.tokens -= f64::from(!over);
-        over
+        let is_over = bucket.tokens < 1.0;
+        bucket.tokens -= f64::from(!is_over);
+        is_over
     }
 }
--- a/crates/balancer/src/balance/tests/bounds.rs
+++ b/crates/balancer/src/balance/tests/bounds.rs
@@ -1,102 +1,104 @@
 //! Bounds of the tables and behaviour at each bound. docs/hardening-review.md lists the bounds.
 
 use super::common::{self, entry, id, read, sent, settings};
-use super::{audit, end, fleet, out, settled};
-use crate::balance::dispatch::HOLD_TIME;
+use super::{assert_idle, attempts_in_flight, check_invariants, end_attempt, fleet};
+use crate::balance::dispatch::HOLD_TIME_SHARE;
 use crate::balance::key_locations::MAX_LOCATIONS;
 use crate::balance::server::Server;
-use crate::balance::{SWEEP, TICK};
+use crate::balance::{SWEEP_INTERVAL, TICK_INTERVAL};
 use crate::interface::*;
 
 #[test]
-fn places_are_forgotten_oldest_first_at_their_bound() {
+fn key_locations_are_evicted_oldest_first_at_their_bound() {
     let mut node = common::Node::with(settings(), 1, fleet(8));
     let most = MAX_LOCATIONS as u64;
     for n in 1..=2 * most {
         node.now += 1e-5;
         node.request(read(n, n));
-        end(&mut node, n, 0, Status::Success, true);
+        end_attempt(&mut node, n, 0, Status::Success, true);
         node.sends.clear();
     }
-    audit(&node);
+    check_invariants(&node);
     let state = &node.balancer.0;
-    let known = |key: u64| (1..=8).any(|n| state.is_cached(&(Key(key), id(n))));
-    assert!(known(2 * most) && known(2 * most - most / 2 + 1) && !known(1) && !known(most - 1));
+    let is_cached = |key: u64| (1..=8).any(|n| state.is_cached(&(Key(key), id(n))));
+    assert!(
+        is_cached(2 * most) && is_cached(2 * most - most / 2 + 1) && !is_cached(1) && !is_cached(most - 1)
+    );
 }
 
 /// In a cold fleet no server takes overflow, so while the owner of a key is at its cap all further probes
 /// fail.
 #[test]
-fn behind_the_last_jump_a_request_is_held_and_then_refused_with_advice() {
+fn after_the_last_probe_a_request_is_held_and_then_rejected_with_retry_after() {
     let mut limits = settings().limits;
     limits.max_retry_after = 1.0;
     let cold = fleet(8).into_iter().map(|e| RosterEntry { started: Some(100.0), ..e }).collect();
     let mut node = common::Node::with(Settings { limits, ..settings() }, 1, cold);
     let keys: Vec<u64> =
-        (1..=800).filter(|key| node.home_if_sent(1000 + key, *key) == Some(id(3))).take(6).collect();
-    node.forget();
-    let goes: Vec<bool> = keys.iter().map(|k| !sent(&node.request(read(*k, *k))).is_empty()).collect();
-    assert_eq!(goes, [true, true, true, true, false, false], "the floor of the cap");
+        (1..=800).filter(|key| node.owner_if_sent(1000 + key, *key) == Some(id(3))).take(6).collect();
+    node.flush_recent_keys();
+    let was_sent: Vec<bool> = keys.iter().map(|k| !sent(&node.request(read(*k, *k))).is_empty()).collect();
+    assert_eq!(was_sent, [true, true, true, true, false, false], "the floor of the cap");
     // Capacity frees: the first held request is sent; the other stays held and is rejected in time, with
     // `retry_after`.
-    let served = end(&mut node, keys[0], 0, Status::Success, true);
+    let served = end_attempt(&mut node, keys[0], 0, Status::Success, true);
     assert_eq!(sent(&served), [id(3)]);
-    assert_eq!(out(&node, keys[4]), [0]);
-    let refusals = node.pass(settings().classes[0].aim * HOLD_TIME + TICK);
-    let advice = refusals.iter().find_map(|a| match a {
+    assert_eq!(attempts_in_flight(&node, keys[4]), [0]);
+    let rejections = node.advance(settings().classes[0].aim * HOLD_TIME_SHARE + TICK_INTERVAL);
+    let retry_after = rejections.iter().find_map(|a| match a {
         Action::Refuse { request, retry_after } if request.0 == keys[5] => *retry_after,
         _ => None,
     });
-    assert!(advice.is_some_and(|after| after > 0.0 && after <= 1.0), "{refusals:?}");
+    assert!(retry_after.is_some_and(|after| after > 0.0 && after <= 1.0), "{rejections:?}");
     for key in &keys[1..5] {
-        end(&mut node, *key, 0, Status::Success, true);
+        end_attempt(&mut node, *key, 0, Status::Success, true);
     }
-    settled(&mut node);
+    assert_idle(&mut node);
 }
 
 #[test]
-fn a_server_that_leaves_with_attempts_out_is_kept_until_they_end_and_no_longer() {
+fn a_server_that_leaves_with_attempts_in_flight_is_kept_until_they_end() {
     let mut node = common::Node::with(settings(), 1, fleet(4));
-    let (keys, home) = (1..=40, node.home(1000, 7));
+    let (keys, owner) = (1..=40, node.owner(1000, 7));
     keys.for_each(|n| drop(node.request(read(n, 7 + n))));
-    node.event(Event::Roster(RosterNews::Full(fleet(5).into_iter().filter(|e| e.server != home).collect())));
-    audit(&node);
+    node.event(Event::Roster(RosterNews::Full(fleet(5).into_iter().filter(|e| e.server != owner).collect())));
+    check_invariants(&node);
     // Listed again under the same id: its attempts in flight still count.
     node.event(Event::Roster(RosterNews::Full(fleet(5))));
-    audit(&node);
+    check_invariants(&node);
     node.event(Event::Roster(RosterNews::Full(vec![])));
     for n in 1..=40 {
-        end(&mut node, n, 0, Status::Success, true);
+        end_attempt(&mut node, n, 0, Status::Success, true);
     }
     node.event(Event::Roster(RosterNews::Full(vec![])));
-    settled(&mut node);
+    assert_idle(&mut node);
     let servers = &node.balancer.0.servers;
     assert_eq!((servers.len(), servers.point_count()), (0, 0));
 }
 
 #[test]
-fn kinds_go_with_their_last_server_and_a_quick_one_that_left_slows_nobody() {
+fn a_kind_is_dropped_with_its_last_server_and_does_not_slow_other_kinds() {
     let mut node = common::Node::with(settings(), 1, fleet(4));
-    let of = |kind: &str, n| RosterEntry { kind: kind.into(), ..entry(n) };
+    let entry_of_kind = |kind: &str, n| RosterEntry { kind: kind.into(), ..entry(n) };
     let mut request = 0;
-    let mut ask = |node: &mut common::Node, took: Seconds| {
+    let mut send_reads = |node: &mut common::Node, answer_time: Seconds| {
         for _ in 0..200 {
             request += 1;
             node.request(read(request, request));
-            node.now += took;
+            node.now += answer_time;
             node.serve(request);
         }
     };
-    for day in 0..50 {
+    for generation in 0..50 {
         node.event(Event::Roster(RosterNews::Full(
-            (1..=4).map(|n| of(&format!("quick-{day}"), n)).collect(),
+            (1..=4).map(|n| entry_of_kind(&format!("quick-{generation}"), n)).collect(),
         )));
-        ask(&mut node, 0.001);
+        send_reads(&mut node, 0.001);
     }
-    node.event(Event::Roster(RosterNews::Full((1..=4).map(|n| of("slow", n)).collect())));
-    ask(&mut node, 0.1);
-    node.pass(2.0 * SWEEP);
-    audit(&node);
+    node.event(Event::Roster(RosterNews::Full((1..=4).map(|n| entry_of_kind("slow", n)).collect())));
+    send_reads(&mut node, 0.1);
+    node.advance(2.0 * SWEEP_INTERVAL);
+    check_invariants(&node);
     let servers = &node.balancer.0.servers;
     assert_eq!(servers.kind_count(), 1);
     let all_active = |server: &Server| server.active_points() == server.points();
--- a/crates/balancer/src/balance/tests/cut_short.rs
+++ b/crates/balancer/src/balance/tests/cut_short.rs
@@ -1,7 +1,7 @@
 //! Every way to interrupt a request at every stage: the one final answer, and that no state is left over.
 
-use super::common::{self, failed, read, refused, settings, KEYED, READ, UNSAFE};
-use super::{audit, end, fleet, out, settled};
+use super::common::{self, failed, read, rejected, settings, KEYED, READ, UNSAFE};
+use super::{assert_idle, attempts_in_flight, check_invariants, end_attempt, fleet};
 use crate::balance::DUE_TIMER;
 use crate::interface::*;
 
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Cut {
+enum Interruption {
     ClientLeaves,
     TimeIsUp,
     UpstreamCloses,
@@ -45,10 +45,15 @@
     Stage::Orphaned,
     Stage::Streaming,
 ];
-const CUTS: [Cut; 4] = [Cut::ClientLeaves, Cut::TimeIsUp, Cut::UpstreamCloses, Cut::LateAnswer];
+const INTERRUPTIONS: [Interruption; 4] = [
+    Interruption::ClientLeaves,
+    Interruption::TimeIsUp,
+    Interruption::UpstreamCloses,
+    Interruption::LateAnswer,
+];
 
 /// Brings request 1 to a stage; `None` where its class cannot reach the stage.
-fn lead(node: &mut common::Node, class: ClassId, stage: Stage) -> Option<()> {
+fn bring_to_stage(node: &mut common::Node, class: ClassId, stage: Stage) -> Option<()> {
     let new = NewRequest { class: Some(class), write: class != READ, ..read(1, 7) };
     match stage {
         Stage::Held => drop(node.event(Event::Roster(RosterNews::Full(vec![])))),
@@ -58,106 +63,112 @@
     }
     node.request(new);
     match stage {
-        Stage::Held | Stage::Waiting => assert!(out(node, 1).is_empty()),
+        Stage::Held | Stage::Waiting => assert!(attempts_in_flight(node, 1).is_empty()),
         Stage::Sent => {}
-        Stage::Jumped => drop(end(node, 1, 0, Status::Overloaded, false)),
+        Stage::Jumped => drop(end_attempt(node, 1, 0, Status::Overloaded, false)),
         Stage::Hedged => {
             node.now += 0.51;
             node.event(Event::Timer(DUE_TIMER));
         }
-        Stage::Retried => drop(end(node, 1, 0, Status::Broken, false)),
+        Stage::Retried => drop(end_attempt(node, 1, 0, Status::Broken, false)),
         Stage::Answered => {
             node.now += 0.991;
             let actions = node.event(Event::Timer(DUE_TIMER));
-            assert!(refused(&actions) || failed(&actions));
+            assert!(rejected(&actions) || failed(&actions));
         }
         Stage::Orphaned => drop(node.event(Event::Roster(RosterNews::Full(vec![])))),
         Stage::Streaming => {
             node.event(Event::StreamStarted { request: RequestId(1), attempt: AttemptId(0) });
         }
     }
-    let want = match stage {
+    let expected = match stage {
         Stage::Held | Stage::Waiting => 0,
         Stage::Hedged => 2,
         _ => 1,
     };
     // A request of a class that must not be repeated has failed or keeps its one attempt.
-    (out(node, 1).len() == want).then_some(())
+    (attempts_in_flight(node, 1).len() == expected).then_some(())
 }
 
 /// The final answer (`-` none is due, `R` rejected, `F` failed, `S` served) and the number of further
 /// attempts sent.
-fn cut(node: &mut common::Node, stage: Stage, cut: Cut) -> (char, usize) {
+fn interrupt(node: &mut common::Node, stage: Stage, interruption: Interruption) -> (char, usize) {
     let sends = |node: &common::Node| node.sends.get(&RequestId(1)).map_or(0, Vec::len);
     let (before, answered) = (sends(node), stage == Stage::Answered);
     let mut actions = Vec::new();
     let mut served = false;
-    match cut {
-        Cut::ClientLeaves => actions.extend(node.event(Event::Withdrawn(RequestId(1)))),
-        Cut::TimeIsUp => {
+    match interruption {
+        Interruption::ClientLeaves => actions.extend(node.event(Event::Withdrawn(RequestId(1)))),
+        Interruption::TimeIsUp => {
             node.now = 101.0;
             actions.extend(node.event(Event::Timer(DUE_TIMER)));
         }
-        Cut::UpstreamCloses | Cut::LateAnswer => {
-            let late = cut == Cut::LateAnswer;
-            let status = if late { Status::Success } else { Status::Broken };
-            served = late && !answered && !out(node, 1).is_empty();
-            let first = out(node, 1).first().copied();
+        Interruption::UpstreamCloses | Interruption::LateAnswer => {
+            let is_late = interruption == Interruption::LateAnswer;
+            let status = if is_late { Status::Success } else { Status::Broken };
+            served = is_late && !answered && !attempts_in_flight(node, 1).is_empty();
+            let first_attempt = attempts_in_flight(node, 1).first().copied();
             actions.extend(
-                first
-                    .map(|n| end(node, 1, n, status, answered || late || stage == Stage::Streaming))
+                first_attempt
+                    .map(|n| {
+                        end_attempt(node, 1, n, status, answered || is_late || stage == Stage::Streaming)
+                    })
                     .into_iter()
                     .flatten(),
             );
         }
     }
-    audit(node);
-    let more = sends(node) - before;
+    check_invariants(node);
+    let further_attempts = sends(node) - before;
     // Ends every attempt with one outcome, whatever was answered; nothing may be sent after the final answer.
-    let over = served || node.balancer.0.requests.get(&RequestId(1)).is_none_or(|r| r.ended);
+    let is_over = served || node.balancer.0.requests.get(&RequestId(1)).is_none_or(|r| r.ended);
     node.now = node.now.max(101.0);
     actions.extend(node.event(Event::Timer(DUE_TIMER)));
     for request in [1, 2] {
-        for n in out(node, request) {
-            actions.extend(end(node, request, n, Status::TimedOut, over || request == 2));
+        for n in attempts_in_flight(node, request) {
+            actions.extend(end_attempt(node, request, n, Status::TimedOut, is_over || request == 2));
         }
         actions.extend(node.event(Event::Withdrawn(RequestId(request))).into_iter().filter(|_| request == 1));
-        for n in out(node, request) {
-            end(node, request, n, Status::Cancelled, true);
+        for n in attempts_in_flight(node, request) {
+            end_attempt(node, request, n, Status::Cancelled, true);
         }
     }
-    let of_one =
+    let is_final_answer =
         |a: &&Action| matches!(a, Action::Refuse { request: RequestId(1), .. } | Action::Fail(RequestId(1)));
-    let finals: Vec<&Action> = actions.iter().filter(of_one).collect();
-    assert!(finals.len() + usize::from(served) <= 1, "{finals:?}");
-    let what = match finals.first() {
+    let final_answers: Vec<&Action> = actions.iter().filter(is_final_answer).collect();
+    assert!(final_answers.len() + usize::from(served) <= 1, "{final_answers:?}");
+    let final_answer = match final_answers.first() {
         Some(Action::Refuse { .. }) => 'R',
         Some(_) => 'F',
         None if served => 'S',
         None => '-',
     };
-    (what, more)
+    (final_answer, further_attempts)
 }
 
 #[test]
-fn whatever_cuts_a_request_short_it_is_answered_once_and_nothing_stays_in_flight() {
+fn an_interrupted_request_is_answered_once_and_leaves_nothing_in_flight() {
     let mut table = String::new();
     for cancel in [true, false] {
         for class in [READ, KEYED, UNSAFE] {
             for stage in STAGES {
                 let mut cells = Vec::new();
-                for how in CUTS {
+                for interruption in INTERRUPTIONS {
                     let mut limits = settings().limits;
                     limits.cancel = cancel;
                     let mut node = common::Node::with(Settings { limits, ..settings() }, 1, fleet(8));
                     node.balancer.0.retry_budget.set_tokens(2.0);
-                    if lead(&mut node, class, stage).is_none() {
+                    if bring_to_stage(&mut node, class, stage).is_none() {
                         continue;
                     }
-                    let (what, more) = cut(&mut node, stage, how);
-                    let again = if more > 0 { format!("{what}+{more}") } else { what.to_string() };
-                    cells.push(again);
-                    settled(&mut node);
+                    let (final_answer, further_attempts) = interrupt(&mut node, stage, interruption);
+                    let cell = if further_attempts > 0 {
+                        format!("{final_answer}+{further_attempts}")
+                    } else {
+                        final_answer.to_string()
+                    };
+                    cells.push(cell);
+                    assert_idle(&mut node);
                 }
                 if cancel {
                     let name = &settings().classes[class.0].name;
@@ -170,6 +181,6 @@
     }
     // Columns: the client leaves, the deadline passes, the upstream closes, a late answer arrives. +1: one
     // more attempt was sent.
-    let want = include_str!("stages.txt");
-    assert_eq!(table, want, "\n{table}");
+    let expected = include_str!("stages.txt");
+    assert_eq!(table, expected, "\n{table}");
 }
--- a/crates/balancer/src/balance/tests/recovery.rs
+++ b/crates/balancer/src/balance/tests/recovery.rs
@@ -1,14 +1,14 @@
 //! Recovery after faults.
 
 use super::common::{self, entry, id, read, settings};
-use super::{audit, end, fleet, out, settled};
-use crate::balance::retry_budget::RETRY_PRICE;
-use crate::balance::{DUE_TIMER, SWEEP, TICK};
+use super::{assert_idle, attempts_in_flight, check_invariants, end_attempt, fleet};
+use crate::balance::retry_budget::RETRY_COST;
+use crate::balance::{DUE_TIMER, SWEEP_INTERVAL, TICK_INTERVAL};
 use crate::interface::*;
 
 /// The probe queue contains each ejected server once, however often it is ejected and readmitted.
 #[test]
-fn a_server_that_comes_back_and_fails_again_is_counted_as_out_once() {
+fn a_server_that_is_readmitted_and_fails_again_is_ejected_once() {
     let mut node = common::Node::with(settings(), 1, fleet(8));
     let mut request = 0;
     for _ in 0..6 {
@@ -17,24 +17,24 @@
             state.now = node.now;
             state.eject(&id(n));
         }
-        audit(&node);
+        check_invariants(&node);
         assert_eq!(node.balancer.members(), (8, 2));
         node.event(Event::Probed { server: id(1), status: Status::Success });
         node.event(Event::Probed { server: id(2), status: Status::Success });
-        audit(&node);
+        check_invariants(&node);
         assert_eq!(node.balancer.members(), (8, 0));
         request += 1;
         node.request(read(request, request));
         node.serve(request);
     }
-    settled(&mut node);
+    assert_idle(&mut node);
 }
 
 #[test]
-fn keys_are_back_home_once_a_server_that_was_away_is_warm() {
+fn keys_return_to_their_owner_once_it_is_warm_again() {
     let ramp = settings().guarantees.ramp;
     let keys = |node: &mut common::Node, from: u64| -> Vec<ServerId> {
-        (0..100).map(|key| node.home(from + key, key)).collect()
+        (0..100).map(|key| node.owner(from + key, key)).collect()
     };
     let mut node = common::Node::with(settings(), 1, fleet(8));
     let before = keys(&mut node, 1);
@@ -44,18 +44,21 @@
     let absent = fleet(8).into_iter().filter(|e| e.server != id(3)).collect();
     for (n, news) in [RosterNews::Full(absent), RosterNews::Delta(vec![drained])].into_iter().enumerate() {
         node.event(Event::Roster(news));
-        let away = keys(&mut node, 1000 * (n as u64 + 1));
-        assert!(!away.contains(&id(3)) && away.iter().zip(&before).all(|(a, b)| a == b || *b == id(3)));
+        let owners_while_away = keys(&mut node, 1000 * (n as u64 + 1));
+        assert!(
+            !owners_while_away.contains(&id(3))
+                && owners_while_away.iter().zip(&before).all(|(a, b)| a == b || *b == id(3))
+        );
         node.event(Event::Roster(RosterNews::Delta(vec![started.clone()])));
-        node.pass(ramp + SWEEP);
+        node.advance(ramp + SWEEP_INTERVAL);
         assert_eq!(keys(&mut node, 1000 * (n as u64 + 1) + 500), before);
     }
     node.balancer.0.eject(&id(3));
-    node.pass(1.0);
+    node.advance(1.0);
     node.event(Event::Probed { server: id(3), status: Status::Success });
-    node.pass(ramp + SWEEP);
+    node.advance(ramp + SWEEP_INTERVAL);
     assert_eq!(keys(&mut node, 9000), before);
-    settled(&mut node);
+    assert_idle(&mut node);
 }
 
 /// The origin fails and recovers: its limit falls to 1 at the least and is restored by the answers that
@@ -64,7 +67,7 @@
 fn the_fetch_limit_and_the_retry_budget_recover() {
     let mut node = common::Node::with(settings(), 1, fleet(8));
     let mut request = 0;
-    let mut spell = |node: &mut common::Node, rounds: u32, status: Status| {
+    let mut run_rounds = |node: &mut common::Node, rounds: u32, status: Status| {
         for _ in 0..rounds {
             for _ in 0..8 {
                 request += 1;
@@ -73,41 +76,41 @@
             node.now += 0.3;
             let open: Vec<u64> = node.balancer.0.requests.keys().map(|id| id.0).collect();
             for n in open {
-                for attempt in out(node, n) {
-                    end(node, n, attempt, status, status == Status::Success);
+                for attempt in attempts_in_flight(node, n) {
+                    end_attempt(node, n, attempt, status, status == Status::Success);
                 }
             }
-            node.pass(0.6);
+            node.advance(0.6);
         }
     };
-    spell(&mut node, 40, Status::Error);
+    run_rounds(&mut node, 40, Status::Error);
     let state = &node.balancer.0;
-    let (low, tokens) = (state.origin.limit(), state.retry_budget.tokens());
-    assert!((1.0..4.0).contains(&low) && tokens < 1.0, "{low}, {tokens}");
-    spell(&mut node, 60, Status::Success);
+    let (low_limit, tokens) = (state.origin.limit(), state.retry_budget.tokens());
+    assert!((1.0..4.0).contains(&low_limit) && tokens < 1.0, "{low_limit}, {tokens}");
+    run_rounds(&mut node, 60, Status::Success);
     let state = &node.balancer.0;
     let limit = state.origin.limit();
-    assert!(limit > 6.0 && state.retry_budget.affords(RETRY_PRICE), "{limit}");
-    spell(&mut node, 1, Status::Success);
-    node.pass(3.0);
-    audit(&node);
+    assert!(limit > 6.0 && state.retry_budget.affords(RETRY_COST), "{limit}");
+    run_rounds(&mut node, 1, Status::Success);
+    node.advance(3.0);
+    check_invariants(&node);
 }
 
 /// A read that waits for another's fetch is sent on its own once that fetch is late, so that it is served in
 /// time.
 #[test]
-fn a_read_behind_a_fetch_that_is_late_goes_its_own_way() {
+fn a_read_that_waits_for_a_late_fetch_is_sent_on_its_own() {
     let mut limits = settings().limits;
     limits.second_copies = false;
     let mut node = common::Node::with(Settings { limits, ..settings() }, 1, fleet(8));
     node.request(read(1, 7));
     node.request(read(2, 7));
-    assert_eq!((out(&node, 1).len(), out(&node, 2).len()), (1, 0));
+    assert_eq!((attempts_in_flight(&node, 1).len(), attempts_in_flight(&node, 2).len()), (1, 0));
     node.now += 0.8;
     node.event(Event::Timer(DUE_TIMER));
-    node.pass(TICK);
-    assert_eq!(out(&node, 2).len(), 1, "it waits as long as a silent server does");
-    let asked = |request| node.balancer.0.requests[&RequestId(request)].attempts[0].server.clone();
-    assert_ne!(asked(2), asked(1), "it asks the same server");
-    audit(&node);
+    node.advance(TICK_INTERVAL);
+    assert_eq!(attempts_in_flight(&node, 2).len(), 1, "the read waits for the silent server");
+    let server_of = |request| node.balancer.0.requests[&RequestId(request)].attempts[0].server.clone();
+    assert_ne!(server_of(2), server_of(1), "both reads were sent to the same server");
+    check_invariants(&node);
 }
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -131,12 +131,12 @@
         }
         for (what, time) in times {
             if !time.is_finite() || time < 0.0 {
-                return Err(SettingsError::NoTime { what, found: time });
+                return Err(SettingsError::InvalidDuration { what, found: time });
             }
         }
         let cold_from = self.guarantees.cold_from;
         if !(cold_from > 0.0 && cold_from <= 1.0) {
-            return Err(SettingsError::NoShare { what: "cold from", found: cold_from });
+            return Err(SettingsError::InvalidShare { what: "cold from", found: cold_from });
         }
         Ok(())
     }
--- a/crates/balancer/src/interface/settings_error.rs
+++ b/crates/balancer/src/interface/settings_error.rs
@@ -30,7 +30,7 @@
     },
     /// A setting has none of its known values.
     #[error("setting {setting}: {expected} expected, got {found}")]
-    UnknownWord {
+    UnknownValue {
         /// Name of the setting.
         setting: &'static str,
         /// The known values.
@@ -62,7 +62,7 @@
     },
     /// A duration is negative or not finite.
     #[error("{what}: a time of 0 or more expected, got {found}")]
-    NoTime {
+    InvalidDuration {
         /// Name of the duration.
         what: &'static str,
         /// The value that was found, in seconds.
@@ -70,7 +70,7 @@
     },
     /// A share is not above 0 and at most 1.
     #[error("{what}: a share above 0 and up to 1 expected, got {found}")]
-    NoShare {
+    InvalidShare {
         /// Name of the share.
         what: &'static str,
         /// The value that was found.
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -14,8 +14,8 @@
     ///
     /// # Errors
     /// Returns the first setting that is missing or invalid.
-    pub fn from_json(setup: &Value) -> Result<Self, SettingsError> {
-        settings(setup)
+    pub fn from_json(json: &Value) -> Result<Self, SettingsError> {
+        settings(json)
     }
 }
 
@@ -49,8 +49,8 @@
 
 /// A nested object of the settings; `empty` where it is absent, so that each required setting in it is
 /// reported as missing.
-fn object<'a>(from: &'a Object, name: &str, none: &'a Object) -> &'a Object {
-    from.get(name).and_then(Value::as_object).unwrap_or(none)
+fn object<'a>(from: &'a Object, name: &str, empty: &'a Object) -> &'a Object {
+    from.get(name).and_then(Value::as_object).unwrap_or(empty)
 }
 
 /// An optional setting of one JSON type; an error if the setting has another type.
@@ -99,40 +99,40 @@
     values.iter().map(move |value| value.as_object().ok_or(SettingsError::NotObjects { setting }))
 }
 
-fn settings(setup: &Value) -> Result<Settings, SettingsError> {
-    let top = setup.as_object().ok_or(SettingsError::NotAnObject)?;
-    let none = Object::new();
-    let classes = required("grades", list(top, "grades")?)?;
+fn settings(json: &Value) -> Result<Settings, SettingsError> {
+    let root = json.as_object().ok_or(SettingsError::NotAnObject)?;
+    let empty = Object::new();
+    let classes = required("grades", list(root, "grades")?)?;
     let classes = objects("grades", classes).map(|class| class.and_then(class_of));
     let classes = classes.collect::<Result<_, _>>()?;
-    let tenants = list(top, "tenants")?.map_or(&[] as &[Value], Vec::as_slice);
+    let tenants = list(root, "tenants")?.map_or(&[] as &[Value], Vec::as_slice);
     let tenants = objects("tenants", tenants).map(|tenant| tenant.and_then(tenant_of));
     let tenants = tenants.collect::<Result<_, _>>()?;
-    let cache = cache_mode(top, object(top, "family-info", &none))?;
-    let balancers = required("balancers", whole_number(top, "balancers")?)?;
+    let cache = cache_mode(root, object(root, "family-info", &empty))?;
+    let balancers = required("balancers", whole_number(root, "balancers")?)?;
     Ok(Settings {
         balancers: balancers.try_into().map_err(|_| SettingsError::TooMany { setting: "balancers" })?,
         classes,
         tenants,
-        membership: membership(top)?,
+        membership: membership(root)?,
         cache,
-        weights: match text(top, "weight-source")? {
+        weights: match text(root, "weight-source")? {
             Some("nominal") => WeightSource::Nominal,
             Some("rough") => WeightSource::Rough,
             Some("live") => WeightSource::Live,
             _ => WeightSource::Off,
         },
-        guarantees: guarantees(object(top, "guarantees", &none))?,
-        limits: limits(object(top, "limits", &none))?,
-        round: number(top, "round-s")?.unwrap_or(0.0),
+        guarantees: guarantees(object(root, "guarantees", &empty))?,
+        limits: limits(object(root, "limits", &empty))?,
+        round: number(root, "round-s")?.unwrap_or(0.0),
     })
 }
 
-fn membership(top: &Object) -> Result<Membership, SettingsError> {
-    match required("membership-mode", text(top, "membership-mode")?)? {
+fn membership(root: &Object) -> Result<Membership, SettingsError> {
+    match required("membership-mode", text(root, "membership-mode")?)? {
         "pushed" => Ok(Membership::Pushed),
         "on_request" => Ok(Membership::OnRequest),
-        other => Err(SettingsError::UnknownWord {
+        other => Err(SettingsError::UnknownValue {
             setting: "membership-mode",
             expected: "pushed or on_request",
             found: other.into(),
@@ -140,12 +140,12 @@
     }
 }
 
-fn cache_mode(top: &Object, family: &Object) -> Result<CacheMode, SettingsError> {
+fn cache_mode(root: &Object, family: &Object) -> Result<CacheMode, SettingsError> {
     if text(family, "mode")? != Some("aside") {
         return Ok(CacheMode::Through);
     }
     let kind = required("family-info.origin-kind", number(family, "origin-kind")?)?;
-    let kinds = list(top, "skus")?;
+    let kinds = list(root, "skus")?;
     let name = kinds.and_then(|kinds| kinds.get(kind.max(0.0) as usize)).and_then(Value::as_str);
     let origin_kind = required("skus (name of the origin's kind)", name)?.into();
     Ok(CacheMode::Aside { origin_kind })
@@ -182,15 +182,15 @@
 }
 
 fn guarantees(from: &Object) -> Result<Guarantees, SettingsError> {
-    let figure = |name: &str| required(&format!("guarantees.{name}"), number(from, name)?);
+    let required_number = |name: &str| required(&format!("guarantees.{name}"), number(from, name)?);
     Ok(Guarantees {
-        answer_grace: figure("grace-to-answer-s")?,
-        ask_every: figure("ask-every-s")?,
-        cold_from: figure("cold-from")?,
-        ramp: figure("ramp-time-s")?,
-        drain_grace: figure("drain-grace-s")?,
-        fall_multiple: figure("fall-multiple")?,
-        fall_for: figure("fall-s")?,
+        answer_grace: required_number("grace-to-answer-s")?,
+        ask_every: required_number("ask-every-s")?,
+        cold_from: required_number("cold-from")?,
+        ramp: required_number("ramp-time-s")?,
+        drain_grace: required_number("drain-grace-s")?,
+        fall_multiple: required_number("fall-multiple")?,
+        fall_for: required_number("fall-s")?,
     })
 }
 
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -93,13 +93,13 @@
     pub balancer: Balancer,
     pub now: Seconds,
     pub sends: BTreeMap<RequestId, Vec<(ServerId, Seconds)>>,
-    forgotten: u64,
+    flush_count: u64,
 }
 
 impl Node {
     pub(crate) fn new(settings: Settings, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("settings are valid");
-        Node { balancer, now: 100.0, sends: BTreeMap::new(), forgotten: 0 }
+        Node { balancer, now: 100.0, sends: BTreeMap::new(), flush_count: 0 }
     }
 
     pub(crate) fn with(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
@@ -143,7 +143,7 @@
     }
 
     /// Advances the time in housekeeping ticks.
-    pub(crate) fn pass(&mut self, time: Seconds) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, time: Seconds) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + time;
         while self.now < end {
@@ -154,10 +154,10 @@
     }
 
     /// Sends enough other requests that no earlier one counts as recent.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn flush_recent_keys(&mut self) {
         for n in 0..16 {
-            let id = (1 << 40) + self.forgotten;
-            self.forgotten += 1;
+            let id = (1 << 40) + self.flush_count;
+            self.flush_count += 1;
             if !sent(&self.request(read(id, id * 31 + n))).is_empty() {
                 self.serve(id);
             }
@@ -166,14 +166,14 @@
 
     /// The server that a read of this key is sent to while nothing is in flight and the key was not asked for
     /// recently.
-    pub(crate) fn home(&mut self, request: u64, key: u64) -> ServerId {
-        self.home_if_sent(request, key).expect("a read is sent")
+    pub(crate) fn owner(&mut self, request: u64, key: u64) -> ServerId {
+        self.owner_if_sent(request, key).expect("a read is sent")
     }
 
     /// Like `owner`; `None` where the read is rejected because no server is warm. At the same time, a key
     /// draws the same slow-start sample again.
-    pub(crate) fn home_if_sent(&mut self, request: u64, key: u64) -> Option<ServerId> {
-        self.forget();
+    pub(crate) fn owner_if_sent(&mut self, request: u64, key: u64) -> Option<ServerId> {
+        self.flush_recent_keys();
         let sent = sent(&self.request(read(request, key)));
         let server = sent.first().cloned()?;
         self.serve(request);
@@ -191,7 +191,7 @@
         .collect()
 }
 
-pub(super) fn refused(actions: &[Action]) -> bool {
+pub(super) fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
--- a/crates/balancer/tests/growth.rs
+++ b/crates/balancer/tests/growth.rs
@@ -8,53 +8,53 @@
 use common::{entry, read, settings, Node};
 use hallpin_balancer::*;
 
-struct Counting;
+struct CountingAllocator;
 
-static LIVE: AtomicUsize = AtomicUsize::new(0);
+static LIVE_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 // SAFETY: forwards every call to the system's allocator and only counts bytes.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        LIVE.fetch_add(layout.size(), Ordering::Relaxed);
+        LIVE_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size(), Ordering::Relaxed);
+        LIVE_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// One simulated minute: new keys throughout, all kinds of outcomes, and a server replaced each second.
-fn minute(node: &mut Node, next: &mut u64) {
+fn simulate_minute(node: &mut Node, last_id: &mut u64) {
     for second in 0..60 {
-        let first = *next / 100;
+        let first = *last_id / 100;
         let fleet = (first..first + 8).map(|n| RosterEntry { started: Some(n as f64), ..entry(n) }).collect();
         node.event(Event::Roster(RosterNews::Full(fleet)));
         for n in 0..100 {
-            *next += 1;
-            let key = if n % 2 == 0 { *next } else { n };
+            *last_id += 1;
+            let key = if n % 2 == 0 { *last_id } else { n };
             let write = n % 20 == 0;
-            node.request(NewRequest { write, ..read(*next, key) });
+            node.request(NewRequest { write, ..read(*last_id, key) });
             let status = match (n + second) % 8 {
                 0 => Status::TimedOut,
                 1 => Status::Error,
                 2 => Status::Unreachable,
                 _ => Status::Success,
             };
-            node.pass(0.01);
-            if node.sends.contains_key(&RequestId(*next)) {
-                node.outcome(*next, status, Some(CacheNote::Miss));
+            node.advance(0.01);
+            if node.sends.contains_key(&RequestId(*last_id)) {
+                node.outcome(*last_id, status, Some(CacheNote::Miss));
             }
-            node.event(Event::Withdrawn(RequestId(*next)));
+            node.event(Event::Withdrawn(RequestId(*last_id)));
             // Retries that were sent before the client left end too.
-            if let Some(attempts) = node.sends.remove(&RequestId(*next)) {
+            if let Some(attempts) = node.sends.remove(&RequestId(*last_id)) {
                 for attempt in 0..attempts.len() as u32 {
                     node.event(Event::Outcome(Outcome {
-                        request: RequestId(*next),
+                        request: RequestId(*last_id),
                         attempt: AttemptId(attempt),
                         status: Status::Cancelled,
                         elapsed: 0.01,
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn a_long_life_holds_no_more_than_a_short_one() {
+fn memory_does_not_grow_over_a_long_run() {
     let mut node = Node::with(settings(), 1, vec![]);
-    let mut next = 0;
-    minute(&mut node, &mut next);
-    let short = LIVE.load(Ordering::Relaxed);
+    let mut last_id = 0;
+    simulate_minute(&mut node, &mut last_id);
+    let short = LIVE_BYTES.load(Ordering::Relaxed);
     for _ in 0..20 {
-        minute(&mut node, &mut next);
+        simulate_minute(&mut node, &mut last_id);
     }
-    let long = LIVE.load(Ordering::Relaxed);
+    let long = LIVE_BYTES.load(Ordering::Relaxed);
     assert!(long < short + short / 4, "{short} bytes after a minute, {long} after twenty more");
 }
--- a/crates/balancer/tests/ramp/main.rs
+++ b/crates/balancer/tests/ramp/main.rs
@@ -15,125 +15,140 @@
 mod trials;
 mod world;
 
-use servers::Seen;
-use site::{Site, START};
-use world::play;
-
-fn none_pushed_over(name: &str, site: &Site, seen: &Seen) {
-    assert!(seen.pushed_over == 0 && seen.most_informed <= 1.0, "{name}: {seen:.2?}\n{site:?}");
+use servers::Measurements;
+use site::{Scenario, FIRST_START};
+use world::simulate;
+
+fn assert_none_overloaded(name: &str, scenario: &Scenario, measurements: &Measurements) {
+    assert!(
+        measurements.overloaded_by_notified == 0 && measurements.peak_notified_load <= 1.0,
+        "{name}: {measurements:.2?}\n{scenario:?}"
+    );
 }
 
 /// Checks that the notified nodes overloaded no server, and that their load alone never exceeded a server's
 /// capacity.
-fn holds(name: &str, site: &Site) {
-    let seen = play(site, 1);
-    none_pushed_over(name, site, &seen);
+fn assert_capacity_kept(name: &str, scenario: &Scenario) {
+    let measurements = simulate(scenario, 1);
+    assert_none_overloaded(name, scenario, &measurements);
     // The limit must not be kept by sending nothing to the cold servers.
-    assert!(seen.used > 0.1 && seen.served * 2 > seen.requests, "{name}: {seen:.2?}");
+    assert!(
+        measurements.used_share > 0.1 && measurements.served * 2 > measurements.requests,
+        "{name}: {measurements:.2?}"
+    );
 }
 
 /// A few of the servers restart, half of them, and nine in ten; late and uneven notification; low and high
 /// load; with and without work hints.
-fn all_hold(nodes: u32, servers: u64) {
-    let site = Site { nodes, servers, ..Site::default() };
+fn assert_capacity_kept_in_variants(nodes: u32, servers: u64) {
+    let scenario = Scenario { nodes, servers, ..Scenario::default() };
     for cold in [servers.div_ceil(20), servers / 2, servers * 9 / 10] {
-        holds("usual", &Site { cold, ..site.clone() });
+        assert_capacity_kept("usual", &Scenario { cold, ..scenario.clone() });
     }
-    let half = Site { cold: servers / 2, ..site };
-    holds("told late", &Site { told_within: 4.0, ..half.clone() });
-    holds("thin", &Site { load: 0.2, ..half.clone() });
-    holds("heavy", &Site { load: 0.85, ..half.clone() });
-    holds("no hints", &Site { hints: false, ..half });
+    let half = Scenario { cold: servers / 2, ..scenario };
+    assert_capacity_kept("late notification", &Scenario { notified_within: 4.0, ..half.clone() });
+    assert_capacity_kept("low load", &Scenario { load: 0.2, ..half.clone() });
+    assert_capacity_kept("high load", &Scenario { load: 0.85, ..half.clone() });
+    assert_capacity_kept("no hints", &Scenario { hints: false, ..half });
 }
 
 #[test]
-fn servers_that_warm_up_bear_what_5_nodes_send() {
-    all_hold(5, 12);
+fn warming_servers_sustain_the_load_of_5_nodes() {
+    assert_capacity_kept_in_variants(5, 12);
 }
 
 #[test]
-fn servers_that_warm_up_bear_what_20_nodes_send() {
-    all_hold(20, 24);
+fn warming_servers_sustain_the_load_of_20_nodes() {
+    assert_capacity_kept_in_variants(20, 24);
 }
 
 /// Nearly all servers restart at once, and the few that are warm are at their limits.
 #[test]
-fn servers_that_warm_up_bear_what_30_nodes_send() {
-    holds("nine in ten", &Site { nodes: 30, servers: 60, cold: 54, ..Site::default() });
+fn warming_servers_sustain_the_load_of_30_nodes() {
+    assert_capacity_kept(
+        "nine in ten",
+        &Scenario { nodes: 30, servers: 60, cold: 54, ..Scenario::default() },
+    );
 }
 
 /// Each node sees a few requests a second; of a key that all nodes ask for, none sees that it is too much for
 /// its owner.
 #[test]
-fn servers_that_warm_up_bear_what_300_thin_nodes_send() {
-    let site = Site { nodes: 300, servers: 100, cold: 60, ..Site::default() };
-    holds("usual", &site);
-    holds("all restarted just before", &Site { young: Some(4.0), ..site });
+fn warming_servers_sustain_the_load_of_300_nodes_with_little_traffic() {
+    let scenario = Scenario { nodes: 300, servers: 100, cold: 60, ..Scenario::default() };
+    assert_capacity_kept("usual", &scenario);
+    assert_capacity_kept(
+        "all nodes restarted just before",
+        &Scenario { node_restarts_within: Some(4.0), ..scenario },
+    );
 }
 
 /// All servers restart at once: no warm server can take over, and what they cannot sustain is rejected.
-fn all_start_at_once(nodes: u32, servers: u64) {
-    let site = Site { nodes, servers, cold: servers, ..Site::default() };
-    let worlds = [
-        ("usual", site.clone()),
-        ("heavy", Site { load: 0.85, ..site.clone() }),
-        ("told late", Site { told_within: 4.0, ..site.clone() }),
-        ("no hints", Site { hints: false, ..site.clone() }),
-        ("clients that come again often", Site { retries: 10, ..site.clone() }),
-        ("small requests", Site { work: 0.01, servers: 6, cold: 6, ..site.clone() }),
-        ("all restarted just before", Site { young: Some(4.0), ..site.clone() }),
-        ("one after the other", Site { starts_within: 6.0, length: START + 14.0, ..site }),
+fn assert_cold_fleet_keeps_capacity(nodes: u32, servers: u64) {
+    let scenario = Scenario { nodes, servers, cold: servers, ..Scenario::default() };
+    let scenarios = [
+        ("usual", scenario.clone()),
+        ("high load", Scenario { load: 0.85, ..scenario.clone() }),
+        ("late notification", Scenario { notified_within: 4.0, ..scenario.clone() }),
+        ("no hints", Scenario { hints: false, ..scenario.clone() }),
+        ("many client retries", Scenario { retries: 10, ..scenario.clone() }),
+        ("small requests", Scenario { work: 0.01, servers: 6, cold: 6, ..scenario.clone() }),
+        ("all nodes restarted just before", Scenario { node_restarts_within: Some(4.0), ..scenario.clone() }),
+        ("staggered starts", Scenario { starts_within: 6.0, length: FIRST_START + 14.0, ..scenario }),
     ];
-    for (name, site) in worlds {
-        let seen = play(&site, 1);
-        none_pushed_over(name, &site, &seen);
+    for (name, scenario) in scenarios {
+        let measurements = simulate(&scenario, 1);
+        assert_none_overloaded(name, &scenario, &measurements);
         // The servers' capacity is used.
-        assert!(seen.used > 0.3, "{name}: {seen:.2?}");
+        assert!(measurements.used_share > 0.3, "{name}: {measurements:.2?}");
     }
 }
 
 #[test]
-fn all_servers_started_at_once_bear_what_3_nodes_send() {
-    all_start_at_once(3, 12);
+fn a_cold_fleet_sustains_the_load_of_3_nodes() {
+    assert_cold_fleet_keeps_capacity(3, 12);
 }
 
 #[test]
-fn all_servers_started_at_once_bear_what_30_nodes_send() {
-    all_start_at_once(30, 24);
+fn a_cold_fleet_sustains_the_load_of_30_nodes() {
+    assert_cold_fleet_keeps_capacity(30, 24);
 }
 
 #[test]
-fn all_servers_started_at_once_bear_what_300_nodes_send() {
-    all_start_at_once(300, 30);
+fn a_cold_fleet_sustains_the_load_of_300_nodes() {
+    assert_cold_fleet_keeps_capacity(300, 30);
 }
 
 /// Clients retry ten times, or offer one and a half times the capacity of all servers.
 #[test]
-fn servers_that_warm_up_bear_surges_at_3_nodes() {
-    let site = Site { nodes: 3, servers: 12, cold: 6, ..Site::default() };
-    holds("clients that come again often", &Site { retries: 10, ..site.clone() });
-    let overload = Site { load: 1.5, ..site };
-    let seen = play(&overload, 1);
-    none_pushed_over("overload", &overload, &seen);
-    assert!(seen.used > 0.3, "overload: {seen:.2?}");
+fn warming_servers_sustain_surges_at_3_nodes() {
+    let scenario = Scenario { nodes: 3, servers: 12, cold: 6, ..Scenario::default() };
+    assert_capacity_kept("many client retries", &Scenario { retries: 10, ..scenario.clone() });
+    let overload = Scenario { load: 1.5, ..scenario };
+    let measurements = simulate(&overload, 1);
+    assert_none_overloaded("overload", &overload, &measurements);
+    assert!(measurements.used_share > 0.3, "overload: {measurements:.2?}");
 }
 
 /// Servers that restart one after the other: the older of those that are warming up must not be overloaded by
 /// what the younger ones shed.
 #[test]
-fn servers_that_start_one_after_the_other_bear_what_all_nodes_send() {
+fn servers_with_staggered_starts_sustain_the_load_of_all_nodes() {
     for (nodes, servers, cold) in [(3, 12, 11), (30, 24, 22), (300, 30, 28)] {
-        let site = Site { nodes, servers, cold, starts_within: 12.0, ..Site::default() };
-        holds("one after the other", &Site { length: START + 16.0, ..site });
+        let scenario = Scenario { nodes, servers, cold, starts_within: 12.0, ..Scenario::default() };
+        assert_capacity_kept("staggered starts", &Scenario { length: FIRST_START + 16.0, ..scenario });
     }
 }
 
 /// Each node opens new connections to a server that has restarted, and each connection costs the server work.
 #[test]
-fn servers_that_warm_up_bear_the_connections_that_all_nodes_make() {
+fn warming_servers_sustain_the_connections_of_all_nodes() {
     for (nodes, servers, cold) in [(3, 12, 6), (30, 24, 12), (300, 100, 60)] {
-        let site = Site { nodes, servers, cold, connection: 0.003, ..Site::default() };
-        holds("usual", &site);
-        holds("small requests", &Site { work: 0.02, servers: servers / 4, cold: cold / 4, ..site });
+        let scenario = Scenario { nodes, servers, cold, connection_work: 0.003, ..Scenario::default() };
+        assert_capacity_kept("usual", &scenario);
+        assert_capacity_kept(
+            "small requests",
+            &Scenario { work: 0.02, servers: servers / 4, cold: cold / 4, ..scenario },
+        );
     }
 }
--- a/crates/balancer/tests/ramp/site.rs
+++ b/crates/balancer/tests/ramp/site.rs
@@ -5,14 +5,14 @@
 use crate::common;
 
 /// Time of the first start of the cold servers.
-pub(crate) const START: Seconds = 6.0;
+pub(crate) const FIRST_START: Seconds = 6.0;
 
 /// Parameters of one simulated run.
 #[derive(Clone, Debug)]
-pub(crate) struct Site {
+pub(crate) struct Scenario {
     pub nodes: u32,
     pub servers: u64,
-    /// Number of servers that restart at [`START`].
+    /// Number of servers that restart at [`FIRST_START`].
     pub cold: u64,
     /// Time from the first restart to the last; the restarts are evenly spaced.
     pub starts_within: Seconds,
@@ -28,22 +28,22 @@
     pub zipf: f64,
     pub offset: f64,
     /// Longest delay after which a node is notified of a start.
-    pub told_within: Seconds,
+    pub notified_within: Seconds,
     /// Work that a new connection costs a server.
-    pub connection: Seconds,
+    pub connection_work: Seconds,
     /// Number of times that a client retries.
     pub retries: u32,
     /// Longest time before the servers' start at which each node itself restarts.
-    pub young: Option<Seconds>,
+    pub node_restarts_within: Option<Seconds>,
     pub guarantees: Guarantees,
     pub length: Seconds,
 }
 
-impl Default for Site {
+impl Default for Scenario {
     fn default() -> Self {
         let guarantees =
             Guarantees { cold_from: 0.12, ramp: 20.0, fall_for: 3.0, ..common::settings().guarantees };
-        Site {
+        Scenario {
             nodes: 5,
             servers: 12,
             cold: 1,
@@ -55,17 +55,17 @@
             keys: 20_000,
             zipf: 0.9,
             offset: 8.0,
-            told_within: 1.0,
-            connection: 0.0,
+            notified_within: 1.0,
+            connection_work: 0.0,
             retries: 2,
-            young: None,
+            node_restarts_within: None,
             guarantees,
-            length: START + 8.0,
+            length: FIRST_START + 8.0,
         }
     }
 }
 
-impl Site {
+impl Scenario {
     pub(crate) fn settings(&self) -> Settings {
         let mut settings = common::settings();
         settings.balancers = self.nodes;
@@ -83,15 +83,17 @@
     }
 
     /// Share of its capacity that a server has at this age.
-    pub(crate) fn warmth(&self, age: Seconds) -> f64 {
-        let g = &self.guarantees;
-        (g.cold_from + (1.0 - g.cold_from) * age / g.ramp).min(1.0)
+    pub(crate) fn capacity_share(&self, age: Seconds) -> f64 {
+        let guarantees = &self.guarantees;
+        (guarantees.cold_from + (1.0 - guarantees.cold_from) * age / guarantees.ramp).min(1.0)
     }
 
     /// Work that a server of this age sustains within the settings' window.
-    pub(crate) fn bears(&self, age: Seconds) -> f64 {
-        let g = &self.guarantees;
-        let n = g.fall_multiple * self.capacity * self.warmth(age) * g.fall_for / self.work;
-        (n + 2.0 * n.sqrt() + 2.0) * self.work
+    pub(crate) fn sustainable_work(&self, age: Seconds) -> f64 {
+        let guarantees = &self.guarantees;
+        let allowed_requests =
+            guarantees.fall_multiple * self.capacity * self.capacity_share(age) * guarantees.fall_for
+                / self.work;
+        (allowed_requests + 2.0 * allowed_requests.sqrt() + 2.0) * self.work
     }
 }
--- a/crates/balancer/tests/ramp/trials.rs
+++ b/crates/balancer/tests/ramp/trials.rs
@@ -4,20 +4,20 @@
 use hallpin_balancer::*;
 
 use crate::common::{entry, id, read, sent, Node};
-use crate::site::Site;
+use crate::site::Scenario;
 
 const SERVERS: u64 = 12;
 /// Requests a second that each node sees.
-const RATE: u64 = 5;
+const REQUESTS_PER_SECOND: u64 = 5;
 
-fn took_out(actions: &[Action]) -> bool {
+fn is_ejection_logged(actions: &[Action]) -> bool {
     let out = |a: &Action| matches!(a, Action::Log(text) if text.contains("taken out"));
     actions.iter().any(out)
 }
 
 /// A node that has ejected server 1, which started at this moment, because reads found no connection to it.
-fn node_without_server_one(site: &Site, seed: u64) -> Node {
-    let mut settings = site.settings();
+fn node_without_server_one(scenario: &Scenario, seed: u64) -> Node {
+    let mut settings = scenario.settings();
     settings.limits.probes = false;
     let started = |n| RosterEntry { started: (n == 1).then_some(100.0), ..entry(n) };
     let mut node = Node::with(settings, seed, (1..=SERVERS).map(started).collect());
@@ -31,28 +31,28 @@
         if !sent(&actions).is_empty() {
             node.serve(n);
         }
-        if took_out(&actions) {
+        if is_ejection_logged(&actions) {
             return node;
         }
     }
-    panic!("server 1 was not taken out");
+    panic!("server 1 was not ejected");
 }
 
 /// Reads that probed server 1, by the second, over all nodes, until some seconds after it is warm.
-fn trials_by_second(site: &Site) -> Vec<usize> {
+fn probes_by_second(scenario: &Scenario) -> Vec<usize> {
     let mut nodes: Vec<Node> =
-        (0..u64::from(site.nodes)).map(|seed| node_without_server_one(site, seed)).collect();
-    let seconds = site.guarantees.ramp as u64 + 4;
+        (0..u64::from(scenario.nodes)).map(|seed| node_without_server_one(scenario, seed)).collect();
+    let seconds = scenario.guarantees.ramp as u64 + 4;
     let mut request = 1_000_000;
-    let mut try_all = || {
-        let mut trials = 0;
+    let mut advance_one_second = || {
+        let mut probes = 0;
         for node in &mut nodes {
-            for _ in 0..RATE {
-                node.pass(1.0 / RATE as f64);
+            for _ in 0..REQUESTS_PER_SECOND {
+                node.advance(1.0 / REQUESTS_PER_SECOND as f64);
                 request += 1;
                 let to = sent(&node.request(read(request, request)));
                 if to == [id(1)] {
-                    trials += 1;
+                    probes += 1;
                     let further = sent(&node.outcome(request, Status::Unreachable, None));
                     further.iter().for_each(|_| drop(node.serve(request)));
                 } else {
@@ -60,26 +60,29 @@
                 }
             }
         }
-        trials
+        probes
     };
-    (0..seconds).map(|_| try_all()).collect()
+    (0..seconds).map(|_| advance_one_second()).collect()
 }
 
 #[test]
-fn an_ejected_server_that_warms_up_is_tried_a_few_times_a_second_by_all_nodes_together() {
+fn an_ejected_warming_server_is_probed_a_few_times_a_second_by_all_nodes_together() {
     for nodes in [3, 30, 300] {
-        let site = Site { nodes, ..Site::default() };
-        let trials = trials_by_second(&site);
-        let ramp = site.guarantees.ramp as usize;
-        let cold = &trials[..ramp - 1];
-        let window = site.guarantees.fall_for as usize;
-        let most =
+        let scenario = Scenario { nodes, ..Scenario::default() };
+        let probes = probes_by_second(&scenario);
+        let ramp = scenario.guarantees.ramp as usize;
+        let cold = &probes[..ramp - 1];
+        let window = scenario.guarantees.fall_for as usize;
+        let peak_probes =
             cold.windows(window).map(|seconds| seconds.iter().sum::<usize>()).max().unwrap_or_default();
-        assert!(most as f64 * site.work < site.bears(0.0), "{nodes} nodes: {most} in {window} s: {trials:?}");
-        let in_all: usize = cold.iter().sum();
-        assert!(in_all >= ramp, "{nodes} nodes: recovery is looked for: {trials:?}");
+        assert!(
+            peak_probes as f64 * scenario.work < scenario.sustainable_work(0.0),
+            "{nodes} nodes: {peak_probes} in {window} s: {probes:?}"
+        );
+        let total: usize = cold.iter().sum();
+        assert!(total >= ramp, "{nodes} nodes: too few probes to find a recovery: {probes:?}");
         // Once the server must be warm, each node probes it on its own.
-        let warm: usize = trials[ramp..].iter().sum();
-        assert!(warm >= 2 * nodes as usize, "{nodes} nodes: {trials:?}");
+        let warm: usize = probes[ramp..].iter().sum();
+        assert!(warm >= 2 * nodes as usize, "{nodes} nodes: {probes:?}");
     }
 }
--- a/crates/balancer/tests/ramp/world.rs
+++ b/crates/balancer/tests/ramp/world.rs
@@ -8,38 +8,38 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::common::{entry, id, KEYED, READ};
-use crate::servers::{start_of, CacheServer, Seen};
-use crate::site::{Site, START};
+use crate::servers::{start_time, CacheServer, Measurements};
+use crate::site::{Scenario, FIRST_START};
 
 const DEADLINE: Seconds = 1.0;
 const BACKOFF: Seconds = 0.1;
 /// Share of writes among the requests.
-const WRITES: f64 = 0.05;
+const WRITE_SHARE: f64 = 0.05;
 /// Share of expensive requests, and their work as a multiple of the others'.
-const DEAR: f64 = 0.03;
-const DEAR_TIMES: f64 = 10.0;
+const EXPENSIVE_SHARE: f64 = 0.03;
+const EXPENSIVE_WORK_FACTOR: f64 = 10.0;
 
-enum What {
-    Asks,
-    Comes {
+enum SimulationEvent {
+    ClientArrives,
+    RequestArrives {
         key: u64,
         write: bool,
         work: f64,
-        left: u32,
+        retries_left: u32,
     },
-    Starts(usize),
+    ServerStarts(usize),
     /// A node is notified of all starts up to this time.
-    Told(usize, Seconds),
-    Rings(usize, TimerToken),
-    Ends(usize, Outcome),
-    Fresh(usize),
+    NodeNotified(usize, Seconds),
+    TimerFires(usize, TimerToken),
+    AttemptEnds(usize, Outcome),
+    NodeRestarts(usize),
 }
 
-struct Open {
+struct OpenRequest {
     key: u64,
     write: bool,
     work: f64,
-    left: u32,
+    retries_left: u32,
     sent: Vec<(usize, Seconds, bool)>,
 }
 
@@ -66,138 +66,143 @@
     }
 }
 
-struct World<'s> {
-    site: &'s Site,
+struct Simulation<'s> {
+    scenario: &'s Scenario,
     now: Seconds,
     rng: Pcg64Mcg,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, What>,
-    next: u64,
+    pending: BTreeMap<u64, SimulationEvent>,
+    last_id: u64,
     nodes: Vec<Balancer>,
     /// For each node, the time up to which it has been notified of starts.
-    told: Vec<Seconds>,
+    notified_until: Vec<Seconds>,
     connections: Connections,
     servers: Vec<CacheServer>,
-    index: BTreeMap<ServerId, usize>,
-    open: BTreeMap<u64, Open>,
-    popular: Vec<f64>,
-    seen: Seen,
+    server_index: BTreeMap<ServerId, usize>,
+    open_requests: BTreeMap<u64, OpenRequest>,
+    cumulative_popularity: Vec<f64>,
+    measurements: Measurements,
 }
 
 /// Simulates a scenario.
-pub(crate) fn play(site: &Site, seed: u64) -> Seen {
-    let rank = |r: usize| (r as f64 + site.offset).powf(-site.zipf);
+pub(crate) fn simulate(scenario: &Scenario, seed: u64) -> Measurements {
+    let popularity = |r: usize| (r as f64 + scenario.offset).powf(-scenario.zipf);
     let mut sum = 0.0;
-    let popular = (0..site.keys)
+    let cumulative_popularity = (0..scenario.keys)
         .map(|r| {
-            sum += rank(r);
+            sum += popularity(r);
             sum
         })
         .collect();
-    let mut world = World {
-        site,
+    let mut simulation = Simulation {
+        scenario,
         now: 0.0,
         rng: Pcg64Mcg::seed_from_u64(seed),
         events: BinaryHeap::new(),
-        what: BTreeMap::new(),
-        next: 0,
+        pending: BTreeMap::new(),
+        last_id: 0,
         nodes: Vec::new(),
-        told: vec![0.0; site.nodes as usize],
+        notified_until: vec![0.0; scenario.nodes as usize],
         connections: Connections::default(),
-        servers: (0..site.servers).map(|_| CacheServer::default()).collect(),
-        index: (0..site.servers).map(|n| (id(n), n as usize)).collect(),
-        open: BTreeMap::new(),
-        popular,
-        seen: Seen::default(),
+        servers: (0..scenario.servers).map(|_| CacheServer::default()).collect(),
+        server_index: (0..scenario.servers).map(|n| (id(n), n as usize)).collect(),
+        open_requests: BTreeMap::new(),
+        cumulative_popularity,
+        measurements: Measurements::default(),
     };
-    for n in 0..site.nodes as usize {
-        world.nodes.push(Balancer::new(site.settings(), seed * 1000 + n as u64).expect("valid"));
-        world.list(n);
-        let mut starts: Vec<Seconds> = (0..site.cold).filter_map(|of| start_of(of, site)).collect();
+    for n in 0..scenario.nodes as usize {
+        simulation.nodes.push(Balancer::new(scenario.settings(), seed * 1000 + n as u64).expect("valid"));
+        simulation.send_list(n);
+        let mut starts: Vec<Seconds> =
+            (0..scenario.cold).filter_map(|server| start_time(server, scenario)).collect();
         starts.dedup();
-        let late = world.rng.random::<f64>() * site.told_within;
+        let late = simulation.rng.random::<f64>() * scenario.notified_within;
         for start in starts {
-            world.at(start + late, What::Told(n, start));
+            simulation.schedule(start + late, SimulationEvent::NodeNotified(n, start));
         }
-        if let Some(young) = site.young {
-            let before = young * world.rng.random::<f64>();
-            world.at(START - before, What::Fresh(n));
+        if let Some(node_restarts_within) = scenario.node_restarts_within {
+            let before = node_restarts_within * simulation.rng.random::<f64>();
+            simulation.schedule(FIRST_START - before, SimulationEvent::NodeRestarts(n));
         }
     }
-    for of in 0..site.cold {
-        let start = start_of(of, site).expect("it starts");
-        world.at(start, What::Starts(of as usize));
+    for server in 0..scenario.cold {
+        let start = start_time(server, scenario).expect("it starts");
+        simulation.schedule(start, SimulationEvent::ServerStarts(server as usize));
     }
-    world.at(0.0, What::Asks);
-    world.run();
-    let cold = site.cold as f64 * site.capacity * (site.length - START);
-    world.seen.used /= cold * (site.warmth(0.0) + site.warmth(site.length - START)) / 2.0;
-    world.seen
+    simulation.schedule(0.0, SimulationEvent::ClientArrives);
+    simulation.run();
+    let cold = scenario.cold as f64 * scenario.capacity * (scenario.length - FIRST_START);
+    simulation.measurements.used_share /=
+        cold * (scenario.capacity_share(0.0) + scenario.capacity_share(scenario.length - FIRST_START)) / 2.0;
+    simulation.measurements
 }
 
-impl World<'_> {
-    fn at(&mut self, at: Seconds, what: What) {
-        self.next += 1;
-        self.events.push(Reverse(((at * 1e6) as u64, self.next)));
-        self.what.insert(self.next, what);
+impl Simulation<'_> {
+    fn schedule(&mut self, at: Seconds, event: SimulationEvent) {
+        self.last_id += 1;
+        self.events.push(Reverse(((at * 1e6) as u64, self.last_id)));
+        self.pending.insert(self.last_id, event);
     }
 
     fn run(&mut self) {
         while let Some(Reverse((at, number))) = self.events.pop() {
             self.now = at as f64 / 1e6;
-            if self.now > self.site.length {
+            if self.now > self.scenario.length {
                 break;
             }
-            match self.what.remove(&number).expect("each event once") {
-                What::Asks => self.asks(),
-                What::Comes { key, write, work, left } => self.comes(key, write, work, left),
-                What::Starts(of) => {
-                    self.servers[of].start(self.now);
-                    self.connections.reset(of);
+            match self.pending.remove(&number).expect("each event once") {
+                SimulationEvent::ClientArrives => self.client_arrives(),
+                SimulationEvent::RequestArrives { key, write, work, retries_left } => {
+                    self.request_arrives(key, write, work, retries_left)
                 }
-                What::Told(node, start) => {
-                    self.told[node] = start;
-                    self.list(node);
+                SimulationEvent::ServerStarts(server) => {
+                    self.servers[server].start(self.now);
+                    self.connections.reset(server);
                 }
-                What::Rings(node, token) => self.tell(node, Event::Timer(token)),
-                What::Ends(node, outcome) => self.ends(node, outcome),
-                What::Fresh(node) => {
-                    self.nodes[node] = Balancer::new(self.site.settings(), number).expect("valid");
-                    self.list(node);
+                SimulationEvent::NodeNotified(node, start) => {
+                    self.notified_until[node] = start;
+                    self.send_list(node);
+                }
+                SimulationEvent::TimerFires(node, token) => self.deliver(node, Event::Timer(token)),
+                SimulationEvent::AttemptEnds(node, outcome) => self.attempt_ends(node, outcome),
+                SimulationEvent::NodeRestarts(node) => {
+                    self.nodes[node] = Balancer::new(self.scenario.settings(), number).expect("valid");
+                    self.send_list(node);
                 }
             }
         }
     }
 
     fn knows_start(&self, node: usize, server: u64) -> Option<Seconds> {
-        start_of(server, self.site).filter(|start| *start <= self.told[node])
+        start_time(server, self.scenario).filter(|start| *start <= self.notified_until[node])
     }
 
-    fn list(&mut self, node: usize) {
-        let entries =
-            (0..self.site.servers).map(|n| RosterEntry { started: self.knows_start(node, n), ..entry(n) });
+    fn send_list(&mut self, node: usize) {
+        let entries = (0..self.scenario.servers)
+            .map(|n| RosterEntry { started: self.knows_start(node, n), ..entry(n) });
         let entries = entries.collect();
-        self.tell(node, Event::Roster(RosterNews::Full(entries)));
+        self.deliver(node, Event::Roster(RosterNews::Full(entries)));
     }
 
     /// A client sends a request to a random node; arrivals are Poisson.
-    fn asks(&mut self) {
-        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.site.rate();
-        self.at(self.now + gap, What::Asks);
-        let at = self.rng.random::<f64>() * self.popular[self.popular.len() - 1];
-        let key = self.popular.partition_point(|sum| *sum < at) as u64;
-        let dear = self.rng.random::<f64>() < DEAR;
-        let work = self.site.work * if dear { DEAR_TIMES } else { 1.0 } / (1.0 + DEAR * (DEAR_TIMES - 1.0));
-        let write = self.rng.random::<f64>() < WRITES;
-        self.seen.requests += 1;
-        self.comes(key, write, work, self.site.retries);
+    fn client_arrives(&mut self) {
+        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.scenario.rate();
+        self.schedule(self.now + gap, SimulationEvent::ClientArrives);
+        let at = self.rng.random::<f64>() * self.cumulative_popularity[self.cumulative_popularity.len() - 1];
+        let key = self.cumulative_popularity.partition_point(|sum| *sum < at) as u64;
+        let is_expensive = self.rng.random::<f64>() < EXPENSIVE_SHARE;
+        let work = self.scenario.work * if is_expensive { EXPENSIVE_WORK_FACTOR } else { 1.0 }
+            / (1.0 + EXPENSIVE_SHARE * (EXPENSIVE_WORK_FACTOR - 1.0));
+        let write = self.rng.random::<f64>() < WRITE_SHARE;
+        self.measurements.requests += 1;
+        self.request_arrives(key, write, work, self.scenario.retries);
     }
 
-    fn comes(&mut self, key: u64, write: bool, work: f64, left: u32) {
-        self.next += 1;
-        let request = self.next;
+    fn request_arrives(&mut self, key: u64, write: bool, work: f64, retries_left: u32) {
+        self.last_id += 1;
+        let request = self.last_id;
         let node = (self.rng.random::<f64>() * self.nodes.len() as f64) as usize;
-        self.open.insert(request, Open { key, write, work, left, sent: Vec::new() });
+        self.open_requests.insert(request, OpenRequest { key, write, work, retries_left, sent: Vec::new() });
         let new = NewRequest {
             id: RequestId(request),
             left: DEADLINE,
@@ -205,21 +210,21 @@
             tenant: None,
             key: Some(Key(key)),
             write,
-            work: self.site.hints.then_some(work),
+            work: self.scenario.hints.then_some(work),
         };
-        self.tell(node, Event::Request(new));
+        self.deliver(node, Event::Request(new));
     }
 
-    fn tell(&mut self, node: usize, event: Event) {
+    fn deliver(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { request, server, timeout } => self.send(node, request, &server, timeout),
                 Action::SetTimer { token, after } => {
-                    self.at(self.now + after.max(1e-6), What::Rings(node, token))
+                    self.schedule(self.now + after.max(1e-6), SimulationEvent::TimerFires(node, token))
                 }
-                Action::Refuse { request, .. } | Action::Fail(request) => self.again(request.0),
+                Action::Refuse { request, .. } | Action::Fail(request) => self.retry(request.0),
                 Action::Cancel { request, attempt } => self.cancel(node, request, attempt),
                 _ => {}
             }
@@ -227,17 +232,30 @@
     }
 
     fn send(&mut self, node: usize, request: RequestId, server: &ServerId, timeout: Option<Seconds>) {
-        let Some(open) = self.open.get_mut(&request.0) else { return };
-        let of = self.index[server];
-        self.seen.sends += 1;
-        let is_new = self.connections.take(node, of);
-        let work = open.work + if is_new { self.site.connection } else { 0.0 };
-        let told = start_of(of as u64, self.site).is_some_and(|start| start <= self.told[node]);
-        self.servers[of].weigh(self.site, self.now, work, told, &mut self.seen);
-        let (at, status, note) =
-            self.servers[of].take(self.site, self.now, open.key, work, open.write, &mut self.seen);
+        let Some(open) = self.open_requests.get_mut(&request.0) else { return };
+        let index = self.server_index[server];
+        self.measurements.sends += 1;
+        let is_new = self.connections.take(node, index);
+        let work = open.work + if is_new { self.scenario.connection_work } else { 0.0 };
+        let sender_notified =
+            start_time(index as u64, self.scenario).is_some_and(|start| start <= self.notified_until[node]);
+        self.servers[index].record_load(
+            self.scenario,
+            self.now,
+            work,
+            sender_notified,
+            &mut self.measurements,
+        );
+        let (at, status, note) = self.servers[index].serve(
+            self.scenario,
+            self.now,
+            open.key,
+            work,
+            open.write,
+            &mut self.measurements,
+        );
         let attempt = AttemptId(open.sent.len() as u32);
-        open.sent.push((of, self.now, false));
+        open.sent.push((index, self.now, false));
         let last = self.now + timeout.unwrap_or(DEADLINE);
         let (at, status) = if at > last { (last, Status::TimedOut) } else { (at, status) };
         let finished = status == Status::Success;
@@ -249,45 +267,48 @@
             finished,
             note: finished.then_some(note),
         };
-        self.at(at, What::Ends(node, outcome));
+        self.schedule(at, SimulationEvent::AttemptEnds(node, outcome));
     }
 
-    fn ends(&mut self, node: usize, outcome: Outcome) {
+    fn attempt_ends(&mut self, node: usize, outcome: Outcome) {
         let id = outcome.request.0;
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.open_requests.get_mut(&id) {
             if std::mem::replace(&mut open.sent[outcome.attempt.0 as usize].2, true) {
                 return;
             }
-            let of = open.sent[outcome.attempt.0 as usize].0;
+            let server = open.sent[outcome.attempt.0 as usize].0;
             if !matches!(outcome.status, Status::TimedOut | Status::Unreachable) {
-                self.connections.put_back(node, of);
+                self.connections.put_back(node, server);
             }
             if outcome.finished {
-                self.seen.served += 1;
+                self.measurements.served += 1;
             }
         }
-        self.tell(node, Event::Outcome(outcome));
+        self.deliver(node, Event::Outcome(outcome));
     }
 
     fn cancel(&mut self, node: usize, request: RequestId, attempt: AttemptId) {
-        let Some(open) = self.open.get_mut(&request.0) else { return };
-        let Some((_, at, over)) = open.sent.get_mut(attempt.0 as usize) else { return };
-        if std::mem::replace(over, true) {
+        let Some(open) = self.open_requests.get_mut(&request.0) else { return };
+        let Some((_, at, has_ended)) = open.sent.get_mut(attempt.0 as usize) else { return };
+        if std::mem::replace(has_ended, true) {
             return;
         }
         let elapsed = self.now - *at;
         let outcome =
             Outcome { request, attempt, status: Status::Cancelled, elapsed, finished: false, note: None };
-        self.tell(node, Event::Outcome(outcome));
+        self.deliver(node, Event::Outcome(outcome));
     }
 
     /// The client of a rejected or failed request retries, as a new request.
-    fn again(&mut self, request: u64) {
-        let Some(open) = self.open.get(&request) else { return };
-        let Open { key, write, work, left, .. } = *open;
-        if left > 0 {
+    fn retry(&mut self, request: u64) {
+        let Some(open) = self.open_requests.get(&request) else { return };
+        let OpenRequest { key, write, work, retries_left, .. } = *open;
+        if retries_left > 0 {
             let wait = BACKOFF * (0.5 + self.rng.random::<f64>());
-            self.at(self.now + wait, What::Comes { key, write, work, left: left - 1 });
+            self.schedule(
+                self.now + wait,
+                SimulationEvent::RequestArrives { key, write, work, retries_left: retries_left - 1 },
+            );
         }
     }
 }
--- a/crates/balancer/tests/rules/crowds.rs
+++ b/crates/balancer/tests/rules/crowds.rs
@@ -11,26 +11,26 @@
 /// Only the cap binds requests within their quota: while servers can queue, none is rejected for the learnt
 /// limit. A tenant over its quota gives way once the fleet is at its limits, and not before.
 #[test]
-fn the_learnt_limit_binds_requests_over_the_quota_alone() {
+fn the_learnt_limit_binds_only_requests_over_their_quota() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    let homes: BTreeMap<u64, ServerId> = (0..400).map(|n| (n, node.home(n, n))).collect();
-    let mut at_home = 0;
+    let owners: BTreeMap<u64, ServerId> = (0..400).map(|n| (n, node.owner(n, n))).collect();
+    let mut at_owner = 0;
     for n in 0..400 {
-        at_home += sent(&node.request(read(1000 + n, n))).iter().filter(|s| **s == homes[&n]).count();
+        at_owner += sent(&node.request(read(1000 + n, n))).iter().filter(|s| **s == owners[&n]).count();
     }
     let all: usize = (1000..1400).filter(|&n| node.sends.contains_key(&RequestId(n))).count();
     // While few requests are in flight, the cap may pass one on to another server.
-    assert!(all == 400 && at_home + 1 >= all, "{at_home} of {all} at home");
+    assert!(all == 400 && at_owner + 1 >= all, "{at_owner} of {all} at their owner");
 
     let tenants = vec![Tenant { name: "a".into(), quota: 1.0 }];
     let mut node = Node::with(Settings { tenants, ..settings() }, 1, fleet(6));
-    let over = |n| NewRequest { tenant: Some(TenantId(0)), ..read(n, n) };
-    let all: usize = (0..400).map(|n| sent(&node.request(over(n))).len()).sum();
+    let over_quota = |n| NewRequest { tenant: Some(TenantId(0)), ..read(n, n) };
+    let all: usize = (0..400).map(|n| sent(&node.request(over_quota(n))).len()).sum();
     assert!((24..100).contains(&all), "{all} sent");
 }
 
 #[test]
-fn over_its_quota_a_tenant_gives_way_first() {
+fn requests_over_their_tenants_quota_are_rejected_first() {
     let tenants = ["a", "b"].map(|n| Tenant { name: n.into(), quota: 20.0 }).to_vec();
     let mut node = Node::with(Settings { tenants, ..settings() }, 1, fleet(2));
     let mut served = [0; 2];
@@ -47,33 +47,33 @@
 /// they are served; clients that wait longer are not affected, and requests with short deadlines are admitted
 /// again once they would be served.
 #[test]
-fn brief_requests_are_sent_on_as_far_as_they_are_served() {
+fn requests_with_short_deadlines_are_admitted_as_far_as_they_are_served() {
     let mut node = Node::with(settings(), 1, fleet(64));
     let mut next = 0;
-    let mut play = |rounds: u64, left: Seconds, served: bool| {
-        let (mut sent_on, mut refused_at_once) = (0, 0);
+    let mut run_rounds = |rounds: u64, left: Seconds, served: bool| {
+        let (mut sent_count, mut rejected_at_once) = (0, 0);
         for _ in 0..rounds {
             next += 1;
             let actions = node.request(NewRequest { left, ..read(next, next) });
-            refused_at_once += usize::from(refused(&actions));
+            rejected_at_once += usize::from(rejected(&actions));
             if sent(&actions).is_empty() {
                 continue;
             }
-            sent_on += 1;
+            sent_count += 1;
             node.now += if served { 0.02 } else { left - 0.01 };
             node.outcome(next, if served { Status::Success } else { Status::TimedOut }, Some(CacheNote::Hit));
         }
-        node.pass(1.0);
-        (sent_on, refused_at_once)
+        node.advance(1.0);
+        (sent_count, rejected_at_once)
     };
     // The initial estimate of an answer's time is a quarter of the latency objective; a deadline below twice
     // that is short.
-    assert_eq!(play(100, 0.2, true), (100, 0), "while they are served all go");
-    play(300, 0.03, false);
-    let (sent_on, refused_at_once) = play(1000, 0.03, false);
-    assert!((1..100).contains(&sent_on) && refused_at_once > 900, "{sent_on}, {refused_at_once}");
-    assert_eq!(play(100, 1.0, true), (100, 0), "who waits is not touched");
-    play(2000, 0.03, true);
-    let (sent_on, _) = play(100, 0.03, true);
-    assert!(sent_on > 95, "{sent_on} of 100");
+    assert_eq!(run_rounds(100, 0.2, true), (100, 0), "all are sent while they are served");
+    run_rounds(300, 0.03, false);
+    let (sent_count, rejected_at_once) = run_rounds(1000, 0.03, false);
+    assert!((1..100).contains(&sent_count) && rejected_at_once > 900, "{sent_count}, {rejected_at_once}");
+    assert_eq!(run_rounds(100, 1.0, true), (100, 0), "requests with longer deadlines are not throttled");
+    run_rounds(2000, 0.03, true);
+    let (sent_count, _) = run_rounds(100, 0.03, true);
+    assert!(sent_count > 95, "{sent_count} of 100");
 }
--- a/crates/balancer/tests/rules/ejection.rs
+++ b/crates/balancer/tests/rules/ejection.rs
@@ -8,13 +8,13 @@
 use crate::fleet;
 
 /// Sends reads of server 1's keys that are never answered, one at a time, until it is ejected.
-fn silence_of_server_one(settings: Settings) -> (Node, u64) {
+fn node_with_silent_server_one(settings: Settings) -> (Node, u64) {
     let mut node = Node::with(settings, 1, fleet(6));
-    let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(8).collect();
+    let keys: Vec<u64> = (0..400).filter(|&n| node.owner(n, n) == id(1)).take(8).collect();
     for (n, &key) in keys.iter().enumerate() {
         let n = 1000 + n as u64;
         node.request(read(n, key));
-        node.pass(1.0);
+        node.advance(1.0);
         if node.sends.contains_key(&RequestId(n)) {
             node.outcome(n, Status::TimedOut, None);
         }
@@ -23,114 +23,114 @@
 }
 
 #[test]
-fn a_silent_server_is_taken_out_and_comes_back_after_a_probe() {
-    let (mut node, key) = silence_of_server_one(settings());
-    assert!(node.pass(2.0).contains(&Action::Probe(id(1))));
-    assert_ne!(node.home(2000, key), id(1));
+fn a_silent_server_is_ejected_and_readmitted_after_a_probe() {
+    let (mut node, key) = node_with_silent_server_one(settings());
+    assert!(node.advance(2.0).contains(&Action::Probe(id(1))));
+    assert_ne!(node.owner(2000, key), id(1));
     node.event(Event::Probed { server: id(1), status: Status::Success });
-    node.pass(9.0);
-    assert_eq!(node.home(2001, key), id(1));
+    node.advance(9.0);
+    assert_eq!(node.owner(2001, key), id(1));
 }
 
 #[test]
-fn where_probes_are_not_allowed_one_read_tries_a_server_that_is_out() {
+fn without_health_checks_one_read_probes_an_ejected_server() {
     let mut no_probes = settings();
     no_probes.limits.probes = false;
-    let (mut node, _) = silence_of_server_one(no_probes);
-    node.pass(2.0);
-    let tried =
+    let (mut node, _) = node_with_silent_server_one(no_probes);
+    node.advance(2.0);
+    let probing_reads =
         (0..50).filter(|n| sent(&node.request(read(3000 + n, 7_000_000 + n))).contains(&id(1))).count();
-    assert_eq!(tried, 1);
+    assert_eq!(probing_reads, 1);
 }
 
 /// Errors of all servers at once come from the origin: ejecting servers for them only adds cache misses.
 #[test]
-fn errors_of_the_whole_fleet_take_nobody_out_but_those_of_one_server_do() {
-    let play = |bad: &dyn Fn(&ServerId) -> bool| {
+fn errors_of_all_servers_eject_none_but_errors_of_one_server_eject_it() {
+    let count_ejections = |is_faulty: &dyn Fn(&ServerId) -> bool| {
         let mut node = Node::with(settings(), 1, fleet(6));
-        let mut taken_out = 0;
+        let mut ejections = 0;
         for n in 0..3000 {
             let mut actions = node.request(read(n, n));
             node.now += 0.01;
             while let [server, ..] = &sent(&actions)[..] {
-                let status = if bad(server) { Status::Error } else { Status::Success };
+                let status = if is_faulty(server) { Status::Error } else { Status::Success };
                 actions = node.outcome(n, status, Some(CacheNote::Hit));
                 let out = |a: &&Action| matches!(a, Action::Log(t) if t.contains("taken out"));
-                taken_out += actions.iter().filter(out).count();
+                ejections += actions.iter().filter(out).count();
             }
         }
-        taken_out
+        ejections
     };
-    assert_eq!(play(&|_| true), 0);
-    assert!(play(&|s| *s == id(1)) >= 1);
+    assert_eq!(count_ejections(&|_| true), 0);
+    assert!(count_ejections(&|s| *s == id(1)) >= 1);
 }
 
 #[test]
-fn most_of_a_fleet_is_never_taken_out() {
+fn most_of_a_fleet_is_never_ejected() {
     let mut node = Node::with(settings(), 1, fleet(9));
     for n in 0..200 {
         node.request(NewRequest { left: 1.9, ..read(n, n) });
     }
-    let actions = node.pass(1.5);
+    let actions = node.advance(1.5);
     let out = actions.iter().filter(|a| matches!(a, Action::Log(t) if t.contains("taken out"))).count();
     assert!(out <= 3, "{out} of 9");
 }
 
 /// Failures of a previous process do not count against the new one: a later start time clears them.
 #[test]
-fn a_restarted_server_is_not_held_to_what_its_last_process_did() {
+fn a_restart_clears_the_failures_of_the_previous_process() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    let keys: Vec<u64> = (0..400).filter(|&n| node.home(n, n) == id(1)).take(3).collect();
+    let keys: Vec<u64> = (0..400).filter(|&n| node.owner(n, n) == id(1)).take(3).collect();
     for (n, &key) in keys.iter().enumerate() {
         node.request(read(1000 + n as u64, key));
         node.outcome(1000 + n as u64, Status::Unreachable, None);
         node.serve(1000 + n as u64);
     }
-    assert!((0..200).all(|n| node.home(2000 + n, n) != id(1)), "taken out");
+    assert!((0..200).all(|n| node.owner(2000 + n, n) != id(1)), "server 1 is ejected");
     let started = RosterEntry { started: Some(node.now), ..entry(1) };
     node.event(Event::Roster(RosterNews::Delta(vec![started])));
-    assert!((0..400).any(|n| node.home(3000 + n, n) == id(1)));
+    assert!((0..400).any(|n| node.owner(3000 + n, n) == id(1)));
 }
 
 #[test]
-fn thin_nodes_eject_a_dead_server_after_one_failure_and_try_it_again_in_turn() {
+fn a_node_with_little_traffic_ejects_a_dead_server_after_one_failure_and_probes_it() {
     let mut node = Node::with(settings(), 1, fleet(20));
-    let n = (0..).find(|&n| node.home(n, n) == id(1)).expect("a key of server one");
-    node.forget();
+    let n = (0..).find(|&n| node.owner(n, n) == id(1)).expect("a key of server one");
+    node.flush_recent_keys();
     node.request(read(90_000, n));
     let actions = node.outcome(90_000, Status::Unreachable, None);
     assert!(actions.iter().any(|a| matches!(a, Action::Log(t) if t.contains("taken out"))));
-    let probes = node.pass(3.0).iter().filter(|a| matches!(a, Action::Probe(_))).count();
+    let probes = node.advance(3.0).iter().filter(|a| matches!(a, Action::Probe(_))).count();
     assert!((2..=4).contains(&probes), "{probes} probes in 3 s");
 }
 
 /// Two dead servers of eight cause more failures than one faulty server does, and are no sign of a faulty
 /// origin.
 #[test]
-fn dead_servers_cost_no_request_and_are_taken_out_though_they_are_many() {
+fn several_dead_servers_fail_no_request_and_are_ejected() {
     let mut node = Node::with(settings(), 1, fleet(8));
     let mut waiting: Vec<(u64, ServerId)> = (0..24)
         .flat_map(|n| sent(&node.request(read(n, n * 7919))).into_iter().map(move |server| (n, server)))
         .collect();
-    let dead = |server: &ServerId| *server == id(1) || *server == id(2);
+    let is_dead = |server: &ServerId| *server == id(1) || *server == id(2);
     let mut out = BTreeSet::new();
-    while let Some(at) = waiting.iter().position(|(_, server)| dead(server)) {
+    while let Some(at) = waiting.iter().position(|(_, server)| is_dead(server)) {
         let (n, _) = waiting.remove(at);
         let actions = node.outcome(n, Status::Unreachable, None);
-        assert!(!refused(&actions), "request {n}");
+        assert!(!rejected(&actions), "request {n}");
         waiting.extend(sent(&actions).into_iter().map(|server| (n, server)));
         out.extend(actions.iter().filter_map(|a| match a {
             Action::Log(text) if text.contains("taken out") => Some(text.clone()),
             _ => None,
         }));
     }
-    assert!(!out.is_empty(), "nobody was taken out");
+    assert!(!out.is_empty(), "no server was ejected");
 }
 
 /// Time-outs of clients that leave before any attempt counts as late are no sign of a faulty server.
 #[test]
-fn time_outs_of_clients_that_leave_early_take_no_server_out() {
-    let taken_out = |left: Seconds| {
+fn time_outs_of_clients_that_leave_early_eject_no_server() {
+    let ejections = |left: Seconds| {
         let mut node = Node::with(settings(), 1, fleet(8));
         let mut out = 0;
         for n in 0..200 {
@@ -144,5 +144,5 @@
         }
         out
     };
-    assert_eq!((taken_out(0.2), taken_out(0.9) > 0), (0, true));
+    assert_eq!((ejections(0.2), ejections(0.9) > 0), (0, true));
 }
--- a/crates/balancer/tests/rules/listed.rs
+++ b/crates/balancer/tests/rules/listed.rs
@@ -6,27 +6,27 @@
 use crate::fleet;
 
 #[test]
-fn a_drain_just_before_a_send_keeps_the_send_away() {
+fn a_server_that_drains_just_before_a_send_is_not_sent_to() {
     for state in [ServerState::Draining, ServerState::Gone] {
         let mut node = Node::with(settings(), 1, fleet(4));
-        let home = node.home(1, 9);
-        let n = (1..=4).find(|&n| id(n) == home).unwrap();
+        let owner = node.owner(1, 9);
+        let n = (1..=4).find(|&n| id(n) == owner).unwrap();
         node.event(Event::Roster(RosterNews::Delta(vec![RosterEntry { state, ..entry(n) }])));
         for request in 2..40 {
-            assert!(sent(&node.request(read(request, 9))).iter().all(|s| *s != home));
+            assert!(sent(&node.request(read(request, 9))).iter().all(|s| *s != owner));
         }
     }
 }
 
 #[test]
-fn who_is_absent_from_a_full_list_has_left() {
+fn a_server_absent_from_a_complete_list_has_left() {
     let mut node = Node::with(settings(), 1, fleet(4));
     node.event(Event::Roster(RosterNews::Full(fleet(3))));
-    assert!((1..200).all(|n| node.home(n, n) != id(4)));
+    assert!((1..200).all(|n| node.owner(n, n) != id(4)));
 }
 
 #[test]
-fn an_emptied_list_sends_nothing_and_a_new_one_serves_again() {
+fn with_an_empty_list_nothing_is_sent_until_a_new_list_arrives() {
     let mut node = Node::with(settings(), 1, fleet(4));
     node.event(Event::Roster(RosterNews::Full(vec![])));
     assert!(sent(&node.request(read(1, 1))).is_empty());
@@ -34,48 +34,48 @@
     assert_eq!(sent(&node.request(read(2, 2))).len(), 1);
 }
 
-fn asking() -> Settings {
+fn polling_settings() -> Settings {
     Settings { membership: Membership::OnRequest, ..settings() }
 }
 
-fn asks(actions: &[Action]) -> usize {
+fn subscribe_calls(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Subscribe)).count()
 }
 
 #[test]
-fn an_asking_node_subscribes_at_once_and_repeats_failed_calls() {
-    let mut node = Node::new(asking(), 1);
-    assert_eq!(asks(&node.event(Event::Roster(RosterNews::Cached(fleet(4))))), 1);
+fn a_polling_node_subscribes_at_once_and_repeats_failed_calls() {
+    let mut node = Node::new(polling_settings(), 1);
+    assert_eq!(subscribe_calls(&node.event(Event::Roster(RosterNews::Cached(fleet(4))))), 1);
     for _ in 0..5 {
         node.event(Event::Roster(RosterNews::Failed));
-        assert_eq!(asks(&node.pass(3.0)), 1);
+        assert_eq!(subscribe_calls(&node.advance(3.0)), 1);
     }
     node.event(Event::Roster(RosterNews::Delta(vec![])));
-    assert_eq!(asks(&node.pass(60.0)), 0, "a subscription is not asked for twice");
+    assert_eq!(subscribe_calls(&node.advance(60.0)), 0, "a node subscribes once");
     node.event(Event::Roster(RosterNews::Failed));
-    assert_eq!(asks(&node.pass(3.0)), 1, "a broken one is asked for again");
+    assert_eq!(subscribe_calls(&node.advance(3.0)), 1, "a broken subscription is renewed");
 }
 
 #[test]
-fn a_call_that_is_never_answered_is_made_again_before_the_time_to_ask_has_run_out() {
-    let mut node = Node::new(asking(), 1);
+fn a_call_without_an_answer_is_repeated_before_the_poll_interval_ends() {
+    let mut node = Node::new(polling_settings(), 1);
     node.event(Event::Roster(RosterNews::Cached(fleet(4))));
-    assert!(asks(&node.pass(9.0)) >= 1);
+    assert!(subscribe_calls(&node.advance(9.0)) >= 1);
 }
 
 /// A restarted node has only its stored list: it uses that, calls discovery at once, and counts a start that
 /// the stored list lacked from the moment that it is notified.
 #[test]
-fn a_restarted_node_works_by_its_old_list_until_it_is_told_more() {
-    let mut node = Node::new(asking(), 7);
+fn a_restarted_node_uses_its_stored_list_until_an_update_arrives() {
+    let mut node = Node::new(polling_settings(), 7);
     let first = node.event(Event::Roster(RosterNews::Cached(fleet(8))));
-    assert_eq!(asks(&first), 1);
-    let owned = |node: &mut Node, from: u64| (0..2000).filter(|&n| node.home(from + n, n) == id(1)).count();
+    assert_eq!(subscribe_calls(&first), 1);
+    let owned = |node: &mut Node, from: u64| (0..2000).filter(|&n| node.owner(from + n, n) == id(1)).count();
     let before = owned(&mut node, 0);
     let started = RosterEntry { started: Some(99.0), ..entry(1) };
     let gone = RosterEntry { state: ServerState::Gone, ..entry(2) };
     node.event(Event::Roster(RosterNews::Delta(vec![started, gone])));
     let after = owned(&mut node, 10_000);
     assert!(after > 0 && after * 2 < before, "{after} of {before}");
-    assert!((0..500).all(|n| node.home(20_000 + n, n) != id(2)));
+    assert!((0..500).all(|n| node.owner(20_000 + n, n) != id(2)));
 }
--- a/crates/balancer/tests/rules/origin.rs
+++ b/crates/balancer/tests/rules/origin.rs
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn failed_fetches_lower_the_number_of_unknown_keys_sent_and_known_keys_pass() {
+fn failed_fetches_limit_reads_of_unknown_keys_but_not_of_known_keys() {
     let mut node = Node::with(settings(), 1, fleet(8));
     for n in 0..50 {
-        node.home(n, n);
+        node.owner(n, n);
     }
     for n in 1000..1400 {
         if !sent(&node.request(read(n, n))).is_empty() {
@@ -39,23 +39,23 @@
 /// Requests beyond the origin's limit are held in order: each fetch that ends frees one, the oldest first,
 /// and a write before all reads.
 #[test]
-fn held_fetches_go_one_for_one_in_turn_and_writes_first() {
+fn held_fetches_are_sent_one_by_one_in_order_and_writes_first() {
     let mut node = Node::with(settings(), 1, fleet(100));
     let out: Vec<u64> = (0..100).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).collect();
-    assert_eq!(out, (0..64).collect::<Vec<_>>(), "the first fetches are sent, the rest held");
+    assert_eq!(out, (0..64).collect::<Vec<_>>(), "the first fetches are sent, the others held");
     for n in 100..164 {
         let write = NewRequest { class: Some(UNSAFE), write: true, ..read(n, n) };
-        assert_eq!(sent(&node.request(write)).len(), 1, "writes have twice the room");
+        assert_eq!(sent(&node.request(write)).len(), 1, "the limit of writes is twice that of fetches");
     }
     let held_write = NewRequest { class: Some(UNSAFE), write: true, ..read(200, 200) };
     assert!(sent(&node.request(held_write)).is_empty());
     node.now += 0.01;
-    let goes = |node: &Node| node.sends.keys().next_back().copied();
+    let last_sent = |node: &Node| node.sends.keys().next_back().copied();
     let released = node.outcome(0, Status::Success, Some(CacheNote::Miss));
     assert_eq!(
-        (sent(&released).len(), goes(&node)),
+        (sent(&released).len(), last_sent(&node)),
         (1, Some(RequestId(200))),
-        "the write, though it came last"
+        "the write goes first, though it arrived last"
     );
     // A fetch that ends makes room for a read only once the writes, which may use twice the limit, are below
     // the limit of reads.
@@ -77,14 +77,14 @@
     let mut entries = fleet(4);
     entries.push(origin());
     let mut node = Node::with(aside, 1, entries);
-    let home = sent(&node.request(read(1, 3)))[0].clone();
-    assert_ne!(home, origin().server);
+    let owner = sent(&node.request(read(1, 3)))[0].clone();
+    assert_ne!(owner, origin().server);
     assert_eq!(sent(&node.request(NewRequest { write: true, ..read(9, 4) })), [origin().server]);
     assert_eq!(sent(&node.request(read(2, 3))).len(), 1);
     assert_eq!(sent(&node.outcome(1, Status::Absent, Some(CacheNote::Miss))), [origin().server]);
     assert!(sent(&node.outcome(2, Status::Absent, Some(CacheNote::Miss))).is_empty());
     // The second read asks its cache server again when the fetch is over.
-    assert_eq!(sent(&node.serve(1)), [home]);
+    assert_eq!(sent(&node.serve(1)), [owner]);
 }
 
 /// Writes reach the origin too: while it fails, writes and hedged requests must not keep it overloaded.
@@ -106,7 +106,7 @@
 /// Where many nodes share an origin, each uses little of its limit. When the origin is slow, the limit must
 /// fall from the load in use; otherwise it takes tens of cuts before it has an effect.
 #[test]
-fn a_fetch_limit_far_above_what_is_in_use_falls_fast() {
+fn a_fetch_limit_far_above_the_load_falls_fast() {
     let mut node = Node::with(settings(), 1, fleet(8));
     for n in 0..25 {
         for m in 0..4 {
@@ -126,7 +126,7 @@
 /// Times of single fetches vary much. With half of the fetches in time and half far too late, a limit that
 /// followed their mean fell to nothing and blocked most reads for twenty seconds.
 #[test]
-fn fetches_of_which_half_are_in_time_do_not_lower_the_fetch_limit() {
+fn fetches_half_of_which_are_in_time_do_not_lower_the_fetch_limit() {
     let mut node = Node::with(settings(), 1, fleet(16));
     for n in 0..300 {
         node.request(read(n, n));
@@ -185,5 +185,5 @@
         node.outcome(n, Status::Success, Some(if miss { CacheNote::Miss } else { CacheNote::Hit }));
     }
     let unknown = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
-    assert!((5..30).contains(&unknown), "{unknown} sent: some ten for each fetch that the origin bears");
+    assert!((5..30).contains(&unknown), "{unknown} sent: about ten for each fetch that the origin sustains");
 }
--- a/crates/balancer/tests/rules/repeats.rs
+++ b/crates/balancer/tests/rules/repeats.rs
@@ -19,25 +19,29 @@
 ];
 
 #[test]
-fn every_effect_crossed_with_every_status() {
+fn retries_follow_the_rules_for_every_effect_and_status() {
     for status in ALL {
         for class in [READ, KEYED, UNSAFE] {
             let mut node = Node::with(settings(), 1, fleet(6));
             let first = sent(&node.request(NewRequest { class: Some(class), ..read(1, 5) }))[0].clone();
             node.now += 0.01;
             let actions = node.outcome(1, status, None);
-            let again = sent(&actions);
+            let retries = sent(&actions);
             if status == Status::Success {
-                assert!(again.is_empty() && !refused(&actions) && !failed(&actions));
+                assert!(retries.is_empty() && !rejected(&actions) && !failed(&actions));
             } else if status.may_have_run() && class == UNSAFE {
-                assert!(again.is_empty() && !refused(&actions), "{status:?} {actions:?}");
+                assert!(retries.is_empty() && !rejected(&actions), "{status:?} {actions:?}");
             } else if status.may_have_run() && class == KEYED {
                 // Zones alternate by the server's number; the group is the zone.
-                let zone = |s: &ServerId| s.0.trim_end_matches(":80").ends_with(['0', '2', '4', '6', '8']);
-                assert!(again.iter().all(|s| zone(s) == zone(&first)), "{status:?} {again:?}");
-                assert!(!refused(&actions), "{status:?}");
+                let in_even_zone =
+                    |s: &ServerId| s.0.trim_end_matches(":80").ends_with(['0', '2', '4', '6', '8']);
+                assert!(
+                    retries.iter().all(|s| in_even_zone(s) == in_even_zone(&first)),
+                    "{status:?} {retries:?}"
+                );
+                assert!(!rejected(&actions), "{status:?}");
             }
-            assert!(again.len() <= 1);
+            assert!(retries.len() <= 1);
         }
     }
 }
@@ -52,27 +56,27 @@
 }
 
 #[test]
-fn repeats_are_budgeted() {
+fn retries_are_budgeted() {
     let mut node = Node::with(settings(), 1, fleet(8));
-    let mut repeats = 0;
+    let mut retries = 0;
     for n in 0..1000 {
         let mut actions = node.request(read(n, n));
         while !sent(&actions).is_empty() {
             node.now += 0.01;
             actions = node.outcome(n, Status::Overloaded, None);
-            repeats += sent(&actions).len();
+            retries += sent(&actions).len();
         }
     }
-    assert!(repeats <= 125, "{repeats} repeats of 1000 requests");
+    assert!(retries <= 125, "{retries} retries of 1000 requests");
 }
 
 #[test]
-fn a_silent_attempt_is_hedged_out_of_a_budget_and_a_server_that_answers_others_is_not_doubted() {
+fn a_silent_attempt_is_hedged_unless_its_server_answers_others() {
     let hedged = |servers: u64, answers_another: bool, effect: ClassId| {
         let mut node = Node::with(settings(), 1, fleet(servers));
-        let key = (0..).find(|&k| node.home(k, k) == id(1)).expect("a key of server one");
-        let other = (key + 1..).find(|&k| node.home(k, k) == id(1)).expect("another");
-        node.forget();
+        let key = (0..).find(|&k| node.owner(k, k) == id(1)).expect("a key of server one");
+        let other = (key + 1..).find(|&k| node.owner(k, k) == id(1)).expect("another");
+        node.flush_recent_keys();
         let mut out = Vec::new();
         node.request(NewRequest { class: Some(effect), ..read(90_000, key) });
         if answers_another {
@@ -93,27 +97,27 @@
 /// An error of a server that fails reads at once is not the origin's: its reads are retried elsewhere, while
 /// few attempts fail. Once all fail, the fault is the origin's, and retries would only add to its load.
 #[test]
-fn a_read_that_a_server_fails_is_asked_for_elsewhere_but_not_when_all_fail() {
+fn a_read_that_a_server_fails_is_retried_elsewhere_unless_all_servers_fail() {
     let mut node = Node::with(settings(), 1, fleet(64));
-    let mut play = |from: u64, all: bool| {
+    let mut run_reads = |from: u64, all: bool| {
         let (mut failed, mut served) = (0, 0);
         for n in from..from + 400 {
             let mut actions = node.request(read(n, n));
             while let [server, ..] = &sent(&actions)[..] {
                 node.now += 0.02;
-                let bad = all || (0..8).any(|n| *server == id(n));
+                let is_faulty = all || (0..8).any(|n| *server == id(n));
                 let (status, note) =
-                    if bad { (Status::Error, None) } else { (Status::Success, Some(CacheNote::Hit)) };
+                    if is_faulty { (Status::Error, None) } else { (Status::Success, Some(CacheNote::Hit)) };
                 actions = node.outcome(n, status, note);
-                failed += usize::from(bad);
-                served += usize::from(!bad);
+                failed += usize::from(is_faulty);
+                served += usize::from(!is_faulty);
             }
         }
         (failed, served)
     };
-    let (_, served) = play(0, false);
-    assert!(served >= 390, "{served} of 400 served, with one of eight servers bad");
-    play(1000, true);
-    let (failed, _) = play(2000, true);
+    let (_, served) = run_reads(0, false);
+    assert!(served >= 390, "{served} of 400 served, with one of eight servers faulty");
+    run_reads(1000, true);
+    let (failed, _) = run_reads(2000, true);
     assert!(failed <= 400, "{failed} attempts of 400 requests");
 }
--- a/crates/balancer/tests/size.rs
+++ b/crates/balancer/tests/size.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-const WIDEST: usize = 110;
+const MAX_LINE_WIDTH: usize = 110;
 /// Most lines of a file, blank ones included.
-const LONGEST: usize = 250;
+const MAX_LINE_COUNT: usize = 250;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The files that deploy/balancer.toml names under `policy`, and their text.
-fn policy() -> Vec<(String, String)> {
+/// The files that deploy/balancer.toml names under `policy_files`, and their text.
+fn policy_files() -> Vec<(String, String)> {
     let deploy = std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("deploy/balancer.toml");
     let deploy: toml::Table = deploy.parse().expect("TOML");
     let names = deploy["policy"].as_array().expect("a list").iter().map(|n| n.as_str().expect("a name"));
@@ -22,13 +22,13 @@
 
 #[test]
 fn decision_files_have_at_most_250_lines_of_at_most_110_characters() {
-    let files = policy();
+    let files = policy_files();
     assert!(!files.is_empty());
     for (name, text) in &files {
-        assert!(text.lines().count() <= LONGEST, "{name} is longer than {LONGEST} lines");
-        let wide = (1..).zip(text.lines()).find(|(_, line)| line.chars().count() > WIDEST);
-        assert!(wide.is_none(), "{name}: {wide:?}");
-        assert!(text.starts_with("//! "), "{name} does not say what it decides");
+        assert!(text.lines().count() <= MAX_LINE_COUNT, "{name} is longer than {MAX_LINE_COUNT} lines");
+        let wide_line = (1..).zip(text.lines()).find(|(_, line)| line.chars().count() > MAX_LINE_WIDTH);
+        assert!(wide_line.is_none(), "{name}: {wide_line:?}");
+        assert!(text.starts_with("//! "), "{name} lacks a module doc comment");
     }
 }
 
@@ -46,15 +46,15 @@
 }
 
 #[test]
-fn every_file_with_decisions_is_named_as_one() {
-    let named: BTreeSet<String> = policy().into_iter().map(|(name, _)| name).collect();
-    let mut there = BTreeSet::new();
-    collect_sources("crates/balancer/src/balance", &mut there);
-    assert_eq!(named, there);
+fn every_decision_file_is_named_under_policy() {
+    let named_files: BTreeSet<String> = policy_files().into_iter().map(|(name, _)| name).collect();
+    let mut present = BTreeSet::new();
+    collect_sources("crates/balancer/src/balance", &mut present);
+    assert_eq!(named_files, present);
 }
 
 #[test]
-fn module_names_its_interface_at_the_top() {
-    let (_, first) = policy().swap_remove(0);
+fn first_policy_file_names_the_interface_folder_at_the_top() {
+    let (_, first) = policy_files().swap_remove(0);
     assert!(first.lines().take(5).any(|line| line.contains("src/interface/")));
 }
