--- a/crates/balancer/src/balance/arrival.rs
+++ b/crates/balancer/src/balance/arrival.rs
@@ -58,8 +58,8 @@
     }
 
     /// Whether a request is ended unsent because hardly any requests with so short a deadline are served.
-    fn is_throttled(&mut self, left: Seconds) -> bool {
+    fn is_throttled(&mut self, time_left: Seconds) -> bool {
         let probability = self.short_deadline_throttle.admission_probability();
-        self.is_short_deadline(left) && probability < 1.0 && self.jitter.next() >= probability
+        self.is_short_deadline(time_left) && probability < 1.0 && self.jitter.next() >= probability
     }
 }
--- a/crates/balancer/src/balance/brief_throttle.rs
+++ b/crates/balancer/src/balance/brief_throttle.rs
@@ -25,9 +25,9 @@
         ShortDeadlineThrottle { served_share: 1.0 }
     }
 
-    /// Whether a client that waits for `left` leaves before the usual answer time allows an answer.
-    pub(super) fn is_short_deadline(left: Seconds, answer_time: Seconds) -> bool {
-        left < answer_time * SHORT_DEADLINE_ANSWER_TIMES
+    /// Whether a client that waits for `time_left` leaves before the usual answer time allows an answer.
+    pub(super) fn is_short_deadline(time_left: Seconds, answer_time: Seconds) -> bool {
+        time_left < answer_time * SHORT_DEADLINE_ANSWER_TIMES
     }
 
     pub(super) fn admission_probability(&self) -> f64 {
--- a/crates/balancer/src/balance/completion.rs
+++ b/crates/balancer/src/balance/completion.rs
@@ -7,11 +7,11 @@
 impl BalancerState {
     /// Ends a request: rejects it where a retry by the client is harmless, else fails it.
     pub(super) fn end(&mut self, id: RequestId) {
-        let spread = 0.5 + self.jitter.next();
+        let jitter_factor = 0.5 + self.jitter.next();
         let request = self.requests.get(&id).filter(|request| !request.ended && !request.streaming);
         let Some(request) = request else { return };
         let answer = if self.may_reject(request) {
-            Action::Refuse { request: id, retry_after: self.retry_after(spread) }
+            Action::Refuse { request: id, retry_after: self.retry_after(jitter_factor) }
         } else {
             Action::Fail(id)
         };
@@ -21,9 +21,9 @@
 
     /// When a rejected client should retry: capacity frees within about one answer time, and clients must not
     /// retry at the same moment.
-    fn retry_after(&self, spread: f64) -> Option<Seconds> {
-        let wait = (self.latency.answer_time() * spread).min(self.settings.limits.max_retry_after);
-        (wait > 0.0).then_some(wait)
+    fn retry_after(&self, jitter_factor: f64) -> Option<Seconds> {
+        let delay = (self.latency.answer_time() * jitter_factor).min(self.settings.limits.max_retry_after);
+        (delay > 0.0).then_some(delay)
     }
 
     /// The client reads this attempt's answer, so all other attempts of the request are cancelled.
--- a/crates/balancer/src/balance/concurrency_limit.rs
+++ b/crates/balancer/src/balance/concurrency_limit.rs
@@ -38,11 +38,12 @@
         }
     }
 
-    /// Cuts the limit to `share` of the load, which is clamped between half the limit and the limit. An
-    /// attempt that was sent before the last cut says nothing about the limit since, so it is ignored.
-    pub(super) fn cut(&mut self, share: f64, load: f64, now: Seconds, elapsed: Seconds) {
+    /// Cuts the limit to `factor` times the load, after the load is clamped between half the limit and the
+    /// limit. An attempt that was sent before the last cut says nothing about the limit since, so it is
+    /// ignored.
+    pub(super) fn cut(&mut self, factor: f64, load: f64, now: Seconds, elapsed: Seconds) {
         if now - elapsed > self.changed_at {
-            self.value = (load.clamp(self.value / 2.0, self.value) * share).max(MIN_LIMIT);
+            self.value = (load.clamp(self.value / 2.0, self.value) * factor).max(MIN_LIMIT);
             self.changed_at = now;
         }
     }
--- a/crates/balancer/src/balance/demand.rs
+++ b/crates/balancer/src/balance/demand.rs
@@ -20,10 +20,10 @@
     arrived: u32,
     /// Requests that were served since the last update.
     served: u32,
-    recent: f64,
-    usual: f64,
+    recent_rate: f64,
+    usual_rate: f64,
     /// Time over which the usual demand has been averaged, up to `REMEMBERED_WINDOWS` windows.
-    learnt_for: Seconds,
+    averaged_for: Seconds,
     updated_at: Option<Seconds>,
 }
 
@@ -47,32 +47,32 @@
 
     /// Updates the averages with the requests counted since the last update.
     pub(super) fn update(&mut self, now: Seconds, fleet: &Fleet) {
-        let passed = now - self.updated_at.replace(now).unwrap_or(now);
-        if passed <= 0.0 {
+        let elapsed = now - self.updated_at.replace(now).unwrap_or(now);
+        if elapsed <= 0.0 {
             return;
         }
-        let per_server = 1.0 / (passed * fleet.ready.max(1) as f64);
+        let per_server = 1.0 / (elapsed * fleet.ready.max(1) as f64);
         let arrived = f64::from(std::mem::take(&mut self.arrived)) * per_server;
         let served = f64::from(std::mem::take(&mut self.served)) * per_server;
-        let recent_window = (fleet.window * RECENT_WINDOWS).max(passed);
-        self.recent += (arrived - self.recent) * (passed / recent_window);
+        let recent_window = (fleet.window * RECENT_WINDOWS).max(elapsed);
+        self.recent_rate += (arrived - self.recent_rate) * (elapsed / recent_window);
         // A node that has just started, or was idle, takes its first arrivals as its usual demand.
-        if self.usual * fleet.ready as f64 * fleet.window < MIN_KNOWN_REQUESTS {
-            self.learnt_for = 0.0;
+        if self.usual_rate * fleet.ready as f64 * fleet.window < MIN_KNOWN_REQUESTS {
+            self.averaged_for = 0.0;
         }
-        let is_new = self.learnt_for < fleet.window;
+        let is_new = self.averaged_for < fleet.window;
         if fleet.all_warm || is_new {
-            self.learnt_for = (self.learnt_for + passed).min(fleet.window * REMEMBERED_WINDOWS);
+            self.averaged_for = (self.averaged_for + elapsed).min(fleet.window * REMEMBERED_WINDOWS);
             let sample = if is_new { arrived } else { served };
-            self.usual += (sample - self.usual) * (passed / self.learnt_for.max(passed));
+            self.usual_rate += (sample - self.usual_rate) * (elapsed / self.averaged_for.max(elapsed));
         }
     }
 
     /// The ratio of usual to recent demand: below 1 in a surge, or when rejected clients retry.
     pub(super) fn usual_ratio(&self) -> f64 {
-        if self.learnt_for <= 0.0 || self.recent <= self.usual {
+        if self.averaged_for <= 0.0 || self.recent_rate <= self.usual_rate {
             return 1.0;
         }
-        (self.usual / self.recent).max(MIN_RATIO)
+        (self.usual_rate / self.recent_rate).max(MIN_RATIO)
     }
 }
--- a/crates/balancer/src/balance/dispatch.rs
+++ b/crates/balancer/src/balance/dispatch.rs
@@ -59,10 +59,10 @@
         if !write && target.to_origin && self.origin.join_fetch(key, id) {
             return None;
         }
-        let hold = if write { HoldReason::Write } else { HoldReason::Fetch };
+        let origin_hold = if write { HoldReason::Write } else { HoldReason::Fetch };
         let is_aside = self.settings.cache != CacheMode::Through;
-        let origin_has_capacity = is_aside || !target.to_origin || self.origin.has_capacity(hold);
-        let hold_reason = if target.server.is_some() { hold } else { HoldReason::Server };
+        let origin_has_capacity = is_aside || !target.to_origin || self.origin.has_capacity(origin_hold);
+        let hold_reason = if target.server.is_some() { origin_hold } else { HoldReason::Server };
         if let Some(server) = target.server.filter(|_| origin_has_capacity) {
             self.send(id, &server, target.to_origin);
             return None;
@@ -127,8 +127,8 @@
             }
         }
         self.servers.attempt_sent(server);
-        let left = request.deadline - self.now - 2.0 * self.settings.round;
-        let timeout = Some(left.max(self.settings.round));
+        let time_left = request.deadline - self.now - 2.0 * self.settings.round;
+        let timeout = Some(time_left.max(self.settings.round));
         self.actions.push(Action::Send { request: id, server: server.clone(), timeout });
         self.schedule_late(id);
     }
@@ -137,8 +137,8 @@
     fn schedule_late(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let late_at = self.now + self.time_until_late(request);
-        let before = self.set_late_at(id, late_at);
-        self.timers.cancel(before, TimerKind::Late, id);
+        let previous_late_at = self.set_late_at(id, late_at);
+        self.timers.cancel(previous_late_at, TimerKind::Late, id);
         self.timers.schedule(late_at, TimerKind::Late, id);
         self.arm_timer();
     }
@@ -161,26 +161,26 @@
     fn dispatch_held(&mut self, scan: HeldScan) {
         for hold in HoldReason::ALL {
             let mut queue = self.held.take(hold);
-            let mut stay = VecDeque::new();
-            while self.continues_scan(scan, hold, stay.len()) {
+            let mut still_held = VecDeque::new();
+            while self.continues_scan(scan, hold, still_held.len()) {
                 let Some(id) = queue.pop_front() else { break };
                 match self.try_dispatch(id) {
-                    Some(same) if same == hold => stay.push_back(id),
+                    Some(same) if same == hold => still_held.push_back(id),
                     Some(other) => self.held.push(other, id),
                     None => {}
                 }
             }
             // Requests that stay held keep their order.
-            stay.into_iter().rev().for_each(|id| queue.push_front(id));
+            still_held.into_iter().rev().for_each(|id| queue.push_front(id));
             self.held.put_back(hold, queue);
         }
     }
 
-    fn continues_scan(&self, scan: HeldScan, hold: HoldReason, still_held: usize) -> bool {
+    fn continues_scan(&self, scan: HeldScan, hold: HoldReason, still_held_count: usize) -> bool {
         match scan {
             HeldScan::All => true,
-            HeldScan::UntilStillHeld(most) => {
-                still_held < most && (hold == HoldReason::Server || self.origin.has_capacity(hold))
+            HeldScan::UntilStillHeld(limit) => {
+                still_held_count < limit && (hold == HoldReason::Server || self.origin.has_capacity(hold))
             }
         }
     }
--- a/crates/balancer/src/balance/due_timers.rs
+++ b/crates/balancer/src/balance/due_timers.rs
@@ -21,17 +21,17 @@
 #[derive(Default)]
 pub(super) struct DueTimers {
     /// Times are stored as their bit patterns, which sort like the (non-negative) times.
-    due: BTreeSet<(u64, TimerKind, RequestId)>,
+    queue: BTreeSet<(u64, TimerKind, RequestId)>,
     armed_for: Option<Seconds>,
 }
 
 impl DueTimers {
     pub(super) fn schedule(&mut self, at: Seconds, kind: TimerKind, request: RequestId) {
-        self.due.insert((at.to_bits(), kind, request));
+        self.queue.insert((at.to_bits(), kind, request));
     }
 
     pub(super) fn cancel(&mut self, at: Seconds, kind: TimerKind, request: RequestId) {
-        self.due.remove(&(at.to_bits(), kind, request));
+        self.queue.remove(&(at.to_bits(), kind, request));
     }
 
     /// Notes that the host's timer has fired.
@@ -41,17 +41,17 @@
 
     /// Removes and returns the first timer that is due.
     pub(super) fn pop_due(&mut self, now: Seconds) -> Option<(TimerKind, RequestId)> {
-        let (at, kind, request) = *self.due.first()?;
+        let (at, kind, request) = *self.queue.first()?;
         if f64::from_bits(at) > now + TIMER_TOLERANCE {
             return None;
         }
-        self.due.pop_first();
+        self.queue.pop_first();
         Some((kind, request))
     }
 
     /// The delay after which the host's timer has to fire; `None` if it is already set early enough.
     pub(super) fn arm(&mut self, now: Seconds) -> Option<Seconds> {
-        let (first, ..) = self.due.first()?;
+        let (first, ..) = self.queue.first()?;
         let at = f64::from_bits(*first);
         if self.armed_for.is_some_and(|armed| armed <= at) {
             return None;
@@ -61,11 +61,11 @@
     }
 
     pub(super) fn len(&self) -> usize {
-        self.due.len()
+        self.queue.len()
     }
 
     #[cfg(test)]
     pub(super) fn requests(&self) -> impl Iterator<Item = &RequestId> {
-        self.due.iter().map(|(_, _, request)| request)
+        self.queue.iter().map(|(_, _, request)| request)
     }
 }
--- a/crates/balancer/src/balance/hash_ring.rs
+++ b/crates/balancer/src/balance/hash_ring.rs
@@ -24,8 +24,8 @@
 
 /// Hash of a key and a number.
 pub(super) fn hash_key(key: Key, number: u64) -> u64 {
-    let both = u128::from(number) << 64 | u128::from(key.0);
-    hash(&both.to_le_bytes())
+    let key_and_number = u128::from(number) << 64 | u128::from(key.0);
+    hash(&key_and_number.to_le_bytes())
 }
 
 /// The power of two that weights are divided by, so that the heaviest server has a scaled size from 1 to 2.
--- a/crates/balancer/src/balance/hedging.rs
+++ b/crates/balancer/src/balance/hedging.rs
@@ -45,8 +45,8 @@
     fn late_server(&self, request: &Request) -> Option<ServerId> {
         let last = request.attempts.last()?;
         let is_over = request.ended || request.streaming || request.give_up_at <= self.now + TIMER_TOLERANCE;
-        let due = last.sent_at + self.time_until_late(request) - self.settings.round;
-        let is_late = last.is_in_flight() && self.now >= due;
+        let late_at = last.sent_at + self.time_until_late(request) - self.settings.round;
+        let is_late = last.is_in_flight() && self.now >= late_at;
         // If the origin is slow, all attempts are late; if the server answered another attempt since, it is
         // alive and only this request is slow.
         let server = self.servers.get(&last.server);
--- a/crates/balancer/src/balance/routing.rs
+++ b/crates/balancer/src/balance/routing.rs
@@ -24,7 +24,7 @@
 }
 
 /// Result of one probe.
-enum Probe {
+enum ProbeResult {
     Take,
     Next,
     /// Ends the search: further servers are reserved for other requests too.
@@ -52,10 +52,10 @@
         let route = self.route(request);
         for probe in request.first_probe..request.first_probe + MAX_PROBES {
             let (id, server) = self.owner(request, probe)?;
-            match self.probe(request, &route, probe, id, server) {
-                Probe::Take => return Some(id.clone()),
-                Probe::Next => {}
-                Probe::Stop => return None,
+            match self.evaluate_probe(request, &route, probe, id, server) {
+                ProbeResult::Take => return Some(id.clone()),
+                ProbeResult::Next => {}
+                ProbeResult::Stop => return None,
             }
         }
         None
@@ -71,24 +71,31 @@
         Route { is_low_priority: request.over_quota && is_full, is_heavy: is_expensive && totals.warm > 0 }
     }
 
-    fn probe(&self, request: &Request, route: &Route, probe: u64, id: &ServerId, server: &Server) -> Probe {
+    fn evaluate_probe(
+        &self,
+        request: &Request,
+        route: &Route,
+        probe: u64,
+        id: &ServerId,
+        server: &Server,
+    ) -> ProbeResult {
         // A server that is warming up takes requests for its own keys, not the overflow of others.
         let is_cold = server.is_warming_up(self.now, &self.settings.guarantees);
         let is_excluded = is_cold && (probe > self.last_probe_while_warming_up(request) || route.is_heavy);
         if request.has_tried(id) || is_excluded || !self.may_send(request, id, server) {
-            return Probe::Next;
+            return ProbeResult::Next;
         }
         let floor = cap_floor(&self.settings);
         let in_flight = f64::from(server.in_flight());
         // The learnt limit binds low-priority requests only: if it bound all of them, requests would be
         // rejected while servers can still queue.
         if route.is_low_priority && in_flight >= self.low_priority_limit(server, floor) {
-            return Probe::Stop;
+            return ProbeResult::Stop;
         }
         if in_flight < self.servers.cap(server, floor) {
-            Probe::Take
+            ProbeResult::Take
         } else {
-            Probe::Next
+            ProbeResult::Next
         }
     }
 
@@ -108,7 +115,7 @@
     }
 
     /// Whether a client leaves before the usual answer time allows an answer.
-    pub(super) fn is_short_deadline(&self, left: Seconds) -> bool {
-        super::brief_throttle::ShortDeadlineThrottle::is_short_deadline(left, self.latency.answer_time())
+    pub(super) fn is_short_deadline(&self, time_left: Seconds) -> bool {
+        super::brief_throttle::ShortDeadlineThrottle::is_short_deadline(time_left, self.latency.answer_time())
     }
 }
--- a/crates/balancer/src/balance/servers.rs
+++ b/crates/balancer/src/balance/servers.rs
@@ -106,16 +106,17 @@
         bound.ceil().max(floor.ceil())
     }
 
-    /// The owner of one probe of a key among the servers for which `takes` holds.
+    /// The owner of one probe of a key among the servers for which `is_eligible` holds.
     pub(super) fn owner(
         &self,
         key: Key,
         probe: u64,
-        takes: impl Fn(&Server) -> bool,
+        is_eligible: impl Fn(&Server) -> bool,
     ) -> Option<(&ServerId, &Server)> {
-        let is_taken = |server: &Server, point: &Point| server.has_active(point) && takes(server);
+        let is_eligible_point =
+            |server: &Server, point: &Point| server.has_active(point) && is_eligible(server);
         let id = self.ring.owner(key, probe, |point| {
-            self.servers.get(point.server()).is_some_and(|server| is_taken(server, point))
+            self.servers.get(point.server()).is_some_and(|server| is_eligible_point(server, point))
         })?;
         self.servers.get_key_value(id)
     }
@@ -143,7 +144,7 @@
     /// Takes a placement table if it is newer than the current one: never an older table, and never a
     /// different one under the same version.
     pub(super) fn apply_placement(&mut self, version: TableVersion, entries: Vec<TableEntry>) -> bool {
-        let is_newer = self.placement.as_ref().is_none_or(|held| held.version < version);
+        let is_newer = self.placement.as_ref().is_none_or(|current| current.version < version);
         if is_newer {
             let weights = entries.into_iter().map(|entry| (entry.server, entry.weight)).collect();
             self.placement = Some(PlacementTable { version, weights });
@@ -160,8 +161,8 @@
     /// How many servers are listed, and how many of them are unavailable (draining or ejected).
     pub(super) fn members(&self) -> (usize, usize) {
         let listed = || self.servers.values().filter(|server| !server.is_gone());
-        let avoided = listed().filter(|server| server.is_ejected() || !server.is_ready());
-        (listed().count(), avoided.count())
+        let unavailable = listed().filter(|server| server.is_ejected() || !server.is_ready());
+        (listed().count(), unavailable.count())
     }
 
     pub(super) fn len(&self) -> usize {
--- a/crates/balancer/src/balance/slow_start.rs
+++ b/crates/balancer/src/balance/slow_start.rs
@@ -9,10 +9,10 @@
 use crate::interface::{Guarantees, Seconds, ServerId};
 
 /// Least share of its requests that a server admits while it is warming up, so that each node sends it some.
-const MIN_SHARE: f64 = 1.0 / 16.0;
+const MIN_ADMITTED_SHARE: f64 = 1.0 / 16.0;
 /// Share of the multiple of a server's present capacity that overloads it (`Guarantees::fall_multiple`) that
 /// is used where no server is warm.
-const USED_MULTIPLE: f64 = 0.5;
+const USABLE_MULTIPLE_SHARE: f64 = 0.5;
 /// Reads a second, over all nodes, that probe an ejected server that is warming up.
 const PROBES_PER_SECOND: f64 = 3.0;
 
@@ -40,7 +40,7 @@
     if factor >= 1.0 {
         return 1.0;
     }
-    share_by_age(factor).min(share_by_latency(slowness)).max(MIN_SHARE)
+    share_by_age(factor).min(share_by_latency(slowness)).max(MIN_ADMITTED_SHARE)
 }
 
 impl BalancerState {
@@ -64,9 +64,9 @@
         // No warm server can take the rest. Rejected clients retry, and the same share of twice the requests
         // is twice the load.
         let guarantees = &self.settings.guarantees;
-        let usable_multiple = (guarantees.fall_multiple * USED_MULTIPLE).min(1.0);
+        let usable_multiple = (guarantees.fall_multiple * USABLE_MULTIPLE_SHARE).min(1.0);
         let sustainable = share_by_age(server.slow_start_factor(self.now, guarantees)) * usable_multiple;
-        let by_latency = share_by_latency(server.slowness()).max(MIN_SHARE);
+        let by_latency = share_by_latency(server.slowness()).max(MIN_ADMITTED_SHARE);
         sustainable.min(by_latency) * self.demand.usual_ratio()
     }
 
