--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -6,7 +6,6 @@
 //! the owners of h(key, 1), h(key, 2) and so on. Each deviation from that path documents when it applies.
 
 mod arrival;
-mod brief_throttle;
 mod completion;
 mod concurrency_limit;
 mod demand;
@@ -33,6 +32,7 @@
 mod routing;
 mod server;
 mod servers;
+mod short_deadline_throttle;
 mod slow_start;
 mod state;
 mod tenant_quota;
--- a/crates/balancer/src/balance/routing.rs
+++ b/crates/balancer/src/balance/routing.rs
@@ -116,6 +116,9 @@
 
     /// Whether a client leaves before the usual answer time allows an answer.
     pub(super) fn is_short_deadline(&self, time_left: Seconds) -> bool {
-        super::brief_throttle::ShortDeadlineThrottle::is_short_deadline(time_left, self.latency.answer_time())
+        super::short_deadline_throttle::ShortDeadlineThrottle::is_short_deadline(
+            time_left,
+            self.latency.answer_time(),
+        )
     }
 }
--- a/crates/balancer/src/balance/state.rs
+++ b/crates/balancer/src/balance/state.rs
@@ -5,7 +5,6 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::brief_throttle::ShortDeadlineThrottle;
 use super::demand::Demand;
 use super::due_timers::DueTimers;
 use super::endpoint_subscription::EndpointSubscription;
@@ -18,6 +17,7 @@
 use super::request::Request;
 use super::retry_budget::RetryBudget;
 use super::servers::ServerTable;
+use super::short_deadline_throttle::ShortDeadlineThrottle;
 use super::tenant_quota::TenantQuotas;
 use crate::interface::{Action, Class, Effect, Group, RequestId, Seconds, Settings, Sizes};
 
--- a/crates/balancer/src/balance/tests/mod.rs
+++ b/crates/balancer/src/balance/tests/mod.rs
@@ -4,9 +4,9 @@
 mod common;
 
 mod bounds;
-mod cut_short;
+mod churn;
+mod interruptions;
 mod recovery;
-mod weeks;
 
 use std::collections::BTreeMap;
 
--- a/crates/balancer/tests/ramp/trials.rs
+++ b/crates/balancer/tests/ramp/ejected_server_probes.rs
@@ -4,7 +4,7 @@
 use hallpin_balancer::*;
 
 use crate::common::{entry, id, read, sent, Node};
-use crate::site::Scenario;
+use crate::scenario::Scenario;
 
 const SERVERS: u64 = 12;
 /// Requests a second that each node sees.
--- a/crates/balancer/tests/ramp/main.rs
+++ b/crates/balancer/tests/ramp/main.rs
@@ -10,14 +10,14 @@
 #[path = "../common/mod.rs"]
 mod common;
 
+mod ejected_server_probes;
+mod scenario;
 mod servers;
-mod site;
-mod trials;
-mod world;
+mod simulation;
 
+use scenario::{Scenario, FIRST_START};
 use servers::Measurements;
-use site::{Scenario, FIRST_START};
-use world::simulate;
+use simulation::simulate;
 
 fn assert_none_overloaded(name: &str, scenario: &Scenario, measurements: &Measurements) {
     assert!(
--- a/crates/balancer/tests/ramp/servers.rs
+++ b/crates/balancer/tests/ramp/servers.rs
@@ -4,7 +4,7 @@
 
 use hallpin_balancer::*;
 
-use crate::site::{Scenario, FIRST_START};
+use crate::scenario::{Scenario, FIRST_START};
 
 /// Longest queueing time at a server before it rejects requests.
 const MAX_QUEUE_TIME: Seconds = 0.3;
--- a/crates/balancer/tests/ramp/world.rs
+++ b/crates/balancer/tests/ramp/simulation.rs
@@ -8,8 +8,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::common::{entry, id, KEYED, READ};
+use crate::scenario::{Scenario, FIRST_START};
 use crate::servers::{start_time, CacheServer, Measurements};
-use crate::site::{Scenario, FIRST_START};
 
 const DEADLINE: Seconds = 1.0;
 const BACKOFF: Seconds = 0.1;
--- a/crates/balancer/tests/rules/main.rs
+++ b/crates/balancer/tests/rules/main.rs
@@ -4,15 +4,15 @@
 mod common;
 
 mod answers;
-mod cold;
-mod crowds;
 mod ejection;
-mod listed;
+mod endpoint_list;
 mod origin;
-mod peers;
+mod peer_reports;
 mod placement;
-mod repeats;
+mod retries;
 mod settings;
+mod slow_start;
+mod throttling;
 
 use common::entry;
 use hallpin_balancer::RosterEntry;
