--- a/crates/balancer/src/interface/actions.rs
+++ b/crates/balancer/src/interface/actions.rs
@@ -1,6 +1,6 @@
 //! Actions that a balancer requests of its host.
 
-use super::names::{AttemptId, RequestId, Seconds, ServerId, TimerToken};
+use super::identifiers::{AttemptId, RequestId, Seconds, ServerId, TimerToken};
 
 /// An action for the host. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/balancer/src/interface/classes.rs
+++ b/crates/balancer/src/interface/classes.rs
@@ -1,6 +1,6 @@
 //! Request classes and tenants: latency objectives, quotas, and which requests may run twice.
 
-use super::names::Seconds;
+use super::identifiers::Seconds;
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/balancer/src/interface/roster.rs
+++ b/crates/balancer/src/interface/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list and its updates.
 
-use super::names::{Seconds, ServerId};
+use super::identifiers::{Seconds, ServerId};
 
 /// State of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/balancer/src/interface/events.rs
+++ b/crates/balancer/src/interface/events.rs
@@ -1,8 +1,8 @@
 //! Events that a host passes to a balancer.
 
+use super::endpoint_list::RosterNews;
 use super::fleet::FleetNews;
-use super::names::{AttemptId, ClassId, Key, RequestId, Seconds, ServerId, TenantId, TimerToken};
-use super::roster::RosterNews;
+use super::identifiers::{AttemptId, ClassId, Key, RequestId, Seconds, ServerId, TenantId, TimerToken};
 
 /// A request that has just arrived.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/balancer/src/interface/fleet.rs
+++ b/crates/balancer/src/interface/fleet.rs
@@ -1,6 +1,6 @@
 //! Updates from the other nodes: the agreed placement table and their reports on servers.
 
-use super::names::{Seconds, ServerId};
+use super::identifiers::{Seconds, ServerId};
 
 /// An update from the control plane between nodes. If none ever arrives, the balancer acts by its endpoint
 /// list and its own observations alone.
--- a/crates/balancer/src/interface/mod.rs
+++ b/crates/balancer/src/interface/mod.rs
@@ -4,20 +4,20 @@
 
 mod actions;
 mod classes;
+mod endpoint_list;
 mod events;
 mod fleet;
-mod names;
-mod roster;
+mod identifiers;
 mod settings;
 mod settings_error;
 mod sizes;
 
 pub use actions::Action;
 pub use classes::{Class, Effect, Group, Tenant};
+pub use endpoint_list::{RosterEntry, RosterNews, ServerState};
 pub use events::{CacheNote, Event, NewRequest, Outcome, Status};
 pub use fleet::{FleetNews, ServerEvidence, TableEntry};
-pub use names::{AttemptId, ClassId, Key, RequestId, Seconds, ServerId, TenantId, TimerToken};
-pub use roster::{RosterEntry, RosterNews, ServerState};
+pub use identifiers::{AttemptId, ClassId, Key, RequestId, Seconds, ServerId, TenantId, TimerToken};
 pub use settings::{CacheMode, Guarantees, Limits, Membership, Settings, WeightSource};
 pub use settings_error::SettingsError;
 pub use sizes::Sizes;
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a node, which it is given at its start.
 
 use super::classes::{Class, Tenant};
-use super::names::Seconds;
+use super::identifiers::Seconds;
 use super::settings_error::SettingsError;
 
 /// How the endpoint list reaches the node.
