--- a/crates/balancer/src/balance/retry_budget.rs
+++ b/crates/balancer/src/balance/retry_budget.rs
@@ -4,8 +4,8 @@
 const TOKENS_PER_SUCCESS: f64 = 0.2;
 /// Most tokens that the bucket holds at full load.
 pub(super) const MAX_TOKENS: f64 = 10.0;
-/// Share of `MAX_TOKENS` that the bucket holds at least: the full buckets of many idle nodes would add up to a
-/// retry storm.
+/// Share of `MAX_TOKENS` that the bucket holds at least: the full buckets of many idle nodes would add up to
+/// a retry storm.
 const MIN_CAPACITY_SHARE: f64 = 0.1;
 /// Tokens that one retry, or one late attempt, costs.
 pub(super) const RETRY_COST: f64 = 1.0;
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -118,14 +118,14 @@
         if self.classes.is_empty() {
             return Err(SettingsError::TooFew { what: "classes", expected: "one", found: "none" });
         }
-        let mut times = self.own_times();
+        let mut times = self.non_class_times();
         for class in &self.classes {
             if class.deadline == 0.0 || class.aim == 0.0 {
                 return Err(SettingsError::ClassWithoutTime { class: class.name.clone() });
             }
             times.extend([
                 ("class deadline", class.deadline),
-                ("class aim", class.aim),
+                ("class latency objective", class.aim),
                 ("window", class.window),
             ]);
         }
@@ -136,20 +136,20 @@
         }
         let cold_from = self.guarantees.cold_from;
         if !(cold_from > 0.0 && cold_from <= 1.0) {
-            return Err(SettingsError::InvalidShare { what: "cold from", found: cold_from });
+            return Err(SettingsError::InvalidShare { what: "initial capacity share", found: cold_from });
         }
         Ok(())
     }
 
     /// All times that do not belong to a class, each with its name in error messages.
-    fn own_times(&self) -> Vec<(&'static str, Seconds)> {
+    fn non_class_times(&self) -> Vec<(&'static str, Seconds)> {
         let guarantees = &self.guarantees;
         vec![
             ("answer grace", guarantees.answer_grace),
-            ("ask every", guarantees.ask_every),
+            ("poll interval", guarantees.ask_every),
             ("ramp", guarantees.ramp),
             ("drain grace", guarantees.drain_grace),
-            ("fall time", guarantees.fall_for),
+            ("overload window", guarantees.fall_for),
             ("round", self.round),
             ("max retry after", self.limits.max_retry_after),
             ("connect timeout", self.limits.connect_timeout),
--- a/crates/balancer/src/interface/settings_error.rs
+++ b/crates/balancer/src/interface/settings_error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The settings are not a JSON object.
-    #[error("settings as a JSON object expected")]
+    #[error("settings: a JSON object expected")]
     NotAnObject,
     /// A list contains a value that is not an object.
     #[error("setting {setting}: objects expected")]
@@ -55,7 +55,7 @@
         found: &'static str,
     },
     /// A class whose latency objective or deadline is 0.
-    #[error("class {class}: aim and deadline above 0 expected")]
+    #[error("class {class}: latency objective and deadline above 0 expected")]
     ClassWithoutTime {
         /// Name of the class.
         class: String,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions of a proxy that spreads keys over cache servers before a slow origin.
+//! Load-balancing decisions of a proxy that spreads keys over cache servers in front of a slow origin.
 //!
 //! The crate is a sans-IO state machine. A host passes [`Event`]s to a [`Balancer`] and carries out the [`Action`]s
 //! that it returns. It has no clock, no threads and no I/O; the same events give the same actions.
