--- a/crates/balancer/src/balance/completion.rs
+++ b/crates/balancer/src/balance/completion.rs
@@ -1,17 +1,17 @@
-//! How a request ends, and what is cancelled then.
+//! The end of a request: its final answer and the cancellation of its attempts.
 
-use super::due_timers::Due;
+use super::due_timers::TimerKind;
 use super::state::BalancerState;
 use crate::interface::{Action, AttemptId, RequestId, Seconds};
 
 impl BalancerState {
-    /// Ends a request: rejected where coming again is harmless, else failed.
+    /// Ends a request: rejects it where a retry by the client is harmless, else fails it.
     pub(super) fn end(&mut self, id: RequestId) {
-        let spread = 0.5 + self.jitter.next();
+        let jitter_factor = 0.5 + self.jitter.next();
         let request = self.requests.get(&id).filter(|request| !request.ended && !request.streaming);
         let Some(request) = request else { return };
         let answer = if self.may_reject(request) {
-            Action::Refuse { request: id, retry_after: self.retry_after(spread) }
+            Action::Refuse { request: id, retry_after: self.retry_after(jitter_factor) }
         } else {
             Action::Fail(id)
         };
@@ -19,14 +19,14 @@
         self.on_finished(id);
     }
 
-    /// When a rejected client is to come again: there is room within an answer's time, and clients must not
-    /// come together.
-    fn retry_after(&self, spread: f64) -> Option<Seconds> {
-        let wait = (self.latency.answer_time() * spread).min(self.settings.limits.max_retry_after);
-        (wait > 0.0).then_some(wait)
+    /// When a rejected client should retry: capacity frees within about one answer time, and clients must not
+    /// retry at the same moment.
+    fn retry_after(&self, jitter_factor: f64) -> Option<Seconds> {
+        let delay = (self.latency.answer_time() * jitter_factor).min(self.settings.limits.max_retry_after);
+        (delay > 0.0).then_some(delay)
     }
 
-    /// The client reads this attempt's answer: what else is out for the request serves nobody.
+    /// The client reads this attempt's answer, so all other attempts of the request are cancelled.
     pub(super) fn on_stream_started(&mut self, id: RequestId, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let was_streaming = std::mem::replace(&mut request.streaming, true);
@@ -35,27 +35,27 @@
         }
     }
 
-    /// Cancels what is out, where that is allowed, except for one attempt.
+    /// Cancels the attempts in flight, except for one, where the settings allow cancellation.
     fn cancel_attempts(&mut self, id: RequestId, except: Option<AttemptId>) {
         if !self.settings.limits.cancel {
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let out = request.out().filter(|attempt| Some(*attempt) != except);
-        self.actions.extend(out.map(|attempt| Action::Cancel { request: id, attempt }));
+        let in_flight = request.in_flight().filter(|attempt| Some(*attempt) != except);
+        self.actions.extend(in_flight.map(|attempt| Action::Cancel { request: id, attempt }));
     }
 
-    /// The request has its final answer, or nobody waits: cancels what is out, and forgets it once all have
-    /// ended.
+    /// The request has its final answer, or its client has left: cancels the attempts in flight, and drops
+    /// the request once all of them have ended.
     pub(super) fn on_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        self.timers.cancel(request.give_up_at, Due::GiveUp, id);
-        self.timers.cancel(request.late_at, Due::Late, id);
+        self.timers.cancel(request.give_up_at, TimerKind::GiveUp, id);
+        self.timers.cancel(request.late_at, TimerKind::Late, id);
         let had_ended = std::mem::replace(&mut request.ended, true);
         if !had_ended && !request.streaming {
             self.cancel_attempts(id, None);
         }
-        if self.requests.get(&id).is_some_and(|request| request.attempts_out() == 0) {
+        if self.requests.get(&id).is_some_and(|request| request.attempts_in_flight() == 0) {
             self.requests.remove(&id);
         }
     }
--- a/crates/balancer/src/balance/demand.rs
+++ b/crates/balancer/src/balance/demand.rs
@@ -1,76 +1,78 @@
-//! What this node's clients ask of each server now, against what servers were seen to bear.
+//! Estimates of the request rate that this node offers to each server now, and of the rate that servers were
+//! seen to sustain.
 
 use crate::interface::Seconds;
 
-/// So many windows in which servers fall count in the usual demand.
+/// Length of the usual demand's average, in overload windows (`Fleet::window`).
 const REMEMBERED_WINDOWS: f64 = 10.0;
-/// This part of a window counts in the present demand: a surge has to be seen before it fills a window.
+/// Length of the recent demand's average, in overload windows: a surge has to be seen before it fills a
+/// window.
 const RECENT_WINDOWS: f64 = 0.5;
-/// Requests in a window, to all servers, below which the usual demand tells nothing.
-const LEAST_KNOWN: f64 = 1.0;
-/// Least ratio of usual to present demand: a node that had little to do may take over the clients of others.
-const LEAST_RATIO: f64 = 1.0 / 8.0;
+/// Requests in a window, to all servers, below which the usual demand is unknown.
+const MIN_KNOWN_REQUESTS: f64 = 1.0;
+/// Least ratio of usual to recent demand: a node that had little traffic may take over the clients of others.
+const MIN_RATIO: f64 = 1.0 / 8.0;
 
-/// Requests a second for each ready server.
+/// Request rates for each ready server, in requests a second.
 #[derive(Default)]
 pub(super) struct Demand {
-    /// Requests that arrived since the last update.
+    /// Requests that have arrived since the last update.
     arrived: u32,
     /// Requests that were served since the last update.
     served: u32,
-    recent: f64,
-    usual: f64,
-    /// For how long the usual demand has been learnt, up to what is remembered.
-    learnt_for: Seconds,
+    recent_rate: f64,
+    usual_rate: f64,
+    /// Time over which the usual demand has been averaged, up to `REMEMBERED_WINDOWS` windows.
+    averaged_for: Seconds,
     updated_at: Option<Seconds>,
 }
 
-/// The servers that a demand is spread over.
+/// The servers that the demand is spread over.
 pub(super) struct Fleet {
     pub(super) ready: usize,
-    /// Whether all of them have warmed up.
+    /// Whether all ready servers have warmed up.
     pub(super) all_warm: bool,
-    /// The time in which a server falls that gets too much, from the settings.
+    /// Time for which a server must be over its capacity to go down, from the settings.
     pub(super) window: Seconds,
 }
 
 impl Demand {
-    pub(super) fn note_arrived(&mut self) {
+    pub(super) fn record_arrival(&mut self) {
         self.arrived += 1;
     }
 
-    pub(super) fn note_served(&mut self) {
+    pub(super) fn record_served(&mut self) {
         self.served += 1;
     }
 
-    /// Takes in what has come since the last update.
+    /// Updates the averages with the requests counted since the last update.
     pub(super) fn update(&mut self, now: Seconds, fleet: &Fleet) {
-        let passed = now - self.updated_at.replace(now).unwrap_or(now);
-        if passed <= 0.0 {
+        let elapsed = now - self.updated_at.replace(now).unwrap_or(now);
+        if elapsed <= 0.0 {
             return;
         }
-        let per_server = 1.0 / (passed * fleet.ready.max(1) as f64);
+        let per_server = 1.0 / (elapsed * fleet.ready.max(1) as f64);
         let arrived = f64::from(std::mem::take(&mut self.arrived)) * per_server;
         let served = f64::from(std::mem::take(&mut self.served)) * per_server;
-        let recent_window = (fleet.window * RECENT_WINDOWS).max(passed);
-        self.recent += (arrived - self.recent) * (passed / recent_window);
-        // A node that has just started, or had nothing to do, takes what it is asked at first for the usual.
-        if self.usual * fleet.ready as f64 * fleet.window < LEAST_KNOWN {
-            self.learnt_for = 0.0;
+        let recent_window = (fleet.window * RECENT_WINDOWS).max(elapsed);
+        self.recent_rate += (arrived - self.recent_rate) * (elapsed / recent_window);
+        // A node that has just started, or was idle, takes its first arrivals as its usual demand.
+        if self.usual_rate * fleet.ready as f64 * fleet.window < MIN_KNOWN_REQUESTS {
+            self.averaged_for = 0.0;
         }
-        let is_new = self.learnt_for < fleet.window;
+        let is_new = self.averaged_for < fleet.window;
         if fleet.all_warm || is_new {
-            self.learnt_for = (self.learnt_for + passed).min(fleet.window * REMEMBERED_WINDOWS);
+            self.averaged_for = (self.averaged_for + elapsed).min(fleet.window * REMEMBERED_WINDOWS);
             let sample = if is_new { arrived } else { served };
-            self.usual += (sample - self.usual) * (passed / self.learnt_for.max(passed));
+            self.usual_rate += (sample - self.usual_rate) * (elapsed / self.averaged_for.max(elapsed));
         }
     }
 
-    /// Which part of the present demand is usual: below 1 in a surge, or when clients come again and again.
+    /// The ratio of usual to recent demand: below 1 in a surge, or when rejected clients retry.
     pub(super) fn usual_ratio(&self) -> f64 {
-        if self.learnt_for <= 0.0 || self.recent <= self.usual {
+        if self.averaged_for <= 0.0 || self.recent_rate <= self.usual_rate {
             return 1.0;
         }
-        (self.usual / self.recent).max(LEAST_RATIO)
+        (self.usual_rate / self.recent_rate).max(MIN_RATIO)
     }
 }
--- a/crates/balancer/src/balance/due_timers.rs
+++ b/crates/balancer/src/balance/due_timers.rs
@@ -1,57 +1,57 @@
-//! What is to be looked at when, behind one timer of the host's.
+//! Timers of requests, multiplexed onto one timer of the host.
 
 use std::collections::BTreeSet;
 
 use crate::interface::{RequestId, Seconds};
 
-/// What is due within this is due now: hosts that count in microseconds fire that little early, in seconds.
-pub(super) const EARLY: Seconds = 1e-5;
+/// Tolerance within which a timer counts as due: hosts that count in microseconds fire up to this much early.
+pub(super) const TIMER_TOLERANCE: Seconds = 1e-5;
 
-/// Why a request is looked at.
+/// What a timer of a request is for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
-    /// Its time is nearly up.
+pub(super) enum TimerKind {
+    /// The request's time to be answered is almost over.
     GiveUp,
-    /// Its last attempt is late.
+    /// The request's last attempt is late.
     Late,
 }
 
-/// Times in order, and the timer that is set for the first of them. Timers cannot be taken back: with a timer
-/// for each request most would fire for a request that was long answered.
+/// Timers in order, and the host timer that is set for the first of them. Host timers cannot be cancelled:
+/// with one host timer for each request, most would fire for requests that were answered long ago.
 #[derive(Default)]
 pub(super) struct DueTimers {
-    /// Times as their bits, whose order is that of the times.
-    due: BTreeSet<(u64, Due, RequestId)>,
+    /// Times are stored as their bit patterns, which sort like the (non-negative) times.
+    queue: BTreeSet<(u64, TimerKind, RequestId)>,
     armed_for: Option<Seconds>,
 }
 
 impl DueTimers {
-    pub(super) fn schedule(&mut self, at: Seconds, why: Due, request: RequestId) {
-        self.due.insert((at.to_bits(), why, request));
+    pub(super) fn schedule(&mut self, at: Seconds, kind: TimerKind, request: RequestId) {
+        self.queue.insert((at.to_bits(), kind, request));
     }
 
-    pub(super) fn cancel(&mut self, at: Seconds, why: Due, request: RequestId) {
-        self.due.remove(&(at.to_bits(), why, request));
+    pub(super) fn cancel(&mut self, at: Seconds, kind: TimerKind, request: RequestId) {
+        self.queue.remove(&(at.to_bits(), kind, request));
     }
 
-    /// The host's timer has fired.
+    /// Notes that the host's timer has fired.
     pub(super) fn fired(&mut self, now: Seconds) {
-        self.armed_for = self.armed_for.filter(|at| *at > now + EARLY);
+        self.armed_for = self.armed_for.filter(|at| *at > now + TIMER_TOLERANCE);
     }
 
-    /// Takes the first that is due.
-    pub(super) fn pop_due(&mut self, now: Seconds) -> Option<(Due, RequestId)> {
-        let (at, why, request) = *self.due.first()?;
-        if f64::from_bits(at) > now + EARLY {
+    /// Removes and returns the first timer that is due.
+    pub(super) fn pop_due(&mut self, now: Seconds) -> Option<(TimerKind, RequestId)> {
+        let (at, kind, request) = *self.queue.first()?;
+        if f64::from_bits(at) > now + TIMER_TOLERANCE {
             return None;
         }
-        self.due.pop_first();
-        Some((why, request))
+        self.queue.pop_first();
+        Some((kind, request))
     }
 
-    /// After how long the host's timer has to fire, if it has to be set anew.
+    /// The delay after which the host's timer has to fire; `None` if it is already set early enough.
     pub(super) fn arm(&mut self, now: Seconds) -> Option<Seconds> {
-        let (first, ..) = self.due.first()?;
+        let (first, ..) = self.queue.first()?;
         let at = f64::from_bits(*first);
         if self.armed_for.is_some_and(|armed| armed <= at) {
             return None;
@@ -61,11 +61,11 @@
     }
 
     pub(super) fn len(&self) -> usize {
-        self.due.len()
+        self.queue.len()
     }
 
     #[cfg(test)]
     pub(super) fn requests(&self) -> impl Iterator<Item = &RequestId> {
-        self.due.iter().map(|(_, _, request)| request)
+        self.queue.iter().map(|(_, _, request)| request)
     }
 }
--- a/crates/balancer/src/balance/latency_estimate.rs
+++ b/crates/balancer/src/balance/latency_estimate.rs
@@ -1,12 +1,12 @@
-//! What answers from cache take, and what requests are said to cost.
+//! Estimates of the latency of answers from cache and of the usual work of a request.
 
 use super::SMOOTHING;
 use crate::interface::Seconds;
 
-/// Part of the tightest latency objective from which an answer from cache shows a crowded server.
-pub(super) const CROWDED: f64 = 0.5;
-/// First guess of an answer's time, as a multiple of the work that its request is said to be.
-const FIRST_TIME_PER_WORK: f64 = 2.0;
+/// Share of the tightest latency objective beyond which an answer from cache shows an overloaded server.
+pub(super) const OVERLOAD_OBJECTIVE_SHARE: f64 = 0.5;
+/// Initial estimate of an answer's time, as a multiple of its request's work hint.
+const INITIAL_TIME_PER_WORK: f64 = 2.0;
 /// Weight of one request in the usual work.
 const WORK_SMOOTHING: f64 = SMOOTHING / 10.0;
 
@@ -20,8 +20,8 @@
 impl LatencyEstimate {
     pub(super) fn new(tightest_objective: Seconds) -> Self {
         LatencyEstimate {
-            answer_time: tightest_objective * CROWDED / 2.0,
-            time_per_work: FIRST_TIME_PER_WORK,
+            answer_time: tightest_objective * OVERLOAD_OBJECTIVE_SHARE / 2.0,
+            time_per_work: INITIAL_TIME_PER_WORK,
             usual_work: 0.0,
         }
     }
@@ -31,7 +31,7 @@
         self.answer_time
     }
 
-    /// The work that requests usually are said to be; 0 until one said it.
+    /// The usual work hint of a request; 0 until a request had one.
     pub(super) fn usual_work(&self) -> Seconds {
         self.usual_work
     }
@@ -42,7 +42,8 @@
         self.usual_work += weight * (work - self.usual_work);
     }
 
-    /// How slow an answer was: its time against what its work, or else the usual answer, lets expect.
+    /// Slowness of an answer: its time divided by the time expected from its request's work hint, or by the
+    /// usual answer time where there is no hint.
     pub(super) fn slowness(&self, time: Seconds, work: Seconds) -> f64 {
         let expected = if work > 0.0 { work * self.time_per_work } else { self.answer_time };
         time / expected
--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -1,12 +1,11 @@
-//! Every decision of the balancer, and which part takes which event. Types that pass to the host are in
+//! The balancer's decisions, and the dispatch of events to them. Types that pass to the host are in
 //! `src/interface/`.
 //!
 //! The ordinary path is RJ-CH (Chen, Coleman, Shrivastava, "Revisiting Consistent Hashing with Bounded
 //! Loads"): a key goes to the owner of slot h(key, 0) of a fixed array, and from an owner at its cap on to
-//! the owners of h(key, 1), h(key, 2) and so on. What departs from that says when it acts.
+//! the owners of h(key, 1), h(key, 2) and so on. Each deviation from that path documents when it applies.
 
 mod arrival;
-mod brief_throttle;
 mod completion;
 mod concurrency_limit;
 mod demand;
@@ -33,6 +32,7 @@
 mod routing;
 mod server;
 mod servers;
+mod short_deadline_throttle;
 mod slow_start;
 mod state;
 mod tenant_quota;
@@ -40,15 +40,15 @@
 mod tests;
 
 use demand::Fleet;
-use due_timers::Due;
+use due_timers::TimerKind;
 pub(crate) use state::BalancerState;
 
 use crate::interface::{Action, Event, Seconds, Status, TimerToken};
 
-/// Time between two housekeeping ticks, in seconds: short against any latency objective.
-const TICK: Seconds = 0.05;
-/// Time between two looks at each server, in seconds: short against any slow start.
-const SWEEP: Seconds = 0.25;
+/// Time between two housekeeping ticks: short against any latency objective.
+const TICK_INTERVAL: Seconds = 0.05;
+/// Time between two sweeps over all servers: short against any slow start.
+const SWEEP_INTERVAL: Seconds = 0.25;
 /// Weight of a new observation in smoothed figures.
 const SMOOTHING: f64 = 0.1;
 
@@ -56,20 +56,20 @@
 const DUE_TIMER: TimerToken = TimerToken(1);
 
 impl BalancerState {
-    /// Takes one event.
+    /// Handles one event.
     pub(crate) fn handle(&mut self, now: Seconds, event: Event) {
         self.now = now;
         if !self.has_started {
             self.has_started = true;
-            self.set_tick();
+            self.schedule_tick();
             self.follow_endpoints();
         }
         match event {
-            Event::Roster(news) => self.on_endpoints(news),
+            Event::Roster(update) => self.on_endpoints(update),
             Event::Request(new) => self.on_request(new),
             Event::StreamStarted { request, attempt } => self.on_stream_started(request, attempt),
             Event::Outcome(outcome) => self.on_outcome(outcome),
-            Event::Fleet(news) => self.on_fleet_news(news),
+            Event::Fleet(update) => self.on_fleet_update(update),
             Event::Withdrawn(request) => self.on_finished(request),
             Event::Timer(TICK_TIMER) => self.on_tick(),
             Event::Timer(_) => self.on_due(),
@@ -78,27 +78,27 @@
         }
     }
 
-    fn set_tick(&mut self) {
-        self.actions.push(Action::SetTimer { token: TICK_TIMER, after: TICK });
+    fn schedule_tick(&mut self) {
+        self.actions.push(Action::SetTimer { token: TICK_TIMER, after: TICK_INTERVAL });
     }
 
     fn on_tick(&mut self) {
-        self.set_tick();
+        self.schedule_tick();
         if self.now >= self.next_sweep_at {
-            self.next_sweep_at = self.now + SWEEP;
+            self.next_sweep_at = self.now + SWEEP_INTERVAL;
             self.sweep();
         }
         self.follow_endpoints();
         self.dispatch_all_held();
     }
 
-    /// Housekeeping that looks at each server.
+    /// Housekeeping that visits each server.
     fn sweep(&mut self) {
         if self.settings.limits.probes {
             let ejected = self.next_to_probe();
             self.actions.extend(ejected.map(Action::Probe));
         }
-        self.brief_throttle.recover(SWEEP);
+        self.short_deadline_throttle.recover(SWEEP_INTERVAL);
         self.servers.refresh_shares(&self.settings, self.now);
         let totals = self.servers.totals();
         let window = self.settings.guarantees.fall_for;
@@ -106,7 +106,7 @@
         self.demand.update(self.now, &fleet);
     }
 
-    /// Sets the host's timer for what is due first, unless it is set.
+    /// Sets the host's timer for the first request timer that is due, unless it is already set.
     fn arm_timer(&mut self) {
         if let Some(after) = self.timers.arm(self.now) {
             self.actions.push(Action::SetTimer { token: DUE_TIMER, after });
@@ -115,10 +115,10 @@
 
     fn on_due(&mut self) {
         self.timers.fired(self.now);
-        while let Some((why, request)) = self.timers.pop_due(self.now) {
-            match why {
-                Due::GiveUp => self.end(request),
-                Due::Late => self.on_late(request),
+        while let Some((kind, request)) = self.timers.pop_due(self.now) {
+            match kind {
+                TimerKind::GiveUp => self.end(request),
+                TimerKind::Late => self.on_late(request),
             }
         }
         self.arm_timer();
--- a/crates/balancer/src/balance/peer_reports.rs
+++ b/crates/balancer/src/balance/peer_reports.rs
@@ -1,39 +1,40 @@
-//! What is taken from other nodes: the placement table, and what they report of servers.
+//! Handling of what other nodes send: the placement table and their reports on servers.
 
 use super::state::BalancerState;
 use crate::interface::{FleetNews, Seconds, ServerEvidence};
 
-/// How long it counts that peers found a server silent, and against it that it answered this node, in
-/// seconds.
-const SUSPICION: Seconds = 5.0;
-/// At least so many peers must have found a server silent, and none not. One peer whose own link is broken,
-/// or that lies, would otherwise have all nodes suspect sound servers.
-const LEAST_REPORTERS: u16 = 3;
+/// Time for which a server stays suspected after peers reported it silent, and for which an answer to this
+/// node prevents suspicion.
+const SUSPICION_DURATION: Seconds = 5.0;
+/// Least number of peers that must report a server silent, with none reporting an answer. Otherwise one peer
+/// whose own link is broken, or that lies, would make all nodes suspect healthy servers.
+const MIN_REPORTERS: u16 = 3;
 
 impl BalancerState {
-    pub(super) fn on_fleet_news(&mut self, news: FleetNews) {
-        match news {
+    pub(super) fn on_fleet_update(&mut self, update: FleetNews) {
+        match update {
             FleetNews::Table { epoch, version, entries } => {
-                if self.servers.take_placement((epoch, version), entries) {
+                if self.servers.apply_placement((epoch, version), entries) {
                     self.refresh_members();
                     self.dispatch_all_held();
                 }
             }
             FleetNews::Servers(reports) => {
                 for report in &reports {
-                    self.take_report(report);
+                    self.apply_report(report);
                 }
             }
         }
     }
 
-    /// Reports alone eject no server: with them, one failure that this node meets itself is enough.
-    fn take_report(&mut self, report: &ServerEvidence) {
-        // A report of an earlier start of the server is void.
+    /// Updates a server's suspicion. Reports alone eject no server; they only make one failure seen by this
+    /// node enough.
+    fn apply_report(&mut self, report: &ServerEvidence) {
+        // A report on an earlier incarnation of the server is ignored.
         let server = self.servers.get_mut(&report.server);
         let Some(server) = server.filter(|server| server.is_current_start(report.started)) else { return };
-        let answers_here = server.answered_within(self.now, SUSPICION);
-        let is_silent = report.silent >= LEAST_REPORTERS && report.answering == 0 && !answers_here;
-        server.suspect_until(if is_silent { self.now + SUSPICION } else { 0.0 });
+        let answered_this_node = server.answered_within(self.now, SUSPICION_DURATION);
+        let is_silent = report.silent >= MIN_REPORTERS && report.answering == 0 && !answered_this_node;
+        server.suspect_until(if is_silent { self.now + SUSPICION_DURATION } else { 0.0 });
     }
 }
--- a/crates/balancer/src/balance/state.rs
+++ b/crates/balancer/src/balance/state.rs
@@ -1,12 +1,10 @@
-//! The state of one balancer: the settings, the parts that each own some of it, and the actions that wait to
-//! be taken.
+//! The state of one balancer: its settings, its components, and the actions not yet taken by the host.
 
 use std::collections::BTreeMap;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::brief_throttle::BriefThrottle;
 use super::demand::Demand;
 use super::due_timers::DueTimers;
 use super::endpoint_subscription::EndpointSubscription;
@@ -19,20 +17,22 @@
 use super::request::Request;
 use super::retry_budget::RetryBudget;
 use super::servers::ServerTable;
+use super::short_deadline_throttle::ShortDeadlineThrottle;
 use super::tenant_quota::TenantQuotas;
 use crate::interface::{Action, Class, Effect, Group, RequestId, Seconds, Settings, Sizes};
 
-/// Spreads waits and probes over the nodes; it never decides where keys go.
+/// Random jitter that spreads waits and probes over the nodes; it never decides the owners of keys.
 pub(super) struct Jitter(Pcg64Mcg);
 
 impl Jitter {
-    /// The next number from 0 to 1.
+    /// The next random number from 0 to 1.
     pub(super) fn next(&mut self) -> f64 {
         self.0.random()
     }
 }
 
-/// All that one balancer holds. The files beside this one decide; each part changes only by its own methods.
+/// The complete state of a balancer. The other files of this folder decide; each component changes only by
+/// its own methods.
 pub(crate) struct BalancerState {
     pub(super) settings: Settings,
     /// The shortest latency objective of all classes.
@@ -51,7 +51,7 @@
     pub(super) origin: OriginLoad,
     pub(super) key_locations: KeyLocationCache,
     pub(super) popularity: KeyPopularity,
-    pub(super) brief_throttle: BriefThrottle,
+    pub(super) short_deadline_throttle: ShortDeadlineThrottle,
     pub(super) demand: Demand,
     pub(super) retry_budget: RetryBudget,
     pub(super) tenant_quotas: TenantQuotas,
@@ -78,7 +78,7 @@
             origin: OriginLoad::new(),
             key_locations: KeyLocationCache::default(),
             popularity: KeyPopularity::default(),
-            brief_throttle: BriefThrottle::new(),
+            short_deadline_throttle: ShortDeadlineThrottle::new(),
             demand: Demand::default(),
             retry_budget: RetryBudget::new(),
             tenant_quotas: TenantQuotas::new(settings.tenants.len()),
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Moves the actions that wait to the end of this list.
+    /// Moves the pending actions to the end of this list.
     pub(crate) fn take_actions(&mut self, actions: &mut Vec<Action>) {
         actions.append(&mut self.actions);
     }
 
-    /// How many servers are listed, and how many of them get nothing new: they drain, or are ejected.
+    /// How many servers are listed, and how many of them are unavailable (draining or ejected).
     pub(crate) fn members(&self) -> (usize, usize) {
         self.servers.members()
     }
@@ -100,7 +100,7 @@
     /// The size of each table.
     pub(crate) fn sizes(&self) -> Sizes {
         let (recent_requests, recent_keys) = self.popularity.sizes();
-        let small_of_servers = self.servers.kind_count() + self.servers.placement_len();
+        let small_server_tables = self.servers.kind_count() + self.servers.placement_len();
         Sizes {
             requests: self.requests.len(),
             waiting: self.held.len(),
@@ -109,7 +109,7 @@
             places: self.key_locations.len(),
             fetches: self.origin.len(),
             due: self.timers.len(),
-            small: recent_requests + recent_keys + small_of_servers + self.outliers.ejected_count(),
+            small: recent_requests + recent_keys + small_server_tables + self.outliers.ejected_count(),
         }
     }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// Adds one more class, for requests of an unknown one: handled as the most restrictive kind.
+/// Adds a class for requests of an unknown class, with the most restrictive effect and the shortest deadline.
 fn add_unknown_class(settings: &mut Settings) {
     let shortest = settings.classes.iter().min_by(|one, other| one.deadline.total_cmp(&other.deadline));
     if let Some(shortest) = shortest {
--- a/crates/balancer/src/balance/tenant_quota.rs
+++ b/crates/balancer/src/balance/tenant_quota.rs
@@ -2,15 +2,15 @@
 
 use crate::interface::{Seconds, Settings, TenantId};
 
-/// Longest time for which a bucket fills, in seconds.
-const LONGEST_REFILL: Seconds = 1.0;
+/// Longest time for which a bucket fills.
+const MAX_REFILL_TIME: Seconds = 1.0;
 
 struct TokenBucket {
     tokens: f64,
     refilled_at: Seconds,
 }
 
-/// One bucket for each tenant of the settings, filled at this node's part of the tenant's quota.
+/// One bucket for each tenant of the settings, filled at this node's share of the tenant's quota.
 #[derive(Default)]
 pub(super) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
@@ -22,7 +22,7 @@
         TenantQuotas { buckets: std::iter::repeat_with(empty).take(tenants).collect() }
     }
 
-    /// Takes a token for one request; `true` if its tenant has none left.
+    /// Takes a token for one request; `true` if the tenant has none left.
     pub(super) fn is_over_quota(
         &mut self,
         tenant: Option<TenantId>,
@@ -34,11 +34,11 @@
             return false;
         };
         let rate = tenant.quota / f64::from(settings.balancers);
-        let refill = rate * (now - bucket.refilled_at).min(LONGEST_REFILL);
+        let refill = rate * (now - bucket.refilled_at).min(MAX_REFILL_TIME);
         bucket.tokens = (bucket.tokens + refill).min(rate.max(1.0));
         bucket.refilled_at = now;
-        let over = bucket.tokens < 1.0;
-        bucket.tokens -= f64::from(!over);
-        over
+        let is_over = bucket.tokens < 1.0;
+        bucket.tokens -= f64::from(!is_over);
+        is_over
     }
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, its settings, and a checker of rules one to three.
+//! A node under test, its settings, and helpers that read its actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -88,18 +88,18 @@
     }
 }
 
-/// A balancer and what it has sent and not heard of yet.
+/// A balancer and the attempts that it has sent.
 pub(crate) struct Node {
     pub balancer: Balancer,
     pub now: Seconds,
     pub sends: BTreeMap<RequestId, Vec<(ServerId, Seconds)>>,
-    forgotten: u64,
+    flush_count: u64,
 }
 
 impl Node {
     pub(crate) fn new(settings: Settings, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("settings are valid");
-        Node { balancer, now: 100.0, sends: BTreeMap::new(), forgotten: 0 }
+        Node { balancer, now: 100.0, sends: BTreeMap::new(), flush_count: 0 }
     }
 
     pub(crate) fn with(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
@@ -123,7 +123,7 @@
         self.event(Event::Request(new))
     }
 
-    /// The last attempt of a request ends.
+    /// Ends the last attempt of a request.
     pub(crate) fn outcome(&mut self, request: u64, status: Status, note: Option<CacheNote>) -> Vec<Action> {
         let request = RequestId(request);
         let attempts = &self.sends[&request];
@@ -142,8 +142,8 @@
         self.outcome(request, Status::Success, Some(CacheNote::Hit))
     }
 
-    /// Lets time pass in housekeeping steps.
-    pub(crate) fn pass(&mut self, time: Seconds) -> Vec<Action> {
+    /// Advances the time in housekeeping ticks.
+    pub(crate) fn advance(&mut self, time: Seconds) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + time;
         while self.now < end {
@@ -153,25 +153,27 @@
         actions
     }
 
-    /// Other requests enough for none of the ones before to count as recent.
-    pub(crate) fn forget(&mut self) {
+    /// Sends enough other requests that no earlier one counts as recent.
+    pub(crate) fn flush_recent_keys(&mut self) {
         for n in 0..16 {
-            let id = (1 << 40) + self.forgotten;
-            self.forgotten += 1;
+            let id = (1 << 40) + self.flush_count;
+            self.flush_count += 1;
             if !sent(&self.request(read(id, id * 31 + n))).is_empty() {
                 self.serve(id);
             }
         }
     }
 
-    /// Where a read of this key goes while nothing is in flight and none was asked for it of late.
-    pub(crate) fn home(&mut self, request: u64, key: u64) -> ServerId {
-        self.home_if_sent(request, key).expect("a read is sent")
+    /// The server that a read of this key is sent to while nothing is in flight and the key was not asked for
+    /// recently.
+    pub(crate) fn owner(&mut self, request: u64, key: u64) -> ServerId {
+        self.owner_if_sent(request, key).expect("a read is sent")
     }
 
-    /// As `home`; `None` where it is refused, as no server is warm. At one moment a key draws the same lot again.
-    pub(crate) fn home_if_sent(&mut self, request: u64, key: u64) -> Option<ServerId> {
-        self.forget();
+    /// Like `owner`; `None` where the read is rejected because no server is warm. At the same time, a key
+    /// draws the same slow-start sample again.
+    pub(crate) fn owner_if_sent(&mut self, request: u64, key: u64) -> Option<ServerId> {
+        self.flush_recent_keys();
         let sent = sent(&self.request(read(request, key)));
         let server = sent.first().cloned()?;
         self.serve(request);
@@ -189,7 +191,7 @@
         .collect()
 }
 
-pub(super) fn refused(actions: &[Action]) -> bool {
+pub(super) fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
--- a/crates/balancer/tests/rules/main.rs
+++ b/crates/balancer/tests/rules/main.rs
@@ -1,23 +1,23 @@
-//! The module without any bench, from outside: a file for each matter.
+//! Tests of the balancer through its public interface, without a simulation: one file for each subject.
 
 #[path = "../common/mod.rs"]
 mod common;
 
 mod answers;
-mod cold;
-mod crowds;
 mod ejection;
-mod listed;
+mod endpoint_list;
 mod origin;
-mod peers;
+mod peer_reports;
 mod placement;
-mod repeats;
+mod retries;
 mod settings;
+mod slow_start;
+mod throttling;
 
 use common::entry;
 use hallpin_balancer::RosterEntry;
 
-/// The entries of so many servers.
+/// The entries of this many servers.
 pub fn fleet(n: u64) -> Vec<RosterEntry> {
     (1..=n).map(entry).collect()
 }
--- a/crates/balancer/tests/rules/origin.rs
+++ b/crates/balancer/tests/rules/origin.rs
@@ -1,4 +1,4 @@
-//! What reaches the origin: one fetch a key, and no more at once than it bears.
+//! Load on the origin: one fetch for each key, and no more fetches at once than it sustains.
 
 use hallpin_balancer::*;
 
@@ -12,15 +12,15 @@
     assert!(sent(&node.request(read(2, 3))).is_empty());
     let released = node.outcome(1, Status::Success, Some(CacheNote::Miss));
     assert_eq!(sent(&released).len(), 1);
-    // Known to be kept now: reads no longer wait for one another.
+    // The location of the key is known now: reads no longer wait for one another.
     assert_eq!(sent(&node.request(read(3, 3))).len(), 1);
 }
 
 #[test]
-fn failed_fetches_lower_the_number_of_unknown_keys_sent_and_known_keys_pass() {
+fn failed_fetches_limit_reads_of_unknown_keys_but_not_of_known_keys() {
     let mut node = Node::with(settings(), 1, fleet(8));
     for n in 0..50 {
-        node.home(n, n);
+        node.owner(n, n);
     }
     for n in 1000..1400 {
         if !sent(&node.request(read(n, n))).is_empty() {
@@ -29,45 +29,49 @@
         }
         node.now += 0.02;
     }
-    let unknown = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
-    assert!(unknown < 10, "{unknown} sent");
-    // One alone may find its home at the cap, and its next place does not have it.
-    let known = (0..50).filter(|&n| !sent(&node.request(read(3000 + n, n))).is_empty()).count();
-    assert!(known > 40, "{known} of 50 sent");
+    let unknown_sent = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
+    assert!(unknown_sent < 10, "{unknown_sent} sent");
+    // A known key may find its owner at its cap, and the next server on its probe sequence lacks it.
+    let known_sent = (0..50).filter(|&n| !sent(&node.request(read(3000 + n, n))).is_empty()).count();
+    assert!(known_sent > 40, "{known_sent} of 50 sent");
 }
 
-/// What the origin bears no more is held in turn: each end of a fetch lets one more go, the one that came first, and
-/// a write before all reads.
+/// Requests beyond the origin's limit are held in order: each fetch that ends frees one, the oldest first,
+/// and a write before all reads.
 #[test]
-fn held_fetches_go_one_for_one_in_turn_and_writes_first() {
+fn held_fetches_are_sent_one_by_one_in_order_and_writes_first() {
     let mut node = Node::with(settings(), 1, fleet(100));
-    let out: Vec<u64> = (0..100).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).collect();
-    assert_eq!(out, (0..64).collect::<Vec<_>>(), "the first fetches are sent, the rest held");
+    let sent_ids: Vec<u64> = (0..100).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).collect();
+    assert_eq!(sent_ids, (0..64).collect::<Vec<_>>(), "the first fetches are sent, the others held");
     for n in 100..164 {
         let write = NewRequest { class: Some(UNSAFE), write: true, ..read(n, n) };
-        assert_eq!(sent(&node.request(write)).len(), 1, "writes have twice the room");
+        assert_eq!(sent(&node.request(write)).len(), 1, "the limit of writes is twice that of fetches");
     }
     let held_write = NewRequest { class: Some(UNSAFE), write: true, ..read(200, 200) };
     assert!(sent(&node.request(held_write)).is_empty());
     node.now += 0.01;
-    let goes = |node: &Node| node.sends.keys().next_back().copied();
+    let last_sent = |node: &Node| node.sends.keys().next_back().copied();
     let released = node.outcome(0, Status::Success, Some(CacheNote::Miss));
     assert_eq!(
-        (sent(&released).len(), goes(&node)),
+        (sent(&released).len(), last_sent(&node)),
         (1, Some(RequestId(200))),
-        "the write, though it came last"
+        "the write goes first, though it arrived last"
     );
-    // Each that ends now makes room for a read only once the writes leave the half that is theirs.
-    let ended =
+    // A fetch that ends makes room for a read only once the writes, which may use twice the limit, are below
+    // the limit of reads.
+    let released_reads =
         (1..64).map(|n| sent(&node.outcome(n, Status::Success, Some(CacheNote::Miss))).len()).sum::<usize>();
-    assert_eq!(ended, 0);
-    let mut order = Vec::new();
+    assert_eq!(released_reads, 0);
+    let mut send_order = Vec::new();
     for n in 100..110 {
         let before: Vec<RequestId> = node.sends.keys().copied().collect();
         node.outcome(n, Status::Success, None);
-        order.extend(node.sends.keys().filter(|id| !before.contains(id)).map(|id| id.0));
+        send_order.extend(node.sends.keys().filter(|id| !before.contains(id)).map(|id| id.0));
     }
-    assert!(order.len() > 5 && order.windows(2).all(|w| w[0] < w[1]) && order[0] == 64, "{order:?}");
+    assert!(
+        send_order.len() > 5 && send_order.windows(2).all(|w| w[0] < w[1]) && send_order[0] == 64,
+        "{send_order:?}"
+    );
 }
 
 #[test]
@@ -76,17 +80,17 @@
     let mut entries = fleet(4);
     entries.push(origin());
     let mut node = Node::with(aside, 1, entries);
-    let home = sent(&node.request(read(1, 3)))[0].clone();
-    assert_ne!(home, origin().server);
+    let owner = sent(&node.request(read(1, 3)))[0].clone();
+    assert_ne!(owner, origin().server);
     assert_eq!(sent(&node.request(NewRequest { write: true, ..read(9, 4) })), [origin().server]);
     assert_eq!(sent(&node.request(read(2, 3))).len(), 1);
     assert_eq!(sent(&node.outcome(1, Status::Absent, Some(CacheNote::Miss))), [origin().server]);
     assert!(sent(&node.outcome(2, Status::Absent, Some(CacheNote::Miss))).is_empty());
     // The second read asks its cache server again when the fetch is over.
-    assert_eq!(sent(&node.serve(1)), [home]);
+    assert_eq!(sent(&node.serve(1)), [owner]);
 }
 
-/// Writes reach the origin too: while it fails, they and second copies must not keep it flooded.
+/// Writes reach the origin too: while it fails, writes and hedged requests must not keep it overloaded.
 #[test]
 fn while_the_origin_fails_writes_are_held_back_too() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -102,10 +106,10 @@
     assert!((1..10).contains(&writes), "{writes} sent");
 }
 
-/// Where many nodes share an origin each uses little of its limit: when the origin is slow, the limit must
-/// fall from what is in use, or it takes tens of cuts before it acts.
+/// Where many nodes share an origin, each uses little of its limit. When the origin is slow, the limit must
+/// fall from the load in use; otherwise it takes tens of cuts before it has an effect.
 #[test]
-fn a_fetch_limit_far_above_what_is_in_use_falls_fast() {
+fn a_fetch_limit_far_above_the_load_falls_fast() {
     let mut node = Node::with(settings(), 1, fleet(8));
     for n in 0..25 {
         for m in 0..4 {
@@ -118,26 +122,26 @@
             }
         }
     }
-    let unknown = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
-    assert!(unknown <= 4, "{unknown} sent");
+    let unknown_sent = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
+    assert!(unknown_sent <= 4, "{unknown_sent} sent");
 }
 
-/// Single fetches vary much. While half of them were in time and half far from it, a limit that went by their
-/// mean fell to nothing and kept most reads out for twenty seconds.
+/// Times of single fetches vary much. With half of the fetches in time and half far too late, a limit that
+/// followed their mean fell to nothing and blocked most reads for twenty seconds.
 #[test]
-fn fetches_of_which_half_are_in_time_do_not_lower_the_fetch_limit() {
+fn fetches_half_of_which_are_in_time_do_not_lower_the_fetch_limit() {
     let mut node = Node::with(settings(), 1, fleet(16));
     for n in 0..300 {
         node.request(read(n, n));
         node.now += if n % 2 == 0 { 0.9 } else { 0.3 };
         node.outcome(n, Status::Success, Some(CacheNote::Miss));
     }
-    let unknown = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
-    assert!(unknown > 25, "{unknown} sent");
+    let unknown_sent = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
+    assert!(unknown_sent > 25, "{unknown_sent} sent");
 }
 
-/// Reads of ever new keys that all time out after so long, at one server that answers another read meanwhile or not:
-/// how many unknown keys go out at once then.
+/// How many unknown keys are sent at once after reads of ever new keys have all timed out after `left`, at
+/// one server that does or does not answer another read meanwhile.
 fn sent_after_time_outs(left: Seconds, answers: bool) -> usize {
     let mut node = Node::with(settings(), 1, fleet(1));
     for n in 0..200 {
@@ -155,22 +159,22 @@
     (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count()
 }
 
-/// Clients that leave before any fetch can be there tell nothing of the origin.
+/// Time-outs of clients that leave before any fetch can complete say nothing about the origin.
 #[test]
 fn time_outs_of_clients_that_leave_early_do_not_lower_the_fetch_limit() {
-    let (early, late) = (sent_after_time_outs(0.3, true), sent_after_time_outs(0.9, true));
-    assert!(early > 40 && late < 10, "{early}, {late}");
+    let (sent_if_early, sent_if_late) = (sent_after_time_outs(0.3, true), sent_after_time_outs(0.9, true));
+    assert!(sent_if_early > 40 && sent_if_late < 10, "{sent_if_early}, {sent_if_late}");
 }
 
-/// Nor does a server that answers nobody.
+/// Time-outs at a server that answers nobody say nothing about the origin either.
 #[test]
 fn time_outs_at_a_silent_server_do_not_lower_the_fetch_limit() {
-    let (silent, alive) = (sent_after_time_outs(0.9, false), sent_after_time_outs(0.9, true));
-    assert!(silent > 40 && alive < 10, "{silent}, {alive}");
+    let (sent_if_silent, sent_if_alive) = (sent_after_time_outs(0.9, false), sent_after_time_outs(0.9, true));
+    assert!(sent_if_silent > 40 && sent_if_alive < 10, "{sent_if_silent}, {sent_if_alive}");
 }
 
-/// One of many nodes knows next to no key. While the origin is slow, reads that servers answer from cache are not to
-/// wait for the few that it fetches.
+/// One of many nodes knows the location of almost no key. While the origin is slow, reads that servers answer
+/// from cache must not wait for the few that it fetches.
 #[test]
 fn a_fetch_limit_counts_reads_by_how_many_of_them_are_misses() {
     let mut node = Node::with(settings(), 1, fleet(64));
@@ -183,6 +187,9 @@
         node.now += if miss { 0.9 } else { 0.02 };
         node.outcome(n, Status::Success, Some(if miss { CacheNote::Miss } else { CacheNote::Hit }));
     }
-    let unknown = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
-    assert!((5..30).contains(&unknown), "{unknown} sent: some ten for each fetch that the origin bears");
+    let unknown_sent = (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count();
+    assert!(
+        (5..30).contains(&unknown_sent),
+        "{unknown_sent} sent: about ten for each fetch that the origin sustains"
+    );
 }
