--- a/crates/placement/src/accord.rs
+++ b/crates/placement/src/accord.rs
@@ -1,4 +1,5 @@
-//! One node of the federation, as its shell drives it: the leader lease, and what is done about tables with and without it.
+//! One node of the placement federation as its driver sees it: the leader lease and the table protocol, fed from one
+//! stream of payloads.
 
 use hallpin_leader_lease::{Candidacy, LeaderLease, LeaseConfig, LeaseMessage};
 use hallpin_membership::envelope::{Kind, Refused};
@@ -8,39 +9,39 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::{AccordConfig, ConfigError, Stored};
-use crate::core::Core;
-use crate::holder::Holder;
+use crate::events::{AccordNews, AccordState, Metrics, Outbox};
 use crate::message::{decode, encode, Message};
-use crate::news::{AccordNews, AccordState, Figures, Outbox};
-use crate::table::{is_sound, Held, Table, TableEntry, TableId};
+use crate::protocol::TableProtocol;
+use crate::replica::Replica;
+use crate::table::{is_sound, LocalTable, Table, TableEntry, TableId};
 
-/// A payload: about the leader lease, or about tables.
+/// A payload on the wire: a message of the leader lease or of the table protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Payload {
     Lease(LeaseMessage),
     Tables(Message),
 }
 
-/// This node's share in the table that all agree on.
+/// One node's state machine for the agreed placement table.
 ///
 /// `now` must have been read after the payload came in; see [`LeaderLease::receive`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Accord {
     leader_lease: LeaderLease,
-    pub(crate) core: Core,
+    pub(crate) protocol: TableProtocol,
     outbox: Outbox,
-    began: Moment,
-    /// When to look next whether to stand for the leader lease.
-    stand_at: Moment,
-    lists_refused: u64,
+    started_at: Moment,
+    /// When to check next whether this node should become a candidate for the leader lease.
+    next_candidacy_check_at: Moment,
+    lists_rejected: u64,
 }
 
 impl Accord {
-    /// A node that has just started. It has no lease, and places by no table until it gets one; the stored table only
-    /// saves it the pages.
+    /// Creates the state of a node that has just started. It has no lease and no table in force until it is granted
+    /// one; a stored table only spares it the transfer of the pages.
     ///
     /// # Errors
-    /// Where the configuration or the stored state is not sound.
+    /// The configuration or the stored state is invalid.
     pub fn new(
         config: AccordConfig,
         restored: Option<Stored>,
@@ -58,79 +59,84 @@
             None => Stored { node: this.node.0, epoch: 0, ballot: 0, table: None },
         };
         leader_lease.restore(restored.ballot);
-        let holder = Holder::new(restored.epoch, restored.table.map(Held::of));
-        let core = Core::new(config, holder, now, seed);
+        let replica = Replica::new(restored.epoch, restored.table.map(LocalTable::of));
+        let protocol = TableProtocol::new(config, replica, now, seed);
         Ok(Accord {
             leader_lease,
-            core,
+            protocol,
             outbox: Outbox::default(),
-            began: now,
-            stand_at: now,
-            lists_refused: 0,
+            started_at: now,
+            next_candidacy_check_at: now,
+            lists_rejected: 0,
         })
     }
 
-    /// The array that this node's own list would make now. One with too many entries or an id that is empty or too
-    /// long is refused and counted; an id that comes twice counts as it came first.
+    /// Sets the entries of this node's own endpoint list. A list with too many entries, or with an id that is empty or
+    /// too long, is rejected and counted; of several entries with one id the first counts.
     pub fn list(&mut self, now: Moment, revision: u64, mut entries: Vec<TableEntry>) {
         entries.sort_by(|one, other| one.server.cmp(&other.server));
         entries.dedup_by(|later, first| later.server == first.server);
         if is_sound(&entries) {
-            self.core.list(now, revision, entries);
+            self.protocol.set_endpoint_list(now, revision, entries);
         } else {
-            self.lists_refused += 1;
+            self.lists_rejected += 1;
         }
     }
 
-    /// What to place by; `None` until the first lease of this life.
+    /// Returns the table to place by, or `None` before the first lease of this process.
     pub fn in_force(&self) -> Option<&Table> {
-        self.core.holder.placing().map(|held| &held.table)
+        self.protocol.replica.in_force().map(|held| &held.table)
     }
 
-    /// The tables that this node has whole: the newest that was decided, and the one being prepared.
+    /// Returns the ids of the complete tables on this node: the newest decided one and the one being prepared.
     pub fn holds(&self) -> impl Iterator<Item = TableId> + '_ {
-        self.core.holder.holds()
+        self.protocol.replica.held_tables()
     }
 
-    /// How this node stands to it, by its own clock.
+    /// Returns this node's state towards the table in force, by its own clock.
     pub fn state(&self, now: Moment) -> AccordState {
-        self.core.holder.state(&self.core.config, now)
+        self.protocol.replica.state(&self.protocol.config, now)
     }
 
-    /// Whether this node holds the coordinator's lease.
+    /// Returns whether this node holds the leader lease and so is the coordinator.
     pub fn is_coordinator(&self, now: Moment) -> bool {
         self.leader_lease.held(now).is_some()
     }
 
-    /// What may outlive the process.
+    /// Returns the state to persist across restarts.
     pub fn stored(&self) -> Stored {
-        let (epoch, ballot) = (self.core.holder.leader.epoch, self.leader_lease.highest_ballot());
-        let table = self.core.holder.base().map(|held| held.table.clone());
-        Stored { node: self.core.config.this.node.0, epoch, ballot, table }
+        let (epoch, ballot) = (self.protocol.replica.leader.epoch, self.leader_lease.highest_ballot());
+        let table = self.protocol.replica.base().map(|held| held.table.clone());
+        Stored { node: self.protocol.config.this.node.0, epoch, ballot, table }
     }
 
-    /// What happened so far.
-    pub fn figures(&self) -> Figures {
-        let now = self.core.coordinator.as_ref().map_or(0, |coordinator| coordinator.count_decided);
-        let decided = self.core.decided_before + now;
-        Figures { decided, lists_refused: self.lists_refused, ..self.core.holder.figures }
+    /// Returns the counters since the start.
+    pub fn figures(&self) -> Metrics {
+        let current = self.protocol.coordinator.as_ref().map_or(0, |coordinator| coordinator.decided_count);
+        let decided = self.protocol.decided_in_past_terms + current;
+        Metrics { decided, lists_refused: self.lists_rejected, ..self.protocol.replica.metrics }
     }
 
-    /// Who is led stands only for a lease it holds. Else the alive node with the lowest number stands first, leaving out the
-    /// coordinator that fell silent, and each next one later, so that votes are seldom split; who is cut off does not.
-    fn stands_from(&self, view: &View) -> Moment {
-        let (config, holder) = (&self.core.config, &self.core.holder);
-        let before = |node: NodeId| node < config.this.node && Some(node) != holder.leader_node();
-        let rank = view.alive().filter(|member| before(member.life.node)).count().min(8) as u32;
-        let quiet = holder.heard.map_or(self.began + config.lease / 2, |heard| heard + config.lease / 2);
-        quiet + config.lease / 4 * rank
+    /// Returns when this node becomes a candidate for the leader lease. While a coordinator is heard, only the lease
+    /// holder is one. After half a lease of silence the alive node with the lowest number starts, not counting the
+    /// silent coordinator, and each next one a quarter of a lease later, so that votes are seldom split. A node that is
+    /// cut off is no candidate (see `update_candidacy`).
+    fn candidacy_start(&self, view: &View) -> Moment {
+        let (config, replica) = (&self.protocol.config, &self.protocol.replica);
+        let stands_earlier = |node: NodeId| node < config.this.node && Some(node) != replica.leader_node();
+        let rank = view.alive().filter(|member| stands_earlier(member.life.node)).count().min(8) as u32;
+        let base = replica
+            .last_announced_at
+            .map_or(self.started_at + config.lease / 2, |announced_at| announced_at + config.lease / 2);
+        base + config.lease / 4 * rank
     }
 
-    fn sit(&mut self, now: Moment, view: &View) {
-        let from = self.stands_from(view);
-        let stands = self.leader_lease.held(now).is_some() || (now >= from && !view.cut_off);
-        self.leader_lease.set_candidacy(Candidacy::standing_if(stands));
-        self.stand_at = if stands || now >= from { now + self.core.config.lease / 3 } else { from };
+    fn update_candidacy(&mut self, now: Moment, view: &View) {
+        let start = self.candidacy_start(view);
+        let is_candidate = self.leader_lease.held(now).is_some() || (now >= start && !view.cut_off);
+        self.leader_lease.set_candidacy(Candidacy::standing_if(is_candidate));
+        self.next_candidacy_check_at =
+            if is_candidate || now >= start { now + self.protocol.config.lease / 3 } else { start };
         if self.leader_lease.next_deadline().is_some_and(|due| due <= now) {
             self.leader_lease.tick(now);
         }
@@ -147,28 +153,31 @@
     const KIND: Kind = Kind::Accord;
 
     fn receive(&mut self, now: Moment, view: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
-        let this = self.core.config.this.node;
-        if from.node == this || from.node.0 >= self.core.config.configured {
+        let this = self.protocol.config.this.node;
+        if from.node == this || from.node.0 >= self.protocol.config.configured {
             return Err(Refused::Stranger);
         }
         match decode(payload)? {
             Payload::Lease(message) => self.leader_lease.receive(now, from, message),
             Payload::Tables(message) => {
                 let epoch = self.epoch(now);
-                self.core.receive(now, epoch, view, from, message, &mut self.outbox);
+                self.protocol.receive(now, epoch, view, from, message, &mut self.outbox);
             }
         }
         Ok(())
     }
 
     fn tick(&mut self, now: Moment, view: &View) {
-        self.sit(now, view);
+        self.update_candidacy(now, view);
         let epoch = self.epoch(now);
-        self.core.tick(now, epoch, view, &mut self.outbox);
+        self.protocol.tick(now, epoch, view, &mut self.outbox);
     }
 
     fn due(&self) -> Option<Moment> {
-        [Some(self.stand_at), self.leader_lease.next_deadline(), self.core.due()].into_iter().flatten().min()
+        [Some(self.next_candidacy_check_at), self.leader_lease.next_deadline(), self.protocol.due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn take(&mut self) -> Vec<Output<AccordNews>> {
@@ -179,7 +188,7 @@
         let sends = lease_messages
             .chain(tables)
             .filter_map(|(to, payload)| Some(Output::Send { to, payload: encode(&payload)? }));
-        let news = std::mem::take(&mut self.outbox.news).into_iter().map(Output::News);
-        sends.chain(news).collect()
+        let events = std::mem::take(&mut self.outbox.events).into_iter().map(Output::News);
+        sends.chain(events).collect()
     }
 }
--- a/crates/placement/src/config.rs
+++ b/crates/placement/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node of the federation is told of it, and the lengths of time that follow.
+//! Settings of a federation node and the durations derived from them.
 
 use std::time::Duration;
 
@@ -7,29 +7,31 @@
 
 use crate::table::{is_sound, Table};
 
-/// What must be the same at every node, but for the first two.
+/// Settings of a federation node. All but `this` and `zone` must be the same at every node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AccordConfig {
-    /// This node, in this life.
+    /// This node and its incarnation.
     pub this: Life,
-    /// Where it runs.
+    /// The zone in which this node runs.
     pub zone: ZoneId,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: u16,
-    /// How many nodes there are, this one included; their numbers are below it.
+    /// Number of configured nodes, this one included; node numbers are below it.
     pub configured: u16,
-    /// For how long a node may place by its table without a word from the coordinator.
+    /// How long a node may place by its table without hearing from the coordinator.
     pub lease: Duration,
-    /// How far any node's clock may run from true time, in millionths; at most 100,000.
+    /// Greatest deviation of any node's clock rate from true time, in millionths; at most 100,000.
     pub drift_ppm: u32,
-    /// After how long something that was not answered is sent again; at most a sixth of the lease.
+    /// Time after which an unanswered message is sent again; at most a sixth of the lease.
     pub retry: Duration,
-    /// For how long a version waits for a node that does not take it, before that node's lease is let run out.
-    pub patience: Duration,
+    /// How long the coordinator renews the lease of a node that does not hold the version being prepared. After that
+    /// the node's lease is left to expire.
+    pub prepare_timeout: Duration,
 }
 
 impl AccordConfig {
-    /// A configuration with the times that follow from a lease: a fortieth of it for `retry`, a quarter for `patience`.
+    /// Creates a configuration with durations derived from the lease: `retry` is a fortieth of it, `prepare_timeout` a
+    /// quarter.
     pub fn with_lease(
         this: Life,
         zone: ZoneId,
@@ -38,8 +40,8 @@
         lease: Duration,
         drift_ppm: u32,
     ) -> Self {
-        let (retry, patience) = (lease / 40, lease / 4);
-        AccordConfig { this, zone, zones, configured, lease, drift_ppm, retry, patience }
+        let (retry, prepare_timeout) = (lease / 40, lease / 4);
+        AccordConfig { this, zone, zones, configured, lease, drift_ppm, retry, prepare_timeout }
     }
 
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
@@ -59,79 +61,80 @@
         Ok(())
     }
 
-    /// What a holder counts of its lease, from before it asked.
-    pub(crate) fn lease_held(&self) -> Duration {
+    /// Length of the lease by the clock of the node that holds it, from before it sent its report.
+    pub(crate) fn lease_length_at_replica(&self) -> Duration {
         self.lease * (1_000_000 - self.drift_ppm) / 1_000_000
     }
 
-    /// What a coordinator counts of a lease that it granted, from when it did.
-    pub(crate) fn lease_granted(&self) -> Duration {
+    /// Length of the lease by the clock of the coordinator, from when it granted the lease.
+    pub(crate) fn lease_length_at_coordinator(&self) -> Duration {
         self.lease * (1_000_000 + self.drift_ppm) / 1_000_000
     }
 
-    /// How often a node reports when nothing happens.
-    pub(crate) fn beat(&self) -> Duration {
+    /// How often a node reports when nothing changes.
+    pub(crate) fn heartbeat_interval(&self) -> Duration {
         self.lease / 3
     }
 
-    /// When it reports again without an answer: a quarter of a beat with a lease that runs on, half of one without.
-    pub(crate) fn report_again(&self, leased: bool) -> Duration {
+    /// When an unanswered report is repeated: after a quarter of the heartbeat interval while the node has a lease,
+    /// after half of it otherwise.
+    pub(crate) fn report_retry_interval(&self, leased: bool) -> Duration {
         if leased {
-            self.beat() / 4
+            self.heartbeat_interval() / 4
         } else {
-            self.beat() / 2
+            self.heartbeat_interval() / 2
         }
     }
 }
 
-/// Why a configuration is refused.
+/// A setting or stored state that the state machine cannot work with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// This node's number is not one of the federation's.
+    /// This node's number is not below the number of configured nodes.
     #[error("node {node}: expected below {configured}")]
     Node {
-        /// Its number.
+        /// This node's number.
         node: u16,
-        /// How many there are.
+        /// Number of configured nodes.
         configured: u16,
     },
-    /// This node's zone is not one of the federation's.
+    /// This node's zone is not below the number of zones.
     #[error("zone {zone}: expected below {zones}")]
     Zone {
-        /// Its number.
+        /// This node's zone.
         zone: u16,
-        /// How many there are.
+        /// Number of zones.
         zones: u16,
     },
-    /// A clock that may run so far off keeps no lease.
+    /// The clock drift is too great for the leases to hold.
     #[error("drift_ppm {0}: expected at most 100000")]
     Drift(u32),
-    /// Leases would run out between two tries.
+    /// The retry interval is below 1 ms, or so long that leases would expire between two tries.
     #[error("retry {retry:?}: expected 1 ms to a sixth of the lease, {lease:?}")]
     Retry {
-        /// As given.
+        /// The configured retry interval.
         retry: Duration,
-        /// As given.
+        /// The configured lease.
         lease: Duration,
     },
-    /// What was stored is not this node's, or its table is not one; start without it.
-    #[error("stored state that is not sound or of another node")]
+    /// The stored state belongs to another node, or its table is invalid. The node can start without it.
+    #[error("the stored state is invalid or belongs to another node")]
     Restored,
-    /// The coordinator's lease cannot work with these settings.
-    #[error("the coordinator's lease cannot be had with these times")]
+    /// The leader lease rejects the settings derived from these.
+    #[error("the leader lease cannot work with the durations derived from these settings")]
     LeaderLease,
 }
 
-/// What may outlive the process. A lease never does.
+/// The state that may be persisted across restarts. Leases never are.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stored {
-    /// Whose it is.
+    /// Number of the node that stored it.
     pub node: u16,
-    /// The greatest fencing number of a coordinator listened to: one with a lower one is not.
+    /// Greatest fencing number of a coordinator that this node obeyed; it ignores coordinators with a lower one.
     pub epoch: u64,
-    /// The greatest number that anybody has requested the lease with, as far as heard: the next one is greater.
+    /// Greatest ballot of the leader lease that this node has heard of; its next ballot is greater.
     pub ballot: u64,
-    /// The table that was in force.
+    /// The newest decided table on this node.
     pub table: Option<Table>,
 }
 
--- a/crates/placement/src/coordinator.rs
+++ b/crates/placement/src/coordinator.rs
@@ -1,73 +1,74 @@
-//! What the holder of the leader lease decides: what its predecessors decided, what is prepared next, when it is in force, and
-//! who gets a lease.
+//! The coordinator, which runs at the holder of the leader lease: it recovers what its predecessors decided, prepares
+//! the next version, decides when that is in force, and grants leases.
 //!
-//! A version is decided once every configured node holds it or has no lease for sure. All of this ends with the
-//! holding; a successor asks the nodes.
+//! A version is decided once every configured node holds it or certainly has no lease. This state ends with the leader
+//! lease; a successor recovers from the nodes' reports.
 
 mod decide;
 mod find;
 mod grant;
-mod settle;
+mod recovery;
 
 use hallpin_membership::names::{Life, Moment, NodeId};
 use hallpin_membership::view::View;
 
 use crate::config::AccordConfig;
-use crate::message::{Grant, Message, Report, Word};
-use crate::news::Outbox;
+use crate::events::Outbox;
+use crate::message::{Announcement, Grant, Message, Report};
 use crate::peer::Peer;
-use crate::table::{Array, Title};
+use crate::table::{Array, TableHeader};
 
-/// One term of the lease holder.
+/// State of the coordinator during one holding of the leader lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Coordinator {
     pub epoch: u64,
-    began: Moment,
-    /// What the predecessors decided is known, but for what `preparing` may stand for.
-    settled: bool,
-    /// By the report of a node that had its lease all along.
-    bounded: bool,
-    /// Without one: the newest table that was found.
-    found: Option<Title>,
-    decided: Option<Title>,
+    started_at: Moment,
+    /// The decisions of the predecessors are known, except whether `preparing` was one of them.
+    history_known: bool,
+    /// `history_known` rests on the report of a node that had a lease when it reported.
+    history_bounded: bool,
+    /// The newest table found where no reporting node had a lease.
+    recovered: Option<TableHeader>,
+    decided: Option<TableHeader>,
     preparing: Option<Preparing>,
-    /// Since when no node has reported a list as new as the last table.
+    /// Time since which no node has reported a list as new as the last table.
     lists_older_since: Option<Moment>,
-    /// The greatest version heard of.
-    versions: u64,
-    words: u64,
+    /// The greatest version in any report or proposal.
+    highest_version: u64,
+    announcements_sent: u64,
     peers: Vec<Peer>,
-    pub count_decided: u64,
+    pub decided_count: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Preparing {
-    title: Title,
+    header: TableHeader,
     since: Moment,
 }
 
 impl Coordinator {
-    /// Begins a holding. Leases of earlier coordinators were asked for before it, so they end one lease after it.
+    /// Starts a holding at `now`. Leases of earlier coordinators were requested before it, so they end within one lease
+    /// of it.
     pub fn new(config: &AccordConfig, epoch: u64, now: Moment) -> Self {
-        let peer = Peer::unknown(now + config.lease_granted());
+        let peer = Peer::unknown(now + config.lease_length_at_coordinator());
         Coordinator {
             epoch,
-            began: now,
-            settled: false,
-            bounded: false,
-            found: None,
+            started_at: now,
+            history_known: false,
+            history_bounded: false,
+            recovered: None,
             decided: None,
             preparing: None,
             lists_older_since: None,
-            versions: 0,
-            words: 0,
+            highest_version: 0,
+            announcements_sent: 0,
             peers: vec![peer; config.configured.into()],
-            count_decided: 0,
+            decided_count: 0,
         }
     }
 
-    /// Takes a node's report, and answers where the node needs it.
-    pub fn report(
+    /// Processes a node's report, and answers if the node needs a lease or lacks something.
+    pub fn on_report(
         &mut self,
         config: &AccordConfig,
         now: Moment,
@@ -79,23 +80,23 @@
             return;
         };
         if report.epoch != self.epoch {
-            if peer.pushed.is_none_or(|pushed| now >= pushed + config.retry) {
-                self.push(now, from.node, None, out);
+            if peer.announced_at.is_none_or(|announced_at| now >= announced_at + config.retry) {
+                self.announce(now, from.node, None, out);
             }
             return;
         }
         let stamp = report.stamp;
-        if !peer.take(now, from, report) {
+        if !peer.accept_report(now, from, report) {
             return;
         }
-        self.gather(from.node);
-        self.catch_up(from.node);
-        self.settle(now);
+        self.learn_from_report(from.node);
+        self.clear_behind(from.node);
+        self.try_recover(now);
         self.decide(config, now, out);
-        self.answer(config, now, from, stamp, out);
+        self.reply(config, now, from, stamp, out);
     }
 
-    /// Sends what is due, and begins the next version.
+    /// Sends due announcements, decides a version that is ready, and starts the next one.
     pub fn tick(
         &mut self,
         config: &AccordConfig,
@@ -104,50 +105,54 @@
         newest: Option<(u64, &Array)>,
         out: &mut Outbox,
     ) {
-        self.settle(now);
+        self.try_recover(now);
         self.decide(config, now, out);
         self.propose(config, now, view, newest);
-        let (decided, preparing) = (self.decided, self.title());
+        let (decided, preparing) = (self.decided, self.preparing_header());
         for node in 0..config.configured {
             let node = NodeId(node);
             let Some(peer) = self.peers.get(usize::from(node.0)) else {
                 continue;
             };
-            let level = if self.settled { peer.is_level(decided, preparing) } else { peer.report.is_some() };
-            let here = view.is_alive(node) || self.is_fresh(config, now, peer);
-            let wait = if here { config.retry } else { config.lease / 2 };
-            if !level && peer.pushed.is_none_or(|pushed| now >= pushed + wait) {
-                self.push(now, node, None, out);
+            let up_to_date = if self.history_known {
+                peer.is_up_to_date(decided, preparing)
+            } else {
+                peer.report.is_some()
+            };
+            let reachable = view.is_alive(node) || self.reported_recently(config, now, peer);
+            let wait = if reachable { config.retry } else { config.lease / 2 };
+            if !up_to_date && peer.announced_at.is_none_or(|announced_at| now >= announced_at + wait) {
+                self.announce(now, node, None, out);
             }
         }
     }
 
-    fn title(&self) -> Option<Title> {
-        self.preparing.as_ref().map(|preparing| preparing.title)
+    fn preparing_header(&self) -> Option<TableHeader> {
+        self.preparing.as_ref().map(|preparing| preparing.header)
     }
 
-    fn is_fresh(&self, config: &AccordConfig, now: Moment, peer: &Peer) -> bool {
-        peer.reported.is_some_and(|reported| now < reported + config.beat() * 2)
+    fn reported_recently(&self, config: &AccordConfig, now: Moment, peer: &Peer) -> bool {
+        peer.reported_at.is_some_and(|reported_at| now < reported_at + config.heartbeat_interval() * 2)
     }
 
-    fn prepare(&mut self, now: Moment, title: Option<Title>) {
-        self.preparing = title.map(|title| Preparing { title, since: now });
+    fn start_preparing(&mut self, now: Moment, header: Option<TableHeader>) {
+        self.preparing = header.map(|header| Preparing { header, since: now });
         for peer in &mut self.peers {
-            peer.pushed = None;
-            if title.is_some_and(|title| !peer.holds(&title)) {
-                peer.behind.get_or_insert(now);
+            peer.announced_at = None;
+            if header.is_some_and(|header| !peer.holds(&header)) {
+                peer.behind_since.get_or_insert(now);
             }
         }
     }
 
-    fn push(&mut self, now: Moment, to: NodeId, grant: Option<Grant>, out: &mut Outbox) {
-        let (decided, preparing) = (self.decided, self.title());
-        self.words += 1;
-        let (epoch, number, settled) = (self.epoch, self.words, self.settled);
-        let word = Word { epoch, number, settled, decided, preparing, grant };
+    fn announce(&mut self, now: Moment, to: NodeId, grant: Option<Grant>, out: &mut Outbox) {
+        let (decided, preparing) = (self.decided, self.preparing_header());
+        self.announcements_sent += 1;
+        let (epoch, number, history_known) = (self.epoch, self.announcements_sent, self.history_known);
+        let announcement = Announcement { epoch, number, history_known, decided, preparing, grant };
         if let Some(peer) = self.peers.get_mut(usize::from(to.0)) {
-            peer.pushed = Some(now);
+            peer.announced_at = Some(now);
         }
-        out.send(to, Message::Word(word));
+        out.send(to, Message::Announcement(announcement));
     }
 }
--- a/crates/placement/src/coordinator/decide.rs
+++ b/crates/placement/src/coordinator/decide.rs
@@ -1,56 +1,57 @@
-//! When a version begins and when it is in force.
+//! When a version is started and when it is in force.
 
 use hallpin_membership::names::{Moment, NodeId};
 use hallpin_membership::view::View;
 
 use super::{Coordinator, Preparing};
 use crate::config::AccordConfig;
-use crate::news::Outbox;
+use crate::events::Outbox;
 use crate::peer::Peer;
-use crate::table::{Array, TableId, Title};
+use crate::table::{Array, TableHeader, TableId};
 
-/// Leases without a list as new as the last table, after which discovery is held to count anew. At the default lease
-/// that is well over the 6 s by which a list may be late.
-const ANEW_AFTER: u32 = 8;
+/// Number of leases without a list as new as the last table after which discovery is assumed to have restarted its
+/// revisions. At the default lease this is well over the 6 s by which a list may be late.
+const REVISION_RESET_LEASES: u32 = 8;
 
 impl Coordinator {
-    /// Puts the prepared version in force once nobody without it can have a lease.
+    /// Puts the version being prepared in force once no node without it can have a lease.
     pub(super) fn decide(&mut self, config: &AccordConfig, now: Moment, out: &mut Outbox) {
-        let Some(Preparing { title, since }) = self.preparing.clone() else {
+        let Some(Preparing { header, since }) = self.preparing.clone() else {
             return;
         };
-        let own = self.holds_itself(config, &title);
-        let late = now >= since + config.patience;
-        if !own && now >= since + config.lease && self.knows_all(now) {
-            self.give_up(now);
+        let own = self.own_replica_holds(config, &header);
+        let timed_out = now >= since + config.prepare_timeout;
+        if !own && now >= since + config.lease && self.all_accounted_for(now) {
+            self.abandon_version(now);
             return;
         }
-        let safe = self.peers.iter().all(|peer| !peer.may_be_leased(now) || peer.holds(&title));
-        let waits = |peer: &Peer| self.is_fresh(config, now, peer) && !peer.holds(&title);
-        if !own || !safe || (!late && self.peers.iter().any(waits)) {
+        let safe = self.peers.iter().all(|peer| !peer.may_be_leased(now) || peer.holds(&header));
+        let is_waited_for = |peer: &Peer| self.reported_recently(config, now, peer) && !peer.holds(&header);
+        if !own || !safe || (!timed_out && self.peers.iter().any(is_waited_for)) {
             return;
         }
-        self.decided = Some(title);
-        self.count_decided += 1;
+        self.decided = Some(header);
+        self.decided_count += 1;
         self.preparing = None;
         for node in 0..config.configured {
-            self.push(now, NodeId(node), None, out);
+            self.announce(now, NodeId(node), None, out);
         }
-        self.peers.iter_mut().for_each(|peer| peer.behind = None);
+        self.peers.iter_mut().for_each(|peer| peer.behind_since = None);
     }
 
-    /// Drops a version that this node can get from nobody. It may have been in force at who had it; so nothing that is
-    /// older may be gone by any more, and all leases run out before the next one.
-    fn give_up(&mut self, now: Moment) {
-        (self.bounded, self.found, self.decided) = (false, None, None);
-        self.prepare(now, None);
+    /// Abandons a version that this node can fetch from no other. Nodes that had the version may have placed by it, so
+    /// the older decided table is forgotten too, and all leases run out before the next version is decided.
+    fn abandon_version(&mut self, now: Moment) {
+        (self.history_bounded, self.recovered, self.decided) = (false, None, None);
+        self.start_preparing(now, None);
     }
 
-    pub(super) fn holds_itself(&self, config: &AccordConfig, title: &Title) -> bool {
-        self.peers.get(usize::from(config.this.node.0)).is_some_and(|peer| peer.holds(title))
+    pub(super) fn own_replica_holds(&self, config: &AccordConfig, header: &TableHeader) -> bool {
+        self.peers.get(usize::from(config.this.node.0)).is_some_and(|peer| peer.holds(header))
     }
 
-    /// Begins a version of the newest list. One that is under way makes room only when it has had its time.
+    /// Starts a version from the newest list. A version already being prepared is replaced only after
+    /// `prepare_timeout`.
     pub(super) fn propose(
         &mut self,
         config: &AccordConfig,
@@ -59,42 +60,45 @@
         newest: Option<(u64, &Array)>,
     ) {
         let listed = newest.map(|(revision, array)| (revision, array.digest));
-        let found = self.found.map(|title| (title.revision, title.digest));
-        let newest = if listed < found.filter(|_| self.decided.is_none()) { found } else { listed };
-        let Some((revision, digest)) = newest.filter(|_| self.settled) else {
+        let recovered = self.recovered.map(|header| (header.revision, header.digest));
+        let newest = if listed < recovered.filter(|_| self.decided.is_none()) { recovered } else { listed };
+        let Some((revision, digest)) = newest.filter(|_| self.history_known) else {
             return;
         };
-        let last = self.title().or(self.decided);
-        let begun_anew = self.is_begun_anew(config, now, last);
-        if last.is_some_and(|last| (last.revision >= revision && !begun_anew) || last.digest == digest) {
+        let last = self.preparing_header().or(self.decided);
+        let revision_reset = self.is_revision_reset(config, now, last);
+        if last.is_some_and(|last| (last.revision >= revision && !revision_reset) || last.digest == digest) {
             return;
         }
         if self.preparing.as_ref().is_some_and(|preparing| {
-            now < preparing.since + config.patience || preparing.title.id.epoch < self.epoch
+            now < preparing.since + config.prepare_timeout || preparing.header.id.epoch < self.epoch
         }) {
             return;
         }
         let ready = |node: NodeId| {
             let peer = self.peers.get(usize::from(node.0));
             peer.is_none_or(|peer| {
-                peer.report.is_some() && (self.decided.is_none() || peer.granted.is_some())
+                peer.report.is_some() && (self.decided.is_none() || peer.granted_at.is_some())
             })
         };
-        if now < self.began + config.patience && !view.alive().all(|member| ready(member.life.node)) {
+        if now < self.started_at + config.prepare_timeout
+            && !view.alive().all(|member| ready(member.life.node))
+        {
             return;
         }
-        self.versions += 1;
-        let id = TableId { epoch: self.epoch, version: self.versions };
-        self.prepare(now, Some(Title { id, revision, digest }));
+        self.highest_version += 1;
+        let id = TableId { epoch: self.epoch, version: self.highest_version };
+        self.start_preparing(now, Some(TableHeader { id, revision, digest }));
     }
 
-    /// Whether discovery counts its revisions anew: for long no node that reports has had a list as new as the last table.
-    fn is_begun_anew(&mut self, config: &AccordConfig, now: Moment, last: Option<Title>) -> bool {
-        let last = last.map(|title| title.revision);
+    /// Returns whether discovery has restarted its revisions: for `REVISION_RESET_LEASES` leases no reporting node has
+    /// had a list as new as the last table.
+    fn is_revision_reset(&mut self, config: &AccordConfig, now: Moment, last: Option<TableHeader>) -> bool {
+        let last = last.map(|header| header.revision);
         if self.newest_list(config, now).map(|(revision, ..)| revision) >= last {
             self.lists_older_since = None;
             return false;
         }
-        now >= *self.lists_older_since.get_or_insert(now) + config.lease * ANEW_AFTER
+        now >= *self.lists_older_since.get_or_insert(now) + config.lease * REVISION_RESET_LEASES
     }
 }
--- a/crates/placement/src/coordinator/find.rs
+++ b/crates/placement/src/coordinator/find.rs
@@ -1,4 +1,4 @@
-//! Which node has an array or a newer list.
+//! Finds nodes that have an array or a newer list, by their reports.
 
 use hallpin_membership::names::{Moment, NodeId};
 
@@ -7,9 +7,10 @@
 use crate::peer::Peer;
 
 impl Coordinator {
-    /// The newest list of those that nodes report: its revision, its array's digest, and whose it is.
+    /// Returns the newest reported list: its revision, its array's digest and the node that has it.
     pub fn newest_list(&self, config: &AccordConfig, now: Moment) -> Option<(u64, u64, NodeId)> {
-        let lists = self.peers.iter().enumerate().filter(|(_, peer)| self.is_fresh(config, now, peer));
+        let lists =
+            self.peers.iter().enumerate().filter(|(_, peer)| self.reported_recently(config, now, peer));
         let lists = lists.filter_map(|(node, peer)| {
             let (revision, digest) = peer.report.as_ref()?.list?;
             Some((revision, digest, NodeId(node as u16)))
@@ -17,7 +18,7 @@
         lists.max_by_key(|(revision, ..)| *revision)
     }
 
-    /// The newest list, if it is newer than `known` and than the table in force.
+    /// Returns the newest reported list if it is newer than `known` and than the table in force.
     pub fn newer_list(
         &self,
         config: &AccordConfig,
@@ -28,16 +29,16 @@
         self.newest_list(config, now).filter(|(revision, ..)| Some(*revision) > known)
     }
 
-    /// The revision that the table in force was made of.
+    /// Returns the list revision from which the table in force was made.
     pub fn revision(&self) -> Option<u64> {
-        self.decided.map(|title| title.revision)
+        self.decided.map(|header| header.revision)
     }
 
-    /// A node that says it has an array of this digest.
-    pub fn source(&self, digest: u64, but: NodeId, nth: u32) -> Option<NodeId> {
+    /// Returns the `nth` node, other than `except`, that reports an array with this digest.
+    pub fn source(&self, digest: u64, except: NodeId, nth: u32) -> Option<NodeId> {
         let holds = |peer: &Peer| {
             peer.report.as_ref().is_some_and(|report| {
-                let tables = [report.base, report.prepared].into_iter().flatten().map(|title| title.digest);
+                let tables = [report.base, report.prepared].into_iter().flatten().map(|header| header.digest);
                 tables.chain(report.list.map(|(_, digest)| digest)).any(|held| held == digest)
             })
         };
@@ -47,7 +48,7 @@
             .enumerate()
             .filter(|(_, peer)| holds(peer))
             .map(|(node, _)| NodeId(node as u16));
-        let nodes: Vec<_> = nodes.filter(|node| *node != but).collect();
+        let nodes: Vec<_> = nodes.filter(|node| *node != except).collect();
         nodes.get(nth as usize % nodes.len().max(1)).copied()
     }
 }
--- a/crates/placement/src/coordinator/grant.rs
+++ b/crates/placement/src/coordinator/grant.rs
@@ -1,15 +1,15 @@
-//! Who gets a lease.
+//! Decides which nodes get a lease.
 
 use hallpin_membership::names::{Life, Moment, NodeId};
 
 use super::Coordinator;
 use crate::config::AccordConfig;
+use crate::events::Outbox;
 use crate::message::Grant;
-use crate::news::Outbox;
 
 impl Coordinator {
-    /// Grants a lease where that is safe, and tells a node what it does not know.
-    pub(super) fn answer(
+    /// Answers a report: grants a lease where that is safe, and otherwise announces what the node lacks.
+    pub(super) fn reply(
         &mut self,
         config: &AccordConfig,
         now: Moment,
@@ -18,33 +18,36 @@
         out: &mut Outbox,
     ) {
         let may = self.may_grant(config, now, from.node);
-        let (decided, preparing) = (self.decided, self.title());
+        let (decided, preparing) = (self.decided, self.preparing_header());
         let Some(peer) = self.peers.get_mut(usize::from(from.node.0)) else {
             return;
         };
         let grant = may.then_some(Grant { incarnation: from.incarnation.0, stamp });
-        let lately = peer.granted.is_some_and(|granted| now < granted + config.beat() / 8);
-        let level = peer.is_level(decided, preparing);
-        if may && !(level && lately) {
-            peer.grant(now, now + config.lease_granted());
-            self.push(now, from.node, grant, out);
-        } else if !may && !level {
-            self.push(now, from.node, None, out);
+        let granted_recently =
+            peer.granted_at.is_some_and(|granted_at| now < granted_at + config.heartbeat_interval() / 8);
+        let up_to_date = peer.is_up_to_date(decided, preparing);
+        if may && !(up_to_date && granted_recently) {
+            peer.grant(now, now + config.lease_length_at_coordinator());
+            self.announce(now, from.node, grant, out);
+        } else if !may && !up_to_date {
+            self.announce(now, from.node, None, out);
         }
     }
 
-    /// A node that has had its lease all along goes on with it, unless a version waits for it too long. Any other gets
-    /// one once it holds all that is decided and prepared, and not while a predecessor's version is open: an earlier life
-    /// of it may have placed by that.
+    /// Returns whether a lease may be granted to `node`. A node whose lease has not lapsed keeps it, unless a version
+    /// has waited for the node for longer than `prepare_timeout`. Any other node must first hold the decided table and
+    /// the one being prepared, and gets no lease while a predecessor's version is undecided: an earlier incarnation of
+    /// the node may have placed by that version.
     fn may_grant(&self, config: &AccordConfig, now: Moment, node: NodeId) -> bool {
         let Some((peer, decided)) = self.peers.get(usize::from(node.0)).zip(self.decided) else {
             return false;
         };
-        let title = self.title();
-        let prepared = title.is_none_or(|title| peer.holds(&title) && title.id.epoch == self.epoch);
-        let late = peer.behind.is_some_and(|behind| now >= behind + config.patience)
-            && title.is_some_and(|title| self.holds_itself(config, &title));
-        let continues = peer.is_continuing(now) && !late;
-        self.settled && peer.holds(&decided) && (prepared || continues)
+        let header = self.preparing_header();
+        let prepared = header.is_none_or(|header| peer.holds(&header) && header.id.epoch == self.epoch);
+        let overdue =
+            peer.behind_since.is_some_and(|behind_since| now >= behind_since + config.prepare_timeout)
+                && header.is_some_and(|header| self.own_replica_holds(config, &header));
+        let continues = peer.has_continuous_lease(now) && !overdue;
+        self.history_known && peer.holds(&decided) && (prepared || continues)
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,7 @@
-//! A placement table by version, prepared in every depot before any switches.
+//! A versioned placement table that every depot prepares before any of them switches to it.
 //!
-//! One coordinator at a time, fenced by the leader lease, prepares a version at every node and decides it once every node holds
-//! it or has no lease on its table any more. See `docs/design/accord.md`.
+//! One coordinator at a time, fenced by the leader lease, prepares a version at every node. It decides the version once
+//! every node either holds it or no longer has a lease on its table. See `docs/design/accord.md`.
 //!
 //! Pure: no clock, socket, thread or global.
 #![forbid(unsafe_code)]
@@ -10,20 +10,20 @@
 mod accord;
 mod config;
 mod coordinator;
-mod core;
+mod events;
 mod fetch;
-mod holder;
 mod message;
 #[cfg(test)]
 mod model;
-mod news;
 mod pages;
 mod peer;
+mod protocol;
+mod replica;
 mod table;
 #[cfg(test)]
 mod tests;
 
 pub use accord::Accord;
 pub use config::{AccordConfig, ConfigError, Stored};
-pub use news::{AccordNews, AccordState, Figures};
+pub use events::{AccordNews, AccordState, Metrics};
 pub use table::{Table, TableEntry, TableId, MAX_ENTRIES, MAX_SERVER};
--- a/crates/placement/src/message.rs
+++ b/crates/placement/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other about tables, and how it reads.
+//! Messages of the table protocol and their encoding.
 
 use hallpin_membership::envelope::{Refused, MAX_PAYLOAD};
 use hallpin_membership::names::Moment;
@@ -6,120 +6,126 @@
 use serde::{Deserialize, Serialize};
 
 use crate::pages::Change;
-use crate::table::Title;
+use crate::table::TableHeader;
 
-/// What passes between two nodes.
+/// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// A node to the coordinator: what it holds. Asks for a lease.
+    /// From a node to the coordinator: the tables that the node holds. It also requests a lease.
     Report(Report),
-    /// The coordinator to a node: what is decided and what is being prepared. May grant a lease.
-    Word(Word),
-    /// Anybody to anybody: asks for pages of an array.
-    Want(Want),
-    /// The answer.
+    /// From the coordinator to a node: the decided table and the one being prepared. It may grant a lease.
+    #[serde(rename = "Word")]
+    Announcement(Announcement),
+    /// Between any two nodes: requests pages of an array.
+    #[serde(rename = "Want")]
+    PageRequest(PageRequest),
+    /// Answers a page request with one page.
     Page(Page),
 }
 
-/// What a node holds.
+/// The tables and the list that a node holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Report {
-    /// The coordinator's fencing number. Who reports under it has stopped listening to lower ones.
+    /// Fencing number of the coordinator. A node that reports under it ignores coordinators with a lower one.
     pub epoch: u64,
-    /// Grows by 1 with each report of one life.
+    /// Grows by 1 with each report of one incarnation.
     pub number: u64,
-    /// When it was sent, by the node's own clock, in microseconds.
+    /// Time of sending by the node's own clock, in microseconds.
     pub stamp: u64,
-    /// The newest table held that was decided.
-    pub base: Option<Title>,
-    /// The one held that was not.
-    pub prepared: Option<Title>,
-    /// Whether the node had a lease when it sent this.
+    /// The newest decided table that the node holds.
+    pub base: Option<TableHeader>,
+    /// The undecided table that the node holds.
+    pub prepared: Option<TableHeader>,
+    /// Whether the node had a lease when it sent the report.
     pub leased: bool,
-    /// The revision and digest of the array that its own list makes.
+    /// Revision and digest of the array made from the node's own list.
     pub list: Option<(u64, u64)>,
 }
 
 impl Report {
-    /// Whether the node holds a table, or a newer one that was decided.
-    pub fn holds(&self, title: &Title) -> bool {
-        self.prepared.is_some_and(|held| held.id == title.id)
-            || self.base.is_some_and(|held| held.id >= title.id)
+    /// Returns whether the node holds this table or a newer decided one.
+    pub fn holds(&self, header: &TableHeader) -> bool {
+        self.prepared.is_some_and(|held| held.id == header.id)
+            || self.base.is_some_and(|held| held.id >= header.id)
     }
 }
 
-/// What holds by the coordinator's word.
+/// The state of the tables according to the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Word {
-    /// The coordinator's fencing number.
+pub(crate) struct Announcement {
+    /// Fencing number of the coordinator.
     pub epoch: u64,
-    /// Grows by 1 with each word of one holding: an older one that comes later would undo what was reported since.
+    /// Grows by 1 with each announcement of one holding. Applying an older one that arrives later would undo what was
+    /// reported since.
     pub number: u64,
-    /// The coordinator knows what its predecessors decided; before that it only gathers reports.
-    pub settled: bool,
-    /// The newest table that was decided.
-    pub decided: Option<Title>,
-    /// The next one.
-    pub preparing: Option<Title>,
+    /// Whether the coordinator knows what its predecessors decided. Until then it only collects reports.
+    #[serde(rename = "settled")]
+    pub history_known: bool,
+    /// The newest decided table.
+    pub decided: Option<TableHeader>,
+    /// The table being prepared.
+    pub preparing: Option<TableHeader>,
     /// A lease, in answer to a report.
     pub grant: Option<Grant>,
 }
 
-/// A fencing number so far beyond this node's start (139 years of milliseconds) is garbage, and would shut out all others.
+/// How far a fencing number may be ahead of this node's start (139 years of milliseconds). Accepting a greater one
+/// would shut out every genuine coordinator.
 const MAX_AHEAD: u64 = 1 << 42;
 
-impl Word {
-    /// Whether a coordinator can have said this: no table is named by a later one.
+impl Announcement {
+    /// Returns whether a coordinator can have sent this: its fencing number is plausible, and no table carries a
+    /// greater one.
     pub fn is_plausible(&self, incarnation: u64) -> bool {
-        let titles = [self.decided, self.preparing].into_iter().flatten();
+        let headers = [self.decided, self.preparing].into_iter().flatten();
         self.epoch <= incarnation.saturating_add(MAX_AHEAD)
-            && titles.into_iter().all(|title| title.id.epoch <= self.epoch)
+            && headers.into_iter().all(|header| header.id.epoch <= self.epoch)
     }
 }
 
-/// A lease, from when a report was sent.
+/// A lease that starts when the report was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Grant {
-    /// The life that reported.
+    /// Incarnation of the node that reported.
     pub incarnation: u64,
-    /// The report's stamp.
+    /// `stamp` of the report.
     pub stamp: u64,
 }
 
-/// Pages of the way from one array to another.
+/// Requests pages of the changes that turn one array into another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Want {
+pub(crate) struct PageRequest {
     pub target: u64,
-    /// Held by who asks.
+    /// Digest of the array that the requester has.
     pub base: u64,
     pub first: u16,
-    /// Bit i: page `first + i`.
+    /// Bit i stands for page `first + i`.
     pub mask: u16,
 }
 
-/// One page of the way from one array to another.
+/// One page of the changes that turn one array into another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Page {
     pub target: u64,
-    /// That of the question, or the empty array's where the answerer does not have it.
+    /// The base of the request, or the empty array if the answering node does not have that base.
     pub base: u64,
     pub index: u16,
-    /// How many there are.
+    /// Number of pages.
     pub of: u16,
     pub changes: Vec<Change>,
 }
 
-/// A moment as it travels.
+/// Converts a moment to microseconds, as it is sent.
 pub(crate) fn micros(now: Moment) -> u64 {
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A payload's bytes; `None` where they would not fit, which no message of this crate does.
+/// Encodes a payload; `None` if it is longer than a datagram allows, which no message of this crate is.
 pub(crate) fn encode<T: Serialize>(message: &T) -> Option<Vec<u8>> {
     postcard::to_allocvec(message).ok().filter(|bytes| bytes.len() <= MAX_PAYLOAD)
 }
 
-/// Reads a payload from anybody: bounded by its length, nothing may follow.
+/// Decodes a payload from any sender: at most `MAX_PAYLOAD` bytes, and nothing may follow the message.
 pub(crate) fn decode<T: DeserializeOwned>(payload: &[u8]) -> Result<T, Refused> {
     if payload.len() > MAX_PAYLOAD {
         return Err(Refused::Payload);
--- a/crates/placement/src/pages.rs
+++ b/crates/placement/src/pages.rs
@@ -1,4 +1,4 @@
-//! How the way from one array to another is cut into pages that fit a datagram.
+//! Splits the changes between two arrays into pages that fit a datagram.
 
 use std::cmp::Ordering;
 
@@ -6,12 +6,12 @@
 
 use crate::table::{TableEntry, MAX_ENTRIES};
 
-/// Most pages of one way: every entry gone and every entry new, at the longest ids.
+/// Most pages of one set of changes: every entry removed and every entry new, with ids of the greatest length.
 pub(crate) const MAX_PAGES: u16 = (2 * MAX_ENTRIES / 2) as u16;
-/// Bytes of changes in a page: a payload without the page's other fields at their longest.
-const ROOM: usize = 195;
+/// Bytes of changes in a page: a payload less the page's other fields at their longest.
+const MAX_CHANGE_BYTES: usize = 195;
 
-/// One server's weight from here on; `None` takes it out.
+/// The new weight of one server; `None` removes the server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct Change {
     pub server: String,
@@ -19,13 +19,13 @@
 }
 
 impl Change {
-    /// Bytes on the wire at most.
+    /// Upper bound of the encoded size in bytes.
     fn size(&self) -> usize {
         self.server.len() + 2 + 6
     }
 }
 
-/// What makes `target` of `base`, sorted by id.
+/// Returns the changes that turn `base` into `target`, sorted by id.
 pub(crate) fn changes(base: &[TableEntry], target: &[TableEntry]) -> Vec<Change> {
     let (mut old, mut new) = (base.iter().peekable(), target.iter().peekable());
     let mut out = Vec::new();
@@ -48,17 +48,17 @@
     }
 }
 
-/// The changes by pages; one page, with nothing on it, where there are none.
+/// Splits changes into pages; without changes there is one empty page.
 pub(crate) fn pack(changes: Vec<Change>) -> Vec<Vec<Change>> {
     let mut pages = vec![Vec::new()];
-    let mut room = ROOM;
+    let mut remaining_bytes = MAX_CHANGE_BYTES;
     for change in changes {
         let size = change.size();
-        if size > room {
+        if size > remaining_bytes {
             pages.push(Vec::new());
-            room = ROOM;
+            remaining_bytes = MAX_CHANGE_BYTES;
         }
-        room -= size;
+        remaining_bytes -= size;
         if let Some(page) = pages.last_mut() {
             page.push(change);
         }
@@ -66,8 +66,8 @@
     pages
 }
 
-/// What the changes make of `base`. Both are sorted by id; from anybody else nothing sound comes out, and the digest
-/// will tell.
+/// Applies changes to `base`. Both must be sorted by id. Unsorted changes from another node give an invalid array,
+/// which the caller's check of the digest detects.
 pub(crate) fn apply<'a>(base: &[TableEntry], changes: impl Iterator<Item = &'a Change>) -> Vec<TableEntry> {
     let mut out = Vec::with_capacity(base.len());
     let mut old = base.iter().peekable();
--- a/crates/placement/src/peer.rs
+++ b/crates/placement/src/peer.rs
@@ -1,89 +1,90 @@
-//! What the coordinator knows of one node, and until when that node may have a lease.
+//! The coordinator's record of one node: its last report and until when it may have a lease.
 
 use hallpin_membership::names::{Incarnation, Life, Moment};
 
 use crate::message::Report;
-use crate::table::Title;
+use crate::table::TableHeader;
 
-/// One node in the coordinator's book.
+/// The coordinator's record of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
-    life: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
     pub report: Option<Report>,
-    pub reported: Option<Moment>,
-    /// From then on it has no lease for sure; `None`: it has none.
-    fence: Option<Moment>,
-    pub granted: Option<Moment>,
-    pub pushed: Option<Moment>,
-    /// Since when there is a version that it does not hold.
-    pub behind: Option<Moment>,
+    pub reported_at: Option<Moment>,
+    /// Time from which the node certainly has no lease; `None` if it has none already.
+    lease_ends_by: Option<Moment>,
+    pub granted_at: Option<Moment>,
+    pub announced_at: Option<Moment>,
+    /// Time since which there is a version that the node does not hold.
+    pub behind_since: Option<Moment>,
 }
 
 impl Peer {
-    /// One of which nothing is known but when the leases of earlier coordinators end.
-    pub fn unknown(fence: Moment) -> Self {
+    /// Creates the record of a node that has not reported. `lease_ends_by` is when leases of earlier coordinators end.
+    pub fn unknown(lease_ends_by: Moment) -> Self {
         Peer {
-            life: None,
+            incarnation: None,
             report: None,
-            reported: None,
-            fence: Some(fence),
-            granted: None,
-            pushed: None,
-            behind: None,
+            reported_at: None,
+            lease_ends_by: Some(lease_ends_by),
+            granted_at: None,
+            announced_at: None,
+            behind_since: None,
         }
     }
 
-    /// Takes a report under the coordinator's own fencing number; whether it is news.
+    /// Takes a report under this coordinator's own fencing number, and returns whether it is newer than the last.
     ///
-    /// Who reports that it has no lease can get none from an earlier coordinator any more, as it listens to none. One
-    /// that this coordinator granted may be on its way, so those always run their time.
-    pub fn take(&mut self, now: Moment, from: Life, report: Report) -> bool {
-        if self.life.is_some_and(|life| from.incarnation < life) {
+    /// A node that reports having no lease can get none from an earlier coordinator any more, because it ignores those.
+    /// A grant of this coordinator may still be on its way, so such a lease always counts until its end.
+    pub fn accept_report(&mut self, now: Moment, from: Life, report: Report) -> bool {
+        if self.incarnation.is_some_and(|incarnation| from.incarnation < incarnation) {
             return false;
         }
-        if self.life != Some(from.incarnation) {
-            // A newer life has nothing of an older one's; the first one heard of may be the one that was granted.
-            let first = self.life.is_none();
-            self.life = Some(from.incarnation);
+        if self.incarnation != Some(from.incarnation) {
+            // A new incarnation has no lease of an older one. The first incarnation heard of may itself have been
+            // granted one by an earlier coordinator.
+            let first = self.incarnation.is_none();
+            self.incarnation = Some(from.incarnation);
             self.report = None;
-            self.granted = None;
+            self.granted_at = None;
             if !first {
-                self.fence = None;
+                self.lease_ends_by = None;
             }
         }
         if self.report.as_ref().is_some_and(|known| report.number <= known.number) {
             return false;
         }
-        if !report.leased && self.granted.is_none() {
-            self.fence = None;
+        if !report.leased && self.granted_at.is_none() {
+            self.lease_ends_by = None;
         }
         self.report = Some(report);
-        self.reported = Some(now);
+        self.reported_at = Some(now);
         true
     }
 
-    pub fn grant(&mut self, now: Moment, fence: Moment) {
-        self.granted = Some(now);
-        self.fence = Some(fence);
+    pub fn grant(&mut self, now: Moment, lease_ends_by: Moment) {
+        self.granted_at = Some(now);
+        self.lease_ends_by = Some(lease_ends_by);
     }
 
-    /// Whether it may have a lease now.
+    /// Returns whether the node may have a lease now.
     pub fn may_be_leased(&self, now: Moment) -> bool {
-        self.fence.is_some_and(|fence| now < fence)
+        self.lease_ends_by.is_some_and(|lease_ends_by| now < lease_ends_by)
     }
 
-    /// Whether it had a lease when it last reported, and may have it still without a break.
-    pub fn is_continuing(&self, now: Moment) -> bool {
+    /// Returns whether the node had a lease when it last reported and may have it still, without a gap.
+    pub fn has_continuous_lease(&self, now: Moment) -> bool {
         self.report.as_ref().is_some_and(|report| report.leased) && self.may_be_leased(now)
     }
 
-    pub fn holds(&self, title: &Title) -> bool {
-        self.report.as_ref().is_some_and(|report| report.holds(title))
+    pub fn holds(&self, header: &TableHeader) -> bool {
+        self.report.as_ref().is_some_and(|report| report.holds(header))
     }
 
-    /// Whether it has reported that it holds what it should and nothing else.
-    pub fn is_level(&self, decided: Option<Title>, preparing: Option<Title>) -> bool {
-        let id = |title: Option<Title>| title.map(|title| title.id);
+    /// Returns whether the node has reported exactly the decided table and the one being prepared.
+    pub fn is_up_to_date(&self, decided: Option<TableHeader>, preparing: Option<TableHeader>) -> bool {
+        let id = |header: Option<TableHeader>| header.map(|header| header.id);
         self.report
             .as_ref()
             .is_some_and(|report| id(report.base) == id(decided) && id(report.prepared) == id(preparing))
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -1,4 +1,4 @@
-//! What a placement table is, which of two is newer, and which array is meant by a digest.
+//! Placement tables: their entries, their order by age, and the digest that identifies an array of entries.
 
 use std::sync::Arc;
 
@@ -7,44 +7,44 @@
 
 /// Most servers in a table.
 pub const MAX_ENTRIES: usize = 4096;
-/// Longest id of a server, in bytes.
+/// Greatest length of a server's id, in bytes.
 pub const MAX_SERVER: usize = 64;
 
 /// A server and its share of the array.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TableEntry {
-    /// The list's id of it, 1 to [`MAX_SERVER`] bytes.
+    /// Id of the server in the endpoint list, 1 to [`MAX_SERVER`] bytes.
     pub server: String,
-    /// Its weight, in thousandths.
+    /// Weight in thousandths.
     pub weight_milli: u32,
 }
 
-/// What all nodes place by.
+/// The table by which all nodes place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
-    /// The fencing number of the coordinator that proposed it.
+    /// Fencing number of the coordinator that proposed the table.
     pub epoch: u64,
-    /// Grows by 1 from table to table; one (epoch, version) names one table only.
+    /// Grows by 1 from table to table; a pair (epoch, version) identifies one table only.
     pub version: u64,
-    /// Discovery's revision that it was made of.
+    /// Revision of the discovery's list from which the table was made.
     pub revision: u64,
-    /// Sorted by id, each once, at most [`MAX_ENTRIES`].
+    /// At most [`MAX_ENTRIES`] entries, sorted by id, each id once.
     pub entries: Arc<[TableEntry]>,
 }
 
 impl Table {
-    /// XXH3 of the entries: two tables of one digest make the same array.
+    /// Returns the XXH3 hash of the entries: tables with the same digest make the same array.
     pub fn digest(&self) -> u64 {
         digest(&self.entries)
     }
 
-    /// Which table it is.
+    /// Returns the id of the table.
     pub fn id(&self) -> TableId {
         TableId { epoch: self.epoch, version: self.version }
     }
 }
 
-/// Names one table. The greater one is the newer, whatever happened between them.
+/// Identifies a table. The greater id is the newer table, whichever coordinators proposed the two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TableId {
     /// See [`Table::epoch`].
@@ -53,22 +53,22 @@
     pub version: u64,
 }
 
-/// A table named without its entries: what fits a datagram.
+/// A table without its entries, short enough for a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Title {
+pub(crate) struct TableHeader {
     pub id: TableId,
     pub revision: u64,
     pub digest: u64,
 }
 
-/// The newer of two titles.
-pub(crate) trait MaxById {
-    fn max_by_id(self, other: Self) -> Self;
+/// Selects the newer of two table headers.
+pub(crate) trait NewerOf {
+    fn newer_of(self, other: Self) -> Self;
 }
 
-impl MaxById for Option<Title> {
-    fn max_by_id(self, other: Self) -> Self {
-        if self.map(|title| title.id) < other.map(|title| title.id) {
+impl NewerOf for Option<TableHeader> {
+    fn newer_of(self, other: Self) -> Self {
+        if self.map(|header| header.id) < other.map(|header| header.id) {
             other
         } else {
             self
@@ -76,7 +76,7 @@
     }
 }
 
-/// Entries with their digest, reckoned once.
+/// Entries with their precomputed digest.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Array {
     pub digest: u64,
@@ -89,37 +89,40 @@
     }
 }
 
-/// A table that this node has whole.
+/// A table of which this node has all entries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Held {
-    pub title: Title,
+pub(crate) struct LocalTable {
+    pub header: TableHeader,
     pub table: Table,
 }
 
-impl Held {
-    pub fn new(title: Title, array: &Array) -> Self {
-        let TableId { epoch, version } = title.id;
-        let table = Table { epoch, version, revision: title.revision, entries: array.entries.clone() };
-        Held { title, table }
+impl LocalTable {
+    pub fn new(header: TableHeader, array: &Array) -> Self {
+        let TableId { epoch, version } = header.id;
+        let table = Table { epoch, version, revision: header.revision, entries: array.entries.clone() };
+        LocalTable { header, table }
     }
 
     pub fn of(table: Table) -> Self {
-        Held { title: Title { id: table.id(), revision: table.revision, digest: table.digest() }, table }
+        LocalTable {
+            header: TableHeader { id: table.id(), revision: table.revision, digest: table.digest() },
+            table,
+        }
     }
 
     pub fn array(&self) -> Array {
-        Array { digest: self.title.digest, entries: self.table.entries.clone() }
+        Array { digest: self.header.digest, entries: self.table.entries.clone() }
     }
 }
 
-/// Whether entries are sorted by id, each once, and within the bounds.
+/// Returns whether entries are sorted by id, without duplicates and within the bounds.
 pub(crate) fn is_sound(entries: &[TableEntry]) -> bool {
     entries.len() <= MAX_ENTRIES
         && entries.iter().all(|entry| (1..=MAX_SERVER).contains(&entry.server.len()))
         && entries.is_sorted_by(|one, other| one.server < other.server)
 }
 
-/// XXH3 over each entry's length, id and weight.
+/// Returns the XXH3 hash over each entry's length, id and weight.
 pub(crate) fn digest(entries: &[TableEntry]) -> u64 {
     let mut bytes = Vec::with_capacity(entries.len() * 24);
     for entry in entries {
--- a/crates/placement/src/tests.rs
+++ b/crates/placement/src/tests.rs
@@ -1,4 +1,5 @@
-//! The codec, pages and tables by chance: what anybody may send is bounded and changes nothing it should not.
+//! Tests of the codec, of pages and of tables, partly with random input: input from any sender is bounded, and invalid
+//! input changes nothing.
 
 use hallpin_membership::envelope::MAX_PAYLOAD;
 use hallpin_membership::machine::Machine;
@@ -8,11 +9,11 @@
 use proptest::prelude::*;
 
 use crate::accord::Payload;
-use crate::fetch::{answer, Fetch};
-use crate::message::{decode, encode, Grant, Message, Page, Report, Want, Word};
-use crate::news::Outbox;
+use crate::events::Outbox;
+use crate::fetch::{pages_for, Fetch};
+use crate::message::{decode, encode, Announcement, Grant, Message, Page, PageRequest, Report};
 use crate::pages::{apply, changes, pack};
-use crate::table::{is_sound, Array, TableEntry, TableId, Title, MAX_SERVER};
+use crate::table::{is_sound, Array, TableEntry, TableHeader, TableId, MAX_SERVER};
 use crate::{Accord, AccordConfig};
 
 fn entries() -> impl Strategy<Value = Vec<TableEntry>> {
@@ -20,7 +21,7 @@
     btree_map("[a-h]{1,64}", any::<u32>(), 0..60).prop_map(move |all| all.into_iter().map(entry).collect())
 }
 
-fn machine() -> (Accord, View) {
+fn accord_and_view() -> (Accord, View) {
     let this = Life { node: NodeId(0), incarnation: Incarnation(7) };
     let config = AccordConfig::with_lease(this, ZoneId(0), 2, 3, Moment::from_secs(2), 20_000);
     let accord = Accord::new(config, None, Moment::ZERO, 1).unwrap();
@@ -28,21 +29,22 @@
 }
 
 #[test]
-fn the_longest_of_each_message_fits() {
+fn the_longest_message_of_each_kind_fits() {
     let id = TableId { epoch: u64::MAX, version: u64::MAX };
-    let title = Some(Title { id, revision: u64::MAX, digest: u64::MAX });
+    let header = Some(TableHeader { id, revision: u64::MAX, digest: u64::MAX });
     let (epoch, number, stamp) = (u64::MAX, u64::MAX, u64::MAX);
     let report = Report {
         epoch,
         number,
         stamp,
-        base: title,
-        prepared: title,
+        base: header,
+        prepared: header,
         leased: true,
         list: Some((number, number)),
     };
     let grant = Some(Grant { incarnation: u64::MAX, stamp });
-    let word = Word { epoch, number, settled: true, decided: title, preparing: title, grant };
+    let announcement =
+        Announcement { epoch, number, history_known: true, decided: header, preparing: header, grant };
     let long = |n: u32| TableEntry {
         server: format!("{n:0width$}", width = MAX_SERVER),
         weight_milli: u32::MAX - n,
@@ -54,54 +56,72 @@
             Message::Page(Page { target: epoch, base: epoch, index: u16::MAX, of: u16::MAX, changes })
         })
     });
-    for message in
-        [Message::Report(report), Message::Word(word)].into_iter().chain(pages.into_iter().flatten())
+    for message in [Message::Report(report), Message::Announcement(announcement)]
+        .into_iter()
+        .chain(pages.into_iter().flatten())
     {
         assert!(encode(&Payload::Tables(message.clone())).is_some(), "{message:?}");
     }
 }
 
 #[test]
-fn a_word_that_no_coordinator_can_have_said_shuts_nobody_out() {
-    let (accord, _) = machine();
+fn an_implausible_announcement_does_not_shut_out_the_coordinator() {
+    let (accord, _) = accord_and_view();
     let from = |node| Life { node: NodeId(node), incarnation: Incarnation(1) };
-    let word = |epoch, title: Option<u64>| {
-        let title = title.map(|epoch| Title { id: TableId { epoch, version: 1 }, revision: 1, digest: 1 });
-        Word { epoch, number: 1, settled: true, decided: title, preparing: None, grant: None }
+    let announcement = |epoch, header: Option<u64>| {
+        let header =
+            header.map(|epoch| TableHeader { id: TableId { epoch, version: 1 }, revision: 1, digest: 1 });
+        Announcement { epoch, number: 1, history_known: true, decided: header, preparing: None, grant: None }
     };
-    let mut holder = accord.core.holder.clone();
-    for (epoch, title) in [(u64::MAX, None), (9, Some(10))] {
-        assert!(!holder.word(&accord.core.config, Moment::ZERO, from(1), &word(epoch, title)));
+    let mut replica = accord.protocol.replica.clone();
+    for (epoch, header) in [(u64::MAX, None), (9, Some(10))] {
+        assert!(!replica.on_announcement(
+            &accord.protocol.config,
+            Moment::ZERO,
+            from(1),
+            &announcement(epoch, header)
+        ));
     }
-    assert!(holder.word(&accord.core.config, Moment::ZERO, from(2), &word(9, Some(9))));
+    assert!(replica.on_announcement(
+        &accord.protocol.config,
+        Moment::ZERO,
+        from(2),
+        &announcement(9, Some(9))
+    ));
 }
 
 #[test]
-fn a_lease_counts_from_its_own_question_in_its_own_life() {
-    let (accord, _) = machine();
-    let config = &accord.core.config;
+fn a_lease_counts_from_the_report_and_for_its_incarnation_only() {
+    let (accord, _) = accord_and_view();
+    let config = &accord.protocol.config;
     let second = Moment::from_secs(1);
     let leased = |incarnation, asked: Moment, now| {
         let grant = Some(Grant { incarnation, stamp: asked.as_micros() as u64 });
-        let word = Word { epoch: 9, number: 1, settled: true, decided: None, preparing: None, grant };
-        let mut holder = accord.core.holder.clone();
-        holder.word(config, now, Life { node: NodeId(1), incarnation: Incarnation(1) }, &word);
-        holder.is_leased(now)
+        let announcement =
+            Announcement { epoch: 9, number: 1, history_known: true, decided: None, preparing: None, grant };
+        let mut replica = accord.protocol.replica.clone();
+        replica.on_announcement(
+            config,
+            now,
+            Life { node: NodeId(1), incarnation: Incarnation(1) },
+            &announcement,
+        );
+        replica.is_leased(now)
     };
     assert!(leased(7, second, second * 2));
-    assert!(!leased(6, second, second * 2), "of an earlier life");
-    assert!(!leased(7, second, second * 3), "two seconds, less 2%, from the question");
-    assert!(!leased(7, second * 2, second), "of a question not yet asked");
+    assert!(!leased(6, second, second * 2), "for an earlier incarnation");
+    assert!(!leased(7, second, second * 3), "expires two seconds, less 2%, after the report");
+    assert!(!leased(7, second * 2, second), "for a report from the future");
 }
 
 #[test]
-fn a_report_to_another_coordinator_counts_for_nothing() {
-    let (accord, view) = machine();
-    let mut core = accord.core;
-    core.list(Moment::ZERO, 1, vec![TableEntry { server: "box".into(), weight_milli: 1 }]);
-    let mut settled_by = |epoch| {
+fn a_report_to_another_coordinator_is_ignored() {
+    let (accord, view) = accord_and_view();
+    let mut protocol = accord.protocol;
+    protocol.set_endpoint_list(Moment::ZERO, 1, vec![TableEntry { server: "box".into(), weight_milli: 1 }]);
+    let mut recovers_at_epoch = |epoch| {
         let mut out = Outbox::default();
-        core.tick(Moment::from_secs(epoch), Some(3), &view, &mut out);
+        protocol.tick(Moment::from_secs(epoch), Some(3), &view, &mut out);
         for node in 1..3 {
             let from = Life { node: NodeId(node), incarnation: Incarnation(1) };
             let report = Report {
@@ -113,40 +133,47 @@
                 leased: false,
                 list: None,
             };
-            core.receive(Moment::from_secs(epoch), Some(3), &view, from, Message::Report(report), &mut out);
+            protocol.receive(
+                Moment::from_secs(epoch),
+                Some(3),
+                &view,
+                from,
+                Message::Report(report),
+                &mut out,
+            );
         }
-        core.tick(Moment::from_secs(epoch) * 6 / 5, Some(3), &view, &mut out);
-        let settles = |message: &Message| matches!(message, Message::Word(word) if word.settled);
-        out.sends.iter().any(|(_, message)| settles(message))
+        protocol.tick(Moment::from_secs(epoch) * 6 / 5, Some(3), &view, &mut out);
+        let has_recovered = |message: &Message| matches!(message, Message::Announcement(announcement) if announcement.history_known);
+        out.sends.iter().any(|(_, message)| has_recovered(message))
     };
-    assert!(!settled_by(2), "they may have leases of whom they reported to");
-    assert!(settled_by(3));
+    assert!(!recovers_at_epoch(2), "the nodes may have leases of the coordinator that they reported to");
+    assert!(recovers_at_epoch(3));
 }
 
 #[test]
-fn a_flood_of_questions_is_answered_within_a_bound() {
-    let (mut accord, view) = machine();
+fn answers_to_a_flood_of_page_requests_are_bounded() {
+    let (mut accord, view) = accord_and_view();
     accord.list(
         Moment::ZERO,
         1,
         (0..999).map(|n| TableEntry { server: format!("{n:04}"), weight_milli: n }).collect(),
     );
-    let digest = accord.core.holder.list.as_ref().map(|(_, array)| array.digest).unwrap();
+    let digest = accord.protocol.replica.endpoint_list.as_ref().map(|(_, array)| array.digest).unwrap();
     let from = Life { node: NodeId(1), incarnation: Incarnation(1) };
-    let want = Want { target: digest, base: 0, first: 0, mask: u16::MAX };
-    let want = encode(&Payload::Tables(Message::Want(want))).unwrap();
-    (0..1000).for_each(|_| accord.receive(Moment::ZERO, &view, from, &want).unwrap());
+    let request = PageRequest { target: digest, base: 0, first: 0, mask: u16::MAX };
+    let request = encode(&Payload::Tables(Message::PageRequest(request))).unwrap();
+    (0..1000).for_each(|_| accord.receive(Moment::ZERO, &view, from, &request).unwrap());
     assert_eq!(accord.take().len(), 32 * 16);
 }
 
 proptest! {
     #[test]
-    fn anything_may_come_from_anybody(payload in vec(any::<u8>(), 0..300), tag in 0u8..4, node in 0u16..5) {
-        let (mut accord, view) = machine();
+    fn arbitrary_payloads_change_nothing_they_should_not(payload in vec(any::<u8>(), 0..300), tag in 0u8..4, node in 0u16..5) {
+        let (mut accord, view) = accord_and_view();
         let from = Life { node: NodeId(node), incarnation: Incarnation(1) };
-        let mut tagged = vec![1, tag];
-        tagged.extend(&payload);
-        for payload in [payload, tagged] {
+        let mut with_valid_tag = vec![1, tag];
+        with_valid_tag.extend(&payload);
+        for payload in [payload, with_valid_tag] {
             let before = accord.clone();
             if accord.receive(Moment::from_secs(1), &view, from, &payload).is_err() {
                 prop_assert_eq!(&accord, &before);
@@ -158,7 +185,7 @@
     }
 
     #[test]
-    fn what_is_written_reads_the_same_and_nothing_may_follow(target: u64, base: u64, list in entries()) {
+    fn messages_round_trip_and_trailing_bytes_are_rejected(target: u64, base: u64, list in entries()) {
         let changes = pack(changes(&[], &list)).swap_remove(0);
         let message = Message::Page(Page { target, base, index: 0, of: 1, changes });
         let mut bytes = encode(&message).unwrap();
@@ -169,34 +196,34 @@
     }
 
     #[test]
-    fn changes_make_the_one_array_of_the_other(base in entries(), target in entries()) {
+    fn changes_turn_one_array_into_the_other(base in entries(), target in entries()) {
         let changes = changes(&base, &target);
         prop_assert_eq!(&apply(&base, changes.iter()), &target);
         prop_assert!(is_sound(&target));
     }
 
     #[test]
-    fn a_fetch_ends_with_the_array_though_pages_are_false_or_lost(
-        base in entries(), target in entries(), has_base: bool, lost in vec(any::<bool>(), 400), false_page: bool,
+    fn a_fetch_completes_despite_corrupt_or_lost_pages(
+        base in entries(), target in entries(), has_base: bool, lost in vec(any::<bool>(), 400), corrupt_page: bool,
     ) {
         let (base, target) = (Array::new(base), Array::new(target));
         let mut fetch = Fetch::new(target.digest, Some(base.clone()));
-        let shelf = |digest| {
+        let find_array = |digest| {
             let base = Some(&base).filter(|_| has_base);
             [Some(&target), base].into_iter().flatten().find(|array| array.digest == digest).cloned()
         };
         let mut lost = lost.into_iter();
-        let mut got = None;
+        let mut fetched = None;
         for round in 0..60 {
-            for mut page in answer(&fetch.want(), shelf) {
-                if round == 0 && false_page {
+            for mut page in pages_for(&fetch.next_request(), find_array) {
+                if round == 0 && corrupt_page {
                     page.changes.truncate(page.changes.len() / 2);
                 }
-                if !lost.next().unwrap_or_default() && got.is_none() {
-                    got = fetch.take(page, NodeId(1));
+                if !lost.next().unwrap_or_default() && fetched.is_none() {
+                    fetched = fetch.add_page(page, NodeId(1));
                 }
             }
         }
-        prop_assert_eq!(got, Some(target));
+        prop_assert_eq!(fetched, Some(target));
     }
 }
--- a/crates/placement/tests/federation/network.rs
+++ b/crates/placement/tests/federation/network.rs
@@ -1,4 +1,4 @@
-//! The network between the nodes: what it loses, doubles, delays and cuts. True time.
+//! A simulated network between the nodes that loses, duplicates, delays and blocks datagrams, by true time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// How a payload with a page begins.
+/// First bytes of a payload that carries a page.
 const PAGE: [u8; 2] = [1, 3];
 
-/// One datagram on its way.
-pub struct Flight {
+/// One datagram in flight.
+pub struct InFlight {
     pub from: Life,
     pub to: NodeId,
     pub payload: Vec<u8>,
@@ -19,33 +19,33 @@
 
 pub struct Network {
     rng: Pcg64Mcg,
-    flights: BTreeMap<(Duration, u64), Flight>,
+    in_flight: BTreeMap<(Duration, u64), InFlight>,
     pub loss: f64,
-    pub twice: f64,
+    pub duplication: f64,
     pub delay_ms: std::ops::RangeInclusive<u64>,
-    /// Ways that nothing passes.
-    pub cut: BTreeSet<(u16, u16)>,
-    /// Pages of tables to this node are lost.
+    /// Pairs of sender and receiver between which nothing passes.
+    pub blocked_links: BTreeSet<(u16, u16)>,
+    /// A node that receives no pages of tables.
     pub without_pages: Option<u16>,
-    /// How often a node's view is not brought up to date.
-    pub blind: f64,
+    /// Probability that an update of a node's view is skipped.
+    pub view_loss: f64,
     pub sent: u64,
     pub longest: usize,
 }
 
 impl Network {
     pub fn new(seed: u64) -> Self {
-        let (flights, cut) = (BTreeMap::new(), BTreeSet::new());
+        let (in_flight, blocked_links) = (BTreeMap::new(), BTreeSet::new());
         let rng = Pcg64Mcg::seed_from_u64(seed);
         Network {
             rng,
-            flights,
+            in_flight,
             loss: 0.0,
-            twice: 0.0,
+            duplication: 0.0,
             delay_ms: 1..=2,
-            cut,
+            blocked_links,
             without_pages: None,
-            blind: 0.0,
+            view_loss: 0.0,
             sent: 0,
             longest: 0,
         }
@@ -54,35 +54,36 @@
     pub fn send(&mut self, now: Duration, from: Life, to: NodeId, payload: Vec<u8>) {
         self.sent += 1;
         self.longest = self.longest.max(payload.len());
-        let copies = 1 + u64::from(self.rng.random_bool(self.twice));
+        let copies = 1 + u64::from(self.rng.random_bool(self.duplication));
         for _ in 0..copies {
             let late = Duration::from_micros(
                 self.rng.random_range(*self.delay_ms.start() * 1000..=*self.delay_ms.end() * 1000),
             );
             if !self.rng.random_bool(self.loss) {
-                let flight = Flight { from, to, payload: payload.clone() };
-                self.flights.insert((now + late, self.sent * 2 + self.flights.len() as u64 % 2), flight);
+                let datagram = InFlight { from, to, payload: payload.clone() };
+                self.in_flight
+                    .insert((now + late, self.sent * 2 + self.in_flight.len() as u64 % 2), datagram);
             }
         }
     }
 
     pub fn next(&self) -> Option<Duration> {
-        self.flights.first_key_value().map(|((at, _), _)| *at)
+        self.in_flight.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The next datagram, unless its way was cut when it should have come.
-    pub fn take(&mut self) -> Option<Flight> {
-        let (_, flight) = self.flights.pop_first()?;
-        let page = flight.payload.starts_with(&PAGE) && self.without_pages == Some(flight.to.0);
-        (!page && !self.cut.contains(&(flight.from.node.0, flight.to.0))).then_some(flight)
+    /// Takes the next datagram; `None` if its link is blocked at its arrival.
+    pub fn take(&mut self) -> Option<InFlight> {
+        let (_, datagram) = self.in_flight.pop_first()?;
+        let page = datagram.payload.starts_with(&PAGE) && self.without_pages == Some(datagram.to.0);
+        (!page && !self.blocked_links.contains(&(datagram.from.node.0, datagram.to.0))).then_some(datagram)
     }
 
-    pub fn is_view_lost(&mut self) -> bool {
-        self.rng.random_bool(self.blind)
+    pub fn loses_view_update(&mut self) -> bool {
+        self.rng.random_bool(self.view_loss)
     }
 
-    /// Cuts every way from one group to another.
-    pub fn cut_off(&mut self, from: &[u16], to: &[u16]) {
-        self.cut.extend(from.iter().flat_map(|one| to.iter().map(|other| (*one, *other))));
+    /// Blocks every link from one group of nodes to another.
+    pub fn block_links(&mut self, from: &[u16], to: &[u16]) {
+        self.blocked_links.extend(from.iter().flat_map(|one| to.iter().map(|other| (*one, *other))));
     }
 }
--- a/crates/placement/tests/federation/chance.rs
+++ b/crates/placement/tests/federation/random_faults.rs
@@ -1,13 +1,13 @@
-//! Faults and changes by chance: nothing forbidden happens, and when all is well again all agree.
+//! Random faults and changes: no invariant is violated, and once all faults are over all nodes agree.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::checker::judge;
+use crate::checker::check_history;
 use crate::world::{array, World};
 use crate::{MILLI, SECOND};
 
-fn fault(world: &mut World, rng: &mut Pcg64Mcg, revision: &mut u64) {
+fn inject_fault(world: &mut World, rng: &mut Pcg64Mcg, revision: &mut u64) {
     let count = world.nodes.len() as u16;
     let n = rng.random_range(0..count);
     match rng.random_range(0..9) {
@@ -15,42 +15,42 @@
         1 | 2 if world.nodes[usize::from(n)].accord.is_none() => world.start([n]),
         1 => world.nodes[usize::from(n)].paused = true,
         2 => world.nodes[usize::from(n)].paused = false,
-        3 => world.net.cut_off(&[n], &[rng.random_range(0..count)]),
+        3 => world.network.block_links(&[n], &[rng.random_range(0..count)]),
         4 => {
             let side: Vec<u16> = (0..count).filter(|_| rng.random_bool(0.4)).collect();
-            let rest: Vec<u16> = (0..count).filter(|n| !side.contains(n)).collect();
-            world.net.cut_off(&side, &rest);
+            let others: Vec<u16> = (0..count).filter(|n| !side.contains(n)).collect();
+            world.network.block_links(&side, &others);
             if rng.random_bool(0.7) {
-                world.net.cut_off(&rest, &side);
+                world.network.block_links(&others, &side);
             }
         }
-        5 => world.net.cut.clear(),
-        6 => world.net.loss = rng.random_range(0.0..0.4),
+        5 => world.network.blocked_links.clear(),
+        6 => world.network.loss = rng.random_range(0.0..0.4),
         _ => {
             *revision += 1;
             let servers = rng.random_range(10..60);
-            let told: Vec<u16> = (0..count).filter(|_| rng.random_bool(0.6)).collect();
-            told.into_iter().for_each(|n| world.list(n, *revision, array(servers)));
+            let updated: Vec<u16> = (0..count).filter(|_| rng.random_bool(0.6)).collect();
+            updated.into_iter().for_each(|n| world.set_list(n, *revision, array(servers)));
         }
     }
 }
 
-fn play(seed: u64) {
+fn run_scenario(seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let count = rng.random_range(3..7);
     let mut world = World::new(count, 2, seed);
-    (world.net.twice, world.net.delay_ms) = (0.1, 1..=rng.random_range(2..80));
+    (world.network.duplication, world.network.delay_ms) = (0.1, 1..=rng.random_range(2..80));
     (0..count).for_each(|n| world.set_rate(n, rng.random_range(-15_000..15_000)));
-    world.net.blind = rng.random_range(0.0..1.0);
+    world.network.view_loss = rng.random_range(0.0..1.0);
     world.start(0..count);
-    world.lists(1, 20);
+    world.set_all_lists(1, 20);
     let mut revision = 1;
     for _ in 0..60 {
         world.run(MILLI * rng.random_range(1..900));
-        fault(&mut world, &mut rng, &mut revision);
+        inject_fault(&mut world, &mut rng, &mut revision);
     }
-    world.net.cut.clear();
-    (world.net.loss, world.net.blind) = (0.0, 0.0);
+    world.network.blocked_links.clear();
+    (world.network.loss, world.network.view_loss) = (0.0, 0.0);
     for n in 0..count {
         world.nodes[usize::from(n)].paused = false;
         if world.nodes[usize::from(n)].accord.is_none() {
@@ -58,19 +58,19 @@
         }
     }
     revision += 1;
-    world.lists(revision, 70);
+    world.set_all_lists(revision, 70);
     world.until(SECOND * 12, |world| world.agree(0..count, revision));
-    judge(&world.history).unwrap();
+    check_history(&world.history).unwrap();
 }
 
 #[test]
-fn faults_by_chance_break_nothing_and_heal() {
-    (0..40).for_each(play);
+fn random_faults_violate_no_invariant_and_heal() {
+    (0..40).for_each(run_scenario);
 }
 
 #[test]
 #[ignore = "for long runs: seeds from SEED on, 2000 of them"]
-fn faults_by_chance_for_long() {
+fn random_faults_for_long() {
     let from: u64 = std::env::var("SEED").map_or(1000, |seed| seed.parse().unwrap());
-    (from..from + 2000).for_each(play);
+    (from..from + 2000).for_each(run_scenario);
 }
--- a/crates/placement/tests/federation/world.rs
+++ b/crates/placement/tests/federation/world.rs
@@ -1,4 +1,4 @@
-//! Nodes under virtual time, each with a clock of its own rate, and the trace of what they place by.
+//! Nodes in virtual time, each with a clock of its own rate, and the history of the tables by which they place.
 
 use std::time::Duration;
 
@@ -11,34 +11,34 @@
 use crate::network::Network;
 
 pub const LEASE: Duration = Duration::from_secs(2);
-const VIEWS_EVERY: Duration = Duration::from_millis(200);
+const VIEW_INTERVAL: Duration = Duration::from_millis(200);
 
 pub struct Node {
     pub accord: Option<Accord>,
     pub stored: Option<Stored>,
     pub life: Life,
-    born: Duration,
+    started_at: Duration,
     rate_ppm: i64,
     pub paused: bool,
     view: View,
-    pub news: Vec<(Duration, AccordNews)>,
+    pub events: Vec<(Duration, AccordNews)>,
 }
 
 impl Node {
-    fn local(&self, at: Duration) -> Moment {
-        let nanos = (at - self.born).as_nanos() as i128;
+    fn local_clock(&self, at: Duration) -> Moment {
+        let nanos = (at - self.started_at).as_nanos() as i128;
         Duration::from_nanos((nanos * (1_000_000 + self.rate_ppm as i128) / 1_000_000) as u64)
     }
 
     fn due(&self) -> Option<Duration> {
         let local = self.accord.as_ref().filter(|_| !self.paused)?.due()?.as_nanos() as i128;
         Some(
-            self.born
+            self.started_at
                 + Duration::from_nanos((local * 1_000_000 / (1_000_000 + self.rate_ppm as i128)) as u64 + 1),
         )
     }
 
-    pub fn placing(&self) -> Option<TableId> {
+    pub fn in_force(&self) -> Option<TableId> {
         self.accord.as_ref()?.in_force().map(|table| table.id())
     }
 }
@@ -46,11 +46,11 @@
 pub struct World {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    pub net: Network,
+    pub network: Network,
     pub history: Vec<Sample>,
     zones: u16,
     drift_ppm: u32,
-    next_views: Duration,
+    next_view_update_at: Duration,
 }
 
 pub fn array(servers: u64) -> Vec<TableEntry> {
@@ -63,12 +63,21 @@
         let node = |n: u16| {
             let life = Life { node: NodeId(n), incarnation: Incarnation(0) };
             let view = View::alone(life, ZoneId(n % zones), count, Duration::ZERO);
-            let (accord, stored, news) = (None, None, Vec::new());
-            Node { accord, stored, life, born: Duration::ZERO, rate_ppm: 0, paused: false, view, news }
+            let (accord, stored, events) = (None, None, Vec::new());
+            Node {
+                accord,
+                stored,
+                life,
+                started_at: Duration::ZERO,
+                rate_ppm: 0,
+                paused: false,
+                view,
+                events,
+            }
         };
-        let (net, now) = (Network::new(seed), Duration::from_secs(1000));
+        let (network, now) = (Network::new(seed), Duration::from_secs(1000));
         let nodes = (0..count).map(node).collect();
-        World { now, nodes, net, history: Vec::new(), zones, drift_ppm: 20_000, next_views: now }
+        World { now, nodes, network, history: Vec::new(), zones, drift_ppm: 20_000, next_view_update_at: now }
     }
 
     pub fn start(&mut self, nodes: impl IntoIterator<Item = u16>) {
@@ -77,7 +86,7 @@
             let node = &mut self.nodes[usize::from(n)];
             node.life.incarnation =
                 Incarnation((node.life.incarnation.0 + 1).max(self.now.as_millis() as u64));
-            node.born = self.now;
+            node.started_at = self.now;
             let (life, zone) = (node.life, ZoneId(n % self.zones));
             node.view = View::alone(life, zone, count, Duration::ZERO);
             let config = AccordConfig::with_lease(life, zone, self.zones, count, LEASE, self.drift_ppm);
@@ -86,27 +95,27 @@
         }
     }
 
-    /// Ends a process; what it may keep is kept or lost.
-    pub fn kill(&mut self, n: u16, keep: bool) {
+    /// Ends a process; its stored state is kept or lost.
+    pub fn kill(&mut self, n: u16, keep_state: bool) {
         let node = &mut self.nodes[usize::from(n)];
-        node.stored = node.accord.take().filter(|_| keep).map(|accord| accord.stored());
+        node.stored = node.accord.take().filter(|_| keep_state).map(|accord| accord.stored());
         node.paused = false;
     }
 
-    /// Changes how fast a node's clock runs; what it reads now stays.
+    /// Changes the rate of a node's clock, without a jump of its present reading.
     pub fn set_rate(&mut self, n: u16, ppm: i64) {
         let node = &mut self.nodes[usize::from(n)];
-        let local = node.local(self.now);
+        let local = node.local_clock(self.now);
         node.rate_ppm = ppm;
-        node.born = self.now.saturating_sub(local.mul_f64(1e6 / (1e6 + ppm as f64)));
+        node.started_at = self.now.saturating_sub(local.mul_f64(1e6 / (1e6 + ppm as f64)));
     }
 
-    pub fn list(&mut self, n: u16, revision: u64, entries: Vec<TableEntry>) {
-        self.with(n, |accord, now, _| accord.list(now, revision, entries));
+    pub fn set_list(&mut self, n: u16, revision: u64, entries: Vec<TableEntry>) {
+        self.call(n, |accord, now, _| accord.list(now, revision, entries));
     }
 
-    pub fn lists(&mut self, revision: u64, servers: u64) {
-        (0..self.nodes.len() as u16).for_each(|n| self.list(n, revision, array(servers)));
+    pub fn set_all_lists(&mut self, revision: u64, servers: u64) {
+        (0..self.nodes.len() as u16).for_each(|n| self.set_list(n, revision, array(servers)));
     }
 
     pub fn run(&mut self, length: Duration) {
@@ -114,18 +123,18 @@
         while self.step(end) {}
     }
 
-    /// Runs until something holds; fails where it does not within `most`. How long it took.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&World) -> bool) -> Duration {
-        let (began, end) = (self.now, self.now + most);
+    /// Runs until a condition holds, and returns how long that took. Fails if it does not hold within `limit`.
+    pub fn until(&mut self, limit: Duration, holds: impl Fn(&World) -> bool) -> Duration {
+        let (started_at, end) = (self.now, self.now + limit);
         while !holds(self) {
-            assert!(self.step(end), "not within {most:?}: {:?}", self.states());
+            assert!(self.step(end), "not within {limit:?}: {:?}", self.states());
         }
-        self.now - began
+        self.now - started_at
     }
 
     pub fn states(&self) -> Vec<(Option<AccordState>, Option<TableId>)> {
-        let state = |node: &Node| Some(node.accord.as_ref()?.state(node.local(self.now)));
-        self.nodes.iter().map(|node| (state(node), node.placing())).collect()
+        let state = |node: &Node| Some(node.accord.as_ref()?.state(node.local_clock(self.now)));
+        self.nodes.iter().map(|node| (state(node), node.in_force())).collect()
     }
 
     pub fn is_leased(&self, n: u16) -> bool {
@@ -134,13 +143,13 @@
     }
 
     pub fn coordinator(&self) -> Option<u16> {
-        let sits = |node: &Node| {
-            node.accord.as_ref().is_some_and(|accord| accord.is_coordinator(node.local(self.now)))
+        let coordinator = |node: &Node| {
+            node.accord.as_ref().is_some_and(|accord| accord.is_coordinator(node.local_clock(self.now)))
         };
-        self.nodes.iter().position(sits).map(|n| n as u16)
+        self.nodes.iter().position(coordinator).map(|n| n as u16)
     }
 
-    /// Whether the nodes all have a lease on one table, made of a list.
+    /// Returns whether all given nodes have a lease on one table made from the list of this revision.
     pub fn agree(&self, nodes: impl IntoIterator<Item = u16>, revision: u64) -> bool {
         let mut ids = nodes.into_iter().map(|n| {
             let table = self.nodes[usize::from(n)].accord.as_ref().and_then(Accord::in_force);
@@ -153,40 +162,45 @@
     fn step(&mut self, end: Duration) -> bool {
         let due = self.nodes.iter().enumerate().filter_map(|(n, node)| Some((node.due()?, n as u16))).min();
         let due = due.map(|(at, n)| (at.max(self.now), n));
-        let next = due.map(|(at, _)| at).into_iter().chain(self.net.next()).chain([self.next_views]).min();
+        let next = due
+            .map(|(at, _)| at)
+            .into_iter()
+            .chain(self.network.next())
+            .chain([self.next_view_update_at])
+            .min();
         let Some(next) = next.filter(|next| *next < end) else {
             self.now = end;
             return false;
         };
         self.now = next;
-        if next == self.next_views {
-            self.next_views += VIEWS_EVERY;
-            (0..self.nodes.len()).for_each(|n| self.see(n));
+        if next == self.next_view_update_at {
+            self.next_view_update_at += VIEW_INTERVAL;
+            (0..self.nodes.len()).for_each(|n| self.update_view(n));
         } else if let Some((_, n)) = due.filter(|(at, _)| *at == next) {
-            self.with(n, |accord, now, view| accord.tick(now, view));
-        } else if let Some(flight) = self.net.take() {
-            self.with(flight.to.0, |accord, now, view| {
-                accord.receive(now, view, flight.from, &flight.payload).unwrap();
+            self.call(n, |accord, now, view| accord.tick(now, view));
+        } else if let Some(datagram) = self.network.take() {
+            self.call(datagram.to.0, |accord, now, view| {
+                accord.receive(now, view, datagram.from, &datagram.payload).unwrap();
             });
         }
         true
     }
 
-    /// Calls a node that runs, sends what comes out, and samples what it places by.
-    fn with(&mut self, n: u16, call: impl FnOnce(&mut Accord, Moment, &View)) {
+    /// Calls a running node, sends its messages, and samples all nodes if it switched.
+    fn call(&mut self, n: u16, call: impl FnOnce(&mut Accord, Moment, &View)) {
         let node = &mut self.nodes[usize::from(n)];
-        let (local, before) = (node.local(self.now), node.placing());
+        let (local, before) = (node.local_clock(self.now), node.in_force());
         let Some(accord) = node.accord.as_mut().filter(|_| !node.paused) else {
             return;
         };
         call(accord, local, &node.view);
         for output in accord.take() {
             match output {
-                Output::Send { to, payload } => self.net.send(self.now, node.life, to, payload),
-                Output::News(news) => node.news.push((self.now, news)),
+                Output::Send { to, payload } => self.network.send(self.now, node.life, to, payload),
+                Output::News(events) => node.events.push((self.now, events)),
             }
         }
-        if node.placing() != before {
+        if node.in_force() != before {
             (0..self.nodes.len()).for_each(|n| self.sample(n));
         }
     }
@@ -194,20 +208,28 @@
     fn sample(&mut self, n: usize) {
         let node = &self.nodes[n];
         if let Some(accord) = &node.accord {
-            let placing = accord.in_force().map(|table| (table.id(), table.digest()));
+            let in_force = accord.in_force().map(|table| (table.id(), table.digest()));
             let (leased, holds) = (self.is_leased(n as u16), accord.holds().collect());
-            self.history.push(Sample { at_us: self.now.as_micros(), node: n as u16, placing, leased, holds });
+            self.history.push(Sample {
+                at_us: self.now.as_micros(),
+                node: n as u16,
+                in_force,
+                leased,
+                holds,
+            });
         }
     }
 
-    /// What a node sees now: who runs and can be heard.
-    fn see(&mut self, n: usize) {
-        if self.net.is_view_lost() {
+    /// Updates a node's view: the nodes that run and that it can hear are alive.
+    fn update_view(&mut self, n: usize) {
+        if self.network.loses_view_update() {
             return;
         }
         let heard = |(m, node): (usize, &Node)| {
-            let here = node.accord.is_some() && !node.paused && !self.net.cut.contains(&(m as u16, n as u16));
-            let state = if here || m == n { MemberState::Alive } else { MemberState::Dead };
+            let reachable = node.accord.is_some()
+                && !node.paused
+                && !self.network.blocked_links.contains(&(m as u16, n as u16));
+            let state = if reachable || m == n { MemberState::Alive } else { MemberState::Dead };
             let zone = ZoneId(m as u16 % self.zones);
             (node.life.node, Member { life: node.life, zone, state, since: Duration::ZERO })
         };
