--- a/crates/leader-lease/src/candidate.rs
+++ b/crates/leader-lease/src/candidate.rs
@@ -1,4 +1,4 @@
-//! The candidate: how this node requests the lease, renews it and knows that it holds it.
+//! The candidate: requests the lease, renews it, and knows until when this node holds it.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use crate::config::LeaseConfig;
 use crate::voting_round::{RoundOutcome, VotingRound, MAX_SENDS};
 
-/// The lease, as its holder has it.
+/// A lease that this node holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
     /// Fencing number: greater than that of every earlier lease of any node.
     pub epoch: u64,
-    /// From this moment of the holder's own clock on, another node may hold the lease.
+    /// Time by the holder's own clock from which another node may hold the lease.
     pub expires_at: Moment,
 }
 
 /// Whether a node wants the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Candidacy {
-    /// It requests the lease and renews it.
+    /// The node requests the lease and renews it.
     Standing,
-    /// It requests nothing; a lease that it holds runs out.
+    /// The node requests nothing; a lease that it holds expires.
     Withdrawn,
 }
 
 impl Candidacy {
-    /// Standing where the condition holds.
+    /// Returns `Standing` if the condition holds, else `Withdrawn`.
     #[must_use]
     pub fn standing_if(condition: bool) -> Self {
         if condition {
@@ -41,28 +41,28 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Candidate {
-    /// Spreads the retries of unlike nodes.
+    /// Seed of the jitter, different at each node.
     seed: u64,
     pub(crate) candidacy: Candidacy,
-    /// The greatest ballot heard of.
+    /// The greatest ballot that this node has heard of.
     highest_ballot: u64,
     rounds: u32,
     round: Option<VotingRound>,
     next_round_at: Moment,
     held: Option<HeldLease>,
-    /// The last round was lost, so the next one needs a ballot of its own.
+    /// The last round was lost, so the next one needs a new ballot.
     last_round_lost: bool,
-    /// The other nodes, in the order in which they are asked: those that voted last come first.
+    /// The other nodes in the order of the requests: those that voted last come first.
     order: Vec<NodeId>,
 }
 
-/// A ballot that was given up, and the voters whose votes are to be released.
+/// An abandoned ballot, and the voters whose votes are to be released.
 pub(crate) struct AbandonedBallot {
     pub(crate) ballot: u64,
     pub(crate) voters: Vec<NodeId>,
 }
 
-/// One sending of a round's vote requests.
+/// The vote requests of a round that are due together.
 pub(crate) struct VoteRequests {
     pub(crate) ballot: u64,
     pub(crate) round: u32,
@@ -97,7 +97,7 @@
         self.held.filter(|lease| now < lease.expires_at)
     }
 
-    /// Lets a lease expire, and with it a round that would have renewed it: the next lease has a new epoch.
+    /// Ends a lease that has expired, and with it a round that would have renewed it: the next lease has a new epoch.
     pub(crate) fn expire(&mut self, now: Moment) -> Option<AbandonedBallot> {
         let expired = self.held.take_if(|lease| lease.expires_at <= now)?;
         let renewing = self.round.as_ref().is_some_and(|round| round.ballot == expired.epoch);
@@ -108,7 +108,7 @@
         self.abandon_round(now, Duration::ZERO)
     }
 
-    /// Whether a new round is to begin now.
+    /// Returns whether a new round should start now.
     pub(crate) fn wants_round(&self, now: Moment) -> bool {
         self.candidacy == Candidacy::Standing && self.round.is_none() && now >= self.next_round_at
     }
@@ -121,12 +121,12 @@
         self.round.insert(VotingRound::new(ballot, self.rounds, now))
     }
 
-    /// The round that an answer belongs to, unless it is over.
+    /// Returns the round that an answer belongs to, unless it has ended.
     pub(crate) fn round_of_answer(&mut self, ballot: u64, number: u32) -> Option<&mut VotingRound> {
         self.round.as_mut().filter(|round| round.ballot == ballot && round.number == number)
     }
 
-    /// Ends the round if it is decided. Returns the ballot that is given up, if one is.
+    /// Ends the round if it is decided. Returns the ballot if it was abandoned.
     pub(crate) fn conclude_round(&mut self, config: &LeaseConfig, now: Moment) -> Option<AbandonedBallot> {
         let round = self.round.as_ref()?;
         match round.outcome(usize::from(config.configured), config.majority()) {
@@ -139,7 +139,8 @@
         }
     }
 
-    /// A majority has voted: the lease counts from the beginning of the round, and may have expired since.
+    /// Takes the lease after a majority has voted. It counts from the start of the round, so it may have expired
+    /// already.
     fn take_lease(&mut self, config: &LeaseConfig, now: Moment) -> Option<AbandonedBallot> {
         let round = self.round.as_ref()?;
         let (epoch, began_at) = (round.ballot, round.began_at);
@@ -155,7 +156,7 @@
         None
     }
 
-    /// Ends the round without the lease. While an earlier lease lasts its votes must stand, and none is released.
+    /// Ends the round without the lease. While an earlier lease lasts, its votes must stand, and none is released.
     pub(crate) fn abandon_round(&mut self, now: Moment, wait: Duration) -> Option<AbandonedBallot> {
         self.next_round_at = now.saturating_add(wait);
         self.last_round_lost = true;
@@ -166,7 +167,8 @@
         Some(AbandonedBallot { ballot: round.ballot, voters: round.votes.into_iter().collect() })
     }
 
-    /// The requests that are due now, or the ballot that is given up after the last of them.
+    /// Returns the requests that are due now. The error holds the ballot that is abandoned after the last of them, or
+    /// `None` if nothing is due.
     pub(crate) fn next_requests(
         &mut self,
         config: &LeaseConfig,
@@ -185,7 +187,7 @@
         Ok(VoteRequests { ballot: round.ballot, round: round.number, held, recipients })
     }
 
-    /// When something is to be done next.
+    /// Returns when the candidate next has something to do.
     pub(crate) fn next_deadline(&self) -> Option<Moment> {
         let send_at = self.round.as_ref().map(|round| round.next_send_at);
         let standing = self.candidacy == Candidacy::Standing;
@@ -194,14 +196,14 @@
         round_at.into_iter().chain(expires_at).min()
     }
 
-    /// One to three times the length, another for each round and node.
+    /// Returns one to three times the length, different for each round and node.
     pub(crate) fn jitter(&self, length: Duration) -> Duration {
         let hash = FxBuildHasher.hash_one((self.seed, self.rounds, self.highest_ballot));
         let factor = (hash >> 11) as f64 / (1u64 << 52) as f64;
         length.saturating_add(length.mul_f64(factor))
     }
 
-    /// Ends the round, and asks those that voted in it first the next time.
+    /// Ends the round, and moves its voters to the front of the order for the next round.
     fn close_round(&mut self) -> Option<VotingRound> {
         let round = self.round.take()?;
         self.order.sort_by_key(|node| !round.votes.contains(node));
@@ -209,7 +211,7 @@
     }
 }
 
-/// All configured nodes but this one, from the next one on.
+/// Returns all configured nodes but this one, starting after this one.
 fn others_from(config: &LeaseConfig) -> Vec<NodeId> {
     let (this, configured) = (u32::from(config.this.node.0), u32::from(config.configured));
     let next = |step: u32| NodeId(((this + step) % configured) as u16);
--- a/crates/leader-lease/src/clock_drift.rs
+++ b/crates/leader-lease/src/clock_drift.rs
@@ -1,4 +1,4 @@
-//! How much a length of time has to be shortened or lengthened for two clocks that run at different rates.
+//! Shortens or lengthens durations for clocks that run at different rates.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 pub struct ClockDrift(pub u32);
 
 impl ClockDrift {
-    /// How long a promise of `length` by another node may be relied on: at most `length` of true time, measured by a
-    /// clock that is slow by the bound.
+    /// Returns how long a promise of `length` by another node may be relied on: at most `length` of true time, measured
+    /// by a clock that is slow by the bound.
     #[must_use]
     pub fn shorten(self, length: Duration) -> Duration {
         length.saturating_sub(self.margin(length))
     }
 
-    /// How long a promise of `length` must be kept: at least `length` of true time, measured by a clock that is fast by
-    /// the bound.
+    /// Returns how long a promise of `length` must be kept: at least `length` of true time, measured by a clock that is
+    /// fast by the bound.
     #[must_use]
     pub fn lengthen(self, length: Duration) -> Duration {
         length.saturating_add(self.margin(length))
     }
 
-    /// The longest promise that, once lengthened, still ends within `length`.
+    /// Returns the longest promise that, once lengthened, still ends within `length`.
     #[must_use]
     pub fn longest_promise_within(self, length: Duration) -> Duration {
         from_nanos(length.as_nanos() * MILLIONTHS / (MILLIONTHS + u128::from(self.0)))
--- a/crates/leader-lease/src/leader_lease.rs
+++ b/crates/leader-lease/src/leader_lease.rs
@@ -1,4 +1,4 @@
-//! One node's part in the lease: its voter, its candidate, and the messages between them and other nodes.
+//! One node's state machine for the lease: its voter, its candidate, and the messages to and from other nodes.
 
 use std::time::Duration;
 
@@ -9,12 +9,13 @@
 use crate::message::LeaseMessage;
 use crate::voter::{VoteDecision, Voter};
 
-/// A ballot further ahead of this node's start than this (139 years of milliseconds) cannot be genuine.
+/// How far a ballot may be ahead of this node's start (139 years of milliseconds); a greater one cannot be genuine.
 const MAX_BALLOT_AHEAD: u64 = 1 << 42;
-/// Messages that wait to be taken, for each node configured; more are dropped as a network would.
+/// Outgoing messages that are queued for each configured node; further ones are dropped, as a network would.
 const MAX_OUTBOX_PER_NODE: usize = 8;
 
-/// One node's part in the lease. Two nodes never hold it at one instant while every clock keeps to the drift bound.
+/// One node's state machine for the lease. No two nodes hold the lease at one instant while every clock keeps to the
+/// drift bound.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderLease {
     config: LeaseConfig,
@@ -24,7 +25,7 @@
     outbox: Vec<(NodeId, LeaseMessage)>,
 }
 
-/// Which round of this node's an answer belongs to.
+/// A voter's answer, and the round of this node that it refers to.
 struct Answer {
     voter: NodeId,
     ballot: u64,
@@ -33,7 +34,8 @@
 }
 
 impl LeaderLease {
-    /// A node that has just started. It votes for nobody for one term and the drift. `seed` spreads its retries.
+    /// Creates a node that has just started. It votes for nobody for one term plus the drift. `seed` varies the jitter
+    /// of its retries.
     ///
     /// # Errors
     /// A setting that the lease cannot work with.
@@ -49,14 +51,14 @@
         })
     }
 
-    /// The greatest ballot that this node has heard of: what a store may keep.
+    /// Returns the greatest ballot that this node has heard of, to be stored for [`LeaderLease::restore`].
     #[must_use]
     pub fn highest_ballot(&self) -> u64 {
         self.candidate.highest_ballot().max(self.voter.highest_voted())
     }
 
-    /// Takes back the ballot that an earlier incarnation stored, so that ballots grow also if the wall clock was set
-    /// back meanwhile.
+    /// Restores the ballot that an earlier incarnation stored, so that ballots grow even if the wall clock was set back
+    /// in the meantime.
     pub fn restore(&mut self, highest_ballot: u64) {
         if self.is_plausible(highest_ballot) {
             self.voter.raise(highest_ballot);
@@ -64,12 +66,13 @@
         }
     }
 
-    /// Says whether this node wants the lease. One that withdraws holds it until it expires, and does not renew it.
+    /// Sets whether this node wants the lease. A holder that withdraws keeps the lease until it expires, and does not
+    /// renew it.
     pub fn set_candidacy(&mut self, candidacy: Candidacy) {
         self.candidate.candidacy = candidacy;
     }
 
-    /// Takes a message. `now` must have been read after the message had come in. A message from a node that is not
+    /// Processes a message. `now` must have been read after the message arrived. A message from a node that is not
     /// configured, or with an implausible ballot, changes nothing.
     pub fn receive(&mut self, now: Moment, from: Life, message: LeaseMessage) {
         let known_peer = from.node.0 < self.config.configured && from.node != self.config.this.node;
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Lets time pass: to be called when [`LeaderLease::next_deadline`] is reached, and may be called at any time.
+    /// Advances time. Must be called when [`LeaderLease::next_deadline`] is reached, and may be called at any time.
     pub fn tick(&mut self, now: Moment) {
         self.expire(now);
         if self.candidate.candidacy == Candidacy::Withdrawn {
@@ -122,25 +125,25 @@
         }
     }
 
-    /// When [`LeaderLease::tick`] is wanted next.
+    /// Returns when [`LeaderLease::tick`] is next needed.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         self.candidate.next_deadline()
     }
 
-    /// The messages that are to be sent since the last call, in order.
+    /// Takes the messages to send since the last call, in order.
     pub fn take_outbox(&mut self) -> Vec<(NodeId, LeaseMessage)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// The lease, where this node holds it at `now` by its own clock. What is done on the strength of it must be over
-    /// by `expires_at`, and `now` must be fresh.
+    /// Returns the lease if this node holds it at `now` by its own clock. Everything done under the lease must be over
+    /// by `expires_at`, and `now` must be a fresh reading.
     #[must_use]
     pub fn held(&self, now: Moment) -> Option<HeldLease> {
         self.candidate.held(now)
     }
 
-    /// The node that last said that it holds the lease, and its epoch: a hint, nothing to rely on.
+    /// Returns the node that last claimed to hold the lease, and its epoch: a hint, not a guarantee.
     #[must_use]
     pub fn last_known_holder(&self) -> Option<(NodeId, u64)> {
         self.last_known_holder
@@ -180,7 +183,8 @@
         self.conclude_round(now);
     }
 
-    /// Begins a round with this node's own vote. If its own voter is bound, the round waits until it is free.
+    /// Starts a round with this node's own vote. If its own voter is bound, the round is postponed until that vote
+    /// expires.
     fn start_round(&mut self, now: Moment) {
         let this = self.config.this;
         self.candidate.raise(self.voter.highest_voted());
--- a/crates/leader-lease/src/message.rs
+++ b/crates/leader-lease/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between candidates and voters.
+//! Messages between candidates and voters.
 
 use hallpin_membership::names::Incarnation;
 use serde::{Deserialize, Serialize};
@@ -9,38 +9,38 @@
 pub enum LeaseMessage {
     /// A candidate or the holder requests a vote.
     VoteRequest {
-        /// The epoch that the lease would have.
+        /// Epoch that the lease would have.
         ballot: u64,
-        /// Which of the candidate's voting rounds this belongs to.
+        /// Number of the candidate's voting round.
         round: u32,
-        /// Whether the sender holds the lease already.
+        /// Whether the sender already holds the lease.
         held: bool,
     },
-    /// A vote: the voter votes for nobody else for one term.
+    /// The voter grants its vote, and votes for nobody else for one term.
     Vote {
-        /// The incarnation that requested it.
+        /// Incarnation that requested the vote.
         candidate: Incarnation,
-        /// As in the request.
+        /// Ballot of the request.
         ballot: u64,
-        /// As in the request.
+        /// Round of the request.
         round: u32,
     },
-    /// No vote.
+    /// The voter refuses its vote.
     Refusal {
-        /// The incarnation that requested it.
+        /// Incarnation that requested the vote.
         candidate: Incarnation,
-        /// As in the request.
+        /// Ballot of the request.
         ballot: u64,
-        /// As in the request.
+        /// Round of the request.
         round: u32,
-        /// A ballot must be greater than this one.
+        /// Greatest ballot voted for; a new ballot must be greater.
         voted: u64,
-        /// How long the voter is still bound by another promise, in milliseconds.
+        /// How long the voter is still bound by another vote, in milliseconds.
         left_ms: u32,
     },
-    /// A candidate that never held the lease under this ballot gives its votes back.
+    /// A candidate that never held the lease under this ballot releases its votes.
     Release {
-        /// The ballot.
+        /// The abandoned ballot.
         ballot: u64,
     },
 }
--- a/crates/leader-lease/src/tests.rs
+++ b/crates/leader-lease/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the crate's parts; what several nodes do together is in `tests/`.
+//! Unit tests; the tests of several nodes together are in `tests/`.
 
 use std::time::Duration;
 
--- a/crates/leader-lease/src/voter.rs
+++ b/crates/leader-lease/src/voter.rs
@@ -1,4 +1,4 @@
-//! The voter: for nobody soon after its start, for one candidate at a time, for growing ballots only.
+//! The voter: votes for nobody soon after its start, for one candidate at a time, and for growing ballots only.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter {
-    /// Until when no vote is given: what an earlier incarnation promised has expired by then.
+    /// Time until which no vote is given: votes of an earlier incarnation have expired by then.
     silent_until: Moment,
-    /// The greatest ballot voted for. Those of an earlier incarnation were below this one's number, as ballots start at
-    /// the wall clock's milliseconds and grow more slowly than it.
+    /// The greatest ballot voted for. Ballots of an earlier incarnation were below this incarnation's number, because
+    /// ballots start at the wall clock's milliseconds and grow more slowly than it.
     highest_voted: u64,
     current: Option<Vote>,
 }
@@ -21,7 +21,7 @@
     expires_at: Moment,
 }
 
-/// What a voter answers.
+/// Answer to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VoteDecision {
     Granted,
@@ -37,7 +37,7 @@
         self.highest_voted
     }
 
-    /// Votes for no ballot up to this one from now on.
+    /// From now on rejects ballots up to this one.
     pub(crate) fn raise(&mut self, ballot: u64) {
         self.highest_voted = self.highest_voted.max(ballot);
     }
@@ -65,7 +65,7 @@
         VoteDecision::Granted
     }
 
-    /// Takes a vote back when the incarnation that it was given to returns it.
+    /// Withdraws a vote when the incarnation that received it returns it.
     pub(crate) fn release(&mut self, candidate: Life, ballot: u64) {
         if self.voted_for(candidate, ballot) {
             self.current = None;
@@ -76,7 +76,7 @@
         self.current.as_ref().is_some_and(|vote| vote.candidate == candidate && vote.ballot == ballot)
     }
 
-    /// Until when nothing may be promised to this candidate.
+    /// Returns the time until which this candidate gets no vote.
     fn bound_until(&self, candidate: Life) -> Moment {
         let other = self.current.as_ref().filter(|vote| vote.candidate != candidate);
         let promised_until = other.map_or(Moment::ZERO, |vote| vote.expires_at);
--- a/crates/leader-lease/src/voting_round.rs
+++ b/crates/leader-lease/src/voting_round.rs
@@ -1,25 +1,26 @@
-//! One round of vote requests: which voters it asks when, and what their answers amount to.
+//! One round of vote requests: which voters are asked when, and the outcome of their answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use hallpin_membership::names::{Moment, NodeId};
 
-/// How often a request is sent, each time to more of those who did not answer, before a new round begins.
+/// Number of times that a request is sent, each time to more of the voters without an answer, before a new round
+/// starts.
 pub(crate) const MAX_SENDS: u8 = 5;
-/// Each sending asks one in so many of the others beyond a majority.
+/// Each sending asks this fraction of the others in addition to a majority: one sixteenth.
 const EXTRA_VOTERS_FRACTION: usize = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct VotingRound {
     pub(crate) ballot: u64,
     pub(crate) number: u32,
-    /// Before any request of it was sent: the lease is counted from here.
+    /// Time before any request of the round was sent: the lease counts from here.
     pub(crate) began_at: Moment,
     pub(crate) next_send_at: Moment,
     pub(crate) sends: u8,
     pub(crate) votes: BTreeSet<NodeId>,
-    /// Who refused, and for how long each of them is bound.
+    /// Voters that refused, and how long each of them is still bound.
     refusals: BTreeMap<NodeId, Duration>,
 }
 
@@ -27,7 +28,7 @@
 pub(crate) enum RoundOutcome {
     Undecided,
     Won,
-    /// No majority can be had any more; the voters that refused are free after this time.
+    /// No majority is possible any more. Holds the time after which the voters that refused are free again.
     Lost(Duration),
 }
 
@@ -66,7 +67,8 @@
         RoundOutcome::Undecided
     }
 
-    /// The voters to ask now: the first of `order` that have not answered, a majority and some, more with each sending.
+    /// Returns the voters to ask now: those without an answer among the first of `order`, a majority plus a number that
+    /// grows with each sending.
     pub(crate) fn next_recipients(
         &mut self,
         order: &[NodeId],
--- a/crates/leader-lease/tests/model_check.rs
+++ b/crates/leader-lease/tests/model_check.rs
@@ -1,5 +1,6 @@
-//! The lease model-checked: three nodes with unlike clocks, two of which stand; every message may be lost, late, doubled
-//! and out of order, and one node may start anew without its state. Run with guards taken out, the check must fail.
+//! Model check of the lease: three nodes with clocks of different rates, two of them candidates. Every message may be
+//! lost, late, duplicated or out of order, and one node may restart without its state. With a safeguard removed, the
+//! check must find a violation.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,28 +10,28 @@
 use stateright::{Checker, Model, Property};
 
 const TERM: Duration = Duration::from_millis(16);
-const DRIFT: u32 = 250_000;
-/// Quarters of a millisecond that each node's clock makes in a millisecond of true time: slow, fast, fast.
-const RATES: [u64; 3] = [3, 5, 5];
-/// Milliseconds of true time between two ticks.
-const STEP: u64 = 7;
+const DRIFT_PPM: u32 = 250_000;
+/// Clock rate of each node, in quarters of a millisecond per millisecond of true time: slow, fast, fast.
+const CLOCK_RATES: [u64; 3] = [3, 5, 5];
+/// Time between two ticks, in milliseconds of true time.
+const STEP_MS: u64 = 7;
 
 struct Fleet {
-    quiet_after_start: bool,
+    silent_after_start: bool,
     drift_ppm: u32,
     crashes: u8,
     steps: u64,
-    /// From which step on node 2 stands too.
+    /// Step from which node 2 is a candidate too.
     rival_from: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     leases: Vec<LeaderLease>,
-    lives: Vec<Life>,
+    incarnations: Vec<Life>,
     time: u64,
     crashes: u8,
-    /// All that was ever sent: a message may be delivered never, late or often.
+    /// Every message ever sent: each may be delivered never, late or several times.
     sent: BTreeSet<(Life, NodeId, LeaseMessage)>,
 }
 
@@ -41,18 +42,18 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
-    Pass,
+enum Action {
+    Tick,
     Deliver(Life, NodeId, LeaseMessage),
     Crash(usize),
 }
 
-fn life(node: usize, incarnation: u64) -> Life {
+fn node_life(node: usize, incarnation: u64) -> Life {
     Life { node: NodeId(node as u16), incarnation: Incarnation(incarnation) }
 }
 
 fn clock(node: usize, time: u64) -> Moment {
-    Duration::from_millis(100) + Duration::from_micros(250) * (time * RATES[node]) as u32
+    Duration::from_millis(100) + Duration::from_micros(250) * (time * CLOCK_RATES[node]) as u32
 }
 
 impl Fleet {
@@ -67,7 +68,7 @@
     }
 
     fn collect(&self, state: &mut State, node: usize) {
-        let from = state.lives[node];
+        let from = state.incarnations[node];
         let out = state.leases[node].take_outbox();
         state.sent.extend(out.into_iter().map(|(to, message)| (from, to, message)));
     }
@@ -75,59 +76,59 @@
 
 impl Model for Fleet {
     type State = State;
-    type Action = Step;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let lives: Vec<Life> =
-            [300, 1, 600].iter().enumerate().map(|(node, &started)| life(node, started)).collect();
-        let leases = lives.iter().map(|&this| self.start(this, Moment::ZERO)).collect();
-        vec![State { leases, lives, time: 0, crashes: 0, sent: BTreeSet::new() }]
+        let incarnations: Vec<Life> =
+            [300, 1, 600].iter().enumerate().map(|(node, &started)| node_life(node, started)).collect();
+        let leases = incarnations.iter().map(|&this| self.start(this, Moment::ZERO)).collect();
+        vec![State { leases, incarnations, time: 0, crashes: 0, sent: BTreeSet::new() }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        actions.push(Step::Pass);
-        actions.extend(state.sent.iter().map(|&(from, to, message)| Step::Deliver(from, to, message)));
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        actions.push(Action::Tick);
+        actions.extend(state.sent.iter().map(|&(from, to, message)| Action::Deliver(from, to, message)));
         if state.crashes < self.crashes {
-            actions.extend((0..3).map(Step::Crash));
+            actions.extend((0..3).map(Action::Crash));
         }
     }
 
-    fn next_state(&self, last: &State, action: Step) -> Option<State> {
+    fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut next = last.clone();
         match action {
-            Step::Pass => {
-                next.time += STEP;
-                next.leases[2].set_candidacy(Candidacy::standing_if(next.time >= self.rival_from * STEP));
+            Action::Tick => {
+                next.time += STEP_MS;
+                next.leases[2].set_candidacy(Candidacy::standing_if(next.time >= self.rival_from * STEP_MS));
                 for node in 0..3 {
                     next.leases[node].tick(clock(node, next.time));
                     self.collect(&mut next, node);
                 }
             }
-            Step::Deliver(from, to, message) => {
+            Action::Deliver(from, to, message) => {
                 let to = usize::from(to.0);
                 next.leases[to].receive(clock(to, next.time), from, message);
                 self.collect(&mut next, to);
             }
-            Step::Crash(node) => {
+            Action::Crash(node) => {
                 next.crashes += 1;
-                next.lives[node].incarnation.0 += 1;
+                next.incarnations[node].incarnation.0 += 1;
                 let now = clock(node, next.time);
-                let quiet = ClockDrift(DRIFT).lengthen(TERM);
-                let at = if self.quiet_after_start { now } else { now - quiet };
-                next.leases[node] = self.start(next.lives[node], at);
+                let silent_for = ClockDrift(DRIFT_PPM).lengthen(TERM);
+                let at = if self.silent_after_start { now } else { now - silent_for };
+                next.leases[node] = self.start(next.incarnations[node], at);
             }
         }
         (next != *last).then_some(next)
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.time <= self.steps * STEP
+        state.time <= self.steps * STEP_MS
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder", |_, state: &State| state.holders().count() <= 1),
-            Property::sometimes("the rival holds it", |_, state: &State| {
+            Property::always("at most one holder", |_, state: &State| state.holders().count() <= 1),
+            Property::sometimes("the rival holds the lease", |_, state: &State| {
                 state.holders().any(|node| node == 2)
             }),
         ]
@@ -143,7 +144,7 @@
 #[test]
 fn two_nodes_never_hold_the_lease() {
     for (crashes, steps, rival_from, depth) in [(1, 2, 1, 11), (0, 4, 3, 12)] {
-        let fleet = Fleet { quiet_after_start: true, drift_ppm: DRIFT, crashes, steps, rival_from };
+        let fleet = Fleet { silent_after_start: true, drift_ppm: DRIFT_PPM, crashes, steps, rival_from };
         let checker = check(fleet, depth);
         checker.assert_properties();
     }
@@ -151,14 +152,16 @@
 
 #[test]
 fn voting_right_after_a_start_lets_two_nodes_hold_the_lease() {
-    let checker =
-        check(Fleet { quiet_after_start: false, drift_ppm: DRIFT, crashes: 1, steps: 2, rival_from: 1 }, 11);
-    println!("{:?}", checker.assert_any_discovery("one holder").into_actions());
+    let checker = check(
+        Fleet { silent_after_start: false, drift_ppm: DRIFT_PPM, crashes: 1, steps: 2, rival_from: 1 },
+        11,
+    );
+    println!("{:?}", checker.assert_any_discovery("at most one holder").into_actions());
 }
 
 #[test]
 fn ignoring_clock_drift_lets_two_nodes_hold_the_lease() {
     let checker =
-        check(Fleet { quiet_after_start: true, drift_ppm: 0, crashes: 0, steps: 3, rival_from: 3 }, 11);
-    println!("{:?}", checker.assert_any_discovery("one holder").into_actions());
+        check(Fleet { silent_after_start: true, drift_ppm: 0, crashes: 0, steps: 3, rival_from: 3 }, 11);
+    println!("{:?}", checker.assert_any_discovery("at most one holder").into_actions());
 }
--- a/crates/leader-lease/tests/recorded_messages.rs
+++ b/crates/leader-lease/tests/recorded_messages.rs
@@ -1,4 +1,4 @@
-//! Messages as they were recorded before the types had their present names: the form on the wire must not change.
+//! Messages recorded before the types got their present names: their encoding must not change.
 
 use hallpin_leader_lease::LeaseMessage;
 use hallpin_membership::names::Incarnation;
--- a/crates/leader-lease/tests/virtual_time.rs
+++ b/crates/leader-lease/tests/virtual_time.rs
@@ -1,4 +1,5 @@
-//! The lease in virtual time: clocks of unlike rates, loss, doubles, reordering, pauses, crashes without state, cuts.
+//! The lease in virtual time: clocks of different rates, loss, duplication, reordering, pauses, crashes without state,
+//! and partitions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,45 +10,47 @@
 use rand_pcg::Pcg64Mcg;
 
 const TERM: Duration = Duration::from_secs(2);
-const MS: u64 = 1_000_000;
+const NANOS_PER_MS: u64 = 1_000_000;
 
 struct Node {
     lease: LeaderLease,
     life: Life,
-    /// Nanoseconds of its clock in a million of true time, and when it started.
-    rate: u64,
-    started: u64,
+    /// Nanoseconds that the node's clock advances per millisecond of true time, and when the node started.
+    clock_rate: u64,
+    started_at: u64,
     paused_until: u64,
 }
 
 struct Fleet {
     nodes: Vec<Node>,
     now: u64,
-    order: u64,
-    coming: BTreeMap<(u64, u64), (Life, usize, LeaseMessage)>,
+    sequence: u64,
+    in_flight: BTreeMap<(u64, u64), (Life, usize, LeaseMessage)>,
     rng: Pcg64Mcg,
     loss: f64,
-    late: f64,
-    cut: usize,
+    late_share: f64,
+    partition_at: usize,
     drift: u32,
     epoch: u64,
-    /// Nobody has held it since.
-    gap: bool,
+    /// Whether nobody has held the lease since the last epoch.
+    vacant: bool,
     sent: u64,
 }
 
 fn start(node: usize, count: usize, drift: u32, now: u64, rng: &mut Pcg64Mcg) -> Node {
-    let life = Life { node: NodeId(node as u16), incarnation: Incarnation(1_000_000 + now / MS) };
+    let life = Life { node: NodeId(node as u16), incarnation: Incarnation(1_000_000 + now / NANOS_PER_MS) };
     let config = LeaseConfig { this: life, configured: count as u16, term: TERM, drift_ppm: drift };
-    let rate = if rng.random() { 1_000_000 - u64::from(drift) } else { 1_000_000 + u64::from(drift) };
+    let clock_rate = if rng.random() { 1_000_000 - u64::from(drift) } else { 1_000_000 + u64::from(drift) };
     let mut lease = LeaderLease::new(config, Moment::ZERO, rng.random()).expect("valid settings");
     lease.set_candidacy(Candidacy::standing_if(node < 3));
-    Node { lease, life, rate, started: now, paused_until: 0 }
+    Node { lease, life, clock_rate, started_at: now, paused_until: 0 }
 }
 
 impl Node {
     fn clock(&self, now: u64) -> Moment {
-        Duration::from_nanos(((u128::from(now - self.started) * u128::from(self.rate)) / 1_000_000) as u64)
+        Duration::from_nanos(
+            ((u128::from(now - self.started_at) * u128::from(self.clock_rate)) / 1_000_000) as u64,
+        )
     }
 }
 
@@ -58,87 +61,87 @@
         Fleet {
             nodes,
             now: 0,
-            order: 0,
-            coming: BTreeMap::new(),
+            sequence: 0,
+            in_flight: BTreeMap::new(),
             rng,
             loss,
-            late: 0.0,
-            cut: 0,
+            late_share: 0.0,
+            partition_at: 0,
             drift,
             epoch: 0,
-            gap: true,
+            vacant: true,
             sent: 0,
         }
     }
 
-    /// Ticks a node that runs, takes its messages onto the wire, and holds the whole fleet to the rule.
-    fn turn(&mut self, node: usize) {
+    /// Ticks a running node, sends its messages, and checks the invariants of the whole fleet.
+    fn tick_node(&mut self, node: usize) {
         let clock = self.nodes[node].clock(self.now);
         self.nodes[node].lease.tick(clock);
         let from = self.nodes[node].life;
         for (to, message) in self.nodes[node].lease.take_outbox() {
             self.sent += 1;
             let to = usize::from(to.0);
-            let cut = (node < self.cut) != (to < self.cut);
-            while !cut && !self.rng.random_bool(self.loss) {
-                let late = if self.rng.random_bool(self.late) { 1_500 } else { 20 };
-                let at = self.now + self.rng.random_range(MS..late * MS);
-                self.order += 1;
-                self.coming.insert((at, self.order), (from, to, message));
+            let partitioned = (node < self.partition_at) != (to < self.partition_at);
+            while !partitioned && !self.rng.random_bool(self.loss) {
+                let max_delay_ms = if self.rng.random_bool(self.late_share) { 1_500 } else { 20 };
+                let at = self.now + self.rng.random_range(NANOS_PER_MS..max_delay_ms * NANOS_PER_MS);
+                self.sequence += 1;
+                self.in_flight.insert((at, self.sequence), (from, to, message));
                 if !self.rng.random_bool(0.1) {
                     break;
                 }
             }
         }
-        self.judge();
+        self.check_invariants();
     }
 
-    fn judge(&mut self) {
+    fn check_invariants(&mut self) {
         let held = self.nodes.iter().filter_map(|node| node.lease.held(node.clock(self.now)));
         let epochs: Vec<u64> = held.map(|lease| lease.epoch).collect();
-        assert!(epochs.len() <= 1, "two holders at {} ns: {epochs:?}", self.now);
-        self.gap |= epochs.is_empty();
+        assert!(epochs.len() <= 1, "several holders at {} ns: {epochs:?}", self.now);
+        self.vacant |= epochs.is_empty();
         for epoch in epochs {
-            let grown = epoch > self.epoch || (epoch == self.epoch && !self.gap);
-            assert!(grown, "epoch {epoch} after {}, gap {}", self.epoch, self.gap);
-            self.gap = false;
+            let has_grown = epoch > self.epoch || (epoch == self.epoch && !self.vacant);
+            assert!(has_grown, "epoch {epoch} after {}, vacant in between: {}", self.epoch, self.vacant);
+            self.vacant = false;
             self.epoch = epoch;
         }
     }
 
-    /// Plays on, and gives how much of the time, in parts of 1, somebody held the lease.
-    fn play(&mut self, until: u64, trouble: bool) -> f64 {
-        let (mut held, mut turns) = (0u64, 0u64);
+    /// Runs until `until`, and returns the fraction of the time for which some node held the lease.
+    fn run_until(&mut self, until: u64, faults: bool) -> f64 {
+        let (mut held, mut steps) = (0u64, 0u64);
         while self.now < until {
-            self.now += 5 * MS;
-            while let Some(entry) = self.coming.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            self.now += 5 * NANOS_PER_MS;
+            while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
                 let (from, to, message) = entry.remove();
                 if self.nodes[to].paused_until <= self.now {
                     let clock = self.nodes[to].clock(self.now);
                     self.nodes[to].lease.receive(clock, from, message);
-                    self.turn(to);
+                    self.tick_node(to);
                 }
             }
             for node in 0..self.nodes.len() {
                 if self.nodes[node].paused_until <= self.now {
-                    self.turn(node);
+                    self.tick_node(node);
                 }
             }
-            if trouble && self.rng.random_bool(0.01) {
-                self.trouble();
+            if faults && self.rng.random_bool(0.01) {
+                self.inject_fault();
             }
-            turns += 1;
+            steps += 1;
             held += u64::from(self.nodes.iter().any(|node| node.lease.held(node.clock(self.now)).is_some()));
         }
-        held as f64 / turns as f64
+        held as f64 / steps as f64
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let (count, node) = (self.nodes.len(), self.rng.random_range(0..self.nodes.len()));
         match self.rng.random_range(0..3) {
             0 => self.nodes[node] = start(node, count, self.drift, self.now, &mut self.rng),
-            1 => self.nodes[node].paused_until = self.now + self.rng.random_range(0..5_000) * MS,
-            _ => self.cut = self.rng.random_range(0..count),
+            1 => self.nodes[node].paused_until = self.now + self.rng.random_range(0..5_000) * NANOS_PER_MS,
+            _ => self.partition_at = self.rng.random_range(0..count),
         }
     }
 }
@@ -153,11 +156,14 @@
             (seed % 4) as f64 * 0.1,
             seed,
         );
-        fleet.late = 0.3;
-        fleet.play(30_000 * MS, true);
-        (fleet.cut, fleet.late) = (0, 0.0);
-        fleet.play(fleet.now + 12_000 * MS, false);
-        assert!(fleet.play(fleet.now + 5_000 * MS, false) > 0.9, "nobody holds it though all is well");
+        fleet.late_share = 0.3;
+        fleet.run_until(30_000 * NANOS_PER_MS, true);
+        (fleet.partition_at, fleet.late_share) = (0, 0.0);
+        fleet.run_until(fleet.now + 12_000 * NANOS_PER_MS, false);
+        assert!(
+            fleet.run_until(fleet.now + 5_000 * NANOS_PER_MS, false) > 0.9,
+            "nobody holds the lease without faults"
+        );
     }
 }
 
@@ -166,12 +172,12 @@
     for (loss, most) in [(0.0, 400), (0.3, 900)] {
         let mut fleet = Fleet::new(300, 20_000, loss, 1);
         fleet.nodes[1..].iter_mut().for_each(|node| node.lease.set_candidacy(Candidacy::Withdrawn));
-        let first = fleet.play(4_000 * MS, false);
+        let first = fleet.run_until(4_000 * NANOS_PER_MS, false);
         let before = fleet.sent;
-        let held = fleet.play(14_000 * MS, false);
+        let held = fleet.run_until(14_000 * NANOS_PER_MS, false);
         let rate = (fleet.sent - before) / 10;
         println!(
-            "loss {loss}: held {first} in the first 4 s, then {held}; {rate} datagrams a second in the fleet"
+            "loss {loss}: lease held for {first} of the first 4 s, then for {held}; {rate} datagrams a second in the fleet"
         );
         assert!(held > 0.99 && rate < most, "{held} {rate}");
     }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,52 +1,55 @@
-//! What an operator or a test may set: times and bounds, each with its default and the reason for it.
+//! Settings of membership: durations and bounds, with their defaults and the reasons for them.
 
 use std::time::Duration;
 
 use crate::names::{Life, ZoneId};
 
-/// What a node's [`Peers`](crate::Peers) is made with.
+/// Settings of one node's [`Peers`](crate::Peers).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeersConfig {
-    /// This node, in this life.
+    /// This node and its incarnation.
     pub this: Life,
-    /// Where it runs.
+    /// The zone in which this node runs.
     pub zone: ZoneId,
-    /// How many nodes the configuration lists, this one included.
+    /// Number of nodes that the configuration lists, this one included.
     pub configured: u16,
-    /// Times.
+    /// Durations of the protocol.
     pub timing: Timing,
-    /// Bounds.
+    /// Limits on what the node sends and stores.
     pub bounds: Bounds,
 }
 
-/// Times of the protocol. Those of suspicion are for up to 15 nodes and grow with the logarithm of their number.
+/// Durations of the protocol. The suspicion times hold for up to 15 nodes and grow with the logarithm of their number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// One node is probed in each of these. 250 ms: a crash among 5 nodes is met by somebody within one.
+    /// Interval between probes of one node each. 250 ms: of 5 nodes, one meets a crashed node within one interval.
     pub probe_every: Duration,
-    /// From a ping until others are asked to try. 80 ms: several times a round trip between depots.
+    /// Time from a ping until other nodes are asked to ping the target. 80 ms: several times a round trip between
+    /// depots.
     pub probe_timeout: Duration,
-    /// How many are asked to try. 3, as in the SWIM paper.
+    /// Number of nodes asked to ping the target. 3, as in the SWIM paper.
     pub indirect: u8,
-    /// From the first accusation to the verdict when all confirmations are in. 500 ms: time for two rounds to reach
-    /// the accused and for its word to come back.
+    /// Time from the first accusation until the node is declared dead when all confirmations have come in. 500 ms: time
+    /// for two probe rounds to reach the accused node and for its refutation to come back.
     pub suspicion_min: Duration,
-    /// The same with no confirmation. 2 s: four times as long, near Lifeguard's factor of 6 without its long wait.
+    /// The same time without any confirmation. 2 s: four times as long, near Lifeguard's factor of 6 without its long
+    /// wait.
     pub suspicion_max: Duration,
-    /// How many others must confirm for the shortest suspicion, at most 3. 3, as in Lifeguard.
+    /// Number of other nodes that must confirm for the shortest suspicion, at most 3. 3, as in Lifeguard.
     pub confirmations: u8,
-    /// A node that hears nobody for so long is cut off. 2.25 s: a round and the longest suspicion.
+    /// Time without any datagram after which a node considers itself cut off. 2.25 s: one probe interval and the
+    /// longest suspicion.
     pub heard_within: Duration,
-    /// A node that is held to be gone, or was never heard of, is pinged in each of these. 200 ms: five nodes find each
-    /// other again within a second.
+    /// Interval between pings of nodes that are dead, left or unknown. 200 ms: five nodes find each other again within
+    /// a second.
     pub seek_every: Duration,
-    /// The least time between two pulls of a peer's whole table, for each 64 nodes configured. 2 s.
+    /// Shortest time between two pulls of a peer's whole table, for each 64 nodes configured. 2 s.
     pub pull_every: Duration,
-    /// From one page of a pull to the next, and between spare notes. 50 ms.
+    /// Time between two pages of a pull, and between additional gossip datagrams. 50 ms.
     pub page_every: Duration,
-    /// After so long a dead node is forgotten. An hour: longer than any late datagram's way.
+    /// Time after which a dead node is forgotten. An hour: longer than any datagram can be delayed.
     pub forget_after: Duration,
-    /// What was seen of a box counts for so long. 2 s: a few deadlines of requests.
+    /// Time for which an observation of a box counts. 2 s: a few deadlines of requests.
     pub recent: Duration,
 }
 
@@ -70,22 +73,23 @@
     }
 }
 
-/// What one node may send and hold, whatever comes in.
+/// Limits on what one node sends and stores, whatever it receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Datagrams a second over any longer time. 60: three times what an undisturbed round of 300 nodes takes.
+    /// Datagrams per second in the long run. 60: three times what an undisturbed round of 300 nodes takes.
     pub sends: u32,
-    /// Datagrams at once beyond that. 60: a second's worth.
+    /// Datagrams that may be sent at once beyond that rate. 60: a second's worth.
     pub burst: u32,
-    /// Answers a second to any one peer, so that a peer gone wild takes no other's. 16: a pull's pages.
+    /// Answers per second to any one peer, so that a misbehaving peer takes no other's share. 16: the pages of a pull.
     pub answers_each: u32,
-    /// Probes made for others that may be under way. 64.
+    /// Greatest number of probes in progress on behalf of other nodes. 64.
     pub relays: usize,
-    /// Boxes of which something is held, and as many of each reporter. 128: twice the boxes of a large fleet.
+    /// Greatest number of boxes with own observations, and of boxes in the reports of each peer. 128: twice the boxes
+    /// of a large fleet.
     pub boxes: usize,
-    /// The multiple of the times of probing that a node in trouble goes up to, less 1. 3.
+    /// Greatest local health score (Lifeguard); probe times are multiplied by the score plus 1. 3.
     pub awareness: u8,
-    /// How often a claim is told on, for each doubling of the nodes. 2: reaches all at 30% loss.
+    /// Number of times that a claim is sent, for each doubling of the number of nodes. 2: reaches all at 30% loss.
     pub retell: u8,
 }
 
@@ -95,33 +99,35 @@
     }
 }
 
-/// A configuration that cannot work.
+/// A setting that the protocol cannot work with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// This node is none of those that the configuration lists.
+    /// This node's number is not below the number of configured nodes.
     #[error("this node's number {this} is not below the number of configured nodes, {configured}")]
     NotListed {
-        /// Its number.
+        /// This node's number.
         this: u16,
-        /// How many are listed.
+        /// Number of configured nodes.
         configured: u16,
     },
-    /// A time or bound is 0 where that leaves nothing to do.
+    /// A duration or limit is 0 or too small to have an effect.
     #[error("{0}: more than 0 expected")]
     Zero(&'static str),
-    /// A time or bound is out of its range.
+    /// A duration or limit is out of its range.
     #[error("{0}: {1} expected")]
     Range(&'static str, &'static str),
 }
 
 impl PeersConfig {
-    /// A node with the default times and bounds.
+    /// Creates a configuration with the default durations and limits.
     pub fn new(this: Life, zone: ZoneId, configured: u16) -> Self {
         PeersConfig { this, zone, configured, timing: Timing::default(), bounds: Bounds::default() }
     }
 
+    /// Checks the settings.
+    ///
     /// # Errors
-    /// Names the first field that cannot work.
+    /// Names the first setting that the protocol cannot work with.
     pub fn check(&self) -> Result<(), ConfigError> {
         let (timing, bounds) = (&self.timing, &self.bounds);
         if self.this.node.0 >= self.configured {
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,6 +1,7 @@
-//! Digests of what nodes learnt of boxes: this node's own, and the peers' words merged.
+//! Observations of boxes: this node's own, and those reported by peers, which are merged into evidence.
 //!
-//! A report is taken from its reporter in person only, never through a third: a node that lies is one voice.
+//! A report is accepted only from the node that made the observation, never relayed by another, so a node that lies
+//! counts once.
 
-pub(crate) mod heard;
-pub(crate) mod own;
+pub(crate) mod own_facts;
+pub(crate) mod peer_facts;
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,23 +1,23 @@
-//! The one datagram of the plane between nodes: its header, its bound, and what is refused at the door.
+//! The datagram format between nodes: its header, its greatest length, and the checks that reject a datagram.
 //!
-//! 28 bytes of header, big-endian: magic `HP` (2), version (1), kind (1), realm (4), sender (2), receiver (2),
-//! the sender's incarnation (8), payload length (2), reserved 0 (2), CRC-32 of all else (4). A payload follows.
+//! 28 bytes of header, big-endian: magic `HP` (2), version (1), kind (1), realm (4), sender (2), receiver (2), the
+//! sender's incarnation (8), payload length (2), reserved 0 (2), CRC-32 of all else (4). A payload follows.
 
 use crate::names::{Incarnation, Life, NodeId};
 
-/// No datagram is longer, header included; a longer one breaks the deployment's protocol.
+/// Greatest length of a datagram in bytes, header included; the deployment's protocol forbids longer ones.
 pub const MAX_DATAGRAM: usize = 256;
-/// Bytes before the payload.
+/// Length of the header in bytes.
 pub const HEADER: usize = 28;
-/// Longest payload.
+/// Greatest length of a payload in bytes.
 pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEADER;
-/// The form that this program writes, and the newest that it reads.
+/// Version of the format that this program writes, and the newest that it reads.
 pub const VERSION: u8 = 1;
 
 const MAGIC: [u8; 2] = *b"HP";
 const CRC_AT: usize = HEADER - 4;
 
-/// Which machine a payload is for.
+/// The state machine that a payload is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum Kind {
@@ -25,67 +25,67 @@
     Peers = 1,
     /// Placement tables: `hallpin-placement`.
     Accord = 2,
-    /// Leases of parts: `hallpin-quota`.
+    /// Leases of quotas: `hallpin-quota`.
     Budgets = 3,
 }
 
-/// A datagram taken apart: a claim of its sender's, and nothing more than that.
+/// A decoded datagram. The sender is not authenticated: all fields are claims of whoever sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// Which federation; a hash of its name.
+    /// The federation, as a hash of its name.
     pub realm: u32,
-    /// Which machine the payload is for.
+    /// The state machine that the payload is for.
     pub kind: Kind,
-    /// Who says it, and in which life.
+    /// The sending node and its incarnation.
     pub from: Life,
-    /// Whom it is meant for.
+    /// The node that the datagram is addressed to.
     pub to: NodeId,
-    /// What the machine of that kind reads; at most [`MAX_PAYLOAD`] bytes.
+    /// Payload in the format of that state machine; at most [`MAX_PAYLOAD`] bytes.
     pub payload: Vec<u8>,
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum Refused {
-    /// Longer than [`MAX_DATAGRAM`].
+    /// It is longer than [`MAX_DATAGRAM`].
     #[error("longer than {MAX_DATAGRAM} bytes")]
     TooLong,
-    /// Shorter than a header, or than it says.
+    /// It is shorter than a header, or its payload has another length than the header states.
     #[error("cut short")]
     Short,
-    /// Not of this protocol.
+    /// It does not start with this protocol's magic bytes.
     #[error("not a datagram of this program")]
     Foreign,
-    /// Of a version that this program does not read.
+    /// It has a version that this program does not read.
     #[error("of another version")]
     Version,
-    /// A kind that this version does not have.
+    /// It has a kind that this version does not know.
     #[error("of an unknown kind")]
     Kind,
-    /// The check sum does not fit, or what is reserved is not 0.
+    /// The checksum does not match, or the reserved bytes are not 0.
     #[error("garbled")]
     Garbled,
-    /// For another federation.
+    /// It is for another federation.
     #[error("of another realm")]
     Realm,
-    /// Not for this node, or from no node of the federation.
+    /// It is not for this node, or not from a node of the federation.
     #[error("from or for no peer")]
     Stranger,
-    /// The payload does not read as one of its kind.
+    /// The payload cannot be decoded as its kind.
     #[error("with a payload that does not read")]
     Payload,
 }
 
-/// A payload that does not fit a datagram: a fault of the program that wrote it.
+/// A payload is too long for a datagram, in bytes; this is a bug in the program that wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a payload of {0} bytes, at most {MAX_PAYLOAD} expected")]
 pub struct TooLong(pub usize);
 
 impl Envelope {
-    /// The datagram's bytes.
+    /// Encodes the datagram.
     ///
     /// # Errors
-    /// Where the payload is too long for a datagram.
+    /// The payload is longer than [`MAX_PAYLOAD`].
     pub fn encode(&self) -> Result<Vec<u8>, TooLong> {
         let length = self.payload.len();
         if length > MAX_PAYLOAD {
@@ -102,15 +102,15 @@
         out.extend_from_slice(&[0; 2]);
         out.extend_from_slice(&[0; 4]);
         out.extend_from_slice(&self.payload);
-        let sum = check_sum(&out);
+        let sum = checksum(&out);
         out[CRC_AT..HEADER].copy_from_slice(&sum.to_be_bytes());
         Ok(out)
     }
 
-    /// Takes a datagram from anybody apart.
+    /// Decodes a datagram from any sender.
     ///
     /// # Errors
-    /// Says why it is to be dropped. Nothing of a refused datagram may be used.
+    /// Returns why the datagram must be dropped. Nothing of a rejected datagram may be used.
     pub fn decode(datagram: &[u8]) -> Result<Self, Refused> {
         if datagram.len() > MAX_DATAGRAM {
             return Err(Refused::TooLong);
@@ -122,7 +122,7 @@
         if header[2] != VERSION {
             return Err(Refused::Version);
         }
-        if check_sum(datagram) != u32::from_be_bytes(take(header, CRC_AT)) || header[22..24] != [0; 2] {
+        if checksum(datagram) != u32::from_be_bytes(take(header, CRC_AT)) || header[22..24] != [0; 2] {
             return Err(Refused::Garbled);
         }
         if usize::from(u16::from_be_bytes(take(header, 20))) != payload.len() {
@@ -153,7 +153,7 @@
     out
 }
 
-fn check_sum(datagram: &[u8]) -> u32 {
+fn checksum(datagram: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&datagram[..CRC_AT]);
     hasher.update(&datagram[HEADER..]);
@@ -170,23 +170,23 @@
     }
 
     #[test]
-    fn what_is_written_reads_the_same_up_to_the_bound() {
+    fn datagrams_round_trip_up_to_the_greatest_length() {
         for length in [0, 1, MAX_PAYLOAD] {
-            let whole = envelope(vec![0xa5; length]);
-            let bytes = whole.encode().unwrap();
+            let original = envelope(vec![0xa5; length]);
+            let bytes = original.encode().unwrap();
             assert!(bytes.len() <= MAX_DATAGRAM);
-            assert_eq!(Envelope::decode(&bytes).unwrap(), whole);
+            assert_eq!(Envelope::decode(&bytes).unwrap(), original);
         }
         assert_eq!(envelope(vec![0; MAX_PAYLOAD + 1]).encode(), Err(TooLong(MAX_PAYLOAD + 1)));
     }
 
     #[test]
-    fn any_bit_that_flips_and_any_cut_is_refused() {
+    fn every_flipped_bit_and_every_truncation_is_rejected() {
         let bytes = envelope(b"some payload".to_vec()).encode().unwrap();
         for bit in 0..bytes.len() * 8 {
-            let mut garbled = bytes.clone();
-            garbled[bit / 8] ^= 1 << (bit % 8);
-            assert!(Envelope::decode(&garbled).is_err(), "bit {bit}");
+            let mut corrupt = bytes.clone();
+            corrupt[bit / 8] ^= 1 << (bit % 8);
+            assert!(Envelope::decode(&corrupt).is_err(), "bit {bit}");
         }
         for length in 0..bytes.len() {
             assert!(Envelope::decode(&bytes[..length]).is_err(), "{length} bytes");
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,79 +1,80 @@
-//! What is known of boxes, in three types that cannot be taken for each other: what this node saw itself, what one
-//! peer said that it saw (inside this crate), and what all peers' words come to.
+//! Knowledge about boxes, in three types that cannot be confused: what this node observed itself, what one peer
+//! reported (private to this crate), and the evidence merged from all peers' reports.
 
 use crate::names::NodeId;
 
-/// One life of one box.
+/// One incarnation of one box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BoxLife {
-    /// A hash of the id that the list gives it.
+    /// Hash of the box's id in the endpoint list.
     pub id: u64,
-    /// When it started, as the list says: milliseconds since 1970.
+    /// Start time according to the list, in milliseconds since 1970.
     pub started_unix_ms: u64,
 }
 
-/// What this node saw itself of a box since it last said so.
+/// What this node observed of a box since its last observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnFact {
     /// The box.
     pub of: BoxLife,
     /// Attempts that were answered since the last fact.
     pub answered: u32,
-    /// Attempts that were not, by the time they should have been, since the last fact.
+    /// Attempts that were not answered in time since the last fact.
     pub silent: u32,
-    /// Attempts under way now.
+    /// Attempts in flight now.
     pub in_flight: u32,
 }
 
-/// What the peers' fresh words about one life of a box come to. This node's own experience is no part of it.
+/// Evidence about one incarnation of a box, merged from the unexpired reports of peers. This node's own observations
+/// are not included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoxEvidence {
     /// The box.
     pub of: BoxLife,
-    /// Distinct peers to which it has only been silent of late.
+    /// Number of distinct peers that recently got no answer from the box at all.
     pub silent: u16,
-    /// Distinct peers that it has answered of late.
+    /// Number of distinct peers that the box recently answered.
     pub answering: u16,
-    /// Attempts that these peers and others have under way there.
+    /// Attempts that all reporting peers have in flight to the box.
     pub in_flight: u32,
 }
 
-/// What the rest of the node is told.
+/// An event for the rest of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeersNews {
     /// [`Peers::view`](crate::Peers::view) has changed.
     View,
     /// [`Peers::evidence`](crate::Peers::evidence) has changed.
     Evidence,
-    /// Whether this node is cut off has changed.
+    /// The node was cut off from all others, or no longer is.
     CutOff(bool),
 }
 
-/// What one peer said that it saw of a box: a claim of that peer's alone.
+/// What one peer reported about a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct HeardFact {
-    /// Who said it; the sender of the datagram, never a third.
+pub(crate) struct PeerFact {
+    /// The reporting peer, which is always the sender of the datagram.
     pub by: NodeId,
     pub of: BoxLife,
-    pub seen: Seen,
+    pub observation: Observation,
     pub in_flight: u16,
 }
 
-/// How a box has been to one node of late.
+/// How a box recently appeared to one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Seen {
+pub(crate) enum Observation {
     Nothing,
     Silent,
     Answering,
 }
 
-impl Seen {
-    /// One answer tells that it lives, however many others did not come.
-    pub fn of(answered: u32, silent: u32) -> Seen {
+impl Observation {
+    /// One answer proves that the box is up, however many attempts stayed unanswered.
+    pub fn of(answered: u32, silent: u32) -> Observation {
         match (answered, silent) {
-            (0, 0) => Seen::Nothing,
-            (0, _) => Seen::Silent,
-            _ => Seen::Answering,
+            (0, 0) => Observation::Nothing,
+            (0, _) => Observation::Silent,
+            _ => Observation::Answering,
         }
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
-//! What nodes tell each other: the datagram that every message travels in, who is there, and what is merged of it.
+//! Communication between nodes: the datagram format, membership, and the merged view of nodes and boxes.
 //!
-//! Pure: no clock, socket, thread or global. Time, randomness and datagrams come in as arguments; the same inputs
-//! give the same outputs byte for byte.
+//! Pure: no clock, socket, thread or global. Time, randomness and datagrams come in as arguments; the same inputs give
+//! the same outputs byte for byte.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,44 +1,45 @@
-//! How the machines of the plane are driven: payloads, time and the view go in, payloads and news come out.
+//! The interface of the state machines that talk to other nodes: payloads, time and the view go in, payloads and events
+//! come out.
 
 use crate::envelope::{Kind, Refused};
 use crate::names::{Life, Moment, NodeId};
 use crate::view::View;
 
-/// What a machine asks of its shell, in order.
+/// An output of a state machine, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output<N> {
     /// Send a payload of the machine's kind, of at most [`MAX_PAYLOAD`](crate::envelope::MAX_PAYLOAD) bytes.
     Send {
-        /// To whom; never this node itself.
+        /// The receiver; never this node itself.
         to: NodeId,
-        /// Its bytes.
+        /// The encoded payload.
         payload: Vec<u8>,
     },
-    /// What the rest of the node is told.
+    /// An event for the rest of the node.
     News(N),
 }
 
-/// A machine that reads the view and has payloads of one kind. It holds no clock: `now` never falls between two calls,
-/// and all that it decides follows from its arguments.
+/// A state machine that reads the view and exchanges payloads of one kind. It has no clock: `now` never decreases from
+/// call to call, and every decision follows from the arguments alone.
 pub trait Machine {
-    /// What the rest of the node is told.
+    /// Type of its events for the rest of the node.
     type News;
 
-    /// Which payloads are for it.
+    /// Kind of the payloads that it receives.
     const KIND: Kind;
 
-    /// Takes a payload from anybody who claims to be `from`. Outputs wait in [`Machine::take`].
+    /// Processes a payload from any sender that claims to be `from`. Outputs are queued for [`Machine::take`].
     ///
     /// # Errors
     /// [`Refused::Payload`] or [`Refused::Stranger`]; then nothing has changed.
     fn receive(&mut self, now: Moment, view: &View, from: Life, payload: &[u8]) -> Result<(), Refused>;
 
-    /// Lets time pass: to be called when [`Machine::due`] is reached, and may be called at any time.
+    /// Advances time. Must be called when [`Machine::due`] is reached, and may be called at any time.
     fn tick(&mut self, now: Moment, view: &View);
 
-    /// When [`Machine::tick`] is wanted next.
+    /// Returns when [`Machine::tick`] is next needed.
     fn due(&self) -> Option<Moment>;
 
-    /// What has come out since the last call, in order.
+    /// Takes the outputs since the last call, in order.
     fn take(&mut self) -> Vec<Output<Self::News>>;
 }
--- a/crates/membership/src/membership/awareness.rs
+++ b/crates/membership/src/membership/awareness.rs
@@ -1,5 +1,5 @@
-//! How much this node doubts itself: Lifeguard's local health multiplier. A node that loses datagrams or gets too
-//! little time waits longer before it calls another silent.
+//! Lifeguard's local health multiplier. A node that loses datagrams or gets too little CPU time waits longer before it
+//! suspects another.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
         Awareness { score: 0, cap }
     }
 
-    pub fn worse(&mut self) {
+    pub fn record_failure(&mut self) {
         self.score = (self.score + 1).min(self.cap);
     }
 
-    pub fn better(&mut self) {
+    pub fn record_success(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A time of probing, longer by as much as this node doubts itself.
-    pub fn stretch(&self, time: Duration) -> Duration {
+    /// Multiplies a probe duration by the local health score plus 1.
+    pub fn scale(&self, time: Duration) -> Duration {
         time * (1 + u32::from(self.score))
     }
 }
--- a/crates/membership/src/membership/gossip.rs
+++ b/crates/membership/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Which claims are still to be told on, and how often each was: the least told first, and each only so often.
+//! The queue of claims to gossip: the least sent first, each for a limited number of times.
 
 use std::collections::BTreeMap;
 
@@ -6,52 +6,53 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gossip {
-    told: BTreeMap<NodeId, u8>,
+    times_sent: BTreeMap<NodeId, u8>,
 }
 
 impl Gossip {
-    /// Claims that one datagram takes, about.
-    pub const A_DATAGRAM: usize = 12;
-    /// Claims that no datagram takes more of.
-    const MOST: usize = 48;
-
-    /// What is held of a node has changed: all are to hear it.
-    pub fn fresh(&mut self, node: NodeId) {
-        self.told.insert(node, 0);
+    /// Approximate number of claims that fit one datagram.
+    pub const CLAIMS_PER_DATAGRAM: usize = 12;
+    /// Upper bound on the claims that fit one datagram.
+    const MAX_CLAIMS_PER_DATAGRAM: usize = 48;
+
+    /// Queues a node whose state has changed, for the full number of sends.
+    pub fn enqueue(&mut self, node: NodeId) {
+        self.times_sent.insert(node, 0);
     }
 
-    /// Something is to be added to what was told: after what is new, and half as often.
-    pub fn again(&mut self, node: NodeId, limit: u8) {
-        let told = self.told.entry(node).or_insert(limit);
-        *told = (*told).min(limit / 2);
+    /// Queues a node about which there is more to send: behind new changes, and for half the number of sends.
+    pub fn requeue(&mut self, node: NodeId, limit: u8) {
+        let times_sent = self.times_sent.entry(node).or_insert(limit);
+        *times_sent = (*times_sent).min(limit / 2);
     }
 
     pub fn len(&self) -> usize {
-        self.told.len()
+        self.times_sent.len()
     }
 
-    /// Whose claims go first: as many as may fit a datagram.
+    /// Returns the nodes whose claims are sent next, at most as many as fit one datagram.
     pub fn order(&self) -> Vec<NodeId> {
-        let mut order: Vec<(u8, NodeId)> = self.told.iter().map(|(node, told)| (*told, *node)).collect();
-        if order.len() > Self::MOST {
-            order.select_nth_unstable(Self::MOST);
-            order.truncate(Self::MOST);
+        let mut order: Vec<(u8, NodeId)> =
+            self.times_sent.iter().map(|(node, times_sent)| (*times_sent, *node)).collect();
+        if order.len() > Self::MAX_CLAIMS_PER_DATAGRAM {
+            order.select_nth_unstable(Self::MAX_CLAIMS_PER_DATAGRAM);
+            order.truncate(Self::MAX_CLAIMS_PER_DATAGRAM);
         }
         order.sort_unstable();
         order.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// How often a node's claim was told; picks which of its accusers is named.
-    pub fn told(&self, node: NodeId) -> usize {
-        self.told.get(&node).map_or(0, |told| usize::from(*told))
+    /// Returns how often a node's claim was sent; it selects which of the accusers is named.
+    pub fn times_sent(&self, node: NodeId) -> usize {
+        self.times_sent.get(&node).map_or(0, |times_sent| usize::from(*times_sent))
     }
 
-    /// It has been told once more.
-    pub fn tell(&mut self, node: NodeId, limit: u8) {
-        let Some(told) = self.told.get_mut(&node) else { return };
-        *told += 1;
-        if *told >= limit {
-            self.told.remove(&node);
+    /// Counts one more send, and removes the claim at the limit.
+    pub fn mark_sent(&mut self, node: NodeId, limit: u8) {
+        let Some(times_sent) = self.times_sent.get_mut(&node) else { return };
+        *times_sent += 1;
+        if *times_sent >= limit {
+            self.times_sent.remove(&node);
         }
     }
 }
--- /dev/null
+++ b/crates/membership/src/membership/merge.rs
@@ -0,0 +1,171 @@
+//! Merges claims about nodes into the membership table: those of a node about itself and those of others.
+//!
+//! Within one incarnation, claims are ordered by refutations and then by state, so the result does not depend on the
+//! order of arrival. A claim that would remove a node at once (a newer incarnation, or its leaving) is accepted from
+//! the node itself or from two others that agree. From one other it is a rumor, and the node itself is pinged.
+
+use crate::membership::table::{Effect, MemberDetail, RumorKind, Table, MAX_REFUTATION_LEAD};
+use crate::message::{Claim, ClaimedState, SenderInfo};
+use crate::names::{Life, Moment, NodeId};
+use crate::view::MemberState;
+
+impl Table {
+    /// Applies what a node says about itself in its own datagram.
+    pub fn apply_direct(&mut self, now: Moment, life: Life, sender: &SenderInfo) -> Effect {
+        let held = self.view.members.get(&life.node).copied().zip(self.details.get(&life.node).copied());
+        let state = if sender.leaving { MemberState::Left } else { MemberState::Alive };
+        let details = MemberDetail {
+            refutations: sender.refutations,
+            confirmed: true,
+            source: None,
+            last_heard_at: Some(now),
+            rumor: None,
+        };
+        let Some((member, held)) = held else { return self.upsert(now, life, sender.zone, state, details) };
+        if life != member.life {
+            if life.incarnation < member.life.incarnation && held.confirmed {
+                return Effect::Stale;
+            }
+            return self.upsert(now, life, sender.zone, state, details);
+        }
+        let refuted = sender.refutations > held.refutations;
+        let updated = MemberDetail {
+            refutations: held.refutations.max(sender.refutations),
+            rumor: held.rumor,
+            ..details
+        };
+        if sender.leaving && member.state != MemberState::Left
+            || refuted
+            || !held.confirmed
+            || sender.zone != member.zone
+        {
+            // Claims about a node that was only a hint are void once it is heard itself.
+            let state = if refuted || sender.leaving || !held.confirmed { state } else { member.state };
+            return self.upsert(now, life, sender.zone, state, updated);
+        }
+        self.details.insert(life.node, updated);
+        let needs_refutation =
+            member.state != MemberState::Alive && !sender.leaving && sender.refutations == held.refutations;
+        if needs_refutation {
+            Effect::Check
+        } else {
+            Effect::Nothing
+        }
+    }
+
+    /// Applies a claim of `source` about a third node. `is_event` is false for claims on a page of a pull: a peer that
+    /// lists a node as dead there may have been cut off itself without having noticed.
+    pub fn apply_claim(&mut self, now: Moment, claim: &Claim, source: NodeId, is_event: bool) -> Effect {
+        let held = self.view.members.get(&claim.node).copied().zip(self.details.get(&claim.node).copied());
+        let can_be_hint = !matches!(claim.state, ClaimedState::Dead | ClaimedState::Left);
+        let Some((member, held)) = held else {
+            return if can_be_hint { self.add_hint(now, claim, source) } else { Effect::Nothing };
+        };
+        if claim.incarnation < member.life.incarnation {
+            return Effect::Nothing;
+        }
+        if claim.incarnation > member.life.incarnation {
+            return match held.confirmed {
+                false if can_be_hint => self.add_hint(now, claim, source),
+                _ => self.record_rumor(now, claim, RumorKind::Newer, source),
+            };
+        }
+        let mut effect = Effect::Nothing;
+        if !held.confirmed && held.source != Some(source) {
+            self.details.insert(claim.node, MemberDetail { confirmed: true, source: None, ..held });
+            effect = Effect::Changed;
+        }
+        match self.apply_same_incarnation(now, claim, source, is_event) {
+            Effect::Nothing => effect,
+            other => other,
+        }
+    }
+
+    /// Applies a claim about the incarnation that this node knows.
+    fn apply_same_incarnation(
+        &mut self,
+        now: Moment,
+        claim: &Claim,
+        source: NodeId,
+        is_event: bool,
+    ) -> Effect {
+        let (Some(member), Some(held)) =
+            (self.view.members.get(&claim.node).copied(), self.details.get(&claim.node).copied())
+        else {
+            return Effect::Nothing;
+        };
+        let ahead = claim.refutations > held.refutations;
+        if claim.refutations < held.refutations
+            || ahead && held.confirmed && claim.refutations - held.refutations > MAX_REFUTATION_LEAD
+        {
+            return Effect::Nothing;
+        }
+        // A node with more refutations than known here was alive after the known state.
+        let state = if ahead { MemberState::Alive } else { member.state };
+        let mut effect = Effect::Nothing;
+        if ahead {
+            let details = MemberDetail { refutations: claim.refutations, ..held };
+            effect = self.upsert(now, member.life, member.zone, state, details);
+        }
+        match (claim.state, state) {
+            (ClaimedState::Dead, MemberState::Alive) if is_event => self.suspect(now, claim.node, source),
+            (ClaimedState::Alive, MemberState::Dead) | (ClaimedState::Dead, MemberState::Alive) => {
+                Effect::Check
+            }
+            (ClaimedState::Suspect { by }, MemberState::Alive | MemberState::Suspect) => {
+                self.suspect(now, claim.node, by)
+            }
+            (ClaimedState::Dead, MemberState::Suspect) => Effect::Accused(source),
+            (ClaimedState::Left, MemberState::Alive | MemberState::Suspect | MemberState::Dead) => {
+                self.record_rumor(now, claim, RumorKind::Left, source)
+            }
+            _ => effect,
+        }
+    }
+
+    fn add_hint(&mut self, now: Moment, claim: &Claim, source: NodeId) -> Effect {
+        let life = Life { node: claim.node, incarnation: claim.incarnation };
+        let refutations = claim.refutations;
+        let details = MemberDetail {
+            refutations,
+            confirmed: false,
+            source: Some(source),
+            last_heard_at: None,
+            rumor: None,
+        };
+        self.upsert(now, life, claim.zone, MemberState::Alive, details);
+        Effect::Hint
+    }
+
+    /// Accepts a claim that a second node confirms; at the first, has the node itself pinged.
+    fn record_rumor(&mut self, now: Moment, claim: &Claim, kind: RumorKind, source: NodeId) -> Effect {
+        let Some(held) = self.details.get_mut(&claim.node) else { return Effect::Nothing };
+        let second = held.rumor.is_some_and(|(incarnation, held_kind, by)| {
+            (incarnation, held_kind) == (claim.incarnation, kind) && by != source
+        });
+        if !second {
+            held.rumor = Some((claim.incarnation, kind, source));
+            return Effect::Check;
+        }
+        let state = match claim.state {
+            ClaimedState::Alive | ClaimedState::Suspect { .. } => MemberState::Alive,
+            ClaimedState::Dead => MemberState::Dead,
+            ClaimedState::Left => MemberState::Left,
+        };
+        let last_heard_at = if kind == RumorKind::Left { held.last_heard_at } else { None };
+        let details = MemberDetail {
+            refutations: claim.refutations,
+            confirmed: true,
+            source: None,
+            last_heard_at,
+            rumor: None,
+        };
+        self.upsert(
+            now,
+            Life { node: claim.node, incarnation: claim.incarnation },
+            claim.zone,
+            state,
+            details,
+        )
+    }
+}
--- a/crates/membership/src/membership/model.rs
+++ b/crates/membership/src/membership/model.rs
@@ -1,14 +1,15 @@
-//! The rules of belief, checked in all orders that a small federation can get into: nodes 0 and 1 in one depot, 2 in
-//! the other. A word that was said stays in the network, so that it may be heard late, twice, after others or never:
-//! loss, doubling, reordering and partitions are all in that. An accusation may be false, a verdict comes at any time.
+//! Model check of the merge rules over all event orders that a small federation can reach, with nodes 0 and 1 in one
+//! depot and node 2 in the other. A datagram once sent stays in the network and may be delivered late, twice, out of
+//! order or never, which covers loss, duplication, reordering and partitions. An accusation may be false, and a
+//! suspected node may be declared dead at any time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
 use stateright::{Checker, Model, Property};
 
-use crate::membership::table::{Effect, More, Table};
-use crate::message::{Claim, Saying, Speaker};
+use crate::membership::table::{Effect, MemberDetail, Table};
+use crate::message::{Claim, ClaimedState, SenderInfo};
 use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
 use crate::view::MemberState;
 
@@ -16,13 +17,13 @@
 const NOW: Moment = Moment::ZERO;
 
 struct Federation {
-    words: usize,
+    datagrams: usize,
     accusations: usize,
     restarts: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Word {
+struct Datagram {
     to: NodeId,
     from: Life,
     refutations: u32,
@@ -32,28 +33,28 @@
 #[derive(Clone, Debug)]
 struct State {
     nodes: Vec<Table>,
-    words: BTreeSet<Word>,
-    /// Whom somebody found silent itself: the node, its life and its refutations by then.
+    datagrams: BTreeSet<Datagram>,
+    /// Nodes that some node found silent itself, with their incarnation and refutations at that time.
     accused: BTreeSet<(NodeId, Incarnation, u32)>,
-    /// A node held an earlier life after a later one.
-    went_back: bool,
+    /// Whether a node replaced a later incarnation by an earlier one.
+    incarnation_went_back: bool,
 }
 
-/// All that the rules read, without the counter of changes.
+/// The state that the properties read, without the version counter.
 type Key<'a> = (
-    Vec<Vec<(Incarnation, MemberState, &'a More)>>,
-    &'a BTreeSet<Word>,
+    Vec<Vec<(Incarnation, MemberState, &'a MemberDetail)>>,
+    &'a BTreeSet<Datagram>,
     &'a BTreeSet<(NodeId, Incarnation, u32)>,
     bool,
 );
 
 impl State {
     fn key(&self) -> Key<'_> {
-        fn of(table: &Table) -> Vec<(Incarnation, MemberState, &More)> {
-            let members = table.view.members.values().zip(table.more.values());
-            members.map(|(member, more)| (member.life.incarnation, member.state, more)).collect()
+        fn of(table: &Table) -> Vec<(Incarnation, MemberState, &MemberDetail)> {
+            let members = table.view.members.values().zip(table.details.values());
+            members.map(|(member, details)| (member.life.incarnation, member.state, details)).collect()
         }
-        (self.nodes.iter().map(of).collect(), &self.words, &self.accused, self.went_back)
+        (self.nodes.iter().map(of).collect(), &self.datagrams, &self.accused, self.incarnation_went_back)
     }
 }
 
@@ -61,9 +62,9 @@
     &state.nodes[usize::from(node.0)]
 }
 
-fn say(table: &Table, to: NodeId, about: Option<NodeId>) -> Word {
+fn datagram(table: &Table, to: NodeId, about: Option<NodeId>) -> Datagram {
     let claim = about.and_then(|about| table.claim(about, Some(table.view.this.node)));
-    Word { to, from: table.view.this, refutations: table.own_refutations(), claim }
+    Datagram { to, from: table.view.this, refutations: table.own_refutations(), claim }
 }
 
 impl PartialEq for State {
@@ -78,18 +79,23 @@
     }
 }
 
-/// What `Peers::receive` does with the table.
-fn hear(table: &mut Table, word: &Word) {
-    let speaker = Speaker { zone: ZoneId(0), refutations: word.refutations, leaving: false, print: [0; 4] };
-    if table.in_person(NOW, word.from, &speaker) == Effect::Earlier {
+/// Applies a datagram to the table as `Peers::receive` does.
+fn deliver(table: &mut Table, datagram: &Datagram) {
+    let sender = SenderInfo {
+        zone: ZoneId(0),
+        refutations: datagram.refutations,
+        leaving: false,
+        fingerprint: [0; 4],
+    };
+    if table.apply_direct(NOW, datagram.from, &sender) == Effect::Stale {
         return;
     }
-    match &word.claim {
+    match &datagram.claim {
         Some(claim) if claim.node == table.view.this.node => {
             table.refute(claim);
         }
-        Some(claim) if claim.node != word.from.node => {
-            table.hearsay(NOW, claim, word.from.node, true);
+        Some(claim) if claim.node != datagram.from.node => {
+            table.apply_claim(NOW, claim, datagram.from.node, true);
         }
         _ => {}
     }
@@ -97,15 +103,15 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    Say(NodeId, NodeId, Option<NodeId>),
-    Hear(Word),
+    Send(NodeId, NodeId, Option<NodeId>),
+    Deliver(Datagram),
     Accuse(NodeId, NodeId),
-    Bury(NodeId, NodeId),
-    /// It starts again with nothing stored but its number; words of its earlier life still fly.
+    DeclareDead(NodeId, NodeId),
+    /// The node restarts with nothing stored but its number; datagrams of its earlier incarnation are still in flight.
     Restart(NodeId),
 }
 
-fn born(node: NodeId, incarnation: u64) -> Table {
+fn started(node: NodeId, incarnation: u64) -> Table {
     Table::new(Life { node, incarnation: Incarnation(incarnation) }, ZoneId(node.0 / 2), 3, NOW)
 }
 
@@ -114,29 +120,34 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let nodes = NODES.map(|node| born(node, 1)).to_vec();
-        let mut state = State { nodes, words: BTreeSet::new(), accused: BTreeSet::new(), went_back: false };
+        let nodes = NODES.map(|node| started(node, 1)).to_vec();
+        let mut state = State {
+            nodes,
+            datagrams: BTreeSet::new(),
+            accused: BTreeSet::new(),
+            incarnation_went_back: false,
+        };
         for (from, to) in pairs() {
-            let hello = say(table(&state, from), to, None);
-            hear(&mut state.nodes[usize::from(to.0)], &hello);
+            let hello = datagram(table(&state, from), to, None);
+            deliver(&mut state.nodes[usize::from(to.0)], &hello);
         }
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        actions.extend(state.words.iter().copied().map(Action::Hear));
+        actions.extend(state.datagrams.iter().copied().map(Action::Deliver));
         for (by, of) in pairs() {
             let held = table(state, by).state(of);
             match held {
                 Some(MemberState::Alive) if state.accused.len() < self.accusations => {
                     actions.push(Action::Accuse(by, of))
                 }
-                Some(MemberState::Suspect) => actions.push(Action::Bury(by, of)),
+                Some(MemberState::Suspect) => actions.push(Action::DeclareDead(by, of)),
                 _ => {}
             }
-            if state.words.len() < self.words {
+            if state.datagrams.len() < self.datagrams {
                 let third = NodeId(3 - by.0 - of.0);
-                actions.extend([Some(of), Some(third)].map(|about| Action::Say(by, of, about)));
+                actions.extend([Some(of), Some(third)].map(|about| Action::Send(by, of, about)));
             }
         }
         if state.nodes[0].view.this.incarnation.0 <= self.restarts {
@@ -147,72 +158,70 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Say(from, to, about) => {
-                let word = say(table(&state, from), to, about);
-                if !state.words.insert(word) {
+            Action::Send(from, to, about) => {
+                let datagram = datagram(table(&state, from), to, about);
+                if !state.datagrams.insert(datagram) {
                     return None;
                 }
             }
-            Action::Hear(word) => hear(&mut state.nodes[usize::from(word.to.0)], &word),
+            Action::Deliver(datagram) => deliver(&mut state.nodes[usize::from(datagram.to.0)], &datagram),
             Action::Accuse(by, of) => {
                 let table = &mut state.nodes[usize::from(by.0)];
                 let claim = table.claim(of, None)?;
                 state.accused.insert((of, claim.incarnation, claim.refutations));
                 table.suspect(NOW, of, by);
             }
-            Action::Bury(by, of) => state.nodes[usize::from(by.0)].bury(NOW, of),
+            Action::DeclareDead(by, of) => state.nodes[usize::from(by.0)].declare_dead(NOW, of),
             Action::Restart(node) => {
                 let incarnation = table(&state, node).view.this.incarnation.0 + 1;
-                state.nodes[usize::from(node.0)] = born(node, incarnation);
+                state.nodes[usize::from(node.0)] = started(node, incarnation);
                 return Some(state);
             }
         }
         for (before, after) in last.nodes.iter().zip(&state.nodes) {
-            let lives = |table: &Table| {
+            let incarnations = |table: &Table| {
                 table.view.members.iter().map(|(n, m)| (*n, m.life)).collect::<BTreeMap<_, _>>()
             };
-            let (before, after) = (lives(before), lives(after));
-            state.went_back |= before.iter().any(|(node, life)| after.get(node).is_none_or(|now| now < life));
+            let (before, after) = (incarnations(before), incarnations(after));
+            state.incarnation_went_back |=
+                before.iter().any(|(node, life)| after.get(node).is_none_or(|now| now < life));
         }
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no word of an earlier life replaces a newer", |_, state: &State| {
-                !state.went_back
+            Property::always("an earlier incarnation never replaces a newer one", |_, state: &State| {
+                !state.incarnation_went_back
             }),
             Property::always(
-                "nobody is taken out by what it has refuted, or by what was said of an earlier life",
+                "no node is suspected, dead or left by a refuted claim or one about an earlier incarnation",
                 |_, state: &State| {
                     let held = state
                         .nodes
                         .iter()
                         .flat_map(|table| NODES.map(|node| table.claim(node, Some(NODES[0]))));
-                    held.flatten().filter(|claim| claim.saying != Saying::Alive).all(|claim| {
+                    held.flatten().filter(|claim| claim.state != ClaimedState::Alive).all(|claim| {
                         state.accused.contains(&(claim.node, claim.incarnation, claim.refutations))
                     })
                 },
             ),
-            Property::always(
-                "one exchange brings back who is up, from wherever it has come to",
-                |_, state: &State| {
-                    pairs().all(|(by, of)| {
-                        let (mut one, mut other) = (table(state, by).clone(), table(state, of).clone());
-                        hear(&mut other, &say(&one, of, Some(of)));
-                        let refuted = say(&other, by, None);
-                        hear(&mut one, &refuted);
-                        let member = one.view.members.get(&of).copied();
-                        member.is_some_and(|m| m.state == MemberState::Alive && m.life == refuted.from)
-                    })
-                },
-            ),
-            // That the search gets to where it matters.
+            Property::always("one exchange restores a running node from any state", |_, state: &State| {
+                pairs().all(|(by, of)| {
+                    let (mut one, mut other) = (table(state, by).clone(), table(state, of).clone());
+                    deliver(&mut other, &datagram(&one, of, Some(of)));
+                    let refuted = datagram(&other, by, None);
+                    deliver(&mut one, &refuted);
+                    let member = one.view.members.get(&of).copied();
+                    member.is_some_and(|m| m.state == MemberState::Alive && m.life == refuted.from)
+                })
+            }),
+            // Ensures that the search reaches the interesting states.
             match self.restarts {
-                0 => Property::sometimes("a node that is up is called dead", |_, state: &State| {
+                0 => Property::sometimes("a running node is declared dead", |_, state: &State| {
                     state.nodes.iter().any(|table| table.state(NODES[0]) == Some(MemberState::Dead))
                 }),
-                _ => Property::sometimes("two nodes hold a later life", |_, state: &State| {
+                _ => Property::sometimes("two nodes know the later incarnation", |_, state: &State| {
                     let later = |table: &Table| table.view.incarnation(NODES[0]) == Some(Incarnation(2));
                     later(&state.nodes[1]) && later(&state.nodes[2])
                 }),
@@ -228,13 +237,14 @@
 }
 
 #[test]
-fn belief_keeps_its_rules_in_every_order() {
-    // A restart with its late words, and a refutation that goes round: each as deep as its shortest fault and beyond.
+fn merge_rules_hold_in_every_order() {
+    // A restart with late datagrams, and a refutation that reaches all: each is searched as deep as the shortest fault
+    // and beyond.
     for (restarts, depth) in [(1, 7), (0, 9)] {
-        let model = Federation { words: 3, accusations: 1, restarts };
+        let model = Federation { datagrams: 3, accusations: 1, restarts };
         let checker = model.checker().threads(2).target_max_depth(depth).spawn_bfs().join();
         println!(
-            "{restarts} restarts: {} states, {} unlike",
+            "{restarts} restarts: {} states, {} unique",
             checker.state_count(),
             checker.unique_state_count()
         );
--- a/crates/membership/src/membership/pull.rs
+++ b/crates/membership/src/membership/pull.rs
@@ -1,68 +1,70 @@
-//! The pull of a peer's whole table, page by page (anti-entropy, Demers and others 1987): whom from, and how far it is.
+//! A pull of a peer's whole table, page by page (anti-entropy, Demers and others 1987).
 
 use std::time::Duration;
 
 use crate::names::{Moment, NodeId};
 
-/// A page is asked for so often before the pull is given up.
-const TRIES: u8 = 4;
-/// From a question until it is asked again, in times between pages.
-const AGAIN: u32 = 4;
+/// Number of requests for one page before the pull is given up.
+const MAX_TRIES: u8 = 4;
+/// Time until a request is repeated, in multiples of the time between pages.
+const RETRY_PAGE_INTERVALS: u32 = 4;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Pull {
-    current: Option<Current>,
-    /// Before this no other pull starts.
+    active: Option<ActivePull>,
+    /// Earliest start of the next pull.
     next_at: Moment,
     page_every: Duration,
 }
 
 #[derive(Clone, Debug)]
-struct Current {
+struct ActivePull {
     from: NodeId,
     at: u16,
     tries: u8,
-    ask_at: Moment,
+    next_request_at: Moment,
 }
 
 impl Pull {
     pub fn new(page_every: Duration) -> Self {
-        Pull { current: None, next_at: Moment::ZERO, page_every }
+        Pull { active: None, next_at: Moment::ZERO, page_every }
     }
 
-    /// A peer holds other lives than this node: pulls its table, unless one was pulled lately.
+    /// Starts a pull from a peer with a different fingerprint, unless a pull is active or was started recently.
     pub fn start(&mut self, now: Moment, from: NodeId, next_at: Moment) {
-        if self.current.is_none() && now >= self.next_at {
-            self.current = Some(Current { from, at: 0, tries: 0, ask_at: now });
+        if self.active.is_none() && now >= self.next_at {
+            self.active = Some(ActivePull { from, at: 0, tries: 0, next_request_at: now });
             self.next_at = next_at;
         }
     }
 
-    /// The question that is due: whom, and from which node on.
-    pub fn ask(&mut self, now: Moment) -> Option<(NodeId, u16)> {
-        let current = self.current.as_mut().filter(|current| current.ask_at <= now)?;
-        if current.tries == TRIES {
-            self.current = None;
+    /// Returns the request that is due: the peer and the first node of the page.
+    pub fn next_request(&mut self, now: Moment) -> Option<(NodeId, u16)> {
+        let active = self.active.as_mut().filter(|active| active.next_request_at <= now)?;
+        if active.tries == MAX_TRIES {
+            self.active = None;
             return None;
         }
-        current.tries += 1;
-        current.ask_at = now + self.page_every * AGAIN;
-        Some((current.from, current.at))
+        active.tries += 1;
+        active.next_request_at = now + self.page_every * RETRY_PAGE_INTERVALS;
+        Some((active.from, active.at))
     }
 
-    /// A page came; one that was not asked for leads nowhere.
-    pub fn page(&mut self, now: Moment, from: NodeId, at: u16, next: Option<u16>) {
-        let Some(current) = self.current.as_mut().filter(|current| (current.from, current.at) == (from, at))
+    /// Processes a page; one that was not requested is ignored.
+    pub fn on_page(&mut self, now: Moment, from: NodeId, at: u16, next: Option<u16>) {
+        let Some(active) = self.active.as_mut().filter(|active| (active.from, active.at) == (from, at))
         else {
             return;
         };
         match next.filter(|next| *next > at) {
-            Some(next) => *current = Current { from, at: next, tries: 0, ask_at: now + self.page_every },
-            None => self.current = None,
+            Some(next) => {
+                *active = ActivePull { from, at: next, tries: 0, next_request_at: now + self.page_every }
+            }
+            None => self.active = None,
         }
     }
 
     pub fn due(&self) -> Option<Moment> {
-        self.current.as_ref().map(|current| current.ask_at)
+        self.active.as_ref().map(|active| active.next_request_at)
     }
 }
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,20 +1,21 @@
-//! How long a suspected node has for its answer: Lifeguard's times, which shrink as others confirm independently.
+//! Timeouts of suspected nodes, which shrink as other nodes confirm the suspicion independently (Lifeguard).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::names::{Moment, NodeId};
 
-/// How much of the way from the longest to the shortest time is gone, in thousandths, with c of k confirmations:
-/// log(c + 1) / log(k + 1), as in Lifeguard, as a table so that all machines reckon alike. With nobody to confirm, the
-/// longest time holds.
-const SHRINK: [[u32; 4]; 4] = [[0; 4], [0, 1000, 1000, 1000], [0, 631, 1000, 1000], [0, 500, 792, 1000]];
+/// Progress from the longest to the shortest timeout with c of k confirmations, in thousandths: log(c + 1) / log(k +
+/// 1), as in Lifeguard. A table, so that all machines compute the same value. With no node to confirm, the longest
+/// timeout applies.
+const SHRINK_THOUSANDTHS: [[u32; 4]; 4] =
+    [[0; 4], [0, 1000, 1000, 1000], [0, 631, 1000, 1000], [0, 500, 792, 1000]];
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspicions {
     open: BTreeMap<NodeId, Suspicion>,
-    /// When the accused are asked again.
-    ask_at: Moment,
+    /// When the suspected nodes are pinged again.
+    next_ping_at: Moment,
 }
 
 #[derive(Clone, Debug)]
@@ -27,14 +28,14 @@
 }
 
 impl Suspicion {
-    fn ends(&self) -> Moment {
+    fn ends_at(&self) -> Moment {
         let confirmed = (self.accusers.len() - 1).min(3);
-        self.since + self.max - (self.max - self.min) * SHRINK[self.expected][confirmed] / 1000
+        self.since + self.max - (self.max - self.min) * SHRINK_THOUSANDTHS[self.expected][confirmed] / 1000
     }
 }
 
 impl Suspicions {
-    /// Opens one, or counts another accuser; whether it was opened.
+    /// Opens a suspicion or counts another accuser, and returns whether it was opened.
     pub fn accuse(
         &mut self,
         now: Moment,
@@ -46,7 +47,7 @@
         let expected = expected.min(3);
         let (min, max) = times;
         if self.open.is_empty() {
-            self.ask_at = now;
+            self.next_ping_at = now;
         }
         let open = self.open.entry(node).or_insert_with(|| Suspicion {
             accusers: vec![],
@@ -61,51 +62,51 @@
         open.accusers.len() == 1
     }
 
-    /// Whether one more voice changes nothing: it is counted, or as many as count are.
+    /// Returns whether another accuser would change nothing: it is already counted, or the limit is reached.
     pub fn has_counted(&self, node: NodeId, by: NodeId) -> bool {
         let counted = |open: &Suspicion| open.accusers.contains(&by) || open.accusers.len() > open.expected;
         self.open.get(&node).is_some_and(counted)
     }
 
-    /// It is answered, or decided.
+    /// Ends a suspicion that was refuted or decided.
     pub fn close(&mut self, node: NodeId) {
         self.open.remove(&node);
     }
 
-    /// One of its accusers; another each time.
+    /// Returns one of the accusers, a different one for each value of `time`.
     pub fn accuser(&self, node: NodeId, time: usize) -> Option<NodeId> {
         let accusers = &self.open.get(&node)?.accusers;
         accusers.get(time % accusers.len().max(1)).copied()
     }
 
-    /// Whose time is up. One whose own word came in within the shortest time goes on being suspected: it is there,
+    /// Returns the nodes whose timeout has passed. A node heard within the shortest timeout stays suspected: it is up,
     /// and only its refutation is missing.
-    pub fn ended(&self, now: Moment, heard: impl Fn(NodeId) -> Option<Moment>) -> Vec<NodeId> {
-        let ended = |node: NodeId, open: &Suspicion| {
-            open.ends() <= now && heard(node).is_none_or(|heard| heard + open.min <= now)
+    pub fn expired(&self, now: Moment, heard: impl Fn(NodeId) -> Option<Moment>) -> Vec<NodeId> {
+        let is_expired = |node: NodeId, open: &Suspicion| {
+            open.ends_at() <= now && heard(node).is_none_or(|heard| heard + open.min <= now)
         };
-        self.open.iter().filter(|(node, open)| ended(**node, open)).map(|(node, _)| *node).collect()
+        self.open.iter().filter(|(node, open)| is_expired(**node, open)).map(|(node, _)| *node).collect()
     }
 
-    /// Whom to ask again, once in each `every`.
-    pub fn ask(&mut self, now: Moment, every: Duration) -> Vec<NodeId> {
-        if now < self.ask_at || self.open.is_empty() {
+    /// Returns the nodes to ping again, once in each interval `every`.
+    pub fn due_pings(&mut self, now: Moment, every: Duration) -> Vec<NodeId> {
+        if now < self.next_ping_at || self.open.is_empty() {
             return Vec::new();
         }
-        self.ask_at = now + every;
+        self.next_ping_at = now + every;
         self.open.keys().copied().collect()
     }
 
-    /// When the next one's time is up, or when it is asked again.
+    /// Returns when the next timeout passes or the suspected nodes are pinged again.
     pub fn due(&self, heard: impl Fn(NodeId) -> Option<Moment>) -> Option<Moment> {
-        let ends = |node: NodeId, open: &Suspicion| {
-            heard(node).map_or(open.ends(), |heard| open.ends().max(heard + open.min))
+        let ends_at = |node: NodeId, open: &Suspicion| {
+            heard(node).map_or(open.ends_at(), |heard| open.ends_at().max(heard + open.min))
         };
-        let first = self.open.iter().map(|(node, open)| ends(*node, open)).min();
-        first.map(|first| first.min(self.ask_at))
+        let first = self.open.iter().map(|(node, open)| ends_at(*node, open)).min();
+        first.map(|first| first.min(self.next_ping_at))
     }
 
-    /// This node itself stood still for a while: nobody had the chance to answer it.
+    /// Extends all timeouts after this node itself was paused, because no node could answer it meanwhile.
     pub fn postpone(&mut self, by: Duration) {
         for open in self.open.values_mut() {
             open.since += by;
@@ -118,18 +119,21 @@
     use super::*;
 
     #[test]
-    fn time_shrinks_by_distinct_accusers_and_not_by_one_that_repeats() {
+    fn timeout_shrinks_with_distinct_accusers_but_not_with_repetitions() {
         let ms = Duration::from_millis;
-        let mut all = Suspicions::default();
+        let mut suspicions = Suspicions::default();
         let mut ends = Vec::new();
         for by in [1, 1, 1, 2, 3, 3, 4, 5] {
-            all.accuse(ms(0), NodeId(9), NodeId(by), 3, (ms(500), ms(2000)));
-            all.ask(ms(0), ms(9000));
-            ends.push(all.due(|_| None).unwrap().as_millis());
+            suspicions.accuse(ms(0), NodeId(9), NodeId(by), 3, (ms(500), ms(2000)));
+            suspicions.due_pings(ms(0), ms(9000));
+            ends.push(suspicions.due(|_| None).unwrap().as_millis());
         }
         assert_eq!(ends, [2000, 2000, 2000, 1250, 812, 812, 500, 500]);
-        assert!(all.ended(ms(499), |_| None).is_empty());
-        assert!(all.ended(ms(600), |_| Some(ms(200))).is_empty(), "heard in person and called dead");
-        assert_eq!(all.ended(ms(700), |_| Some(ms(200))), [NodeId(9)]);
+        assert!(suspicions.expired(ms(499), |_| None).is_empty());
+        assert!(
+            suspicions.expired(ms(600), |_| Some(ms(200))).is_empty(),
+            "heard directly but declared dead"
+        );
+        assert_eq!(suspicions.expired(ms(700), |_| Some(ms(200))), [NodeId(9)]);
     }
 }
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -1,109 +1,111 @@
-//! What is held of each node: the view's owner.
+//! The membership table: the view and the additional state of each node.
 
 use std::collections::BTreeMap;
 
-use crate::message::{Claim, Saying};
+use crate::message::{Claim, ClaimedState};
 use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
 use crate::view::{Member, MemberState, View};
 
-/// Refutations that one claim may be ahead: one lie must not use the numbers up.
-pub(super) const LEAP: u32 = 1000;
+/// Greatest number of refutations by which a claim may be ahead, so that one false claim cannot exhaust the counter.
+pub(super) const MAX_REFUTATION_LEAD: u32 = 1000;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     pub view: View,
-    pub(super) more: BTreeMap<NodeId, More>,
-    /// The print of the view's version.
-    print: Option<(u64, [u8; 4])>,
+    pub(super) details: BTreeMap<NodeId, MemberDetail>,
+    /// Cached fingerprint with the version of the view that it was computed for.
+    fingerprint: Option<(u64, [u8; 4])>,
 }
 
-/// What is held of a node beside its place in the view.
+/// State of a node in addition to its entry in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct More {
+pub(super) struct MemberDetail {
     pub refutations: u32,
-    /// Its life was heard of in person or from two others; until then it is a hint, and not told on.
-    pub proved: bool,
-    /// Who told of it, while it is a hint.
-    pub teller: Option<NodeId>,
-    /// When it was last heard in person, in this life.
-    pub heard: Option<Moment>,
-    pub rumor: Option<(Incarnation, Rumored, NodeId)>,
+    /// Whether the node itself or two others announced this incarnation. Until then it is a hint and is not gossiped.
+    pub confirmed: bool,
+    /// The node that announced it, while it is a hint.
+    pub source: Option<NodeId>,
+    /// Time of the last datagram from this incarnation of the node.
+    pub last_heard_at: Option<Moment>,
+    pub rumor: Option<(Incarnation, RumorKind, NodeId)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Rumored {
+pub(super) enum RumorKind {
     Newer,
     Left,
 }
 
-/// What a claim or a word in person comes to.
+/// Result of applying a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// Nothing new.
+    /// Nothing changed.
     Nothing,
-    /// The view has changed, on one voice only; it is not told on.
+    /// The view has changed because of one node's claim alone, which is not gossiped.
     Hint,
-    /// The view has changed, and all are to hear it.
+    /// The view has changed, and the change is to be gossiped.
     Changed,
-    /// It is suspected; the accuser may be new.
+    /// The node is suspected; the accuser may be a new one.
     Accused(NodeId),
-    /// It should be asked itself.
+    /// The node itself is to be pinged.
     Check,
-    /// Of an earlier life.
-    Earlier,
+    /// The claim is from an earlier incarnation.
+    Stale,
 }
 
 impl Table {
     pub fn new(this: Life, zone: ZoneId, configured: u16, now: Moment) -> Self {
-        let own = More { refutations: 0, proved: true, teller: None, heard: None, rumor: None };
+        let own =
+            MemberDetail { refutations: 0, confirmed: true, source: None, last_heard_at: None, rumor: None };
         Table {
             view: View::alone(this, zone, configured, now),
-            more: BTreeMap::from([(this.node, own)]),
-            print: None,
+            details: BTreeMap::from([(this.node, own)]),
+            fingerprint: None,
         }
     }
 
-    pub fn heard(&self, node: NodeId) -> Option<Moment> {
-        self.more.get(&node)?.heard
+    pub fn last_heard(&self, node: NodeId) -> Option<Moment> {
+        self.details.get(&node)?.last_heard_at
     }
 
     pub fn state(&self, node: NodeId) -> Option<MemberState> {
         self.view.members.get(&node).map(|member| member.state)
     }
 
-    /// Alive or suspected.
-    pub fn is_there(&self, node: NodeId) -> bool {
-        self.view.members.get(&node).is_some_and(is_there)
+    /// Returns whether a node is alive or suspected.
+    pub fn is_active(&self, node: NodeId) -> bool {
+        self.view.members.get(&node).is_some_and(is_active)
     }
 
-    /// Nodes that are alive or suspected, without this one.
-    pub fn there(&self) -> impl Iterator<Item = NodeId> + '_ {
+    /// Returns the other nodes that are alive or suspected.
+    pub fn active(&self) -> impl Iterator<Item = NodeId> + '_ {
         let this = self.view.this.node;
         self.view
             .members
             .iter()
-            .filter(move |(node, member)| **node != this && is_there(member))
+            .filter(move |(node, member)| **node != this && is_active(member))
             .map(|(node, _)| *node)
     }
 
-    /// What to tell of a node: proved ones only, with an accuser for a suspected one.
+    /// Returns the claim to send about a node, if it is confirmed. A suspected node needs an accuser to name.
     pub fn claim(&self, node: NodeId, accuser: Option<NodeId>) -> Option<Claim> {
-        let (member, more) = (self.view.members.get(&node)?, self.more.get(&node)?);
-        let saying = match member.state {
-            MemberState::Alive => Saying::Alive,
-            MemberState::Suspect => Saying::Suspect { by: accuser? },
-            MemberState::Dead => Saying::Dead,
-            MemberState::Left => Saying::Left,
+        let (member, details) = (self.view.members.get(&node)?, self.details.get(&node)?);
+        let claimed = match member.state {
+            MemberState::Alive => ClaimedState::Alive,
+            MemberState::Suspect => ClaimedState::Suspect { by: accuser? },
+            MemberState::Dead => ClaimedState::Dead,
+            MemberState::Left => ClaimedState::Left,
         };
         let Life { node, incarnation } = member.life;
-        let claim = Claim { node, incarnation, refutations: more.refutations, zone: member.zone, saying };
-        more.proved.then_some(claim)
+        let claim =
+            Claim { node, incarnation, refutations: details.refutations, zone: member.zone, state: claimed };
+        details.confirmed.then_some(claim)
     }
 
-    /// Takes a node to be suspected.
+    /// Marks an alive node as suspected.
     pub fn suspect(&mut self, now: Moment, node: NodeId, by: NodeId) -> Effect {
         if self.state(node) == Some(MemberState::Alive) {
-            self.turn(now, node, MemberState::Suspect);
+            self.set_state(now, node, MemberState::Suspect);
         }
         match self.state(node) {
             Some(MemberState::Suspect) => Effect::Accused(by),
@@ -111,14 +113,14 @@
         }
     }
 
-    /// Calls a suspected node dead, on this node's own verdict.
-    pub fn bury(&mut self, now: Moment, node: NodeId) {
+    /// Declares a suspected node dead, by this node's own decision.
+    pub fn declare_dead(&mut self, now: Moment, node: NodeId) {
         if self.state(node) == Some(MemberState::Suspect) {
-            self.turn(now, node, MemberState::Dead);
+            self.set_state(now, node, MemberState::Dead);
         }
     }
 
-    /// Forgets who has been gone since before `before`.
+    /// Removes nodes that have been dead or left since before `before`.
     pub fn forget(&mut self, before: Moment) {
         let gone = |member: &Member| {
             matches!(member.state, MemberState::Dead | MemberState::Left) && member.since < before
@@ -126,68 +128,69 @@
         let gone: Vec<NodeId> = self.view.members.values().filter(|m| gone(m)).map(|m| m.life.node).collect();
         for node in gone.into_iter().filter(|node| *node != self.view.this.node) {
             self.view.members.remove(&node);
-            self.more.remove(&node);
+            self.details.remove(&node);
             self.view.version += 1;
         }
     }
 
-    /// How often this node has refuted that it is gone.
+    /// Returns how often this node has refuted claims against it.
     pub fn own_refutations(&self) -> u32 {
-        self.more.get(&self.view.this.node).map_or(0, |more| more.refutations)
+        self.details.get(&self.view.this.node).map_or(0, |details| details.refutations)
     }
 
-    /// Refutes a claim about this very life; whether that was needed.
+    /// Refutes a claim about this incarnation of this node if that is needed, and returns whether it was.
     pub fn refute(&mut self, claim: &Claim) -> bool {
         let this = self.view.this;
-        let Some(own) = self.more.get_mut(&this.node) else { return false };
-        let against = claim.saying != Saying::Alive && claim.refutations >= own.refutations;
+        let Some(own) = self.details.get_mut(&this.node) else { return false };
+        let against = claim.state != ClaimedState::Alive && claim.refutations >= own.refutations;
         let needed =
             claim.incarnation == this.incarnation && (against || claim.refutations > own.refutations);
         if needed {
-            own.refutations = claim.refutations.min(own.refutations.saturating_add(LEAP)).saturating_add(1);
+            own.refutations =
+                claim.refutations.min(own.refutations.saturating_add(MAX_REFUTATION_LEAD)).saturating_add(1);
         }
         needed
     }
 
-    /// This node leaves.
+    /// Marks this node as leaving.
     pub fn leave(&mut self, now: Moment) {
-        self.turn(now, self.view.this.node, MemberState::Left);
+        self.set_state(now, self.view.this.node, MemberState::Left);
     }
 
-    pub fn cut_off(&mut self, cut_off: bool) {
+    pub fn set_cut_off(&mut self, cut_off: bool) {
         self.view.cut_off = cut_off;
         self.view.version += 1;
     }
 
-    /// A print of the lives that are held to be there.
-    pub fn print(&mut self) -> [u8; 4] {
+    /// Returns a CRC-32 fingerprint of the incarnations that are alive or suspected.
+    pub fn fingerprint(&mut self) -> [u8; 4] {
         let version = self.view.version;
-        if let Some((_, print)) = self.print.filter(|(of, _)| *of == version) {
-            return print;
+        if let Some((_, fingerprint)) = self.fingerprint.filter(|(of, _)| *of == version) {
+            return fingerprint;
         }
         let mut hasher = crc32fast::Hasher::new();
-        for member in self.view.members.values().filter(|member| is_there(member)) {
+        for member in self.view.members.values().filter(|member| is_active(member)) {
             hasher.update(&member.life.node.0.to_be_bytes());
             hasher.update(&member.life.incarnation.0.to_be_bytes());
         }
-        let print = hasher.finalize().to_be_bytes();
-        self.print = Some((version, print));
-        print
+        let fingerprint = hasher.finalize().to_be_bytes();
+        self.fingerprint = Some((version, fingerprint));
+        fingerprint
     }
 
-    pub(super) fn turn(&mut self, now: Moment, node: NodeId, state: MemberState) {
+    pub(super) fn set_state(&mut self, now: Moment, node: NodeId, state: MemberState) {
         let Some(member) = self.view.members.get_mut(&node) else { return };
         (member.state, member.since) = (state, now);
         self.view.version += 1;
     }
 
-    pub(super) fn put(
+    pub(super) fn upsert(
         &mut self,
         now: Moment,
         life: Life,
         zone: ZoneId,
         state: MemberState,
-        more: More,
+        details: MemberDetail,
     ) -> Effect {
         let since = match self.view.members.get(&life.node) {
             Some(member) if member.life == life && member.state == state => member.since,
@@ -197,11 +200,11 @@
         if self.view.members.insert(life.node, member) != Some(member) {
             self.view.version += 1;
         }
-        self.more.insert(life.node, more);
+        self.details.insert(life.node, details);
         Effect::Changed
     }
 }
 
-fn is_there(member: &Member) -> bool {
+fn is_active(member: &Member) -> bool {
     matches!(member.state, MemberState::Alive | MemberState::Suspect)
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,42 +1,44 @@
-//! The payload's form: who speaks, what for, and items that fill up the rest. No lengths are read from the wire: items
-//! go on to the payload's end, so that no claim of a sender's makes a reader set memory aside.
+//! Payload format: the sender, the purpose, and as many items as fit. No lengths are read from the wire: items continue
+//! to the end of the payload, so no sender can make a receiver allocate memory for a claimed length.
 
 use serde::{Deserialize, Serialize};
 
 use crate::envelope::{Refused, MAX_PAYLOAD};
 use crate::names::{Incarnation, NodeId, ZoneId};
 
-/// A payload taken apart.
+/// A decoded payload.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Message {
-    pub speaker: Speaker,
-    pub head: Head,
+    pub sender: SenderInfo,
+    pub purpose: Purpose,
     pub items: Vec<Item>,
 }
 
-/// What a sender says of itself in each datagram; its life stands in the envelope.
+/// What a sender states about itself in each datagram; its incarnation is in the envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Speaker {
+pub(crate) struct SenderInfo {
     pub zone: ZoneId,
-    /// How often it has refuted that it is gone, in this life.
+    /// How often this incarnation has refuted claims against it.
     pub refutations: u32,
     pub leaving: bool,
-    /// Over the lives that it holds to be there; unlike ones make a pull worth while.
-    pub print: [u8; 4],
+    /// Fingerprint of the incarnations that it considers alive or suspected; a difference triggers a pull.
+    #[serde(rename = "print")]
+    pub fingerprint: [u8; 4],
 }
 
-/// What the datagram is for.
+/// Purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Head {
-    /// Asks for an `Ack` of the same number.
+pub(crate) enum Purpose {
+    /// Requests an `Ack` with the same number.
     Ping {
         seq: u32,
     },
     Ack {
         seq: u32,
     },
-    /// Asks to ping another and to pass on whether it answered.
-    PingFor {
+    /// Requests a ping of another node and a report of the result (SWIM ping-req).
+    #[serde(rename = "PingFor")]
+    PingRequest {
         seq: u32,
         target: NodeId,
     },
@@ -44,21 +46,23 @@
     Relayed {
         seq: u32,
     },
-    /// The target has not answered, but the asked node is there (Lifeguard).
+    /// The target has not answered, but the node that was asked is up (Lifeguard).
     Nack {
         seq: u32,
     },
-    /// Asks for what is held of the nodes from this number on.
-    Ask {
+    /// Requests a page of the membership table from this node number on.
+    #[serde(rename = "Ask")]
+    PullRequest {
         from: u16,
     },
-    /// Answers with what fits; the next page starts at `next`, or there is none.
+    /// Answers with the claims that fit; the next page starts at `next`, or there is none.
     Page {
         from: u16,
         next: Option<u16>,
     },
-    /// Items only.
-    Note,
+    /// Carries items only.
+    #[serde(rename = "Note")]
+    Gossip,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,20 +71,21 @@
     Box(Report),
 }
 
-/// What the sender holds of a node.
+/// What the sender claims about a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct Claim {
     pub node: NodeId,
     pub incarnation: Incarnation,
     pub refutations: u32,
     pub zone: ZoneId,
-    pub saying: Saying,
+    #[serde(rename = "saying")]
+    pub state: ClaimedState,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub(crate) enum Saying {
+pub(crate) enum ClaimedState {
     Alive,
-    /// Found silent by this node, which need not be the sender.
+    /// The node `by` found it silent; `by` need not be the sender.
     Suspect {
         by: NodeId,
     },
@@ -88,49 +93,49 @@
     Left,
 }
 
-/// What the sender itself saw of a box of late.
+/// What the sender itself recently observed of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Report {
-    /// The box's id, fixed in length: a hash's varint would be longer.
+    /// Id of the box, in fixed length: a hash would be longer as a varint.
     pub id: [u8; 8],
     pub started_unix_ms: u64,
-    /// Grows with each thing that the sender saw, over all boxes.
+    /// Grows with each observation of the sender, over all boxes.
     pub seq: u64,
     pub answered: u16,
     pub silent: u16,
     pub in_flight: u16,
-    /// How long ago it was seen, in milliseconds.
+    /// Age of the last observation in milliseconds.
     pub age_ms: u16,
 }
 
 impl Message {
-    /// Takes a payload from anybody apart. Nothing is used of one that does not read to its end, or that names nodes
-    /// that are not configured.
+    /// Decodes a payload from any sender. A payload that cannot be read to its end, or that names nodes that are not
+    /// configured, is rejected as a whole.
     pub fn decode(payload: &[u8], configured: u16) -> Result<Message, Refused> {
         if payload.len() > MAX_PAYLOAD {
             return Err(Refused::Payload);
         }
         let read = |_| Refused::Payload;
-        let (speaker, rest) = postcard::take_from_bytes::<Speaker>(payload).map_err(read)?;
-        let (head, mut rest) = postcard::take_from_bytes::<Head>(rest).map_err(read)?;
+        let (sender, rest) = postcard::take_from_bytes::<SenderInfo>(payload).map_err(read)?;
+        let (purpose, mut rest) = postcard::take_from_bytes::<Purpose>(rest).map_err(read)?;
         let mut items = Vec::new();
         while !rest.is_empty() {
             let (item, after) = postcard::take_from_bytes::<Item>(rest).map_err(read)?;
             items.push(item);
             rest = after;
         }
-        let message = Message { speaker, head, items };
+        let message = Message { sender, purpose, items };
         let listed = message.nodes().all(|node| node.0 < configured);
         listed.then_some(message).ok_or(Refused::Payload)
     }
 
     fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
-        let target = match self.head {
-            Head::PingFor { target, .. } => Some(target),
+        let target = match self.purpose {
+            Purpose::PingRequest { target, .. } => Some(target),
             _ => None,
         };
         let named = self.items.iter().flat_map(|item| match item {
-            Item::Member(Claim { node, saying: Saying::Suspect { by }, .. }) => [Some(*node), Some(*by)],
+            Item::Member(Claim { node, state: ClaimedState::Suspect { by }, .. }) => [Some(*node), Some(*by)],
             Item::Member(claim) => [Some(claim.node), None],
             Item::Box(_) => [None, None],
         });
@@ -138,25 +143,25 @@
     }
 }
 
-/// A payload that is being written; never longer than a datagram takes.
+/// Encodes a payload of at most `MAX_PAYLOAD` bytes.
 pub(crate) struct Writer {
     bytes: Vec<u8>,
 }
 
 impl Writer {
-    pub fn new(speaker: &Speaker, head: &Head) -> Self {
+    pub fn new(sender: &SenderInfo, purpose: &Purpose) -> Self {
         let mut writer = Writer { bytes: Vec::with_capacity(MAX_PAYLOAD) };
-        writer.append(speaker, MAX_PAYLOAD);
-        writer.append(head, MAX_PAYLOAD);
+        writer.append(sender, MAX_PAYLOAD);
+        writer.append(purpose, MAX_PAYLOAD);
         writer
     }
 
-    /// Whether there was room, with `spare` bytes left free.
+    /// Appends an item if it fits with `spare` bytes left free, and returns whether it did.
     pub fn push(&mut self, item: &Item, spare: usize) -> bool {
         self.append(item, MAX_PAYLOAD.saturating_sub(spare))
     }
 
-    pub fn done(self) -> Vec<u8> {
+    pub fn finish(self) -> Vec<u8> {
         self.bytes
     }
 
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -1,4 +1,4 @@
-//! The machine that nodes share through: it owns the view and the evidence, and decides what is sent to whom.
+//! The membership state machine: owns the view and the evidence, and decides what is sent to which node.
 
 mod receive;
 mod send;
@@ -11,30 +11,30 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::config::{ConfigError, PeersConfig};
-use crate::digest::heard::HeardFacts;
-use crate::digest::own::OwnFacts;
+use crate::digest::own_facts::OwnFacts;
+use crate::digest::peer_facts::PeerFacts;
 use crate::facts::{BoxEvidence, OwnFact, PeersNews};
 use crate::machine::Output;
 use crate::membership::awareness::Awareness;
 use crate::membership::gossip::Gossip;
+use crate::membership::probe_round::ProbeRound;
 use crate::membership::pull::Pull;
-use crate::membership::round::Round;
-use crate::membership::seek::Seek;
+use crate::membership::search::MissingNodeSearch;
 use crate::membership::suspicion::Suspicions;
 use crate::membership::table::Table;
 use crate::names::{Life, Moment, NodeId};
-use crate::rate::Bucket;
+use crate::rate::TokenBucket;
 use crate::view::View;
 
 /// Membership and digests of one node.
 ///
-/// It holds no clock: `now` never falls between two calls. What it sends stays within [`Bounds`](crate::Bounds).
+/// It has no clock: `now` never decreases from call to call. What it sends stays within [`Bounds`](crate::Bounds).
 #[derive(Clone, Debug)]
 pub struct Peers {
     config: PeersConfig,
     rng: Pcg64Mcg,
-    started: Moment,
-    /// When anybody was last heard in person.
+    started_at: Moment,
+    /// Time of the last datagram from any peer.
     heard_at: Option<Moment>,
     leaving: bool,
     seq: u32,
@@ -42,51 +42,51 @@
     suspicions: Suspicions,
     awareness: Awareness,
     gossip: Gossip,
-    round: Round,
-    seek: Seek,
+    probe_round: ProbeRound,
+    search: MissingNodeSearch,
     pull: Pull,
     relays: BTreeMap<u32, Relay>,
-    own: OwnFacts,
-    heard: HeardFacts,
-    note_at: Moment,
-    /// Who gets the next notes.
-    notes: Vec<NodeId>,
-    sweep_at: Moment,
-    sends: Bucket,
-    answers: BTreeMap<NodeId, Bucket>,
-    told_version: u64,
-    out: Vec<Output<PeersNews>>,
+    own_facts: OwnFacts,
+    peer_facts: PeerFacts,
+    next_gossip_at: Moment,
+    /// Targets of the next gossip datagrams.
+    gossip_targets: Vec<NodeId>,
+    next_sweep_at: Moment,
+    send_limiter: TokenBucket,
+    answer_limiters: BTreeMap<NodeId, TokenBucket>,
+    reported_version: u64,
+    outputs: Vec<Output<PeersNews>>,
 }
 
-/// A change in what was seen of a box is told to so many at once.
-const AT_ONCE: usize = 32;
+/// Number of nodes that are sent a changed observation of a box at once.
+const MAX_INITIAL_TARGETS: usize = 32;
 
-/// A probe that is made for another.
+/// A ping on behalf of another node.
 #[derive(Clone, Debug)]
 struct Relay {
-    asker: NodeId,
+    requester: NodeId,
     seq: u32,
     target: NodeId,
-    /// When the asker is told that there was no answer; `None` once it was.
+    /// When the requester is told that the target has not answered; `None` once it was.
     nack_at: Option<Moment>,
-    ends: Moment,
+    ends_at: Moment,
 }
 
 impl Peers {
-    /// A node that has heard nobody yet. `known` are lives that were stored by an earlier life: hints whom to ask
-    /// first, and nothing is held of them.
+    /// Creates a node that has heard no other node yet. `known` are the incarnations that an earlier incarnation
+    /// stored: hints which nodes to ping first, and no members of the view.
     ///
     /// # Errors
-    /// Names what in the configuration cannot work.
+    /// Names the setting that the protocol cannot work with.
     pub fn new(config: PeersConfig, seed: u64, now: Moment, known: &[Life]) -> Result<Peers, ConfigError> {
         config.check()?;
         let (timing, bounds) = (&config.timing, &config.bounds);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut first = |within: Duration| now + within.mul_f64(rng.random());
-        let (round_at, seek_at) = (first(timing.probe_every), first(timing.seek_every / 2));
+        let (first_probe_at, first_search_at) = (first(timing.probe_every), first(timing.seek_every / 2));
         let hints = known.iter().map(|life| life.node).filter(|node| node.0 < config.configured);
         Ok(Peers {
-            started: now,
+            started_at: now,
             heard_at: None,
             leaving: false,
             seq: 0,
@@ -94,83 +94,84 @@
             suspicions: Suspicions::default(),
             awareness: Awareness::new(bounds.awareness),
             gossip: Gossip::default(),
-            round: Round::new(round_at),
-            seek: Seek::new(hints.take(config.configured.into()).collect(), seek_at),
+            probe_round: ProbeRound::new(first_probe_at),
+            search: MissingNodeSearch::new(hints.take(config.configured.into()).collect(), first_search_at),
             pull: Pull::new(timing.page_every),
             relays: BTreeMap::new(),
-            own: OwnFacts::new(timing.recent, bounds.boxes),
-            heard: HeardFacts::new(timing.recent, bounds.boxes),
-            note_at: now,
-            notes: Vec::new(),
-            sweep_at: now,
-            sends: Bucket::new(bounds.sends, bounds.burst),
-            answers: BTreeMap::new(),
-            told_version: 0,
-            out: Vec::new(),
+            own_facts: OwnFacts::new(timing.recent, bounds.boxes),
+            peer_facts: PeerFacts::new(timing.recent, bounds.boxes),
+            next_gossip_at: now,
+            gossip_targets: Vec::new(),
+            next_sweep_at: now,
+            send_limiter: TokenBucket::new(bounds.sends, bounds.burst),
+            answer_limiters: BTreeMap::new(),
+            reported_version: 0,
+            outputs: Vec::new(),
             rng,
             config,
         })
     }
 
-    /// Who is there, as far as this node has heard.
+    /// Returns the nodes that are there, as far as this node has heard.
     pub fn view(&self) -> &View {
         &self.table.view
     }
 
-    /// What has come out since the last call, in order.
+    /// Takes the outputs since the last call, in order.
     pub fn take(&mut self) -> Vec<Output<PeersNews>> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// What this node saw itself of a box. It is told to peers, and never mixed with their words.
+    /// Records an own observation of a box. It is sent to peers, and never mixed with their reports.
     pub fn observe(&mut self, now: Moment, fact: OwnFact) {
-        let others = self.table.there().take(AT_ONCE).count() as u8;
-        let retell = self.retell().max(others);
-        if self.own.observe(now, fact, retell) {
-            // All are to hear it once before any hears it twice.
-            self.notes.clear();
+        let others = self.table.active().take(MAX_INITIAL_TARGETS).count() as u8;
+        let retransmit_limit = self.retransmit_limit().max(others);
+        if self.own_facts.observe(now, fact, retransmit_limit) {
+            // Every node is to get the change once before any gets it twice.
+            self.gossip_targets.clear();
         }
-        self.finish();
+        self.emit_events();
     }
 
-    /// What the peers' fresh words about boxes come to, by box.
+    /// Returns the evidence about boxes merged from the peers' unexpired reports.
     pub fn evidence(&self, now: Moment) -> Vec<BoxEvidence> {
-        self.heard.evidence(now, |id| self.own.started(id))
+        self.peer_facts.evidence(now, |id| self.own_facts.started(id))
     }
 
-    /// Says farewell to as many as may be told at once; they tell it on. From then on only answers are sent.
+    /// Announces that this node leaves, to as many nodes as the bounds allow at once; they gossip it on. From then on
+    /// only answers are sent.
     pub fn leave(&mut self, now: Moment) {
         if !self.leaving {
             self.leaving = true;
             self.table.leave(now);
             self.farewell(now);
-            self.finish();
+            self.emit_events();
         }
     }
 
-    /// How many doublings the known nodes are, at least 1.
-    fn doublings(&self) -> u32 {
+    /// Returns the number of doublings up to the number of known nodes, at least 1.
+    fn log2_members(&self) -> u32 {
         (self.table.view.members.len() as u32).ilog2() + 1
     }
 
-    /// How often a claim is told on.
-    fn retell(&self) -> u8 {
-        self.config.bounds.retell.saturating_mul(self.doublings() as u8)
+    /// Returns how often a claim is sent.
+    fn retransmit_limit(&self) -> u8 {
+        self.config.bounds.retell.saturating_mul(self.log2_members() as u8)
     }
 
-    /// A time that starts between three and five quarters of a length from now.
-    fn soon(&mut self, now: Moment, length: Duration) -> Moment {
+    /// Returns a random time between three and five quarters of `length` from now.
+    fn jittered(&mut self, now: Moment, length: Duration) -> Moment {
         now + length.mul_f64(0.75 + 0.5 * self.rng.random::<f64>())
     }
 
-    /// Tells what has changed.
-    fn finish(&mut self) {
-        if self.told_version != self.table.view.version {
-            self.told_version = self.table.view.version;
-            self.out.push(Output::News(PeersNews::View));
+    /// Emits events for a changed view or changed evidence.
+    fn emit_events(&mut self) {
+        if self.reported_version != self.table.view.version {
+            self.reported_version = self.table.view.version;
+            self.outputs.push(Output::News(PeersNews::View));
         }
-        if std::mem::take(&mut self.heard.dirty) {
-            self.out.push(Output::News(PeersNews::Evidence));
+        if std::mem::take(&mut self.peer_facts.dirty) {
+            self.outputs.push(Output::News(PeersNews::Evidence));
         }
     }
 }
--- a/crates/membership/src/peers/receive.rs
+++ b/crates/membership/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! What a datagram changes, and what is answered.
+//! Processing of received datagrams and their answers.
 
 use rand::RngExt;
 
@@ -7,143 +7,144 @@
 use crate::envelope::Refused;
 use crate::machine::Output;
 use crate::membership::table::Effect;
-use crate::message::{Claim, Head, Item, Message, Saying};
+use crate::message::{Claim, ClaimedState, Item, Message, Purpose};
 use crate::names::{Life, Moment, NodeId};
 use crate::view::MemberState;
 use crate::PeersNews;
 
 impl Peers {
-    /// Takes a payload from anybody who claims to be `from`.
+    /// Processes a payload from any sender that claims to be `from`.
     ///
     /// # Errors
-    /// [`Refused::Stranger`] from a node that is not configured, from this node, or from an earlier life of a node;
-    /// [`Refused::Payload`] where it does not read. Then nothing has changed.
+    /// [`Refused::Stranger`] from a node that is not configured, from this node, or from an earlier incarnation of a
+    /// node; [`Refused::Payload`] if the payload cannot be decoded. Then nothing has changed.
     pub fn receive(&mut self, now: Moment, from: Life, payload: &[u8]) -> Result<(), Refused> {
         if from.node.0 >= self.config.configured || from.node == self.config.this.node {
             return Err(Refused::Stranger);
         }
         let message = Message::decode(payload, self.config.configured)?;
-        match self.table.in_person(now, from, &message.speaker) {
-            Effect::Earlier => return Err(Refused::Stranger),
-            effect => self.follow(now, from.node, effect),
+        match self.table.apply_direct(now, from, &message.sender) {
+            Effect::Stale => return Err(Refused::Stranger),
+            effect => self.apply_effect(now, from.node, effect),
         }
-        self.heard.only(from);
+        self.peer_facts.drop_older_incarnations(from);
         self.heard_at = Some(now);
-        self.tell_cut_off(now);
-        let news = !matches!(message.head, Head::Page { .. });
+        self.update_cut_off(now);
+        let is_event = !matches!(message.purpose, Purpose::Page { .. });
         for item in &message.items {
             match item {
-                Item::Member(claim) => self.told(now, from.node, claim, news),
-                Item::Box(report) => self.heard.accept(now, from, report),
+                Item::Member(claim) => self.on_claim(now, from.node, claim, is_event),
+                Item::Box(report) => self.peer_facts.accept(now, from, report),
             }
         }
-        if !self.leaving && !message.speaker.leaving && message.speaker.print != self.table.print() {
+        if !self.leaving && !message.sender.leaving && message.sender.fingerprint != self.table.fingerprint()
+        {
             let pages = 1 + u32::from(self.config.configured) / 64;
-            let next_at = self.soon(now, self.config.timing.pull_every * pages);
+            let next_at = self.jittered(now, self.config.timing.pull_every * pages);
             self.pull.start(now, from.node, next_at);
         }
-        self.answer(now, from.node, message.head);
-        self.finish();
+        self.on_purpose(now, from.node, message.purpose);
+        self.emit_events();
         Ok(())
     }
 
-    /// Tells whether this node is cut off, where that has changed.
-    pub(super) fn tell_cut_off(&mut self, now: Moment) {
-        let silent = now.saturating_sub(self.heard_at.unwrap_or(self.started));
+    /// Emits an event if this node became cut off from all others, or no longer is.
+    pub(super) fn update_cut_off(&mut self, now: Moment) {
+        let silent = now.saturating_sub(self.heard_at.unwrap_or(self.started_at));
         let cut_off = self.config.configured > 1 && silent >= self.config.timing.heard_within;
         if cut_off != self.table.view.cut_off {
-            self.table.cut_off(cut_off);
-            self.out.push(Output::News(PeersNews::CutOff(cut_off)));
+            self.table.set_cut_off(cut_off);
+            self.outputs.push(Output::News(PeersNews::CutOff(cut_off)));
         }
     }
 
-    /// Does what a claim or word about a node comes to.
-    pub(super) fn follow(&mut self, now: Moment, node: NodeId, effect: Effect) {
+    /// Acts on the effect of a claim about a node.
+    pub(super) fn apply_effect(&mut self, now: Moment, node: NodeId, effect: Effect) {
         if self.table.state(node) != Some(MemberState::Suspect) {
             self.suspicions.close(node);
         }
         match effect {
-            Effect::Nothing | Effect::Earlier | Effect::Hint => {}
-            Effect::Changed => self.gossip.fresh(node),
+            Effect::Nothing | Effect::Stale | Effect::Hint => {}
+            Effect::Changed => self.gossip.enqueue(node),
             Effect::Accused(by) => self.accuse(now, node, by),
-            Effect::Check if self.table.is_there(node) => self.round.urgent(node),
+            Effect::Check if self.table.is_active(node) => self.probe_round.enqueue_urgent(node),
             Effect::Check => {
-                self.seek.want(node);
-                self.seek.next_at = self.seek.next_at.min(now + self.config.timing.page_every);
+                self.search.enqueue(node);
+                self.search.next_at = self.search.next_at.min(now + self.config.timing.page_every);
             }
         }
     }
 
-    /// Counts an accuser. Some of those who hear it probe the accused themselves, so that it is confirmed or refuted
-    /// soon: about twice as many as must confirm, however many nodes there are.
+    /// Counts an accuser. Some of the nodes that hear of the accusation probe the accused node themselves, so that it
+    /// is soon confirmed or refuted: on average twice as many as must confirm, however many nodes there are.
     fn accuse(&mut self, now: Moment, node: NodeId, by: NodeId) {
         if self.suspicions.has_counted(node, by) {
             return;
         }
         let timing = &self.config.timing;
-        let scale = self.doublings().max(4);
+        let scale = self.log2_members().max(4);
         let times = (timing.suspicion_min * scale / 4, timing.suspicion_max * scale / 4);
         let confirmations = usize::from(timing.confirmations);
-        let others = self.table.there().filter(|other| *other != node).count();
+        let others = self.table.active().filter(|other| *other != node).count();
         let first = self.suspicions.accuse(now, node, by, confirmations.min(others), times);
         match first {
-            true => self.gossip.fresh(node),
-            false => self.gossip.again(node, self.retell()),
+            true => self.gossip.enqueue(node),
+            false => self.gossip.requeue(node, self.retransmit_limit()),
         }
         let chance = 2.0 * confirmations as f64 / (others + 1) as f64;
         if by != self.config.this.node && self.rng.random::<f64>() < chance {
-            self.round.urgent(node);
+            self.probe_round.enqueue_urgent(node);
         }
     }
 
-    fn told(&mut self, now: Moment, teller: NodeId, claim: &Claim, news: bool) {
+    fn on_claim(&mut self, now: Moment, source: NodeId, claim: &Claim, is_event: bool) {
         if claim.node == self.config.this.node {
             if !self.leaving && self.table.refute(claim) {
-                self.gossip.fresh(claim.node);
-                if matches!(claim.saying, Saying::Suspect { .. } | Saying::Dead) {
-                    self.awareness.worse();
+                self.gossip.enqueue(claim.node);
+                if matches!(claim.state, ClaimedState::Suspect { .. } | ClaimedState::Dead) {
+                    self.awareness.record_failure();
                 }
             }
-        } else if claim.node != teller {
-            let effect = self.table.hearsay(now, claim, teller, news);
-            self.follow(now, claim.node, effect);
+        } else if claim.node != source {
+            let effect = self.table.apply_claim(now, claim, source, is_event);
+            self.apply_effect(now, claim.node, effect);
         }
     }
 
-    fn answer(&mut self, now: Moment, from: NodeId, head: Head) {
-        match head {
-            Head::Ping { seq } => {
-                self.send(now, from, Head::Ack { seq }, Urgency::Answer);
+    fn on_purpose(&mut self, now: Moment, from: NodeId, purpose: Purpose) {
+        match purpose {
+            Purpose::Ping { seq } => {
+                self.send(now, from, Purpose::Ack { seq }, Urgency::Answer);
             }
-            Head::Ack { seq } => {
-                self.round.answered(seq, from);
+            Purpose::Ack { seq } => {
+                self.probe_round.on_ack(seq, from);
                 if self.relays.get(&seq).is_some_and(|relay| relay.target == from) {
                     if let Some(relay) = self.relays.remove(&seq) {
-                        self.send(now, relay.asker, Head::Relayed { seq: relay.seq }, Urgency::Answer);
+                        self.send(now, relay.requester, Purpose::Relayed { seq: relay.seq }, Urgency::Answer);
                     }
                 }
             }
-            Head::PingFor { seq, target } => self.relay(now, from, seq, target),
-            Head::Relayed { seq } => self.round.helped(seq, from, true),
-            Head::Nack { seq } => self.round.helped(seq, from, false),
-            Head::Ask { from: at } => self.send_page(now, from, at),
-            Head::Page { from: at, next } => self.pull.page(now, from, at, next),
-            Head::Note => {}
+            Purpose::PingRequest { seq, target } => self.on_ping_request(now, from, seq, target),
+            Purpose::Relayed { seq } => self.probe_round.on_helper_response(seq, from, true),
+            Purpose::Nack { seq } => self.probe_round.on_helper_response(seq, from, false),
+            Purpose::PullRequest { from: at } => self.send_page(now, from, at),
+            Purpose::Page { from: at, next } => self.pull.on_page(now, from, at, next),
+            Purpose::Gossip => {}
         }
     }
 
-    fn relay(&mut self, now: Moment, asker: NodeId, seq: u32, target: NodeId) {
+    fn on_ping_request(&mut self, now: Moment, requester: NodeId, seq: u32, target: NodeId) {
         if target == self.config.this.node
-            || target == asker
+            || target == requester
             || self.relays.len() >= self.config.bounds.relays
         {
             return;
         }
-        let own = self.next_seq();
-        if self.send(now, target, Head::Ping { seq: own }, Urgency::Answer) {
-            let (nack_at, ends) =
+        let relay_seq = self.next_seq();
+        if self.send(now, target, Purpose::Ping { seq: relay_seq }, Urgency::Answer) {
+            let (nack_at, ends_at) =
                 (now + self.config.timing.probe_timeout, now + self.config.timing.probe_every);
-            self.relays.insert(own, Relay { asker, seq, target, nack_at: Some(nack_at), ends });
+            self.relays.insert(relay_seq, Relay { requester, seq, target, nack_at: Some(nack_at), ends_at });
         }
     }
 
--- a/crates/membership/src/peers/send.rs
+++ b/crates/membership/src/peers/send.rs
@@ -1,91 +1,92 @@
-//! What goes into a datagram beside its purpose, and whether it may go out at all.
+//! Writing and rate limiting of outgoing datagrams.
 
 use rand::seq::SliceRandom;
 
 use super::Peers;
 use crate::machine::Output;
 use crate::membership::gossip::Gossip;
-use crate::message::{Claim, Head, Item, Report, Speaker, Writer};
+use crate::message::{Claim, Item, Purpose, Report, SenderInfo, Writer};
 use crate::names::{Moment, NodeId};
-use crate::rate::Bucket;
+use crate::rate::TokenBucket;
 use crate::view::MemberState;
 
-/// Room that is left for two reports where a change is to be told: what nodes learn of boxes must not wait for a wave
-/// of joins to pass.
-const ROOM: usize = 64;
+/// Bytes reserved for two reports while a change must be sent: observations of boxes must not wait until a wave of
+/// joins has passed.
+const REPORT_RESERVE_BYTES: usize = 64;
 
-/// How much may be left of the bucket for a datagram to go.
+/// Priority of a datagram: how much it must leave in the token bucket.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Urgency {
-    /// A probe, or help with one.
+    /// A probe, or a request to probe.
     Probe,
-    /// An answer: so many a second to each peer, and a quarter of the bucket is left to probes.
+    /// An answer: limited per second for each peer, and a quarter of the bucket is left to probes.
     Answer,
-    /// What can wait: leaves half of the bucket to the others.
+    /// A datagram that can wait: half of the bucket is left to the others.
     Spare,
 }
 
 impl Peers {
-    /// Sends, with as much told on as fits; whether the bounds allowed it.
-    pub(super) fn send(&mut self, now: Moment, to: NodeId, head: Head, urgency: Urgency) -> bool {
-        if !self.allowed(now, to, urgency) {
+    /// Sends a datagram filled with claims and reports, and returns whether the bounds allowed it.
+    pub(super) fn send(&mut self, now: Moment, to: NodeId, purpose: Purpose, urgency: Urgency) -> bool {
+        if !self.allows_send(now, to, urgency) {
             return false;
         }
-        let mut writer = Writer::new(&self.speaker(), &head);
-        if let Some(claim) = self.against(to) {
+        let mut writer = Writer::new(&self.sender(), &purpose);
+        if let Some(claim) = self.accusation_against(to) {
             writer.push(&Item::Member(claim), 0);
         }
-        self.tell_claims(&mut writer, to);
-        self.tell_reports(now, &mut writer, head == Head::Note);
-        self.out.push(Output::Send { to, payload: writer.done() });
+        self.write_claims(&mut writer, to);
+        self.write_reports(now, &mut writer, purpose == Purpose::Gossip);
+        self.outputs.push(Output::Send { to, payload: writer.finish() });
         true
     }
 
-    /// Sends a page of all that is held, from one node on.
+    /// Sends a page of the membership table, from one node on.
     pub(super) fn send_page(&mut self, now: Moment, to: NodeId, from: u16) {
-        if !self.allowed(now, to, Urgency::Answer) {
+        if !self.allows_send(now, to, Urgency::Answer) {
             return;
         }
         let claims: Vec<Claim> =
             self.table.view.members.range(NodeId(from)..).filter_map(|(node, _)| self.claim(*node)).collect();
-        let speaker = self.speaker();
+        let sender = self.sender();
         let write = |next: Option<u16>| {
-            let mut writer = Writer::new(&speaker, &Head::Page { from, next });
+            let mut writer = Writer::new(&sender, &Purpose::Page { from, next });
             let fitted = claims.iter().take_while(|claim| writer.push(&Item::Member(**claim), 0)).count();
             (writer, fitted)
         };
-        let (whole, fitted) = write(None);
+        let (complete, fitted) = write(None);
         let payload = match claims.get(fitted) {
-            None => whole.done(),
+            None => complete.finish(),
             Some(_) => {
-                // The longest number first: with the real one as much or more fits, and at least what it counts on.
+                // `next` is first encoded at its greatest length. The actual value is no longer, so at least the claims
+                // before `next` fit.
                 let (_, fitted) = write(Some(u16::MAX));
-                write(claims.get(fitted).map(|claim| claim.node.0)).0.done()
+                write(claims.get(fitted).map(|claim| claim.node.0)).0.finish()
             }
         };
-        self.out.push(Output::Send { to, payload });
+        self.outputs.push(Output::Send { to, payload });
     }
 
-    /// Tells a random few that this node leaves.
+    /// Announces to other nodes in random order that this node leaves, as far as the bounds allow.
     pub(super) fn farewell(&mut self, now: Moment) {
-        let mut there: Vec<NodeId> = self.table.there().collect();
-        there.shuffle(&mut self.rng);
-        for node in there {
-            if !self.send(now, node, Head::Note, Urgency::Probe) {
+        let mut targets: Vec<NodeId> = self.table.active().collect();
+        targets.shuffle(&mut self.rng);
+        for node in targets {
+            if !self.send(now, node, Purpose::Gossip, Urgency::Probe) {
                 return;
             }
         }
     }
 
-    fn allowed(&mut self, now: Moment, to: NodeId, urgency: Urgency) -> bool {
+    fn allows_send(&mut self, now: Moment, to: NodeId, urgency: Urgency) -> bool {
         let bounds = &self.config.bounds;
         if to == self.config.this.node {
             return false;
         }
         if urgency == Urgency::Answer {
             let (rate, burst) = (bounds.answers_each, bounds.answers_each);
-            let answers = self.answers.entry(to).or_insert_with(|| Bucket::new(rate, burst));
-            if !answers.take(now, 0) {
+            let limiter = self.answer_limiters.entry(to).or_insert_with(|| TokenBucket::new(rate, burst));
+            if !limiter.take(now, 0) {
                 return false;
             }
         }
@@ -94,47 +95,53 @@
             Urgency::Answer => bounds.burst / 4,
             Urgency::Spare => bounds.burst / 2,
         };
-        self.sends.take(now, reserve)
+        self.send_limiter.take(now, reserve)
     }
 
-    fn speaker(&mut self) -> Speaker {
+    fn sender(&mut self) -> SenderInfo {
         let refutations = self.table.own_refutations();
-        Speaker { zone: self.config.zone, refutations, leaving: self.leaving, print: self.table.print() }
+        SenderInfo {
+            zone: self.config.zone,
+            refutations,
+            leaving: self.leaving,
+            fingerprint: self.table.fingerprint(),
+        }
     }
 
-    /// What is held against the receiver: it is to hear it first, and can refute it (Lifeguard's buddy system).
-    fn against(&self, to: NodeId) -> Option<Claim> {
+    /// Returns the claim against the receiver, if it is not alive in the table. It is sent first, so that the receiver
+    /// can refute it (Lifeguard's buddy system).
+    fn accusation_against(&self, to: NodeId) -> Option<Claim> {
         self.claim(to).filter(|_| self.table.state(to) != Some(MemberState::Alive))
     }
 
     fn claim(&self, node: NodeId) -> Option<Claim> {
-        self.table.claim(node, self.suspicions.accuser(node, self.gossip.told(node)))
+        self.table.claim(node, self.suspicions.accuser(node, self.gossip.times_sent(node)))
     }
 
-    fn tell_claims(&mut self, writer: &mut Writer, to: NodeId) {
-        let limit = self.retell();
-        let spare = if self.own.is_hot() { ROOM } else { 0 };
+    fn write_claims(&mut self, writer: &mut Writer, to: NodeId) {
+        let limit = self.retransmit_limit();
+        let spare = if self.own_facts.has_urgent() { REPORT_RESERVE_BYTES } else { 0 };
         for node in self.gossip.order().into_iter().filter(|node| *node != to) {
             let claim = self.claim(node);
             if claim.is_some_and(|claim| !writer.push(&Item::Member(claim), spare)) {
                 return;
             }
-            self.gossip.tell(node, limit);
+            self.gossip.mark_sent(node, limit);
         }
     }
 
-    fn tell_reports(&mut self, now: Moment, writer: &mut Writer, note: bool) {
-        let order: Vec<Report> = self.own.order(now, |id| self.heard.is_contested(id));
+    fn write_reports(&mut self, now: Moment, writer: &mut Writer, is_gossip: bool) {
+        let order: Vec<Report> = self.own_facts.send_order(now, |id| self.peer_facts.is_contested(id));
         for report in order {
             if !writer.push(&Item::Box(report), 0) {
                 return;
             }
-            self.own.tell(now, &report, note);
+            self.own_facts.mark_sent(now, &report, is_gossip);
         }
     }
 
-    /// Whether there is more to tell than the probes' datagrams take.
-    pub(super) fn is_pressed(&self) -> bool {
-        self.own.is_hot() || self.gossip.len() > Gossip::A_DATAGRAM
+    /// Returns whether more is to be sent than the probes' datagrams can carry.
+    pub(super) fn has_backlog(&self) -> bool {
+        self.own_facts.has_urgent() || self.gossip.len() > Gossip::CLAIMS_PER_DATAGRAM
     }
 }
--- a/crates/membership/src/peers/time.rs
+++ b/crates/membership/src/peers/time.rs
@@ -1,4 +1,4 @@
-//! What happens as time passes: probes, verdicts, the search for missing nodes, pulls, notes and forgetting.
+//! Timed actions: probes, suspicion timeouts, the search for missing nodes, pulls, gossip and expiry.
 
 use std::time::Duration;
 
@@ -7,209 +7,213 @@
 
 use super::send::Urgency;
 use super::Peers;
-use crate::membership::round::Probe;
-use crate::message::Head;
+use crate::membership::probe_round::Probe;
+use crate::message::Purpose;
 use crate::names::{Moment, NodeId};
 
-/// How many nodes ask one that is suspected, about.
-const ASKING: f64 = 16.0;
-/// How many of those that are suspected are asked at once: where many go, word of it needs the datagrams more.
-const ASKED: usize = 2;
+/// Mean number of nodes that ping a suspected node in one interval.
+const MEAN_PINGERS_PER_SUSPECT: f64 = 16.0;
+/// Greatest number of suspected nodes that one node pings in one interval: when many nodes fail, the datagrams are
+/// needed more to spread the news.
+const MAX_SUSPECTS_PINGED: usize = 2;
 
 impl Peers {
-    /// When [`Peers::tick`] is wanted next.
+    /// Returns when [`Peers::tick`] is next needed.
     pub fn due(&self) -> Option<Moment> {
         if self.leaving || self.config.configured < 2 {
             return None;
         }
-        let cut_off = self.heard_at.unwrap_or(self.started) + self.config.timing.heard_within;
-        let relays = self.relays.values().map(|relay| relay.nack_at.unwrap_or(relay.ends)).min();
+        let cut_off = self.heard_at.unwrap_or(self.started_at) + self.config.timing.heard_within;
+        let relays = self.relays.values().map(|relay| relay.nack_at.unwrap_or(relay.ends_at)).min();
         [
             (!self.table.view.cut_off).then_some(cut_off),
-            self.suspicions.due(|node| self.table.heard(node)),
-            Some(self.round.due()),
+            self.suspicions.due(|node| self.table.last_heard(node)),
+            Some(self.probe_round.due()),
             relays,
-            Some(self.seek.next_at),
+            Some(self.search.next_at),
             self.pull.due(),
-            self.is_pressed().then_some(self.note_at),
-            (!self.heard.is_empty()).then_some(self.sweep_at),
+            self.has_backlog().then_some(self.next_gossip_at),
+            (!self.peer_facts.is_empty()).then_some(self.next_sweep_at),
         ]
         .into_iter()
         .flatten()
         .min()
     }
 
-    /// Lets time pass: to be called when [`Peers::due`] is reached, and may be called at any time.
+    /// Advances time. Must be called when [`Peers::due`] is reached, and may be called at any time.
     pub fn tick(&mut self, now: Moment) {
         let Some(due) = self.due().filter(|due| *due <= now) else { return };
-        self.woke(now, now - due);
-        self.tell_cut_off(now);
-        self.verdicts(now);
+        self.compensate_pause(now, now - due);
+        self.update_cut_off(now);
+        self.resolve_suspicions(now);
         self.probe(now);
-        self.relayed(now);
-        self.search(now);
-        if let Some((from, at)) = self.pull.ask(now) {
-            self.send(now, from, Head::Ask { from: at }, Urgency::Spare);
-        }
-        self.note(now);
-        if now >= self.sweep_at {
-            self.sweep_at = now + self.config.timing.recent / 4;
-            self.heard.expire(now);
+        self.expire_relays(now);
+        self.search_missing(now);
+        if let Some((from, at)) = self.pull.next_request(now) {
+            self.send(now, from, Purpose::PullRequest { from: at }, Urgency::Spare);
+        }
+        self.send_gossip(now);
+        if now >= self.next_sweep_at {
+            self.next_sweep_at = now + self.config.timing.recent / 4;
+            self.peer_facts.expire(now);
             self.table.forget(now.saturating_sub(self.config.timing.forget_after));
         }
-        self.finish();
+        self.emit_events();
     }
 
-    /// Called long after it was due, this node stood still, and what it has not heard since tells nothing.
-    fn woke(&mut self, now: Moment, late: Duration) {
-        if late >= self.config.timing.probe_every {
-            self.suspicions.postpone(late);
-            self.round.probe = None;
-            self.round.next_at = now;
-            self.awareness.worse();
+    /// After a call that comes long after it was due, this node was paused, and the silence of others meanwhile proves
+    /// nothing.
+    fn compensate_pause(&mut self, now: Moment, lateness: Duration) {
+        if lateness >= self.config.timing.probe_every {
+            self.suspicions.postpone(lateness);
+            self.probe_round.probe = None;
+            self.probe_round.next_at = now;
+            self.awareness.record_failure();
         }
     }
 
-    fn verdicts(&mut self, now: Moment) {
-        for node in self.suspicions.ended(now, |node| self.table.heard(node)) {
+    fn resolve_suspicions(&mut self, now: Moment) {
+        for node in self.suspicions.expired(now, |node| self.table.last_heard(node)) {
             self.suspicions.close(node);
-            self.table.bury(now, node);
-            self.gossip.again(node, self.retell());
+            self.table.declare_dead(now, node);
+            self.gossip.requeue(node, self.retransmit_limit());
         }
-        // The accused may not have heard: some ask it again and again, about 16 however many nodes there are.
-        let mut accused = self.suspicions.ask(now, self.config.timing.probe_every / 2);
+        // A suspected node may not know of the accusation: on average 16 nodes keep pinging it, however many nodes
+        // there are.
+        let mut accused = self.suspicions.due_pings(now, self.config.timing.probe_every / 2);
         if accused.is_empty() {
             return;
         }
         accused.shuffle(&mut self.rng);
-        let others = self.table.there().count().max(1);
-        for node in accused.into_iter().take(ASKED) {
-            if self.rng.random::<f64>() < ASKING / others as f64 {
+        let others = self.table.active().count().max(1);
+        for node in accused.into_iter().take(MAX_SUSPECTS_PINGED) {
+            if self.rng.random::<f64>() < MEAN_PINGERS_PER_SUSPECT / others as f64 {
                 let seq = self.next_seq();
-                self.send(now, node, Head::Ping { seq }, Urgency::Spare);
+                self.send(now, node, Purpose::Ping { seq }, Urgency::Spare);
             }
         }
     }
 
     fn probe(&mut self, now: Moment) {
-        match self.round.probe.take() {
-            Some(probe) if probe.answered => self.awareness.better(),
-            Some(probe) if probe.ends <= now => self.failed(now, &probe),
+        match self.probe_round.probe.take() {
+            Some(probe) if probe.answered => self.awareness.record_success(),
+            Some(probe) if probe.ends_at <= now => self.on_probe_failed(now, &probe),
             Some(probe) if probe.indirect_at.is_some_and(|at| at <= now) => {
-                self.round.probe = Some(self.ask_others(now, probe));
+                self.probe_round.probe = Some(self.ask_others(now, probe));
             }
-            probe => self.round.probe = probe,
+            probe => self.probe_round.probe = probe,
         }
-        if self.round.probe.is_some() || self.round.next_at > now {
+        if self.probe_round.probe.is_some() || self.probe_round.next_at > now {
             return;
         }
-        let every = self.awareness.stretch(self.config.timing.probe_every);
-        self.round.next_at = now + every;
+        let every = self.awareness.scale(self.config.timing.probe_every);
+        self.probe_round.next_at = now + every;
         let alive = self.alive();
-        let Some(target) = self.round.next(&mut self.rng, &alive, |node| self.table.is_there(node)) else {
+        let Some(target) = self.probe_round.next(&mut self.rng, &alive, |node| self.table.is_active(node))
+        else {
             return;
         };
         let seq = self.next_seq();
-        if self.send(now, target, Head::Ping { seq }, Urgency::Probe) {
-            let indirect_at = Some(now + self.awareness.stretch(self.config.timing.probe_timeout));
-            let (started, ends) = (now, now + every);
-            self.round.probe = Some(Probe {
+        if self.send(now, target, Purpose::Ping { seq }, Urgency::Probe) {
+            let indirect_at = Some(now + self.awareness.scale(self.config.timing.probe_timeout));
+            let (started_at, ends_at) = (now, now + every);
+            self.probe_round.probe = Some(Probe {
                 target,
                 seq,
-                started,
+                started_at,
                 indirect_at,
-                ends,
-                asked: vec![],
-                helped: false,
+                ends_at,
+                pending_helpers: vec![],
+                helper_responded: false,
                 answered: false,
             });
         }
     }
 
-    /// The others that are held alive.
+    /// Returns the other nodes that are alive in the view.
     fn alive(&self) -> Vec<NodeId> {
         let this = self.config.this.node;
         self.table.view.alive().map(|member| member.life.node).filter(|node| *node != this).collect()
     }
 
-    /// Asks others to try, and tries once more itself: most that is lost is lost once.
+    /// Asks other nodes to ping the target and pings it once more: a lost datagram is mostly lost only once.
     fn ask_others(&mut self, now: Moment, mut probe: Probe) -> Probe {
         let mut others = self.alive();
         others.retain(|node| *node != probe.target);
         others.shuffle(&mut self.rng);
         others.truncate(self.config.timing.indirect.into());
         let (seq, target) = (probe.seq, probe.target);
-        others.retain(|other| self.send(now, *other, Head::PingFor { seq, target }, Urgency::Probe));
-        self.send(now, target, Head::Ping { seq }, Urgency::Probe);
-        (probe.asked, probe.indirect_at) = (others, None);
+        others.retain(|other| self.send(now, *other, Purpose::PingRequest { seq, target }, Urgency::Probe));
+        self.send(now, target, Purpose::Ping { seq }, Urgency::Probe);
+        (probe.pending_helpers, probe.indirect_at) = (others, None);
         probe
     }
 
-    /// Accuses a node that answered nobody; not one whose own word came in meanwhile.
-    fn failed(&mut self, now: Moment, probe: &Probe) {
-        // Those that were asked answer in any case: where none does, the fault may be here.
-        if !probe.asked.is_empty() && !probe.helped {
-            self.awareness.worse();
+    /// Suspects a node that did not answer, unless it was heard itself since the probe started.
+    fn on_probe_failed(&mut self, now: Moment, probe: &Probe) {
+        // Nodes that were asked always respond; if none did, the fault may be on this side.
+        if !probe.pending_helpers.is_empty() && !probe.helper_responded {
+            self.awareness.record_failure();
         }
-        if self.table.heard(probe.target).is_none_or(|heard| heard < probe.started) {
+        if self.table.last_heard(probe.target).is_none_or(|heard| heard < probe.started_at) {
             let effect = self.table.suspect(now, probe.target, self.config.this.node);
-            self.follow(now, probe.target, effect);
+            self.apply_effect(now, probe.target, effect);
         }
     }
 
-    fn relayed(&mut self, now: Moment) {
+    fn expire_relays(&mut self, now: Moment) {
         let due = |at: Option<Moment>| at.is_some_and(|at| at <= now);
         let nacks: Vec<(NodeId, u32)> = self
             .relays
             .values()
             .filter(|relay| due(relay.nack_at))
-            .map(|relay| (relay.asker, relay.seq))
+            .map(|relay| (relay.requester, relay.seq))
             .collect();
         for relay in self.relays.values_mut().filter(|relay| due(relay.nack_at)) {
             relay.nack_at = None;
         }
-        self.relays.retain(|_, relay| relay.ends > now);
-        for (asker, seq) in nacks {
-            self.send(now, asker, Head::Nack { seq }, Urgency::Answer);
+        self.relays.retain(|_, relay| relay.ends_at > now);
+        for (requester, seq) in nacks {
+            self.send(now, requester, Purpose::Nack { seq }, Urgency::Answer);
         }
     }
 
-    /// Pings one of those that are missing: so both sides of a partition find each other again.
-    fn search(&mut self, now: Moment) {
-        if now < self.seek.next_at {
+    /// Pings one of the missing nodes, so that both sides of a partition find each other again.
+    fn search_missing(&mut self, now: Moment) {
+        if now < self.search.next_at {
             return;
         }
         let this = self.config.this.node;
         let missing: Vec<NodeId> = (0..self.config.configured)
             .map(NodeId)
-            .filter(|node| *node != this && !self.table.is_there(*node))
+            .filter(|node| *node != this && !self.table.is_active(*node))
             .collect();
-        if let Some(node) = self.seek.next(&mut self.rng, &missing) {
+        if let Some(node) = self.search.next(&mut self.rng, &missing) {
             let seq = self.next_seq();
-            self.send(now, node, Head::Ping { seq }, Urgency::Spare);
+            self.send(now, node, Purpose::Ping { seq }, Urgency::Spare);
         }
         let timing = &self.config.timing;
-        let every = match (self.seek.is_wanted(), self.table.there().next()) {
+        let every = match (self.search.has_queued(), self.table.active().next()) {
             (true, _) => timing.page_every,
             (false, None) => timing.seek_every / 2,
             (false, Some(_)) => timing.seek_every,
         };
-        self.seek.next_at = self.soon(now, every);
+        self.search.next_at = self.jittered(now, every);
     }
 
-    /// Tells more than the probes' datagrams take: to one after the other, in a shuffled order.
-    fn note(&mut self, now: Moment) {
-        if !self.is_pressed() || now < self.note_at {
+    /// Sends what the probes' datagrams cannot carry, to one node after the other in a shuffled order.
+    fn send_gossip(&mut self, now: Moment) {
+        if !self.has_backlog() || now < self.next_gossip_at {
             return;
         }
-        self.note_at = self.soon(now, self.config.timing.page_every);
-        if self.notes.is_empty() {
-            self.notes = self.table.there().collect();
-            self.notes.shuffle(&mut self.rng);
+        self.next_gossip_at = self.jittered(now, self.config.timing.page_every);
+        if self.gossip_targets.is_empty() {
+            self.gossip_targets = self.table.active().collect();
+            self.gossip_targets.shuffle(&mut self.rng);
         }
-        while let Some(to) = self.notes.pop() {
-            if self.table.is_there(to) {
-                self.send(now, to, Head::Note, Urgency::Spare);
+        while let Some(to) = self.gossip_targets.pop() {
+            if self.table.is_active(to) {
+                self.send(now, to, Purpose::Gossip, Urgency::Spare);
                 return;
             }
         }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,72 +1,73 @@
-//! The merged view: who is there as far as this node has heard. A wrong view may slow things down; nothing that must
-//! never happen may rest on it.
+//! The merged view of the federation, as far as this node has heard. A wrong view may slow things down; no safety
+//! guarantee may depend on it.
 
 use std::collections::BTreeMap;
 
 use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
 
-/// What is held of a node.
+/// State of a node in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// Heard of lately.
+    /// The node was heard of recently.
     Alive,
-    /// Did not answer; may yet refute it.
+    /// The node did not answer a probe and may still refute the suspicion.
     Suspect,
-    /// Suspected for too long.
+    /// The suspicion was not refuted in time.
     Dead,
-    /// Said that it leaves.
+    /// The node announced that it leaves.
     Left,
 }
 
-/// A node as it is seen from here.
+/// A node as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The newest life of it that was heard of.
+    /// The newest known incarnation of the node.
     pub life: Life,
-    /// Where it runs.
+    /// The zone in which the node runs.
     pub zone: ZoneId,
-    /// What is held of it.
+    /// Its state.
     pub state: MemberState,
-    /// Since when, by this node's own clock.
+    /// Time since which it has been in this state, by this node's own clock.
     pub since: Moment,
 }
 
-/// Who is there.
+/// The view of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// This node.
+    /// The viewing node.
     pub this: Life,
-    /// Where this node runs.
+    /// The zone in which the viewing node runs.
     pub zone: ZoneId,
-    /// How many nodes the federation has by its configuration, this one included; the same at every node.
+    /// Number of nodes in the federation's configuration, this one included; the same at every node.
     pub configured: u16,
-    /// The nodes heard of, this one included.
+    /// The known nodes, this one included.
     pub members: BTreeMap<NodeId, Member>,
-    /// This node has heard nobody for as long as it takes to call a node dead, though others are configured.
+    /// Whether this node has heard no other node for as long as it takes to declare a node dead, although others are
+    /// configured.
     pub cut_off: bool,
     /// Grows by 1 with each change.
     pub version: u64,
 }
 
 impl View {
-    /// A node that has heard nobody yet.
+    /// Creates the view of a node that has heard no other node yet.
     pub fn alone(this: Life, zone: ZoneId, configured: u16, now: Moment) -> Self {
         let member = Member { life: this, zone, state: MemberState::Alive, since: now };
         let members = BTreeMap::from([(this.node, member)]);
         View { this, zone, configured, members, cut_off: false, version: 0 }
     }
 
-    /// Nodes that are held to be there, this one included, by their numbers.
+    /// Returns the nodes that are alive, this one included, in the order of their numbers.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.state == MemberState::Alive)
     }
 
-    /// Whether a node is held to be there.
+    /// Returns whether a node is alive.
     pub fn is_alive(&self, node: NodeId) -> bool {
         self.members.get(&node).is_some_and(|member| member.state == MemberState::Alive)
     }
 
-    /// The newest life of a node that was heard of.
+    /// Returns the newest known incarnation of a node.
     pub fn incarnation(&self, node: NodeId) -> Option<Incarnation> {
         self.members.get(&node).map(|member| member.life.incarnation)
     }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A world in virtual time: nodes, each on a clock of its own, and a network that loses, doubles, reorders, delays and
-//! is cut, all from one seed.
+//! A simulation in virtual time: nodes, each with its own clock, and a network that loses, duplicates, reorders, delays
+//! and blocks datagrams, all from one seed.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,30 +31,31 @@
 
 pub struct Node {
     pub peers: Peers,
-    born: Duration,
+    started_at: Duration,
     due: Option<Duration>,
     pub paused: bool,
     waiting: Vec<Vec<u8>>,
-    pub news: Vec<(Duration, PeersNews)>,
+    pub events: Vec<(Duration, PeersNews)>,
 }
 
 pub struct World {
     pub now: Duration,
     pub nodes: BTreeMap<u16, Node>,
-    pub cuts: BTreeSet<(u16, u16)>,
+    pub blocked_links: BTreeSet<(u16, u16)>,
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     pub delay: (Duration, Duration),
-    /// Datagrams by sender, and by sender in the second under way, with the most of any second.
+    /// Datagrams by sender. `second` counts them by sender in the current second, and `most` is the greatest count of
+    /// any second.
     pub sent: BTreeMap<u16, u64>,
     pub bytes: u64,
     second: (u64, BTreeMap<u16, u64>),
-    pub most: u64,
+    pub peak_per_second: u64,
     configured: u16,
     rng: Pcg64Mcg,
-    flying: BTreeMap<(Duration, u64), Vec<u8>>,
+    in_flight: BTreeMap<(Duration, u64), Vec<u8>>,
     count: u64,
-    dues: BTreeSet<(Duration, u16)>,
+    timers: BTreeSet<(Duration, u16)>,
 }
 
 impl World {
@@ -63,83 +64,86 @@
         World {
             now: ms(10_000),
             nodes: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: (ms(1), ms(5)),
             sent: BTreeMap::new(),
             bytes: 0,
             second: (0, BTreeMap::new()),
-            most: 0,
+            peak_per_second: 0,
             configured,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             count: 0,
-            dues: BTreeSet::new(),
+            timers: BTreeSet::new(),
         }
     }
 
-    /// A world whose nodes have all started and found each other.
+    /// Creates a world whose nodes have all started and found each other.
     pub fn settled(configured: u16, seed: u64) -> Self {
         let mut world = World::new(configured, seed);
         (0..configured).for_each(|node| world.start(node, 1));
-        assert!(world.until(ms(20_000), |w| w.agreed()).is_some(), "did not find each other");
+        assert!(world.until(ms(20_000), |w| w.all_agree()).is_some(), "did not find each other");
         world.run(ms(3000));
         world
     }
 
     pub fn start(&mut self, node: u16, incarnation: u64) {
-        let born = self.now - ms(u64::from(node) * 7);
+        let started_at = self.now - ms(u64::from(node) * 7);
         let seed = self.rng.random();
-        let made = Peers::new(config(node, incarnation, self.configured), seed, self.now - born, &[]);
-        let peers = made.expect("the configuration is good");
+        let created =
+            Peers::new(config(node, incarnation, self.configured), seed, self.now - started_at, &[]);
+        let peers = created.expect("the configuration is good");
         self.crash(node);
-        self.nodes
-            .insert(node, Node { peers, born, due: None, paused: false, waiting: vec![], news: vec![] });
-        self.after(node);
+        self.nodes.insert(
+            node,
+            Node { peers, started_at, due: None, paused: false, waiting: vec![], events: vec![] },
+        );
+        self.process_outputs(node);
     }
 
     pub fn crash(&mut self, node: u16) {
         let gone = self.nodes.remove(&node).and_then(|gone| gone.due);
-        gone.map(|due| self.dues.remove(&(due, node)));
+        gone.map(|due| self.timers.remove(&(due, node)));
     }
 
     pub fn pause(&mut self, node: u16, paused: bool) {
-        let found = self.nodes.get_mut(&node).unwrap();
-        found.paused = paused;
-        let (born, waiting) = (found.born, std::mem::take(&mut found.waiting));
+        let node_state = self.nodes.get_mut(&node).unwrap();
+        node_state.paused = paused;
+        let (started_at, waiting) = (node_state.started_at, std::mem::take(&mut node_state.waiting));
         if !paused {
-            self.nodes.get_mut(&node).unwrap().peers.tick(self.now - born);
+            self.nodes.get_mut(&node).unwrap().peers.tick(self.now - started_at);
             waiting.iter().for_each(|datagram| self.deliver(datagram));
-            self.after(node);
+            self.process_outputs(node);
         }
     }
 
-    /// Cuts or heals all that runs between two groups, one way.
-    pub fn cut(&mut self, from: &[u16], to: &[u16], cut: bool) {
+    /// Blocks or unblocks every link from one group of nodes to another, in one direction.
+    pub fn set_blocked(&mut self, from: &[u16], to: &[u16], blocked: bool) {
         for pair in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
-            if cut {
-                self.cuts.insert(pair)
+            if blocked {
+                self.blocked_links.insert(pair)
             } else {
-                self.cuts.remove(&pair)
+                self.blocked_links.remove(&pair)
             };
         }
     }
 
-    pub fn split(&mut self, one: &[u16], other: &[u16], cut: bool) {
-        self.cut(one, other, cut);
-        self.cut(other, one, cut);
+    pub fn partition(&mut self, one: &[u16], other: &[u16], blocked: bool) {
+        self.set_blocked(one, other, blocked);
+        self.set_blocked(other, one, blocked);
     }
 
-    pub fn act<T>(&mut self, node: u16, act: impl FnOnce(&mut Peers, Duration) -> T) -> T {
-        let found = self.nodes.get_mut(&node).unwrap();
-        let out = act(&mut found.peers, self.now - found.born);
-        self.after(node);
+    pub fn call<T>(&mut self, node: u16, call: impl FnOnce(&mut Peers, Duration) -> T) -> T {
+        let node_state = self.nodes.get_mut(&node).unwrap();
+        let out = call(&mut node_state.peers, self.now - node_state.started_at);
+        self.process_outputs(node);
         out
     }
 
-    pub fn born(&self, node: u16) -> Duration {
-        self.nodes[&node].born
+    pub fn started_at(&self, node: u16) -> Duration {
+        self.nodes[&node].started_at
     }
 
     pub fn peers(&self, node: u16) -> &Peers {
@@ -150,18 +154,18 @@
         self.peers(at).view().members.get(&NodeId(of)).map(|member| member.state)
     }
 
-    /// Whether all nodes that run hold each other alive in their true lives, and all others not.
-    pub fn agreed(&self) -> bool {
+    /// Returns whether every running node sees exactly the running nodes alive, in their current incarnations.
+    pub fn all_agree(&self) -> bool {
         let truth: Vec<Life> = self.nodes.values().map(|node| node.peers.view().this).collect();
         self.nodes
             .values()
             .all(|node| node.peers.view().alive().map(|member| member.life).eq(truth.iter().copied()))
     }
 
-    /// When all agreed, looking every 100 ms.
-    pub fn agreed_within(&mut self, length: Duration) -> Option<Duration> {
+    /// Runs until all agree, checking every 100 ms, and returns how long that took.
+    pub fn time_until_all_agree(&mut self, length: Duration) -> Option<Duration> {
         let start = self.now;
-        while !self.agreed() {
+        while !self.all_agree() {
             if self.now >= start + length {
                 return None;
             }
@@ -174,26 +178,26 @@
         self.until(length, |_| false);
     }
 
-    /// Runs until `done`, at most for `length`; how long that took.
+    /// Runs until `done`, for at most `length`, and returns how long that took.
     pub fn until(&mut self, length: Duration, done: impl Fn(&World) -> bool) -> Option<Duration> {
         let start = self.now;
         while !done(self) {
-            let flying = self.flying.keys().next().map(|key| key.0);
-            let due = self.dues.first().map(|due| due.0);
-            let Some(next) = flying.into_iter().chain(due).min().filter(|next| *next <= start + length)
+            let in_flight = self.in_flight.keys().next().map(|key| key.0);
+            let due = self.timers.first().map(|due| due.0);
+            let Some(next) = in_flight.into_iter().chain(due).min().filter(|next| *next <= start + length)
             else {
                 self.now = start + length;
                 return done(self).then_some(length);
             };
             self.now = self.now.max(next);
-            if flying.is_some_and(|at| at <= self.now) {
-                let datagram = self.flying.pop_first().unwrap().1;
+            if in_flight.is_some_and(|at| at <= self.now) {
+                let datagram = self.in_flight.pop_first().unwrap().1;
                 self.deliver(&datagram);
             } else {
-                let (_, node) = self.dues.pop_first().unwrap();
-                if let Some(found) = self.nodes.get_mut(&node).filter(|found| !found.paused) {
-                    found.peers.tick(self.now - found.born);
-                    self.after(node);
+                let (_, node) = self.timers.pop_first().unwrap();
+                if let Some(node_state) = self.nodes.get_mut(&node).filter(|node_state| !node_state.paused) {
+                    node_state.peers.tick(self.now - node_state.started_at);
+                    self.process_outputs(node);
                 }
             }
         }
@@ -202,27 +206,27 @@
 
     pub fn deliver(&mut self, datagram: &[u8]) {
         let envelope = Envelope::decode(datagram).unwrap();
-        let Some(found) = self.nodes.get_mut(&envelope.to.0) else { return };
-        if found.paused {
-            found.waiting.push(datagram.to_vec());
-            found.waiting.truncate(200);
+        let Some(node_state) = self.nodes.get_mut(&envelope.to.0) else { return };
+        if node_state.paused {
+            node_state.waiting.push(datagram.to_vec());
+            node_state.waiting.truncate(200);
             return;
         }
-        let _ = found.peers.receive(self.now - found.born, envelope.from, &envelope.payload);
-        self.after(envelope.to.0);
+        let _ = node_state.peers.receive(self.now - node_state.started_at, envelope.from, &envelope.payload);
+        self.process_outputs(envelope.to.0);
     }
 
-    fn after(&mut self, node: u16) {
-        let found = self.nodes.get_mut(&node).unwrap();
-        let (from, out) = (found.peers.view().this, found.peers.take());
-        let due = found.peers.due().map(|due| due + found.born);
-        let old = std::mem::replace(&mut found.due, due);
-        old.map(|due| self.dues.remove(&(due, node)));
-        due.map(|due| self.dues.insert((due, node)));
+    fn process_outputs(&mut self, node: u16) {
+        let node_state = self.nodes.get_mut(&node).unwrap();
+        let (from, out) = (node_state.peers.view().this, node_state.peers.take());
+        let due = node_state.peers.due().map(|due| due + node_state.started_at);
+        let old = std::mem::replace(&mut node_state.due, due);
+        old.map(|due| self.timers.remove(&(due, node)));
+        due.map(|due| self.timers.insert((due, node)));
         for output in out {
             match output {
                 Output::Send { to, payload } => self.send(from, to, payload),
-                Output::News(news) => self.nodes.get_mut(&node).unwrap().news.push((self.now, news)),
+                Output::News(events) => self.nodes.get_mut(&node).unwrap().events.push((self.now, events)),
             }
         }
     }
@@ -237,13 +241,13 @@
         }
         let sent = self.second.1.entry(from.node.0).or_default();
         *sent += 1;
-        self.most = self.most.max(*sent);
-        let copies = 1 + usize::from(self.rng.random_bool(self.doubled));
+        self.peak_per_second = self.peak_per_second.max(*sent);
+        let copies = 1 + usize::from(self.rng.random_bool(self.duplication));
         for _ in 0..copies {
-            if !self.cuts.contains(&(from.node.0, to.0)) && !self.rng.random_bool(self.loss) {
+            if !self.blocked_links.contains(&(from.node.0, to.0)) && !self.rng.random_bool(self.loss) {
                 let spread = (self.delay.1 - self.delay.0).mul_f64(self.rng.random());
                 self.count += 1;
-                self.flying.insert((self.now + self.delay.0 + spread, self.count), datagram.clone());
+                self.in_flight.insert((self.now + self.delay.0 + spread, self.count), datagram.clone());
             }
         }
     }
