--- a/crates/leader-lease/src/voting_round.rs
+++ b/crates/leader-lease/src/voting_round.rs
@@ -78,8 +78,8 @@
         self.sends += 1;
         self.next_send_at = next_send_at;
         let extra = order.len().div_ceil(EXTRA_VOTERS_FRACTION) * usize::from(self.sends);
-        let asked = order.iter().take(majority + extra);
-        asked.filter(|voter| !self.has_answered(voter)).copied().collect()
+        let recipients = order.iter().take(majority + extra);
+        recipients.filter(|voter| !self.has_answered(voter)).copied().collect()
     }
 
     fn has_answered(&self, voter: &NodeId) -> bool {
--- a/crates/leader-lease/tests/model_check.rs
+++ b/crates/leader-lease/tests/model_check.rs
@@ -48,7 +48,7 @@
     Crash(usize),
 }
 
-fn node_life(node: usize, incarnation: u64) -> Life {
+fn node_incarnation(node: usize, incarnation: u64) -> Life {
     Life { node: NodeId(node as u16), incarnation: Incarnation(incarnation) }
 }
 
@@ -79,8 +79,11 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let incarnations: Vec<Life> =
-            [300, 1, 600].iter().enumerate().map(|(node, &started)| node_life(node, started)).collect();
+        let incarnations: Vec<Life> = [300, 1, 600]
+            .iter()
+            .enumerate()
+            .map(|(node, &started)| node_incarnation(node, started))
+            .collect();
         let leases = incarnations.iter().map(|&this| self.start(this, Moment::ZERO)).collect();
         vec![State { leases, incarnations, time: 0, crashes: 0, sent: BTreeSet::new() }]
     }
--- a/crates/leader-lease/tests/virtual_time.rs
+++ b/crates/leader-lease/tests/virtual_time.rs
@@ -14,7 +14,7 @@
 
 struct Node {
     lease: LeaderLease,
-    life: Life,
+    node_incarnation: Life,
     /// Nanoseconds that the node's clock advances per millisecond of true time, and when the node started.
     clock_rate: u64,
     started_at: u64,
@@ -38,12 +38,14 @@
 }
 
 fn start(node: usize, count: usize, drift: u32, now: u64, rng: &mut Pcg64Mcg) -> Node {
-    let life = Life { node: NodeId(node as u16), incarnation: Incarnation(1_000_000 + now / NANOS_PER_MS) };
-    let config = LeaseConfig { this: life, configured: count as u16, term: TERM, drift_ppm: drift };
+    let node_incarnation =
+        Life { node: NodeId(node as u16), incarnation: Incarnation(1_000_000 + now / NANOS_PER_MS) };
+    let config =
+        LeaseConfig { this: node_incarnation, configured: count as u16, term: TERM, drift_ppm: drift };
     let clock_rate = if rng.random() { 1_000_000 - u64::from(drift) } else { 1_000_000 + u64::from(drift) };
     let mut lease = LeaderLease::new(config, Moment::ZERO, rng.random()).expect("valid settings");
     lease.set_candidacy(Candidacy::standing_if(node < 3));
-    Node { lease, life, clock_rate, started_at: now, paused_until: 0 }
+    Node { lease, node_incarnation, clock_rate, started_at: now, paused_until: 0 }
 }
 
 impl Node {
@@ -78,7 +80,7 @@
     fn tick_node(&mut self, node: usize) {
         let clock = self.nodes[node].clock(self.now);
         self.nodes[node].lease.tick(clock);
-        let from = self.nodes[node].life;
+        let from = self.nodes[node].node_incarnation;
         for (to, message) in self.nodes[node].lease.take_outbox() {
             self.sent += 1;
             let to = usize::from(to.0);
@@ -189,10 +191,10 @@
     let (mut node, mut voter) = (start(0, 3, 20_000, 0, &mut rng), start(1, 3, 20_000, 0, &mut rng));
     node.lease.tick(TERM * 2);
     for (_, request) in node.lease.take_outbox() {
-        voter.lease.receive(TERM * 3, node.life, request);
+        voter.lease.receive(TERM * 3, node.node_incarnation, request);
     }
     for (_, vote) in voter.lease.take_outbox() {
-        node.lease.receive(TERM * 2 + TERM / 2, voter.life, vote);
+        node.lease.receive(TERM * 2 + TERM / 2, voter.node_incarnation, vote);
     }
     let expires_at = node.lease.held(TERM * 2 + TERM / 2).map(|lease| lease.expires_at);
     assert_eq!(expires_at, Some(TERM * 3 - TERM / 50));
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -164,7 +164,7 @@
             ("bounds.awareness", "at most 8", bounds.awareness <= 8),
             ("bounds.retell", "at most 8", bounds.retell <= 8),
         ];
-        match ranges.into_iter().find(|(_, _, kept)| !kept) {
+        match ranges.into_iter().find(|(_, _, in_range)| !in_range) {
             Some((name, range, _)) => Err(ConfigError::Range(name, range)),
             None => Ok(()),
         }
--- a/crates/membership/src/digest/peer_facts.rs
+++ b/crates/membership/src/digest/peer_facts.rs
@@ -73,9 +73,9 @@
     }
 
     /// Drops the reports of an earlier incarnation of a node.
-    pub fn drop_older_incarnations(&mut self, life: Life) {
-        if self.reporters.get(&life.node).is_some_and(|held| held.incarnation < life.incarnation) {
-            self.reporters.remove(&life.node);
+    pub fn drop_older_incarnations(&mut self, current: Life) {
+        if self.reporters.get(&current.node).is_some_and(|held| held.incarnation < current.incarnation) {
+            self.reporters.remove(&current.node);
             self.dirty = true;
         }
     }
@@ -114,8 +114,8 @@
             started.sort_unstable_by(|a, b| b.cmp(a));
             let newest = own(id).max(started.get(1).copied()).unwrap_or(0);
             started.dedup();
-            let lives = started.into_iter().filter(|started| *started >= newest);
-            out.extend(lives.map(|started_unix_ms| merge(BoxLife { id, started_unix_ms }, &facts)));
+            let incarnations = started.into_iter().filter(|started| *started >= newest);
+            out.extend(incarnations.map(|started_unix_ms| merge(BoxLife { id, started_unix_ms }, &facts)));
         }
         out
     }
--- a/crates/membership/src/membership/merge.rs
+++ b/crates/membership/src/membership/merge.rs
@@ -11,8 +11,8 @@
 
 impl Table {
     /// Applies what a node says about itself in its own datagram.
-    pub fn apply_direct(&mut self, now: Moment, life: Life, sender: &SenderInfo) -> Effect {
-        let held = self.view.members.get(&life.node).copied().zip(self.details.get(&life.node).copied());
+    pub fn apply_direct(&mut self, now: Moment, from: Life, sender: &SenderInfo) -> Effect {
+        let held = self.view.members.get(&from.node).copied().zip(self.details.get(&from.node).copied());
         let state = if sender.leaving { MemberState::Left } else { MemberState::Alive };
         let details = MemberDetail {
             refutations: sender.refutations,
@@ -21,12 +21,14 @@
             last_heard_at: Some(now),
             rumor: None,
         };
-        let Some((member, held)) = held else { return self.upsert(now, life, sender.zone, state, details) };
-        if life != member.life {
-            if life.incarnation < member.life.incarnation && held.confirmed {
+        let Some((member, held)) = held else {
+            return self.upsert(now, from, sender.zone, state, details);
+        };
+        if from != member.life {
+            if from.incarnation < member.life.incarnation && held.confirmed {
                 return Effect::Stale;
             }
-            return self.upsert(now, life, sender.zone, state, details);
+            return self.upsert(now, from, sender.zone, state, details);
         }
         let refuted = sender.refutations > held.refutations;
         let updated = MemberDetail {
@@ -41,9 +43,9 @@
         {
             // Claims about a node that was only a hint are void once it is heard itself.
             let state = if refuted || sender.leaving || !held.confirmed { state } else { member.state };
-            return self.upsert(now, life, sender.zone, state, updated);
+            return self.upsert(now, from, sender.zone, state, updated);
         }
-        self.details.insert(life.node, updated);
+        self.details.insert(from.node, updated);
         let needs_refutation =
             member.state != MemberState::Alive && !sender.leaving && sender.refutations == held.refutations;
         if needs_refutation {
@@ -124,7 +126,7 @@
     }
 
     fn add_hint(&mut self, now: Moment, claim: &Claim, source: NodeId) -> Effect {
-        let life = Life { node: claim.node, incarnation: claim.incarnation };
+        let node_incarnation = Life { node: claim.node, incarnation: claim.incarnation };
         let refutations = claim.refutations;
         let details = MemberDetail {
             refutations,
@@ -133,7 +135,7 @@
             last_heard_at: None,
             rumor: None,
         };
-        self.upsert(now, life, claim.zone, MemberState::Alive, details);
+        self.upsert(now, node_incarnation, claim.zone, MemberState::Alive, details);
         Effect::Hint
     }
 
--- a/crates/membership/src/membership/model.rs
+++ b/crates/membership/src/membership/model.rs
@@ -183,8 +183,9 @@
                 table.view.members.iter().map(|(n, m)| (*n, m.life)).collect::<BTreeMap<_, _>>()
             };
             let (before, after) = (incarnations(before), incarnations(after));
-            state.incarnation_went_back |=
-                before.iter().any(|(node, life)| after.get(node).is_none_or(|now| now < life));
+            state.incarnation_went_back |= before
+                .iter()
+                .any(|(node, node_incarnation)| after.get(node).is_none_or(|now| now < node_incarnation));
         }
         (state != *last).then_some(state)
     }
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -81,9 +81,9 @@
 
     /// Returns the nodes whose timeout has passed. A node heard within the shortest timeout stays suspected: it is up,
     /// and only its refutation is missing.
-    pub fn expired(&self, now: Moment, heard: impl Fn(NodeId) -> Option<Moment>) -> Vec<NodeId> {
+    pub fn expired(&self, now: Moment, last_heard: impl Fn(NodeId) -> Option<Moment>) -> Vec<NodeId> {
         let is_expired = |node: NodeId, open: &Suspicion| {
-            open.ends_at() <= now && heard(node).is_none_or(|heard| heard + open.min <= now)
+            open.ends_at() <= now && last_heard(node).is_none_or(|last_heard| last_heard + open.min <= now)
         };
         self.open.iter().filter(|(node, open)| is_expired(**node, open)).map(|(node, _)| *node).collect()
     }
@@ -98,9 +98,9 @@
     }
 
     /// Returns when the next timeout passes or the suspected nodes are pinged again.
-    pub fn due(&self, heard: impl Fn(NodeId) -> Option<Moment>) -> Option<Moment> {
+    pub fn due(&self, last_heard: impl Fn(NodeId) -> Option<Moment>) -> Option<Moment> {
         let ends_at = |node: NodeId, open: &Suspicion| {
-            heard(node).map_or(open.ends_at(), |heard| open.ends_at().max(heard + open.min))
+            last_heard(node).map_or(open.ends_at(), |last_heard| open.ends_at().max(last_heard + open.min))
         };
         let first = self.open.iter().map(|(node, open)| ends_at(*node, open)).min();
         first.map(|first| first.min(self.next_ping_at))
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -90,15 +90,14 @@
     /// Returns the claim to send about a node, if it is confirmed. A suspected node needs an accuser to name.
     pub fn claim(&self, node: NodeId, accuser: Option<NodeId>) -> Option<Claim> {
         let (member, details) = (self.view.members.get(&node)?, self.details.get(&node)?);
-        let claimed = match member.state {
+        let state = match member.state {
             MemberState::Alive => ClaimedState::Alive,
             MemberState::Suspect => ClaimedState::Suspect { by: accuser? },
             MemberState::Dead => ClaimedState::Dead,
             MemberState::Left => ClaimedState::Left,
         };
         let Life { node, incarnation } = member.life;
-        let claim =
-            Claim { node, incarnation, refutations: details.refutations, zone: member.zone, state: claimed };
+        let claim = Claim { node, incarnation, refutations: details.refutations, zone: member.zone, state };
         details.confirmed.then_some(claim)
     }
 
@@ -187,20 +186,20 @@
     pub(super) fn upsert(
         &mut self,
         now: Moment,
-        life: Life,
+        node_incarnation: Life,
         zone: ZoneId,
         state: MemberState,
         details: MemberDetail,
     ) -> Effect {
-        let since = match self.view.members.get(&life.node) {
-            Some(member) if member.life == life && member.state == state => member.since,
+        let since = match self.view.members.get(&node_incarnation.node) {
+            Some(member) if member.life == node_incarnation && member.state == state => member.since,
             _ => now,
         };
-        let member = Member { life, zone, state, since };
-        if self.view.members.insert(life.node, member) != Some(member) {
+        let member = Member { life: node_incarnation, zone, state, since };
+        if self.view.members.insert(node_incarnation.node, member) != Some(member) {
             self.view.version += 1;
         }
-        self.details.insert(life.node, details);
+        self.details.insert(node_incarnation.node, details);
         Effect::Changed
     }
 }
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -84,7 +84,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut first = |within: Duration| now + within.mul_f64(rng.random());
         let (first_probe_at, first_search_at) = (first(timing.probe_every), first(timing.seek_every / 2));
-        let hints = known.iter().map(|life| life.node).filter(|node| node.0 < config.configured);
+        let hints = known.iter().map(|stored| stored.node).filter(|node| node.0 < config.configured);
         Ok(Peers {
             started_at: now,
             heard_at: None,
--- a/crates/membership/src/peers/time.rs
+++ b/crates/membership/src/peers/time.rs
@@ -14,7 +14,7 @@
 /// Mean number of nodes that ping a suspected node in one interval.
 const MEAN_PINGERS_PER_SUSPECT: f64 = 16.0;
 /// Greatest number of suspected nodes that one node pings in one interval: when many nodes fail, the datagrams are
-/// needed more to spread the news.
+/// needed more to spread the membership changes.
 const MAX_SUSPECTS_PINGED: usize = 2;
 
 impl Peers {
--- a/crates/membership/tests/bounds.rs
+++ b/crates/membership/tests/bounds.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{life, ms, World};
+use common::{ms, node_incarnation, World};
 use hallpin_membership::view::MemberState;
 use hallpin_membership::Bounds;
 
@@ -63,7 +63,7 @@
     (world.peak_per_second, world.sent) = (0, Default::default());
     for step in 0..3000 {
         for _ in 0..10 {
-            world.call(0, |peers, now| peers.receive(now, life(4, 1), floods[step % 2])).unwrap();
+            world.call(0, |peers, now| peers.receive(now, node_incarnation(4, 1), floods[step % 2])).unwrap();
         }
         world.run(ms(1));
         assert!((0..4).all(|at| (0..4).all(|of| world.state(at, of) == Some(MemberState::Alive))));
@@ -75,7 +75,7 @@
     for step in 0..3000u16 {
         for from in 1..15 {
             let flood = floods[usize::from(step % 2)];
-            world.call(0, |peers, now| peers.receive(now, life(from, 1), flood)).unwrap();
+            world.call(0, |peers, now| peers.receive(now, node_incarnation(from, 1), flood)).unwrap();
         }
         world.run(ms(1));
         assert!((0..15).all(|at| (0..15).all(|of| world.state(at, of) != Some(MemberState::Dead))));
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -17,12 +17,12 @@
     Duration::from_millis(ms)
 }
 
-pub fn life(node: u16, incarnation: u64) -> Life {
+pub fn node_incarnation(node: u16, incarnation: u64) -> Life {
     Life { node: NodeId(node), incarnation: Incarnation(incarnation) }
 }
 
 pub fn config(node: u16, incarnation: u64, configured: u16) -> PeersConfig {
-    PeersConfig::new(life(node, incarnation), ZoneId(node % 3), configured)
+    PeersConfig::new(node_incarnation(node, incarnation), ZoneId(node % 3), configured)
 }
 
 pub fn fact(id: u64, started_unix_ms: u64, answered: u32, silent: u32, in_flight: u32) -> OwnFact {
--- a/crates/membership/tests/digests.rs
+++ b/crates/membership/tests/digests.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{config, fact, life, ms, World};
+use common::{config, fact, ms, node_incarnation, World};
 use hallpin_membership::machine::Output;
 use hallpin_membership::names::NodeId;
 use hallpin_membership::{BoxEvidence, BoxLife, Peers};
@@ -43,7 +43,7 @@
     ];
     for order in orders {
         let mut peers = Peers::new(config(0, 1, 4), 1, ms(0), &[]).unwrap();
-        order.iter().for_each(|at| peers.receive(ms(10), life(1, 1), &payloads[*at]).unwrap());
+        order.iter().for_each(|at| peers.receive(ms(10), node_incarnation(1, 1), &payloads[*at]).unwrap());
         assert_eq!(peers.evidence(ms(10)), evidence(1, 0, 7), "order {order:?}");
     }
 }
@@ -53,7 +53,7 @@
     let mut peers = Peers::new(config(0, 1, 4), 1, ms(0), &[]).unwrap();
     for node in 1..4 {
         let payload = &payloads(node, 1, &[(0, (0, 2, 1))])[0];
-        peers.receive(ms(5000), life(node, 1), payload).unwrap();
+        peers.receive(ms(5000), node_incarnation(node, 1), payload).unwrap();
     }
     peers.observe(ms(5000), fact(BOX.id, BOX.started_unix_ms, 9, 0, 50));
     assert_eq!(peers.evidence(ms(5000)), evidence(3, 0, 3));
@@ -65,9 +65,9 @@
 fn reports_of_earlier_incarnations_of_a_reporter_or_a_box_are_dropped() {
     let mut peers = Peers::new(config(0, 1, 4), 1, ms(0), &[]).unwrap();
     let (first, second) = (payloads(1, 1, &[(0, (0, 2, 1))]), payloads(1, 2, &[(0, (5, 0, 3))]));
-    peers.receive(ms(0), life(1, 1), &first[0]).unwrap();
-    peers.receive(ms(0), life(1, 2), &second[0]).unwrap();
-    assert!(peers.receive(ms(0), life(1, 1), &first[1]).is_err());
+    peers.receive(ms(0), node_incarnation(1, 1), &first[0]).unwrap();
+    peers.receive(ms(0), node_incarnation(1, 2), &second[0]).unwrap();
+    assert!(peers.receive(ms(0), node_incarnation(1, 1), &first[1]).is_err());
     assert_eq!(peers.evidence(ms(0)), evidence(0, 1, 3));
     peers.observe(ms(0), fact(BOX.id, BOX.started_unix_ms + 1, 1, 0, 0));
     assert_eq!(peers.evidence(ms(0)), [], "evidence of an earlier incarnation of the box");
@@ -81,9 +81,9 @@
     }
     world.call(4, |peers, now| peers.observe(now, fact(BOX.id, u64::MAX, 1, 0, 0)));
     world.run(ms(700));
-    let heard = world.call(0, |peers, now| peers.evidence(now));
-    let of_box = |of: BoxLife| heard.iter().find(|evidence| evidence.of == of).map(|found| found.silent);
-    assert_eq!(of_box(BOX), Some(3), "{heard:?}");
+    let merged = world.call(0, |peers, now| peers.evidence(now));
+    let of_box = |of: BoxLife| merged.iter().find(|evidence| evidence.of == of).map(|found| found.silent);
+    assert_eq!(of_box(BOX), Some(3), "{merged:?}");
 }
 
 #[test]
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{config, life, ms, World};
+use common::{config, ms, node_incarnation, World};
 use hallpin_membership::envelope::{Envelope, Refused, MAX_PAYLOAD};
 use hallpin_membership::view::MemberState;
 use hallpin_membership::Peers;
@@ -16,7 +16,7 @@
 
 #[test]
 fn one_nodes_claims_remove_no_other_node() {
-    let lies: [(&str, u8, &[u8], Vec<u8>); 6] = [
+    let false_claims: [(&str, u8, &[u8], Vec<u8>); 6] = [
         ("suspect, by three accusers", 1, &[0], vec![1, 2]),
         ("dead", 1, &[0], vec![2]),
         ("left", 1, &[0], vec![3]),
@@ -24,7 +24,7 @@
         ("alive in a newer incarnation", 99, &[0], vec![0]),
         ("dead, with all refutations used up", 1, &[0xff, 0xff, 0xff, 0xff, 0x0f], vec![2]),
     ];
-    for (lie, incarnation, refutations, state) in lies {
+    for (claim, incarnation, refutations, state) in false_claims {
         for seed in 0..3 {
             let mut world = World::settled(7, seed);
             for round in 0..100 {
@@ -34,17 +34,17 @@
                 }
                 let payload = gossip_payload(3, incarnation, refutations, &state);
                 for to in (0..6).filter(|to| *to != 3) {
-                    let _ = world.call(to, |peers, now| peers.receive(now, life(6, 1), &payload));
+                    let _ = world.call(to, |peers, now| peers.receive(now, node_incarnation(6, 1), &payload));
                 }
                 world.run(ms(50));
                 for at in 0..6 {
                     let state = world.state(at, 3);
                     let out = matches!(state, None | Some(MemberState::Dead | MemberState::Left));
-                    assert!(!out, "{lie}: {state:?} at {at}, seed {seed}");
+                    assert!(!out, "{claim}: {state:?} at {at}, seed {seed}");
                 }
             }
             world.run(ms(3000));
-            assert!(world.all_agree(), "{lie}: no agreement after it, seed {seed}");
+            assert!(world.all_agree(), "{claim}: no agreement after it, seed {seed}");
         }
     }
 }
@@ -55,15 +55,15 @@
     let view = world.peers(0).view().clone();
     let good = gossip_payload(1, 1, &[0], &[0]);
     for (from, payload, expected) in [
-        (life(3, 1), good.clone(), Refused::Stranger),
-        (life(0, 1), good.clone(), Refused::Stranger),
-        (life(1, 0), good.clone(), Refused::Stranger),
-        (life(1, 1), good[..good.len() - 1].to_vec(), Refused::Payload),
-        (life(1, 1), [good.clone(), vec![77]].concat(), Refused::Payload),
-        (life(1, 1), gossip_payload(3, 1, &[0], &[0]), Refused::Payload),
-        (life(1, 1), gossip_payload(1, 1, &[0], &[1, 3]), Refused::Payload),
-        (life(1, 1), vec![0; MAX_PAYLOAD + 1], Refused::Payload),
-        (life(1, 1), vec![], Refused::Payload),
+        (node_incarnation(3, 1), good.clone(), Refused::Stranger),
+        (node_incarnation(0, 1), good.clone(), Refused::Stranger),
+        (node_incarnation(1, 0), good.clone(), Refused::Stranger),
+        (node_incarnation(1, 1), good[..good.len() - 1].to_vec(), Refused::Payload),
+        (node_incarnation(1, 1), [good.clone(), vec![77]].concat(), Refused::Payload),
+        (node_incarnation(1, 1), gossip_payload(3, 1, &[0], &[0]), Refused::Payload),
+        (node_incarnation(1, 1), gossip_payload(1, 1, &[0], &[1, 3]), Refused::Payload),
+        (node_incarnation(1, 1), vec![0; MAX_PAYLOAD + 1], Refused::Payload),
+        (node_incarnation(1, 1), vec![], Refused::Payload),
     ] {
         let got = world.call(0, |peers, now| peers.receive(now, from, &payload));
         assert_eq!(got, Err(expected), "{payload:?}");
@@ -80,16 +80,16 @@
         let _ = Envelope::decode(&bytes);
         let mut peers = Peers::new(config(0, 1, 3), 1, ms(0), &[]).unwrap();
         let hello = gossip_payload(1, 1, &[0], &[0]);
-        peers.receive(ms(0), life(1, 1), &hello).unwrap();
+        peers.receive(ms(0), node_incarnation(1, 1), &hello).unwrap();
         let before = format!("{peers:?}");
         // Few random payloads decode beyond the first bytes; with a valid start more do.
         let started = [&[0, 0, 0, 9, 9, 9, 9, head], bytes.as_slice()].concat();
         for payload in [bytes, started] {
-            if peers.receive(ms(1), life(1, 1), &payload).is_err() {
+            if peers.receive(ms(1), node_incarnation(1, 1), &payload).is_err() {
                 prop_assert_eq!(&format!("{peers:?}"), &before);
             } else {
                 prop_assert!(payload.len() <= MAX_PAYLOAD);
-                prop_assert!(peers.view().members.len() <= 3 && peers.view().this == life(0, 1));
+                prop_assert!(peers.view().members.len() <= 3 && peers.view().this == node_incarnation(0, 1));
                 prop_assert_eq!(peers.view().members[&hallpin_membership::names::NodeId(0)].state, MemberState::Alive);
                 return Ok(());
             }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -65,8 +65,8 @@
         world.partition(&[0], &[1], true);
         for _ in 0..300 {
             world.run(ms(100));
-            let kept = |at: u16, of: u16| world.state(at, of) == Some(MemberState::Alive);
-            assert!((0..5).all(|at| (0..5).all(|of| kept(at, of))), "seed {seed}");
+            let is_alive = |at: u16, of: u16| world.state(at, of) == Some(MemberState::Alive);
+            assert!((0..5).all(|at| (0..5).all(|of| is_alive(at, of))), "seed {seed}");
         }
     }
 }
--- a/crates/membership/tests/setup.rs
+++ b/crates/membership/tests/setup.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, life, ms};
+use common::{config, ms, node_incarnation};
 use hallpin_membership::machine::Output;
 use hallpin_membership::view::MemberState;
 use hallpin_membership::{ConfigError, Peers, PeersNews};
@@ -30,7 +30,7 @@
 
 #[test]
 fn stored_nodes_are_pinged_first_and_are_no_members() {
-    let known = [life(90, 7), life(300, 7), life(40, 7)];
+    let known = [node_incarnation(90, 7), node_incarnation(300, 7), node_incarnation(40, 7)];
     let mut peers = Peers::new(config(0, 1, 200), 1, ms(0), &known).unwrap();
     assert_eq!(peers.view().members.len(), 1);
     let mut pinged = Vec::new();
@@ -43,11 +43,11 @@
     }
     assert!(pinged[..2] == [40, 90], "{pinged:?}");
     assert_eq!(
-        peers.receive(ms(900), life(90, 3), &payload(false)),
+        peers.receive(ms(900), node_incarnation(90, 3), &payload(false)),
         Ok(()),
         "an earlier incarnation than was stored is accepted"
     );
-    assert!(peers.view().is_alive(life(90, 3).node));
+    assert!(peers.view().is_alive(node_incarnation(90, 3).node));
 }
 
 #[test]
@@ -55,11 +55,11 @@
     let mut config = config(0, 1, 3);
     config.timing.forget_after = ms(30_000);
     let mut peers = Peers::new(config, 1, ms(0), &[]).unwrap();
-    peers.receive(ms(0), life(1, 1), &payload(false)).unwrap();
-    peers.receive(ms(100), life(1, 1), &payload(true)).unwrap();
+    peers.receive(ms(0), node_incarnation(1, 1), &payload(false)).unwrap();
+    peers.receive(ms(100), node_incarnation(1, 1), &payload(true)).unwrap();
     for at in 1..400 {
         peers.tick(ms(at * 100));
-        let state = peers.view().members.get(&life(1, 1).node).map(|member| member.state);
+        let state = peers.view().members.get(&node_incarnation(1, 1).node).map(|member| member.state);
         match at {
             1..300 => assert_eq!(state, Some(MemberState::Left), "after {at} tenths of a second"),
             310.. => assert_eq!(state, None),
--- a/crates/placement/src/accord.rs
+++ b/crates/placement/src/accord.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns the ids of the complete tables on this node: the newest decided one and the one being prepared.
-    pub fn holds(&self) -> impl Iterator<Item = TableId> + '_ {
+    pub fn held_tables(&self) -> impl Iterator<Item = TableId> + '_ {
         self.protocol.replica.held_tables()
     }
 
--- a/crates/placement/src/model.rs
+++ b/crates/placement/src/model.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     protocol: TableProtocol,
-    life: Life,
+    node_incarnation: Life,
     started_at: u32,
     paused: bool,
 }
@@ -66,12 +66,12 @@
 
 impl Node {
     fn new(n: u16, incarnation: u64, started_at: u32, epoch: u64, old: Option<&TableProtocol>) -> Self {
-        let life = Life { node: NodeId(n), incarnation: Incarnation(incarnation) };
-        let config = AccordConfig::with_lease(life, ZoneId(n / 2), 2, NODES, STEP * 4, 0);
+        let node_incarnation = Life { node: NodeId(n), incarnation: Incarnation(incarnation) };
+        let config = AccordConfig::with_lease(node_incarnation, ZoneId(n / 2), 2, NODES, STEP * 4, 0);
         let known = old.and_then(|protocol| protocol.replica.base().cloned());
         Node {
             protocol: TableProtocol::new(config, Replica::new(epoch, known), Duration::ZERO, 0),
-            life,
+            node_incarnation,
             started_at,
             paused: false,
         }
@@ -117,10 +117,13 @@
 
     fn view(&self, n: usize) -> View {
         let members = self.nodes.iter().map(|node| {
-            let (zone, state) = (ZoneId(node.life.node.0 / 2), MemberState::Alive);
-            (node.life.node, Member { life: node.life, zone, state, since: Duration::ZERO })
+            let (zone, state) = (ZoneId(node.node_incarnation.node.0 / 2), MemberState::Alive);
+            (
+                node.node_incarnation.node,
+                Member { life: node.node_incarnation, zone, state, since: Duration::ZERO },
+            )
         });
-        let this = self.nodes[n].life;
+        let this = self.nodes[n].node_incarnation;
         let members = members.collect();
         View { this, zone: ZoneId(this.node.0 / 2), configured: NODES, members, cut_off: false, version: 0 }
     }
@@ -133,11 +136,11 @@
         let (view, mut out) = (self.view(n), Outbox::default());
         let epoch = (self.leader.0 == n).then_some(self.leader.1);
         let node = &mut self.nodes[n];
-        let (now, life) = (node.local_clock(self.now), node.life);
+        let (now, node_incarnation) = (node.local_clock(self.now), node.node_incarnation);
         call(&mut node.protocol, now, epoch, &view, &mut out);
         for (to, message) in out.sends {
-            if !self.partitioned || life.node.0 / 2 == to.0 / 2 {
-                self.in_flight.push((life, to, message));
+            if !self.partitioned || node_incarnation.node.0 / 2 == to.0 / 2 {
+                self.in_flight.push((node_incarnation, to, message));
             }
         }
         let lost = self.in_flight.len().saturating_sub(MAX_IN_FLIGHT);
--- a/crates/placement/src/model/actions.rs
+++ b/crates/placement/src/model/actions.rs
@@ -105,8 +105,13 @@
                 let old = &state.nodes[node];
                 let epoch = if keep_state { old.protocol.replica.leader.epoch } else { 0 };
                 let kept_state = keep_state.then_some(&old.protocol);
-                let mut new =
-                    Node::new(node as u16, old.life.incarnation.0 + 1, state.now, epoch, kept_state);
+                let mut new = Node::new(
+                    node as u16,
+                    old.node_incarnation.incarnation.0 + 1,
+                    state.now,
+                    epoch,
+                    kept_state,
+                );
                 new.protocol.set_endpoint_list(Duration::ZERO, 2, list(2 + node as u32 % 2));
                 state.nodes[node] = new;
                 if state.leader.0 == node {
@@ -222,7 +227,7 @@
     (0..6).for_each(|_| state.wait_and_deliver());
     state.nodes[2].paused = false;
     state.wait();
-    let is_grant = |message: &Message| matches!(message, Message::Announcement(announcement) if announcement.grant.is_some());
+    let is_grant = |message: &Message| matches!(message, Message::Announcement(sent) if sent.grant.is_some());
     let late_grant = loop {
         let granted = state.in_flight.iter().position(|(_, to, message)| to.0 == 2 && is_grant(message));
         match granted {
--- a/crates/placement/src/pages.rs
+++ b/crates/placement/src/pages.rs
@@ -72,8 +72,8 @@
     let mut out = Vec::with_capacity(base.len());
     let mut old = base.iter().peekable();
     for change in changes {
-        while let Some(kept) = old.next_if(|entry| entry.server < change.server) {
-            out.push(kept.clone());
+        while let Some(unchanged) = old.next_if(|entry| entry.server < change.server) {
+            out.push(unchanged.clone());
         }
         old.next_if(|entry| entry.server == change.server);
         if let Some(weight_milli) = change.weight_milli {
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Leader {
     pub epoch: u64,
     /// `None` after a start from stored state, when only the fencing number is known.
-    pub life: Option<Life>,
+    pub node_incarnation: Option<Life>,
     /// Number of its newest announcement.
     pub number: u64,
 }
@@ -46,7 +46,7 @@
 impl Replica {
     pub fn new(epoch: u64, awaiting_lease: Option<LocalTable>) -> Self {
         Replica {
-            leader: Leader { epoch, life: None, number: 0 },
+            leader: Leader { epoch, node_incarnation: None, number: 0 },
             last_announced_at: None,
             lease_until: None,
             in_force: None,
@@ -149,12 +149,13 @@
         let leader = &mut self.leader;
         let newer = announcement.epoch > leader.epoch;
         let later = announcement.epoch == leader.epoch
-            && leader.life.is_none_or(|life| life == from)
+            && leader.node_incarnation.is_none_or(|node_incarnation| node_incarnation == from)
             && announcement.number > leader.number;
         if !(newer || later) || !announcement.is_plausible(config.this.incarnation.0) {
             return false;
         }
-        *leader = Leader { epoch: announcement.epoch, life: Some(from), number: announcement.number };
+        *leader =
+            Leader { epoch: announcement.epoch, node_incarnation: Some(from), number: announcement.number };
         self.last_announced_at = Some(now);
         if newer {
             self.preparing = None;
@@ -255,6 +256,6 @@
 
     /// Returns the node to report to; `None` before an announcement was received.
     pub fn leader_node(&self) -> Option<NodeId> {
-        self.leader.life.map(|life| life.node)
+        self.leader.node_incarnation.map(|node_incarnation| node_incarnation.node)
     }
 }
--- a/crates/placement/src/tests.rs
+++ b/crates/placement/src/tests.rs
@@ -95,8 +95,8 @@
     let (accord, _) = accord_and_view();
     let config = &accord.protocol.config;
     let second = Moment::from_secs(1);
-    let leased = |incarnation, asked: Moment, now| {
-        let grant = Some(Grant { incarnation, stamp: asked.as_micros() as u64 });
+    let leased = |incarnation, reported_at: Moment, now| {
+        let grant = Some(Grant { incarnation, stamp: reported_at.as_micros() as u64 });
         let announcement =
             Announcement { epoch: 9, number: 1, history_known: true, decided: None, preparing: None, grant };
         let mut replica = accord.protocol.replica.clone();
@@ -143,7 +143,8 @@
             );
         }
         protocol.tick(Moment::from_secs(epoch) * 6 / 5, Some(3), &view, &mut out);
-        let has_recovered = |message: &Message| matches!(message, Message::Announcement(announcement) if announcement.history_known);
+        let has_recovered =
+            |message: &Message| matches!(message, Message::Announcement(sent) if sent.history_known);
         out.sends.iter().any(|(_, message)| has_recovered(message))
     };
     assert!(!recovers_at_epoch(2), "the nodes may have leases of the coordinator that they reported to");
@@ -168,7 +169,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_payloads_change_nothing_they_should_not(payload in vec(any::<u8>(), 0..300), tag in 0u8..4, node in 0u16..5) {
+    fn arbitrary_payloads_are_harmless(payload in vec(any::<u8>(), 0..300), tag in 0u8..4, node in 0u16..5) {
         let (mut accord, view) = accord_and_view();
         let from = Life { node: NodeId(node), incarnation: Incarnation(1) };
         let mut with_valid_tag = vec![1, tag];
--- a/crates/placement/tests/federation/checker.rs
+++ b/crates/placement/tests/federation/checker.rs
@@ -13,7 +13,7 @@
     pub in_force: Option<(TableId, u64)>,
     /// Whether the node has a lease by its own clock.
     pub leased: bool,
-    pub holds: Vec<TableId>,
+    pub held_tables: Vec<TableId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
         }
         let switched = before.map(|(before, _)| before) != Some(id);
         let now = history.iter().filter(|other| switched && other.at_us == sample.at_us);
-        let lacks = |other: &&Sample| other.leased && !other.holds.iter().any(|held| *held >= id);
+        let lacks = |other: &&Sample| other.leased && !other.held_tables.iter().any(|held| *held >= id);
         if now.clone().any(|other| lacks(&other)) {
             return Err((Violation::SwitchWhileOneLacksIt, sample.clone()));
         }
@@ -52,7 +52,7 @@
 
 fn sample(at_us: u128, node: u16, version: u64, digest: u64, leased: bool) -> Sample {
     let id = TableId { epoch: 1, version };
-    Sample { at_us, node, in_force: Some((id, digest)), leased, holds: vec![id] }
+    Sample { at_us, node, in_force: Some((id, digest)), leased, held_tables: vec![id] }
 }
 
 #[test]
--- a/crates/placement/tests/federation/world.rs
+++ b/crates/placement/tests/federation/world.rs
@@ -16,7 +16,7 @@
 pub struct Node {
     pub accord: Option<Accord>,
     pub stored: Option<Stored>,
-    pub life: Life,
+    pub node_incarnation: Life,
     started_at: Duration,
     rate_ppm: i64,
     pub paused: bool,
@@ -61,13 +61,13 @@
     pub fn new(count: u16, zones: u16, seed: u64) -> Self {
         println!("seed {seed}");
         let node = |n: u16| {
-            let life = Life { node: NodeId(n), incarnation: Incarnation(0) };
-            let view = View::alone(life, ZoneId(n % zones), count, Duration::ZERO);
+            let node_incarnation = Life { node: NodeId(n), incarnation: Incarnation(0) };
+            let view = View::alone(node_incarnation, ZoneId(n % zones), count, Duration::ZERO);
             let (accord, stored, events) = (None, None, Vec::new());
             Node {
                 accord,
                 stored,
-                life,
+                node_incarnation,
                 started_at: Duration::ZERO,
                 rate_ppm: 0,
                 paused: false,
@@ -84,12 +84,13 @@
         for n in nodes {
             let count = self.nodes.len() as u16;
             let node = &mut self.nodes[usize::from(n)];
-            node.life.incarnation =
-                Incarnation((node.life.incarnation.0 + 1).max(self.now.as_millis() as u64));
+            node.node_incarnation.incarnation =
+                Incarnation((node.node_incarnation.incarnation.0 + 1).max(self.now.as_millis() as u64));
             node.started_at = self.now;
-            let (life, zone) = (node.life, ZoneId(n % self.zones));
-            node.view = View::alone(life, zone, count, Duration::ZERO);
-            let config = AccordConfig::with_lease(life, zone, self.zones, count, LEASE, self.drift_ppm);
+            let (node_incarnation, zone) = (node.node_incarnation, ZoneId(n % self.zones));
+            node.view = View::alone(node_incarnation, zone, count, Duration::ZERO);
+            let config =
+                AccordConfig::with_lease(node_incarnation, zone, self.zones, count, LEASE, self.drift_ppm);
             node.accord =
                 Some(Accord::new(config, node.stored.take(), Duration::ZERO, u64::from(n)).unwrap());
         }
@@ -124,9 +125,9 @@
     }
 
     /// Runs until a condition holds, and returns how long that took. Fails if it does not hold within `limit`.
-    pub fn until(&mut self, limit: Duration, holds: impl Fn(&World) -> bool) -> Duration {
+    pub fn until(&mut self, limit: Duration, condition: impl Fn(&World) -> bool) -> Duration {
         let (started_at, end) = (self.now, self.now + limit);
-        while !holds(self) {
+        while !condition(self) {
             assert!(self.step(end), "not within {limit:?}: {:?}", self.states());
         }
         self.now - started_at
@@ -196,7 +197,9 @@
         call(accord, local, &node.view);
         for output in accord.take() {
             match output {
-                Output::Send { to, payload } => self.network.send(self.now, node.life, to, payload),
+                Output::Send { to, payload } => {
+                    self.network.send(self.now, node.node_incarnation, to, payload)
+                }
                 Output::News(events) => node.events.push((self.now, events)),
             }
         }
@@ -209,13 +212,13 @@
         let node = &self.nodes[n];
         if let Some(accord) = &node.accord {
             let in_force = accord.in_force().map(|table| (table.id(), table.digest()));
-            let (leased, holds) = (self.is_leased(n as u16), accord.holds().collect());
+            let (leased, held_tables) = (self.is_leased(n as u16), accord.held_tables().collect());
             self.history.push(Sample {
                 at_us: self.now.as_micros(),
                 node: n as u16,
                 in_force,
                 leased,
-                holds,
+                held_tables,
             });
         }
     }
@@ -225,15 +228,18 @@
         if self.network.loses_view_update() {
             return;
         }
-        let heard = |(m, node): (usize, &Node)| {
+        let member_in_view = |(m, node): (usize, &Node)| {
             let reachable = node.accord.is_some()
                 && !node.paused
                 && !self.network.blocked_links.contains(&(m as u16, n as u16));
             let state = if reachable || m == n { MemberState::Alive } else { MemberState::Dead };
             let zone = ZoneId(m as u16 % self.zones);
-            (node.life.node, Member { life: node.life, zone, state, since: Duration::ZERO })
+            (
+                node.node_incarnation.node,
+                Member { life: node.node_incarnation, zone, state, since: Duration::ZERO },
+            )
         };
-        let members = self.nodes.iter().enumerate().map(heard).collect();
+        let members = self.nodes.iter().enumerate().map(member_in_view).collect();
         let view = &mut self.nodes[n].view;
         view.members = members;
         view.version += 1;
