--- a/crates/leader-lease/src/lib.rs
+++ b/crates/leader-lease/src/lib.rs
@@ -4,10 +4,10 @@
 //!
 //! - **Safety.** No two nodes hold the lease at the same instant, whatever is lost, duplicated, delayed or reordered,
 //!   and whichever node restarts without its state, as long as every clock keeps to the configured drift bound.
-//! - **Fencing.** [`HeldLease::epoch`] is greater than that of every earlier lease of any node, so a receiver can reject
-//!   what an earlier holder sent.
-//! - **Liveness.** While a majority of the nodes can reach each other, one of the candidates gets the lease within a few
-//!   terms, and a holder renews it before it expires.
+//! - **Fencing.** [`HeldLease::epoch`] is greater than that of every earlier lease of any node, so a receiver can
+//!   reject what an earlier holder sent.
+//! - **Liveness.** While a majority of the nodes can reach each other, one of the candidates gets the lease within a
+//!   few terms, and a holder renews it before it expires.
 //!
 //! # Source
 //!
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -27,12 +27,16 @@
     pub source: Option<NodeId>,
     /// Time of the last datagram from this incarnation of the node.
     pub last_heard_at: Option<Moment>,
+    /// An unconfirmed claim of one other node: the claimed incarnation, the kind of claim and that node.
     pub rumor: Option<(Incarnation, RumorKind, NodeId)>,
 }
 
+/// Kind of a claim that would remove a node at once, and so needs a second source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum RumorKind {
+    /// The node has a newer incarnation.
     Newer,
+    /// The node has left.
     Left,
 }
 
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -58,7 +58,7 @@
     outputs: Vec<Output<PeersNews>>,
 }
 
-/// Number of nodes that are sent a changed observation of a box at once.
+/// Greatest number of nodes that are sent a changed observation of a box at once.
 const MAX_INITIAL_TARGETS: usize = 32;
 
 /// A ping on behalf of another node.
--- a/crates/placement/src/protocol.rs
+++ b/crates/placement/src/protocol.rs
@@ -143,11 +143,11 @@
                 }
             }
             Message::Announcement(announcement) => {
-                let counts = self.replica.on_announcement(&self.config, now, from, &announcement);
-                // An announcement without a grant asks for a report: the last one may have been lost.
-                if counts && announcement.grant.is_some() {
+                let accepted = self.replica.on_announcement(&self.config, now, from, &announcement);
+                // An announcement without a grant that brings nothing new asks for a report: the last one may be lost.
+                if accepted && announcement.grant.is_some() {
                     self.next_report_at = self.reported_at + self.config.heartbeat_interval();
-                } else if counts && now >= self.reported_at + self.config.retry {
+                } else if accepted && now >= self.reported_at + self.config.retry {
                     self.last_report = None;
                 }
             }
