--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,26 +1,27 @@
-//! What a client gets for a command.
+//! The answer to one client command.
 
 use bytes::Bytes;
 
 use crate::figures::{End, Ticket};
-use crate::upstream::{Rest, Served};
+use crate::upstream::{BodyStream, Served};
 
+/// The answer to a command, and the request that it ends.
 pub struct Answer {
     pub text: Bytes,
-    /// What follows, where the value is long.
-    pub rest: Option<Rest>,
-    /// The request that ends with the last byte, where one was taken.
+    /// The rest of a long value, which follows `text`.
+    pub body: Option<BodyStream>,
+    /// The request that ends once the last byte is written, for a command that started one.
     pub ends: Option<(Ticket, End)>,
 }
 
 impl Answer {
     /// The final answer of a request.
-    pub fn of(ticket: Ticket, Served { text, rest }: Served, end: End) -> Self {
-        Answer { text, rest, ends: Some((ticket, end)) }
+    pub fn of(ticket: Ticket, Served { text, body }: Served, end: End) -> Self {
+        Answer { text, body, ends: Some((ticket, end)) }
     }
 
-    /// To a command that asks for no request, or is turned away.
+    /// The answer to a command that starts no request, or that is rejected.
     pub fn untaken(text: Bytes) -> Self {
-        Answer { text, rest: None, ends: None }
+        Answer { text, body: None, ends: None }
     }
 }
--- a/crates/node/src/frontend/client.rs
+++ b/crates/node/src/frontend/client.rs
@@ -1,4 +1,5 @@
-//! One client connection: what it has asked for, what it is owed, and when it may end.
+//! State of one client connection: what has been requested, what is still to be sent, and when the connection may
+//! end.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -10,92 +11,95 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-use super::input::Arrived;
+use super::input::InputBuffer;
 use super::shared::{Frontend, Rank};
 use crate::answer::Answer;
 use crate::budget::Held;
 use crate::figures::{End, Ticket};
 use crate::lifecycle::Phase;
 use crate::message::{Gone, Message};
-use crate::upstream::Rest;
+use crate::upstream::BodyStream;
 
-pub(super) enum Pending {
+/// The answer to a started command: available, or expected from the driver.
+pub(super) enum PendingAnswer {
     Ready(Bytes),
     Waiting { id: RequestId, weight: usize, answer: oneshot::Receiver<Answer> },
 }
 
-/// Why a command that was begun gets no answer, or only one that says so.
+/// Why a started command gets no answer, or only an error. Logged as `reason`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum GivenUp {
-    /// The client has gone, or its connection is broken.
+pub(super) enum AbandonReason {
+    /// The client has disconnected, or its connection is broken.
     ClientGone,
-    /// It did not come whole in good time.
+    /// The command was not complete in time.
     TooSlow,
-    /// Its connection was asked to make room for others.
+    /// The connection was closed to make room for others.
     MadeRoom,
     /// The process ends.
     Stopping,
-    /// It stood behind something that no command's end can be found behind, or behind an answer that broke off.
+    /// The command follows one whose end cannot be found, or an answer that broke off.
     FramingLost,
-    /// The client does not take its answers.
+    /// The client does not read its answers.
     AnswersUntaken,
 }
 
+/// One client connection.
 pub(super) struct Client {
     pub(super) frontend: Rc<Frontend>,
     pub(super) stream: TcpStream,
-    /// Its age among the connections that may be closed: since when it is between requests.
-    pub(super) number: u64,
-    pub(super) since: Instant,
+    /// Number that orders the connections that may be closed by age, and since when this one has been between requests.
+    pub(super) sequence: u64,
+    pub(super) idle_since: Instant,
     pub(super) close: Rc<Notify>,
-    /// What of the input is counted as held.
-    pub(super) input_held: Held,
+    /// Memory reserved for the buffered input.
+    pub(super) input_reservation: Held,
     pub(super) phases: watch::Receiver<Phase>,
-    pub(super) opened: Instant,
-    /// When the last answer was given.
-    pub(super) answered: Option<Instant>,
-    pub(super) input: Arrived,
-    /// From when the command that is coming counts: its first byte, or the connection's start for the first.
+    pub(super) opened_at: Instant,
+    /// Time of the last answer.
+    pub(super) last_answer_at: Option<Instant>,
+    pub(super) input: InputBuffer,
+    /// Start of the time limit for the command being received: its first byte, or the connection's start for the
+    /// first command.
     pub(super) command_since: Option<Instant>,
-    /// Nothing is taken until then.
-    pub(super) paused: Instant,
+    /// No command is started before this time.
+    pub(super) paused_until: Instant,
     pub(super) output: BytesMut,
-    /// When something of the output was last taken, and since when, and behind how many bytes, there has been some.
-    pub(super) progress: Instant,
-    pub(super) unread_since: (Instant, u64),
-    /// Bytes written so far, and the requests that end once so many are.
-    pub(super) written: u64,
-    pub(super) unfinished: VecDeque<(u64, Ticket, End)>,
-    /// What has yet to come of a long value, which is at its end in the output. Later answers wait.
-    pub(super) rest: Option<(Rest, Option<(Ticket, End)>)>,
-    pub(super) pending: VecDeque<Pending>,
-    /// Told once nobody waits for what is pending.
+    /// When output was last written, and since when, and at how many bytes written, there has been unsent output.
+    pub(super) last_written_at: Instant,
+    pub(super) unsent_since: (Instant, u64),
+    /// Bytes written so far, and the requests that end once that many bytes are written.
+    pub(super) bytes_written: u64,
+    pub(super) unfinished_requests: VecDeque<(u64, Ticket, End)>,
+    /// The remainder of a long value whose beginning ends the output. Later answers wait.
+    pub(super) body: Option<(BodyStream, Option<(Ticket, End)>)>,
+    pub(super) pending: VecDeque<PendingAnswer>,
+    /// Set once nobody waits for the pending answers.
     pub(super) gone: Gone,
-    /// The framing is lost: what is pending is answered, then the connection ends.
-    pub(super) lost: bool,
-    /// It ends as soon as it owes nothing.
-    pub(super) leaving: bool,
-    /// Asked to make room for others.
-    pub(super) hurried: bool,
-    /// A request of it was answered otherwise than with an error of its own.
-    pub(super) trusted: bool,
-    /// More has come than is read for now.
-    pub(super) more: bool,
-    /// What came while the connection was about to end was looked for.
-    pub(super) looked: bool,
-    /// Bytes dropped behind the framing's loss.
-    pub(super) dropped: usize,
-    /// What becomes of begun commands is said with this reason.
-    pub(super) gives_up: GivenUp,
+    /// No further input is accepted: the pending commands are answered, then the connection ends.
+    pub(super) input_closed: bool,
+    /// The connection ends as soon as all answers are sent.
+    pub(super) ending: bool,
+    /// The connection was asked to make room for others.
+    pub(super) making_room: bool,
+    /// A request was answered with something other than an error of the client's own.
+    pub(super) is_trusted: bool,
+    /// Input is available that is not read for now.
+    pub(super) has_unread_input: bool,
+    /// The final read of input has been done, for what arrived as the connection was about to end.
+    pub(super) final_read_done: bool,
+    /// Bytes discarded after the input was closed.
+    pub(super) bytes_discarded: usize,
+    /// The reason to log for commands that were started and get no answer.
+    pub(super) abandon_reason: AbandonReason,
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        self.withdraw();
-        self.give_up_input();
+        self.withdraw_pending();
+        self.discard_input();
         let frontend = &self.frontend;
         frontend.budget.release(self.output.len());
-        frontend.closable.borrow_mut().remove(&(Rank::Doubtful, self.number));
+        frontend.candidates.borrow_mut().remove(&(Rank::Untrusted, self.sequence));
         frontend.open.set(frontend.open.get() - 1);
         frontend.closed.notify_one();
     }
@@ -105,75 +109,75 @@
     pub(super) fn new(
         frontend: Rc<Frontend>,
         stream: TcpStream,
-        number: u64,
+        sequence: u64,
         since: Instant,
         close: Rc<Notify>,
     ) -> Self {
         Client {
             phases: frontend.lifecycle.follow(),
-            input_held: Held::new(&frontend.budget, 0),
+            input_reservation: Held::new(&frontend.budget, 0),
             frontend,
             stream,
-            number,
-            since,
-            opened: since,
-            answered: None,
+            sequence,
+            idle_since: since,
+            opened_at: since,
+            last_answer_at: None,
             close,
-            input: Arrived::new(),
+            input: InputBuffer::new(),
             command_since: Some(since),
-            paused: since,
+            paused_until: since,
             output: BytesMut::new(),
-            progress: since,
-            unread_since: (since, 0),
-            written: 0,
-            unfinished: VecDeque::new(),
-            rest: None,
+            last_written_at: since,
+            unsent_since: (since, 0),
+            bytes_written: 0,
+            unfinished_requests: VecDeque::new(),
+            body: None,
             pending: VecDeque::new(),
             gone: Gone::default(),
-            lost: false,
-            leaving: false,
-            hurried: false,
-            trusted: false,
-            more: false,
-            looked: false,
-            dropped: 0,
-            gives_up: GivenUp::ClientGone,
+            input_closed: false,
+            ending: false,
+            making_room: false,
+            is_trusted: false,
+            has_unread_input: false,
+            final_read_done: false,
+            bytes_discarded: 0,
+            abandon_reason: AbandonReason::ClientGone,
         }
     }
 
-    pub(super) fn owes(&self) -> bool {
-        !self.pending.is_empty() || !self.output.is_empty() || self.rest.is_some()
+    pub(super) fn owes_answers(&self) -> bool {
+        !self.pending.is_empty() || !self.output.is_empty() || self.body.is_some()
     }
 
-    /// Nothing is owed and no part of a command has come.
-    pub(super) fn between_requests(&self) -> bool {
-        !self.owes() && self.input.is_empty()
+    /// Whether nothing is to be sent and no part of a command has arrived.
+    pub(super) fn is_between_requests(&self) -> bool {
+        !self.owes_answers() && self.input.is_empty()
     }
 
-    /// Nobody waits for what is pending any more.
-    pub(super) fn withdraw(&mut self) {
+    /// Withdraws the pending requests, as nobody waits for their answers any more.
+    pub(super) fn withdraw_pending(&mut self) {
         self.gone.tell();
         for pending in self.pending.drain(..) {
-            if let Pending::Waiting { id, weight, .. } = pending {
-                debug!(request = id.0, reason = ?self.gives_up, "request given up");
+            if let PendingAnswer::Waiting { id, weight, .. } = pending {
+                debug!(request = id.0, reason = ?self.abandon_reason, "request given up");
                 self.frontend.budget.release(weight);
                 let _ = self.frontend.driver.send(Message::Withdrawn(id));
             }
         }
     }
 
-    /// Nobody is there any more whom an answer could reach.
-    pub(super) fn has_gone(&mut self) {
-        self.gives_up = GivenUp::ClientGone;
+    /// Records that no client is left to answer.
+    pub(super) fn mark_client_gone(&mut self) {
+        self.abandon_reason = AbandonReason::ClientGone;
     }
 
-    /// Drops what has come and was not taken, a command that has come in part among it.
-    pub(super) fn give_up_input(&mut self) {
+    /// Discards the input that was not taken, including a partial command.
+    pub(super) fn discard_input(&mut self) {
         if !self.input.is_empty() && tracing::enabled!(tracing::Level::DEBUG) {
-            let elapsed = self.input.oldest().elapsed().as_secs_f64();
-            for opaque in self.input.begun() {
+            let elapsed = self.input.first_byte_at().elapsed().as_secs_f64();
+            for opaque in self.input.command_ids() {
                 let opaque = opaque.escape_ascii();
-                debug!(%opaque, reason = ?self.gives_up, elapsed, "command given up");
+                debug!(%opaque, reason = ?self.abandon_reason, elapsed, "command given up");
             }
         }
         self.input.clear();
--- a/crates/node/src/frontend/closing.rs
+++ b/crates/node/src/frontend/closing.rs
@@ -1,5 +1,5 @@
-//! When a client connection may end, and how: sending ends first, and what crosses with that is taken and dropped. A
-//! close over unread bytes would reset the connection, and that may overtake the last answer.
+//! When and how a client connection ends: writing is shut down first, and input that crosses with that is read and
+//! discarded. Closing with unread input would reset the connection, and the reset may overtake the last answer.
 
 use std::io::{self, Read};
 use std::mem::MaybeUninit;
@@ -11,122 +11,126 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-use super::client::{Client, GivenUp, Pending};
-use super::input::READ_AHEAD;
-use super::shared::{Place, Rank};
+use super::client::{AbandonReason, Client, PendingAnswer};
+use super::input::MAX_READ_AHEAD_BYTES;
+use super::shared::{EvictionEntry, Rank};
 use crate::lifecycle::{Phase, State};
 
-/// How long and how much is read, and dropped, behind the last answer.
-pub(super) const LINGER: Duration = Duration::from_secs(1);
-pub(super) const LINGER_BYTES: usize = 1 << 20;
-/// Bytes that one read of the last look takes.
-const LOOK: usize = 4096;
+/// How long, and how many bytes of, input is read and discarded after the last answer.
+pub(super) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+pub(super) const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Bytes per read when checking for input a last time.
+const FINAL_READ_BYTES: usize = 4096;
 
 impl Client {
-    /// When a connection between requests is closed, where clients are sent away. Until then it is used as ever; one
-    /// that is opened later has its first answer, unless nobody will be here to give it.
-    pub(super) fn parts_at(&self, phase: &Phase) -> Option<Instant> {
-        let (away, part) = (phase.sent_away()?, phase.parts()?);
+    /// When a connection between requests is closed while clients are sent away. Until then it is used as usual; one
+    /// that is opened later gets its first answer, unless the process will have ended by then.
+    pub(super) fn closes_at(&self, phase: &Phase) -> Option<Instant> {
+        let (drain_start, closes_at) = (phase.sent_away()?, phase.parts()?);
         if phase.relieved {
-            // Where another process takes the client at once, a close behind an answer crosses with no request.
-            return Some(self.answered.filter(|at| *at >= away).unwrap_or(part));
+            // If another process accepts the client at once, a close right after an answer crosses with no request.
+            return Some(self.last_answer_at.filter(|at| *at >= drain_start).unwrap_or(closes_at));
         }
-        let newcomer = self.opened >= part && phase.state == State::Draining && self.answered.is_none();
-        (!newcomer).then_some(part)
+        let is_new =
+            self.opened_at >= closes_at && phase.state == State::Draining && self.last_answer_at.is_none();
+        (!is_new).then_some(closes_at)
     }
 
-    /// Whether the part of a command that has come is given up where the connection ends: one that nobody knows has
-    /// no claim to the time, and behind the last answer of the process nothing can be answered.
-    pub(super) fn gives_up_part(&self, phase: &Phase) -> bool {
-        (self.leaving && !self.trusted) || phase.ends.is_some_and(|at| at <= Instant::now())
+    /// Whether a partial command is abandoned when the connection ends. A client without a valid request has
+    /// no claim to the time, and after the process's last answer none can be given.
+    pub(super) fn abandons_partial_command(&self, phase: &Phase) -> bool {
+        (self.ending && !self.is_trusted) || phase.ends.is_some_and(|at| at <= Instant::now())
     }
 
-    /// Answers the part of a command that is given up: its client may have sent the rest, and whoever sent a request
-    /// of which something was read is owed an answer.
-    pub(super) fn refuse_part(&mut self) {
-        self.lose(if self.hurried { GivenUp::MadeRoom } else { GivenUp::Stopping });
-        self.pending.push_back(Pending::Ready(protocol::busy(None)));
+    /// Answers an abandoned partial command: the client may have sent the remainder, and a request that was read in
+    /// part is owed an answer.
+    pub(super) fn reject_partial_command(&mut self) {
+        self.close_input(if self.making_room { AbandonReason::MadeRoom } else { AbandonReason::Stopping });
+        self.pending.push_back(PendingAnswer::Ready(protocol::busy(None)));
     }
 
-    /// Looks once for what has come just now, which the runtime may not have heard of: a command must not cross with
-    /// a close that this end chooses. Only once, or a client that sends without pause would never be rid of; but as
-    /// far as the longest command, as a part of one that was read would be no less lost.
-    pub(super) fn nothing_came(&mut self) -> bool {
-        if std::mem::replace(&mut self.looked, true) {
+    /// Reads once what has just arrived and the runtime may not have reported yet, since a command must not cross
+    /// with a close that this end chooses; returns whether nothing had arrived. Reads only once, or a client that
+    /// sends without pause would never be closed, but up to the longest command, as the unread part of a command
+    /// would be lost all the same.
+    pub(super) fn no_input_arrived(&mut self) -> bool {
+        if std::mem::replace(&mut self.final_read_done, true) {
             return true;
         }
-        let (mut piece, mut nothing) = ([0; LOOK], true);
-        while self.input.len() < READ_AHEAD {
-            let read = (&*SockRef::from(&self.stream)).read(&mut piece).unwrap_or(0);
-            self.came_now(&piece[..read]);
-            nothing &= read == 0;
-            if read < piece.len() {
+        let (mut chunk, mut nothing_read) = ([0; FINAL_READ_BYTES], true);
+        while self.input.len() < MAX_READ_AHEAD_BYTES {
+            let read = (&*SockRef::from(&self.stream)).read(&mut chunk).unwrap_or(0);
+            self.append_input(&chunk[..read]);
+            nothing_read &= read == 0;
+            if read < chunk.len() {
                 break;
             }
         }
-        nothing
+        nothing_read
     }
 
-    /// Ends the connection between requests. Where descriptors are short, by the budget or because the system gives
-    /// no more, nobody is waited for.
-    pub(super) async fn part(&mut self) {
-        if self.hurried || self.frontend.open.get() > self.frontend.budget.clients_wanted() {
-            self.hurry().await;
+    /// Closes the connection between requests. If descriptors are short, by the budget or because the system has no
+    /// more, it does not linger.
+    pub(super) async fn close_between_requests(&mut self) {
+        if self.making_room || self.frontend.open.get() > self.frontend.budget.clients_wanted() {
+            self.close_now().await;
         } else {
             self.linger().await;
         }
     }
 
-    /// Ends the connection behind the answers to what came before its framing was lost, or a part was given up.
-    pub(super) async fn part_lost(&mut self) {
-        if self.hurried {
-            self.hurry().await;
+    /// Closes the connection after the answers to what arrived before its input was closed.
+    pub(super) async fn close_after_answers(&mut self) {
+        if self.making_room {
+            self.close_now().await;
         } else {
             self.linger().await;
         }
     }
 
-    /// Ends sending, and takes off what is there. Not for a timer's least time either: a crowd that comes again at
-    /// once takes more descriptors meanwhile than are left for cache servers.
-    async fn hurry(&mut self) {
+    /// Shuts down writing and discards the available input without waiting. Even the shortest timer would be too
+    /// long: a crowd that reconnects at once would take more descriptors meanwhile than are left for cache servers.
+    async fn close_now(&mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
         }
-        let mut scrap = [0; 4096];
-        let mut left = LINGER_BYTES;
+        let mut discarded = [0; 4096];
+        let mut left = MAX_LINGER_BYTES;
         while left > 0 {
-            match (&*SockRef::from(&self.stream)).read(&mut scrap) {
+            match (&*SockRef::from(&self.stream)).read(&mut discarded) {
                 Ok(read) if read > 0 => left = left.saturating_sub(read),
                 _ => return,
             }
         }
     }
 
-    /// Ends sending, and takes what the client still sends for a while. Nothing of it goes on to anyone.
+    /// Lingering close: shuts down writing and discards for a while what the client still sends. None of it is
+    /// forwarded.
     pub(super) async fn linger(&mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
         }
         let frontend = self.frontend.clone();
-        let _place = Place::take(&frontend, (Rank::Closing, self.number), self.since, &self.close);
+        let _entry =
+            EvictionEntry::take(&frontend, (Rank::Closing, self.sequence), self.idle_since, &self.close);
         let drain = async {
-            let mut scrap = [0; 4096];
-            let mut left = LINGER_BYTES;
+            let mut discarded = [0; 4096];
+            let mut left = MAX_LINGER_BYTES;
             while left > 0 {
-                match self.stream.read(&mut scrap).await {
+                match self.stream.read(&mut discarded).await {
                     Ok(read) if read > 0 => left = left.saturating_sub(read),
                     _ => return,
                 }
             }
         };
         tokio::select! {
-            _ = timeout(LINGER, drain) => {}
+            _ = timeout(LINGER_TIMEOUT, drain) => {}
             () = self.close.notified() => {}
         }
     }
 }
 
-/// How much there is to read, as far as one byte, without reading it.
+/// Number of bytes available to read, at most one, without reading them.
 pub(super) fn peek(stream: &TcpStream) -> io::Result<usize> {
     stream.try_io(Interest::READABLE, || SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]))
 }
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -1,4 +1,4 @@
-//! Commands in: how much is read of them, when they are taken, and what becomes of each.
+//! Incoming commands: how much is read, when a command is started, and how each is handled.
 
 use bytes::Bytes;
 use hallpin_balancer::RequestId;
@@ -6,104 +6,109 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::client::{Client, GivenUp, Pending};
-use super::closing::LINGER_BYTES;
-use super::input::{LEAST_AHEAD, READ_AHEAD};
+use super::client::{AbandonReason, Client, PendingAnswer};
+use super::closing::MAX_LINGER_BYTES;
+use super::input::{MAX_READ_AHEAD_BYTES, MIN_READ_AHEAD_BYTES};
 use crate::lifecycle::State;
 use crate::message::Message;
 
-/// Commands of one connection that may be open at once; more of them wait.
+/// Commands of one connection that may be in flight at once; further ones wait.
 const MAX_PIPELINE: usize = 64;
-/// Answers that a slow reader may leave unread before its next commands wait.
-pub(super) const MAX_UNREAD: usize = 128 * 1024;
+/// Unsent output at which further answers and commands of a slow reader wait.
+pub(super) const MAX_UNSENT_BYTES: usize = 128 * 1024;
 
 impl Client {
     fn has_room(&self) -> bool {
         self.frontend.budget.has_room() || self.pending.is_empty()
     }
 
-    /// Whether the next command may have its turn. At the connection's end none waits for a penance.
-    fn may_take(&self, now: Instant, parting: bool) -> bool {
-        let paused = self.paused > now && !parting;
-        let turn = self.pending.len() < MAX_PIPELINE && self.output.len() < MAX_UNREAD && self.has_room();
-        !self.lost && !paused && turn
+    /// Whether the next command may be started. While the connection is ending, the error delay does not apply.
+    fn may_start_command(&self, now: Instant, closing: bool) -> bool {
+        let delayed = self.paused_until > now && !closing;
+        let has_capacity =
+            self.pending.len() < MAX_PIPELINE && self.output.len() < MAX_UNSENT_BYTES && self.has_room();
+        !self.input_closed && !delayed && has_capacity
     }
 
-    /// Hands on the commands that have come whole, while there is room; the rest wait until an answer of this
-    /// connection's makes some.
-    pub(super) fn take_commands(&mut self, now: Instant, parting: bool) {
-        while self.may_take(now, parting) {
-            let Some((input, at)) = self.input.take() else { break };
+    /// Starts the complete commands while there is capacity; the others wait until an answer on this connection frees
+    /// some.
+    pub(super) fn start_commands(&mut self, now: Instant, closing: bool) {
+        while self.may_start_command(now, closing) {
+            let Some((input, at)) = self.input.take_command() else { break };
             self.command_since = (!self.input.is_empty()).then_some(now);
-            let taken = self.take(input, at);
-            self.pending.push_back(taken);
+            let pending = self.start_command(input, at);
+            self.pending.push_back(pending);
         }
-        if self.lost {
-            self.give_up_input();
+        if self.input_closed {
+            self.discard_input();
         }
-        self.input_held.set(self.input.len());
+        self.input_reservation.set(self.input.len());
     }
 
-    fn take(&mut self, input: Input, at: Instant) -> Pending {
+    fn start_command(&mut self, input: Input, at: Instant) -> PendingAnswer {
         let frontend = &self.frontend;
         match input {
             Input::Command(command) => {
                 let (reply, answer) = oneshot::channel();
-                let id = RequestId(frontend.number());
+                let id = RequestId(frontend.take_number());
                 let weight = command.weight() + MAX_WHOLE;
                 frontend.budget.hold(weight);
                 let (command, gone) = (*command, self.gone.clone());
-                // The driver is gone only when the program ends.
+                // The driver ends only with the process.
                 let _ = frontend.driver.send(Message::Request { id, command, at, reply, gone });
-                Pending::Waiting { id, weight, answer }
+                PendingAnswer::Waiting { id, weight, answer }
             }
-            Input::Ready if frontend.lifecycle.state() == State::Ready => Pending::Ready(protocol::READY),
-            Input::Ready => Pending::Ready(protocol::NOT_READY),
+            Input::Ready if frontend.lifecycle.state() == State::Ready => {
+                PendingAnswer::Ready(protocol::READY)
+            }
+            Input::Ready => PendingAnswer::Ready(protocol::NOT_READY),
             Input::Bad { answer, close } => {
                 if close {
-                    self.lose(GivenUp::FramingLost);
+                    self.close_input(AbandonReason::FramingLost);
                 }
-                Pending::Ready(Bytes::from_static(answer.as_bytes()))
+                PendingAnswer::Ready(Bytes::from_static(answer.as_bytes()))
             }
         }
     }
 
-    /// How much may be read now. Reading goes on while commands wait, as only behind them the client's end shows. At
-    /// the connection's end no further command is begun: what is not read its client sends again elsewhere.
-    pub(super) fn wanted(&self, parting: bool) -> usize {
-        if self.lost {
-            return LINGER_BYTES.saturating_sub(self.dropped);
+    /// Number of bytes to read now. Reading continues while commands wait, because the client's disconnect shows only
+    /// after them. While the connection is ending no new command is begun: the client sends unread ones again
+    /// elsewhere.
+    pub(super) fn read_limit(&self, closing: bool) -> usize {
+        if self.input_closed {
+            return MAX_LINGER_BYTES.saturating_sub(self.bytes_discarded);
         }
-        let ahead = if self.has_room() { READ_AHEAD } else { LEAST_AHEAD };
-        match parting {
-            true if self.input.is_empty() || self.input.waits() => 0,
-            true => self.input.missing(),
-            false => ahead.saturating_sub(self.input.len()),
+        let max_buffered = if self.has_room() { MAX_READ_AHEAD_BYTES } else { MIN_READ_AHEAD_BYTES };
+        match closing {
+            true if self.input.is_empty() || self.input.has_waiting_commands() => 0,
+            true => self.input.missing_bytes(),
+            false => max_buffered.saturating_sub(self.input.len()),
         }
     }
 
-    pub(super) fn came_now(&mut self, bytes: &[u8]) {
+    pub(super) fn append_input(&mut self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
         self.input.extend(bytes);
-        self.came(bytes.len());
+        self.record_input(bytes.len());
     }
 
-    /// Nothing more is taken: what is pending is answered, then the connection ends.
-    pub(super) fn lose(&mut self, reason: GivenUp) {
-        (self.lost, self.gives_up) = (true, reason);
+    /// Accepts no further input: the pending commands are answered, then the connection ends.
+    pub(super) fn close_input(&mut self, reason: AbandonReason) {
+        (self.input_closed, self.abandon_reason) = (true, reason);
     }
 
-    /// So much has been read. Where too much is held, those go first that have asked for nothing yet.
-    pub(super) fn came(&mut self, read: usize) {
-        self.input.came(read);
-        if self.lost {
-            self.dropped += read;
+    /// Records `read` new bytes. If too much memory is in use, a connection is asked to close, first one
+    /// without a valid request.
+    pub(super) fn record_input(&mut self, read: usize) {
+        self.input.record_read(read);
+        if self.input_closed {
+            self.bytes_discarded += read;
             return self.input.clear();
         }
         self.command_since.get_or_insert_with(Instant::now);
-        self.input_held.set(self.input.len());
+        self.input_reservation.set(self.input.len());
         if !self.frontend.budget.has_room() {
             self.frontend.make_room();
         }
--- a/crates/node/src/frontend/input.rs
+++ b/crates/node/src/frontend/input.rs
@@ -1,5 +1,5 @@
-//! What has come of a client's commands and was not taken yet, and when it came. It is read ahead, within bounds,
-//! as the client's hanging up stands behind it.
+//! Buffered input of a client whose commands have not been started, and when it arrived. Input is read ahead, within
+//! limits, because the client's disconnect shows only after it.
 
 use std::collections::VecDeque;
 
@@ -8,34 +8,40 @@
 use hallpin_protocol::{self as protocol, Input, MAX_LINE, MAX_WHOLE};
 use tokio::time::Instant;
 
-/// Read so far, however long commands wait for their turn: the longest command there is has room.
-pub(super) const READ_AHEAD: usize = MAX_LINE + 2 + MAX_WHOLE + 2;
-/// The same where there is no memory left for commands.
-pub(super) const LEAST_AHEAD: usize = MAX_LINE;
-/// Bytes that a read may bring, so that one busy client does not hold the core.
-const READ_CHUNK: usize = 16 * 1024;
-/// Reads that are told apart while commands wait; what comes by later ones counts as come by the last of these.
-const MAX_READS: usize = 32;
-
-/// What is left in the buffer of one read.
-struct Read {
+/// Input is read this far ahead, however long commands wait: the longest possible command fits.
+pub(super) const MAX_READ_AHEAD_BYTES: usize = MAX_LINE + 2 + MAX_WHOLE + 2;
+/// The same if no memory is left for commands.
+pub(super) const MIN_READ_AHEAD_BYTES: usize = MAX_LINE;
+/// Bytes per read, so that one busy client does not occupy the core.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Reads tracked separately while commands wait; bytes of later ones count as received with the last of these.
+const MAX_TRACKED_READS: usize = 32;
+
+/// The bytes of one read that are still buffered, and when they arrived.
+struct ReadSpan {
     length: usize,
     at: Instant,
 }
 
-pub(super) struct Arrived {
+/// Input that was read and not taken as commands yet.
+pub(super) struct InputBuffer {
     bytes: BytesMut,
-    /// Which of the bytes came when, the oldest first; their lengths add up to that of the bytes.
-    reads: VecDeque<Read>,
-    /// Whether whole commands may be among the bytes. Otherwise they are a part of one.
-    untried: bool,
-    /// Since when bytes have been known to wait in the kernel that are not read for now.
+    /// Which bytes were received when, the oldest first; their lengths add up to that of `bytes`.
+    reads: VecDeque<ReadSpan>,
+    /// Whether `bytes` may contain a complete command. Otherwise it is the start of one.
+    may_hold_command: bool,
+    /// Since when bytes are known to wait in the kernel that are not read for now.
     unread_since: Option<Instant>,
 }
 
-impl Arrived {
+impl InputBuffer {
     pub(super) fn new() -> Self {
-        Arrived { bytes: BytesMut::new(), reads: VecDeque::new(), untried: false, unread_since: None }
+        InputBuffer {
+            bytes: BytesMut::new(),
+            reads: VecDeque::new(),
+            may_hold_command: false,
+            unread_since: None,
+        }
     }
 
     pub(super) fn len(&self) -> usize {
@@ -46,14 +52,14 @@
         self.bytes.is_empty()
     }
 
-    /// Whether whole commands may wait for their turn.
-    pub(super) fn waits(&self) -> bool {
-        self.untried && !self.bytes.is_empty()
+    /// Whether complete commands may be waiting.
+    pub(super) fn has_waiting_commands(&self) -> bool {
+        self.may_hold_command && !self.bytes.is_empty()
     }
 
-    /// Room for a read of up to `most` bytes. Not held while nothing comes.
-    pub(super) fn room(&mut self, most: usize) -> Limit<&mut BytesMut> {
-        let most = most.min(READ_CHUNK);
+    /// Buffer space for a read of up to `most` bytes. Not reserved while no input arrives.
+    pub(super) fn reserve(&mut self, most: usize) -> Limit<&mut BytesMut> {
+        let most = most.min(READ_CHUNK_BYTES);
         self.bytes.reserve(most);
         (&mut self.bytes).limit(most)
     }
@@ -62,46 +68,47 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes have come that are not read for now.
-    pub(super) fn left_unread(&mut self) {
+    /// Records that input is available that is not read for now.
+    pub(super) fn note_unread(&mut self) {
         self.unread_since.get_or_insert_with(Instant::now);
     }
 
-    /// So many bytes have been read just now. Where some of them had been seen to wait, all count from then.
-    pub(super) fn came(&mut self, read: usize) {
-        if !std::mem::replace(&mut self.untried, true) {
-            self.join_reads(self.bytes.len() - read);
+    /// Records `read` bytes just read. If some of them were seen waiting earlier, all count from then.
+    pub(super) fn record_read(&mut self, read: usize) {
+        if !std::mem::replace(&mut self.may_hold_command, true) {
+            self.merge_reads(self.bytes.len() - read);
         }
         let at = self.unread_since.take().unwrap_or_else(Instant::now);
-        let full = self.reads.len() >= MAX_READS;
-        match self.reads.back_mut().filter(|_| full) {
+        let at_limit = self.reads.len() >= MAX_TRACKED_READS;
+        match self.reads.back_mut().filter(|_| at_limit) {
             Some(last) => last.length += read,
-            None => self.reads.push_back(Read { length: read, at }),
+            None => self.reads.push_back(ReadSpan { length: read, at }),
         }
     }
 
-    /// So many bytes, all there are, are the start of one command, which counts from the first of them.
-    fn join_reads(&mut self, length: usize) {
+    /// Merges the reads of the buffered `length` bytes: they are the start of one command, which counts from its
+    /// first byte.
+    fn merge_reads(&mut self, length: usize) {
         self.reads.truncate(1);
         if let Some(first) = self.reads.front_mut() {
             first.length = length;
         }
     }
 
-    /// The next command and when its first byte came, or `None` until it is whole.
-    pub(super) fn take(&mut self) -> Option<(Input, Instant)> {
+    /// The next command and when its first byte arrived, or `None` until it is complete.
+    pub(super) fn take_command(&mut self) -> Option<(Input, Instant)> {
         let before = self.bytes.len();
         let Some(input) = protocol::next_input(&mut self.bytes) else {
-            self.untried = false;
+            self.may_hold_command = false;
             return None;
         };
-        let at = self.oldest();
-        self.forget_reads(before - self.bytes.len());
+        let at = self.first_byte_at();
+        self.forget_first_bytes(before - self.bytes.len());
         Some((input, at))
     }
 
-    /// So many bytes are not in the buffer any more.
-    fn forget_reads(&mut self, mut taken: usize) {
+    /// Forgets the first `taken` bytes, which left the buffer.
+    fn forget_first_bytes(&mut self, mut taken: usize) {
         while let Some(read) = self.reads.front_mut() {
             if taken < read.length {
                 read.length -= taken;
@@ -112,46 +119,46 @@
         }
     }
 
-    /// When the first of the bytes came, if there are any.
-    pub(super) fn oldest(&self) -> Instant {
+    /// When the first buffered byte arrived, or now if the buffer is empty.
+    pub(super) fn first_byte_at(&self) -> Instant {
         self.reads.front().map_or_else(Instant::now, |read| read.at)
     }
 
-    /// What is begun of commands: the ids of those that are whole, and that of the last where it is not, as far as it
-    /// has come.
-    pub(super) fn begun(&self) -> Vec<Bytes> {
-        let mut rest = self.bytes.clone();
-        let mut ids = Vec::new();
-        while let Some(input) = protocol::next_input(&mut rest) {
+    /// Opaque ids of the buffered commands: of the complete ones, and of the last if it is partial, as far as
+    /// received.
+    pub(super) fn command_ids(&self) -> Vec<Bytes> {
+        let mut remaining = self.bytes.clone();
+        let mut opaque_ids = Vec::new();
+        while let Some(input) = protocol::next_input(&mut remaining) {
             match input {
-                Input::Command(command) => ids.push(command.opaque()),
-                // No command's end can be found from here on.
+                Input::Command(command) => opaque_ids.push(command.opaque()),
+                // From here on no command's end can be found.
                 Input::Bad { close: true, .. } => break,
                 Input::Bad { .. } | Input::Ready => {}
             }
         }
-        if !rest.is_empty() {
-            ids.push(opaque_word(&rest));
+        if !remaining.is_empty() {
+            opaque_ids.push(opaque_token(&remaining));
         }
-        ids
+        opaque_ids
     }
 
-    /// Bytes that surely belong to the command that has come in part.
-    pub(super) fn missing(&self) -> usize {
+    /// Number of bytes that certainly belong to the partial command.
+    pub(super) fn missing_bytes(&self) -> usize {
         protocol::missing(&self.bytes)
     }
 
-    /// Drops what has come. A buffer keeps the size of the largest command that it held.
+    /// Discards the input. The buffer is replaced, as it keeps the size of the largest command that it held.
     pub(super) fn clear(&mut self) {
-        *self = Arrived { unread_since: self.unread_since, ..Arrived::new() };
+        *self = InputBuffer { unread_since: self.unread_since, ..InputBuffer::new() };
     }
 }
 
-/// The id in the line that these bytes begin with, empty where it has not come.
-fn opaque_word(bytes: &[u8]) -> Bytes {
+/// The opaque id in the first line of these bytes; empty if it has not arrived.
+fn opaque_token(bytes: &[u8]) -> Bytes {
     let line = bytes.split(|byte| matches!(byte, b'\r' | b'\n')).next().unwrap_or_default();
-    // Behind the verb and the key.
-    let mut words = line.split(|byte| *byte == b' ').skip(2);
-    let opaque = words.find_map(|word| word.strip_prefix(b"O"));
+    // Skips the verb and the key.
+    let mut tokens = line.split(|byte| *byte == b' ').skip(2);
+    let opaque = tokens.find_map(|token| token.strip_prefix(b"O"));
     Bytes::copy_from_slice(opaque.unwrap_or_default())
 }
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -1,5 +1,5 @@
-//! What a client is given: answers in the order of its commands, long values as they come, and the pace that it has
-//! to keep in taking them.
+//! Output to a client: answers in the order of its commands, long values as they arrive, and the minimum rate at
+//! which the client has to read.
 
 use std::time::Duration;
 
@@ -8,103 +8,105 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-use super::client::{Client, GivenUp};
+use super::client::{AbandonReason, Client};
 use crate::answer::Answer;
 use crate::figures::{End, Ticket};
-use crate::upstream::Broken;
+use crate::upstream::BrokenBody;
 
-/// Nothing is taken from a client for so long after an answer that turned it away: it would ask again at once.
-const PENANCE: Duration = Duration::from_millis(100);
+/// Delay before the next command of a client whose command was rejected as faulty: it would retry at once.
+const MAX_ERROR_DELAY: Duration = Duration::from_millis(100);
 
-/// The same where requests may have to be answered within so little: what comes behind an error keeps most of its time.
+/// Error delay for a node whose shortest request deadline is `shortest`: a command after an error keeps most of its
+/// time.
 pub fn penance(shortest: Duration) -> Duration {
-    PENANCE.min(shortest / 10)
+    MAX_ERROR_DELAY.min(shortest / 10)
 }
 
-/// A client that takes nothing of its answers for this long is gone.
+/// A client that reads nothing of its answers for this long is considered gone.
 pub const STALLED: Duration = Duration::from_secs(10);
-/// Least rate in bytes a second, beyond the first `STALLED`, at which a client takes what it is owed: one that takes
-/// a byte just within each `STALLED` would otherwise hold its connection for ever.
-const LEAST_RATE: f64 = 16.0 * 1024.0;
+/// Minimum rate, beyond the first stall timeout, at which a client reads its answers: one that reads a byte just
+/// within each timeout would otherwise hold its connection forever.
+const MIN_RATE_BYTES_PER_S: f64 = 16.0 * 1024.0;
 
 impl Client {
-    /// Takes the answer to the oldest command, whose last byte ends its request.
-    pub(super) fn queue(&mut self, answer: Answer) {
-        self.answered = Some(Instant::now());
+    /// Queues the answer to the oldest command; its request ends with the last byte.
+    pub(super) fn queue_answer(&mut self, answer: Answer) {
+        self.last_answer_at = Some(Instant::now());
         if protocol::turns_away(&answer.text) {
-            self.paused = Instant::now() + self.frontend.penance;
+            self.paused_until = Instant::now() + self.frontend.error_delay;
         } else {
-            self.trusted = true;
+            self.is_trusted = true;
         }
-        self.put(&answer.text);
-        match answer.rest {
-            Some(rest) => self.rest = Some((rest, answer.ends)),
-            None => self.finish(answer.ends),
+        self.append_output(&answer.text);
+        match answer.body {
+            Some(body) => self.body = Some((body, answer.ends)),
+            None => self.register_end(answer.ends),
         }
     }
 
-    pub(super) fn put(&mut self, bytes: &[u8]) {
+    pub(super) fn append_output(&mut self, bytes: &[u8]) {
         if self.output.is_empty() {
-            self.number = self.frontend.number();
-            self.progress = Instant::now();
-            self.unread_since = (self.progress, self.written);
+            self.sequence = self.frontend.take_number();
+            self.last_written_at = Instant::now();
+            self.unsent_since = (self.last_written_at, self.bytes_written);
         }
         self.frontend.budget.hold(bytes.len());
         self.output.extend_from_slice(bytes);
     }
 
-    /// An answer stands whole in the output, and its request ends when that is written.
-    pub(super) fn finish(&mut self, ends: Option<(Ticket, End)>) {
-        let at = self.written + self.output.len() as u64;
-        self.unfinished.extend(ends.map(|(ticket, end)| (at, ticket, end)));
+    /// Registers the request of a complete answer in the output; it ends when that is written.
+    pub(super) fn register_end(&mut self, ends: Option<(Ticket, End)>) {
+        let at = self.bytes_written + self.output.len() as u64;
+        self.unfinished_requests.extend(ends.map(|(ticket, end)| (at, ticket, end)));
     }
 
-    /// Goes on with a long value. One that is broken ends the connection: by that its client can tell.
-    pub(super) fn go_on(&mut self, piece: Result<Option<Bytes>, Broken>) {
+    /// Appends the next piece of a long value. If the value broke off, the connection ends, which shows it to the
+    /// client.
+    pub(super) fn append_body_piece(&mut self, piece: Result<Option<Bytes>, BrokenBody>) {
         match piece {
-            Ok(Some(bytes)) => self.put(&bytes),
+            Ok(Some(bytes)) => self.append_output(&bytes),
             Ok(None) => {
-                self.put(b"\r\n");
-                if let Some((rest, ends)) = self.rest.take() {
-                    rest.finish();
-                    self.finish(ends);
+                self.append_output(b"\r\n");
+                if let Some((body, ends)) = self.body.take() {
+                    body.finish();
+                    self.register_end(ends);
                 }
             }
-            Err(Broken) => {
-                if let Some(suppressed) = self.frontend.broken.pass(Instant::now()) {
+            Err(BrokenBody) => {
+                if let Some(suppressed) = self.frontend.broken_value_log.pass(Instant::now()) {
                     warn!(suppressed, "a value broke off on its way to its client");
                 }
-                self.rest = None;
-                self.lose(GivenUp::FramingLost);
-                self.withdraw();
+                self.body = None;
+                self.close_input(AbandonReason::FramingLost);
+                self.withdraw_pending();
             }
         }
     }
 
-    pub(super) fn wrote(&mut self, bytes: usize) {
-        self.progress = Instant::now();
-        (self.number, self.since) = (self.frontend.number(), self.progress);
+    pub(super) fn record_written(&mut self, bytes: usize) {
+        self.last_written_at = Instant::now();
+        (self.sequence, self.idle_since) = (self.frontend.take_number(), self.last_written_at);
         self.output.advance(bytes);
         self.frontend.budget.release(bytes);
-        self.written += bytes as u64;
-        while self.unfinished.front().is_some_and(|(at, ..)| *at <= self.written) {
-            if let Some((_, ticket, end)) = self.unfinished.pop_front() {
+        self.bytes_written += bytes as u64;
+        while self.unfinished_requests.front().is_some_and(|(at, ..)| *at <= self.bytes_written) {
+            if let Some((_, ticket, end)) = self.unfinished_requests.pop_front() {
                 ticket.end(end);
             }
         }
     }
 
-    /// When it will have taken too little of its answers for too long. What it sends meanwhile does not count.
-    pub(super) fn stalls_at(&self) -> Instant {
-        let (since, written) = self.unread_since;
-        let earned = Duration::from_secs_f64((self.written - written) as f64 / LEAST_RATE);
-        self.progress.min(since + earned) + STALLED
+    /// When the client will have read too little of its answers for too long. What it sends meanwhile does not count.
+    pub(super) fn stall_deadline(&self) -> Instant {
+        let (since, written) = self.unsent_since;
+        let allowed = Duration::from_secs_f64((self.bytes_written - written) as f64 / MIN_RATE_BYTES_PER_S);
+        self.last_written_at.min(since + allowed) + STALLED
     }
 
-    /// It has taken nothing of its answers for too long, or too little.
-    pub(super) fn stalled(&mut self) {
-        self.gives_up = GivenUp::AnswersUntaken;
-        if let Some(suppressed) = self.frontend.stuck.pass(Instant::now()) {
+    /// Records that the client has read nothing, or too little, of its answers for too long.
+    pub(super) fn record_stall(&mut self) {
+        self.abandon_reason = AbandonReason::AnswersUntaken;
+        if let Some(suppressed) = self.frontend.stalled_client_log.pass(Instant::now()) {
             warn!(suppressed, "a client does not take its answers; closed");
         }
     }
--- a/crates/node/src/frontend/serve.rs
+++ b/crates/node/src/frontend/serve.rs
@@ -1,4 +1,4 @@
-//! The turns of one client connection: reading, answering, waiting, and its end.
+//! The event loop of one client connection: reading, answering, waiting, and its end.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -13,178 +13,181 @@
 use tokio::net::tcp::ReadHalf;
 use tokio::time::{sleep_until, Instant};
 
-use super::client::{Client, GivenUp, Pending};
+use super::client::{AbandonReason, Client, PendingAnswer};
 use super::closing::peek;
-use super::commands::MAX_UNREAD;
-use super::shared::{Place, Rank, UNTAKEN};
+use super::commands::MAX_UNSENT_BYTES;
+use super::shared::{EvictionEntry, Rank, STALL_EVICTION_DELAY};
 use crate::answer::Answer;
 use crate::figures::{End, Ticket};
-use crate::upstream::{Broken, Rest};
+use crate::upstream::{BodyStream, BrokenBody};
 
-/// Bytes that the system may hold for a client beyond what that has room for. By its own measure it holds some MiB: then
-/// a client that takes its answer steadily seems to take nothing for as long as it needs for a part of these, and one
-/// that has most of its answer yet to take seems to have it.
-const UNSENT: u32 = 64 * 1024;
-/// Bytes that a client may leave unread of a long value before no more of it is read from its cache server.
-const MAX_AHEAD: usize = 32 * 1024;
-/// From connecting to the end of the first command, and from the first byte of a later one to its last: a client
-/// that says nothing or drips bytes must not hold a connection for long.
-pub(super) const PATIENCE: Duration = Duration::from_millis(2300);
-/// Connections on which nothing was asked for so long are closed; usual clients ask more often.
-const IDLE: Duration = Duration::from_secs(10);
+/// Bytes that the kernel may hold for a client beyond the client's receive window. By default it holds some MiB: a
+/// client that reads steadily would then seem to read nothing while part of these drains, and one that has most of
+/// its answer still to read would seem to have it all.
+const MAX_KERNEL_UNSENT_BYTES: u32 = 64 * 1024;
+/// Unsent bytes of a long value at which no more of it is read from its cache server.
+const MAX_UNSENT_BODY_BYTES: usize = 32 * 1024;
+/// Time from connecting to the end of the first command, and from the first byte of a later one to its last: a client
+/// that is silent or sends single bytes must not hold a connection for long.
+pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2300);
+/// Connections without a request for this long are closed; usual clients send more often.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Client {
     pub(super) async fn serve(&mut self) {
         if self.stream.set_nodelay(true).is_err() {
             return;
         }
-        // Where the system knows no such bound, it takes more and the times below are coarser.
-        let _ = SockRef::from(&self.stream).set_tcp_notsent_lowat(UNSENT);
+        // If the system does not support this limit, it buffers more and the times below are coarser.
+        let _ = SockRef::from(&self.stream).set_tcp_notsent_lowat(MAX_KERNEL_UNSENT_BYTES);
         let frontend = self.frontend.clone();
         loop {
             let now = Instant::now();
             let phase = *self.phases.borrow_and_update();
-            let parts_at = self.parts_at(&phase);
-            let parting = self.leaving || parts_at.is_some_and(|at| at <= now);
-            self.take_commands(now, parting);
-            let (owes, between) = (self.owes(), self.between_requests());
-            // What comes while the last answers are on their way is left to its client.
-            self.looked = parting && (self.looked || owes);
-            if self.lost && !owes {
-                return self.part_lost().await;
+            let closes_at = self.closes_at(&phase);
+            let closing = self.ending || closes_at.is_some_and(|at| at <= now);
+            self.start_commands(now, closing);
+            let (owes_answers, is_idle) = (self.owes_answers(), self.is_between_requests());
+            // What arrives while the last answers are being sent is left unread, for the client to send elsewhere.
+            self.final_read_done = closing && (self.final_read_done || owes_answers);
+            if self.input_closed && !owes_answers {
+                return self.close_after_answers().await;
             }
-            if parting && !owes && (between || self.gives_up_part(&phase)) {
-                if !self.nothing_came() {
+            if closing && !owes_answers && (is_idle || self.abandons_partial_command(&phase)) {
+                if !self.no_input_arrived() {
                     continue;
                 }
-                if between {
-                    return self.part().await;
+                if is_idle {
+                    return self.close_between_requests().await;
                 }
-                self.refuse_part();
+                self.reject_partial_command();
                 continue;
             }
-            if between {
+            if is_idle {
                 // A buffer keeps the size of the largest command or answer that it held.
                 self.input.clear();
                 self.output = BytesMut::new();
             }
-            let unread = self.output.len();
-            let untaken_at = self.progress + UNTAKEN;
-            let untaken = unread > 0 && untaken_at <= now;
-            let rank = match untaken {
-                true => Rank::Untaken,
-                false if self.trusted => Rank::Idle,
-                false => Rank::Doubtful,
+            let unsent = self.output.len();
+            let evictable_at = self.last_written_at + STALL_EVICTION_DELAY;
+            let stalled = unsent > 0 && evictable_at <= now;
+            let rank = match stalled {
+                true => Rank::Stalled,
+                false if self.is_trusted => Rank::Idle,
+                false => Rank::Untrusted,
             };
-            let waits = self.input.waits();
-            let closable = untaken || (!owes && (between || waits || !self.trusted));
-            let place =
-                closable.then(|| Place::take(&frontend, (rank, self.number), self.since, &self.close));
-            let wanted = self.wanted(parting);
-            self.more &= wanted == 0;
-            if waits || wanted == 0 {
-                // What the node leaves unread or untaken is not the client's delay.
+            let has_queued = self.input.has_waiting_commands();
+            let may_evict = stalled || (!owes_answers && (is_idle || has_queued || !self.is_trusted));
+            let eviction_entry = may_evict
+                .then(|| EvictionEntry::take(&frontend, (rank, self.sequence), self.idle_since, &self.close));
+            let read_limit = self.read_limit(closing);
+            self.has_unread_input &= read_limit == 0;
+            if has_queued || read_limit == 0 {
+                // Input that the node leaves unread or waiting is not the client's delay.
                 self.command_since = self.command_since.map(|_| now);
             }
-            let halfway = self.command_since.map(|at| at + PATIENCE);
-            let idle = (between && self.command_since.is_none()).then_some(self.since + IDLE);
-            // Its next time in a stop: to part between requests, and then to leave half a command behind.
-            let turn = if parting { phase.ends.filter(|at| *at > now) } else { parts_at };
-            let penance = (waits && !parting).then_some(self.paused).filter(|at| *at > now);
-            let stalls_at = self.stalls_at();
-            let taken_by = if untaken { stalls_at } else { stalls_at.min(untaken_at) };
+            let command_due = self.command_since.map(|at| at + COMMAND_TIMEOUT);
+            let idle_deadline =
+                (is_idle && self.command_since.is_none()).then_some(self.idle_since + IDLE_TIMEOUT);
+            // The next time in a stop: to close between requests, and after that to abandon a partial command.
+            let next_stage = if closing { phase.ends.filter(|at| *at > now) } else { closes_at };
+            let delay_ends = (has_queued && !closing).then_some(self.paused_until).filter(|at| *at > now);
+            let stall_deadline = self.stall_deadline();
+            let output_deadline = if stalled { stall_deadline } else { stall_deadline.min(evictable_at) };
             let (reader, mut writer) = self.stream.split();
             tokio::select! {
                 biased;
-                answer = next_answer(&mut self.pending), if unread < MAX_UNREAD && self.rest.is_none() => {
-                    if let Some(Pending::Waiting { weight, .. }) = self.pending.pop_front() {
+                answer = next_answer(&mut self.pending), if unsent < MAX_UNSENT_BYTES && self.body.is_none() => {
+                    if let Some(PendingAnswer::Waiting { weight, .. }) = self.pending.pop_front() {
                         frontend.budget.release(weight);
                     }
-                    self.queue(answer);
+                    self.queue_answer(answer);
                 }
-                piece = next_piece(&mut self.rest), if unread < MAX_AHEAD && self.rest.is_some() => {
-                    self.go_on(piece);
+                piece = next_body_piece(&mut self.body), if unsent < MAX_UNSENT_BODY_BYTES && self.body.is_some() => {
+                    self.append_body_piece(piece);
                 }
-                written = writer.write(&self.output), if unread > 0 => match written {
-                    Ok(written) if written > 0 => self.wrote(written),
-                    _ => return self.has_gone(),
+                written = writer.write(&self.output), if unsent > 0 => match written {
+                    Ok(written) if written > 0 => self.record_written(written),
+                    _ => return self.mark_client_gone(),
                 },
-                ready = reader.readable(), if wanted > 0 || !self.more => {
-                    let room = (wanted > 0).then(|| self.input.room(wanted));
-                    match ready.and_then(|()| read(&reader, room)) {
-                        // It has gone, and so has what was read ahead.
-                        Ok(0) => return self.has_gone(),
-                        Ok(read) if wanted > 0 => self.came(read),
+                ready = reader.readable(), if read_limit > 0 || !self.has_unread_input => {
+                    let buffer = (read_limit > 0).then(|| self.input.reserve(read_limit));
+                    match ready.and_then(|()| read(&reader, buffer)) {
+                        // The client has disconnected, and its buffered commands go with it.
+                        Ok(0) => return self.mark_client_gone(),
+                        Ok(read) if read_limit > 0 => self.record_input(read),
                         Ok(_) => {
-                            self.more = true;
-                            self.input.left_unread();
+                            self.has_unread_input = true;
+                            self.input.note_unread();
                         }
                         Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                        Err(_) => return self.has_gone(),
+                        Err(_) => return self.mark_client_gone(),
                     }
                 }
-                () = hung_up(&reader), if wanted == 0 => return self.has_gone(),
-                () = self.close.notified(), if closable => match place {
-                    // A word of the time when it was idle is none for now.
-                    Some(place) if untaken => if !place.stands() {
-                        return self.stalled();
+                () = disconnected(&reader), if read_limit == 0 => return self.mark_client_gone(),
+                () = self.close.notified(), if may_evict => match eviction_entry {
+                    // A notification from when the connection was idle does not count now.
+                    Some(eviction_entry) if stalled => if !eviction_entry.is_registered() {
+                        return self.record_stall();
                     },
-                    _ => (self.leaving, self.hurried) = (true, true),
+                    _ => (self.ending, self.making_room) = (true, true),
                 },
                 // The lifecycle lives as long as the frontend that holds it.
                 _ = self.phases.changed() => {}
-                () = sleep_until(turn.unwrap_or(now)), if turn.is_some() => {}
-                () = sleep_until(penance.unwrap_or(now)), if penance.is_some() => {}
-                () = sleep_until(taken_by), if unread > 0 => if taken_by == stalls_at {
-                    return self.stalled();
+                () = sleep_until(next_stage.unwrap_or(now)), if next_stage.is_some() => {}
+                () = sleep_until(delay_ends.unwrap_or(now)), if delay_ends.is_some() => {}
+                () = sleep_until(output_deadline), if unsent > 0 => if output_deadline == stall_deadline {
+                    return self.record_stall();
                 },
-                // To one that has said nothing an error would be the answer to its next request.
-                () = sleep_until(halfway.unwrap_or(now)), if halfway.is_some() && between => {
-                    (self.leaving, self.command_since) = (true, None);
+                // To a client that has sent nothing, an error would look like the answer to its next request.
+                () = sleep_until(command_due.unwrap_or(now)), if command_due.is_some() && is_idle => {
+                    (self.ending, self.command_since) = (true, None);
                 }
-                () = sleep_until(halfway.unwrap_or(now)), if halfway.is_some() && !waits && wanted > 0 => {
-                    self.lose(GivenUp::TooSlow);
+                () = sleep_until(command_due.unwrap_or(now)), if command_due.is_some() && !has_queued && read_limit > 0 => {
+                    self.close_input(AbandonReason::TooSlow);
                     self.command_since = None;
-                    self.pending.push_back(Pending::Ready(protocol::TOO_SLOW));
+                    self.pending.push_back(PendingAnswer::Ready(protocol::TOO_SLOW));
                 }
-                () = sleep_until(idle.unwrap_or(now)), if idle.is_some() => self.leaving = true,
+                () = sleep_until(idle_deadline.unwrap_or(now)), if idle_deadline.is_some() => self.ending = true,
             }
-            // An answer that is there already takes no turn of the runtime's.
+            // Receiving an answer that is already available does not yield to the runtime.
             tokio::task::coop::consume_budget().await;
         }
     }
 }
 
-/// Reads into this room, or looks whether anything has come.
-fn read(reader: &ReadHalf<'_>, room: Option<Limit<&mut BytesMut>>) -> io::Result<usize> {
-    match room {
-        Some(mut room) => reader.try_read_buf(&mut room),
+/// Reads into `buffer`, or peeks whether anything has arrived.
+fn read(reader: &ReadHalf<'_>, buffer: Option<Limit<&mut BytesMut>>) -> io::Result<usize> {
+    match buffer {
+        Some(mut buffer) => reader.try_read_buf(&mut buffer),
         None => peek(reader.as_ref()),
     }
 }
 
-/// The client has gone, told with what it sent before unread. Without a thing to tell this never ends, so that it
-/// may be asked as often as one likes.
-async fn hung_up(reader: &ReadHalf<'_>) {
-    // No urgent data is asked for: of this interest only the end of the client's sending ever shows.
+/// Waits until the client has disconnected, even if earlier input is unread. Pending until then, so it may be polled
+/// any number of times.
+async fn disconnected(reader: &ReadHalf<'_>) {
+    // No urgent data is requested, so this interest only ever reports that the client shut down writing.
     let _ = reader.ready(Interest::PRIORITY).await;
 }
 
-/// What comes next of a long value.
-async fn next_piece(rest: &mut Option<(Rest, Option<(Ticket, End)>)>) -> Result<Option<Bytes>, Broken> {
-    match rest {
+/// The next piece of a long value.
+async fn next_body_piece(
+    body: &mut Option<(BodyStream, Option<(Ticket, End)>)>,
+) -> Result<Option<Bytes>, BrokenBody> {
+    match body {
         None => std::future::pending().await,
-        Some((rest, _)) => rest.next().await,
+        Some((body, _)) => body.next().await,
     }
 }
 
-/// The answer to the oldest command; it stays at the head of the queue.
-async fn next_answer(pending: &mut VecDeque<Pending>) -> Answer {
+/// The answer to the oldest command; the command stays at the head of the queue.
+async fn next_answer(pending: &mut VecDeque<PendingAnswer>) -> Answer {
     match pending.front_mut() {
         None => std::future::pending().await,
-        Some(Pending::Ready(text)) => Answer::untaken(text.clone()),
-        // The driver is gone only when the program ends.
-        Some(Pending::Waiting { answer, .. }) => {
+        Some(PendingAnswer::Ready(text)) => Answer::untaken(text.clone()),
+        // The driver ends only with the process.
+        Some(PendingAnswer::Waiting { answer, .. }) => {
             answer.await.unwrap_or_else(|_| Answer::untaken(protocol::FAILED))
         }
     }
--- a/crates/node/src/frontend/shared.rs
+++ b/crates/node/src/frontend/shared.rs
@@ -1,4 +1,4 @@
-//! What all client connections share, and which of them make room for others.
+//! State shared by all client connections, and the choice of those that make room for others.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,58 +9,60 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::serve::PATIENCE;
+use super::serve::COMMAND_TIMEOUT;
 use crate::budget::Budget;
 use crate::lifecycle::Lifecycle;
 use crate::log::Throttle;
 use crate::message::Message;
 use crate::upstream::Upstream;
 
-/// Connections between requests for so long cost their clients little when they are closed.
+/// Closing a connection that has been between requests for this long costs its client little.
 pub(super) const LONG_IDLE: Duration = Duration::from_secs(2);
-/// A client that takes nothing of its answers for so long, as long as it may take over a command, gives its place to
-/// others where all places are taken so.
-pub(super) const UNTAKEN: Duration = PATIENCE;
-/// Younger connections may belong to usual clients whose first command is on its way, if they are few.
-const YOUNG: Duration = Duration::from_millis(100);
+/// A client that reads nothing of its answers for this long, as long as it may take for a command, makes room for
+/// others if every slot is held by a client that waits for an answer.
+pub(super) const STALL_EVICTION_DELAY: Duration = COMMAND_TIMEOUT;
+/// A younger connection may belong to a usual client whose first command is on its way, if such connections are few.
+const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(100);
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct Frontend {
     pub(super) driver: UnboundedSender<Message>,
     pub(super) upstream: Rc<Upstream>,
     pub(super) lifecycle: Rc<Lifecycle>,
-    /// Numbers requests, and idle connections by age; none comes twice.
+    /// The next number for requests, and for the order of idle connections by age. No number is used twice.
     pub(super) next_number: Cell<u64>,
     pub(super) budget: Rc<Budget>,
-    pub(super) penance: Duration,
-    /// Connections that are open.
+    pub(super) error_delay: Duration,
+    /// Number of open connections.
     pub(super) open: Cell<usize>,
     pub(super) closed: Notify,
-    /// Connections that may be closed to make room, those first that have asked for nothing yet or were only
-    /// turned away, the longest so first.
-    pub(super) closable: RefCell<BTreeMap<(Rank, u64), Closable>>,
-    /// Said seldom: values that broke off, and clients that take nothing.
-    pub(super) broken: Throttle,
-    pub(super) stuck: Throttle,
+    /// Connections that may be closed to make room: first those that have sent no valid request yet, the oldest first.
+    pub(super) candidates: RefCell<BTreeMap<(Rank, u64), EvictionCandidate>>,
+    /// Rate limits of log lines: values that broke off, and clients that read nothing.
+    pub(super) broken_value_log: Throttle,
+    pub(super) stalled_client_log: Throttle,
 }
 
+/// Order in which connections are closed to make room.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Rank {
-    /// About to end anyway: only what its client still sends is taken off.
+    /// About to end anyway: only remaining input is discarded.
     Closing,
-    /// No request of it was ever answered but with an error of the client's own.
-    Doubtful,
-    /// Between requests.
+    /// No request, or only requests answered with an error of the client's own.
+    Untrusted,
+    /// The connection is between requests.
     Idle,
-    /// Owed answers of which its client has taken nothing for `UNTAKEN`. It goes only where nobody else can come.
-    Untaken,
+    /// The client has read nothing of its pending answers for the stall eviction delay. Closed only if no new client
+    /// could be served otherwise.
+    Stalled,
 }
 
-/// Where those between requests begin, and where they end.
-const IDLEST: (Rank, u64) = (Rank::Idle, 0);
-const UNTAKEN_LONGEST: (Rank, u64) = (Rank::Untaken, 0);
+/// Lowest keys of the ranks `Idle` and `Stalled`.
+const FIRST_IDLE: (Rank, u64) = (Rank::Idle, 0);
+const FIRST_STALLED: (Rank, u64) = (Rank::Stalled, 0);
 
-pub(super) struct Closable {
+/// A connection that may be closed to make room.
+pub(super) struct EvictionCandidate {
     pub(super) since: Instant,
     pub(super) close: Rc<Notify>,
 }
@@ -71,7 +73,7 @@
         upstream: Rc<Upstream>,
         lifecycle: Rc<Lifecycle>,
         budget: Rc<Budget>,
-        penance: Duration,
+        error_delay: Duration,
     ) -> Rc<Self> {
         Rc::new(Frontend {
             driver,
@@ -79,49 +81,52 @@
             lifecycle,
             next_number: Cell::new(1),
             budget,
-            penance,
+            error_delay,
             open: Cell::new(0),
             closed: Notify::new(),
-            closable: RefCell::default(),
-            broken: Throttle::default(),
-            stuck: Throttle::default(),
+            candidates: RefCell::default(),
+            broken_value_log: Throttle::default(),
+            stalled_client_log: Throttle::default(),
         })
     }
 
-    pub(super) fn number(&self) -> u64 {
+    pub(super) fn take_number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// Asks one connection to close, if any may be. One that is closing goes first, then one long between requests: a
-    /// half-open one may be a usual client that takes its time.
+    /// Asks one connection to close, if any may be closed: first one that is already closing, then one long between
+    /// requests, as a half-open one may belong to a usual client that is slow.
     pub(super) fn make_room(&self) -> bool {
-        let mut closable = self.closable.borrow_mut();
-        if let Some(closing) = closable.first_entry().filter(|entry| entry.key().0 == Rank::Closing) {
+        let mut candidates = self.candidates.borrow_mut();
+        if let Some(closing) = candidates.first_entry().filter(|entry| entry.key().0 == Rank::Closing) {
             closing.remove().close.notify_one();
             return true;
         }
-        let idlest =
-            closable.range(IDLEST..UNTAKEN_LONGEST).next().filter(|(_, c)| c.since.elapsed() >= LONG_IDLE);
-        if let Some(key) = idlest.map(|(key, _)| *key) {
-            return closable.remove(&key).inspect(|c| c.close.notify_one()).is_some();
+        let longest_idle = candidates
+            .range(FIRST_IDLE..FIRST_STALLED)
+            .next()
+            .filter(|(_, c)| c.since.elapsed() >= LONG_IDLE);
+        if let Some(key) = longest_idle.map(|(key, _)| *key) {
+            return candidates.remove(&key).inspect(|c| c.close.notify_one()).is_some();
         }
-        let Some((&first, entry)) = closable.range(..UNTAKEN_LONGEST).next() else { return false };
-        let few = closable.keys().nth(self.budget.clients() / 8).is_none_or(|key| *key >= IDLEST);
-        let spare = few && entry.since.elapsed() < YOUNG;
-        let idlest = closable.range(IDLEST..UNTAKEN_LONGEST).next().map(|(key, _)| *key);
-        let key = idlest.filter(|_| spare).unwrap_or(first);
-        closable.remove(&key).inspect(|c| c.close.notify_one()).is_some()
+        let Some((&first, entry)) = candidates.range(..FIRST_STALLED).next() else { return false };
+        let are_few = candidates.keys().nth(self.budget.clients() / 8).is_none_or(|key| *key >= FIRST_IDLE);
+        let is_spared = are_few && entry.since.elapsed() < FIRST_COMMAND_GRACE;
+        let longest_idle = candidates.range(FIRST_IDLE..FIRST_STALLED).next().map(|(key, _)| *key);
+        let key = longest_idle.filter(|_| is_spared).unwrap_or(first);
+        candidates.remove(&key).inspect(|c| c.close.notify_one()).is_some()
     }
 
-    /// Asks the connection to close whose client has taken nothing of its answers for longest, if any has for too long.
-    pub(super) fn cut_untaken(&self) -> bool {
-        let mut closable = self.closable.borrow_mut();
-        let longest = closable.range(UNTAKEN_LONGEST..).next().map(|(key, _)| *key);
-        let cut = longest.and_then(|key| closable.remove(&key));
-        cut.inspect(|c| c.close.notify_one()).is_some()
+    /// Asks the connection to close whose client has read nothing for longest, if any client has stalled for too
+    /// long.
+    pub(super) fn evict_stalled(&self) -> bool {
+        let mut candidates = self.candidates.borrow_mut();
+        let longest_stalled = candidates.range(FIRST_STALLED..).next().map(|(key, _)| *key);
+        let evicted = longest_stalled.and_then(|key| candidates.remove(&key));
+        evicted.inspect(|c| c.close.notify_one()).is_some()
     }
 
-    /// Closes what may be closed above the budget, which shrinks when another process comes to share it.
+    /// Closes connections in excess of the budget, which shrinks when another process comes to share it.
     pub fn shed(&self) {
         for _ in self.budget.clients()..self.open.get() {
             if !self.make_room() {
@@ -130,7 +135,7 @@
         }
     }
 
-    /// No connection comes any more: waits until all are closed.
+    /// Waits until all connections are closed, once no new ones arrive.
     pub async fn finish(&self) {
         while self.open.get() > 0 {
             self.closed.notified().await;
@@ -138,26 +143,26 @@
     }
 }
 
-/// A place among the connections that may be closed to make room.
-pub(super) struct Place<'a> {
+/// Entry among the connections that may be closed to make room, removed on drop.
+pub(super) struct EvictionEntry<'a> {
     frontend: &'a Frontend,
     key: (Rank, u64),
 }
 
-impl<'a> Place<'a> {
+impl<'a> EvictionEntry<'a> {
     pub(super) fn take(frontend: &'a Frontend, key: (Rank, u64), since: Instant, close: &Rc<Notify>) -> Self {
-        frontend.closable.borrow_mut().insert(key, Closable { since, close: close.clone() });
-        Place { frontend, key }
+        frontend.candidates.borrow_mut().insert(key, EvictionCandidate { since, close: close.clone() });
+        EvictionEntry { frontend, key }
     }
 
-    /// Nobody has asked for it.
-    pub(super) fn stands(&self) -> bool {
-        self.frontend.closable.borrow().contains_key(&self.key)
+    /// Whether the connection has not been asked to close.
+    pub(super) fn is_registered(&self) -> bool {
+        self.frontend.candidates.borrow().contains_key(&self.key)
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for EvictionEntry<'_> {
     fn drop(&mut self) {
-        self.frontend.closable.borrow_mut().remove(&self.key);
+        self.frontend.candidates.borrow_mut().remove(&self.key);
     }
 }
--- a/crates/node/src/frontend/tests/bounds.rs
+++ b/crates/node/src/frontend/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Connections, commands and times are held within their bounds.
+//! Connections, commands and times stay within their limits.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::{frontend, held, settle};
+use super::{frontend, settle, with_clock_held};
 use crate::answer::Answer;
 use crate::config::Limits;
-use crate::frontend::closing::{LINGER, LINGER_BYTES};
-use crate::frontend::shared::{Place, Rank, LONG_IDLE};
+use crate::frontend::closing::{LINGER_TIMEOUT, MAX_LINGER_BYTES};
+use crate::frontend::shared::{EvictionEntry, Rank, LONG_IDLE};
 use crate::frontend::STALLED;
 use crate::message::Message;
 
-/// What a client is given of an answer of `length` bytes that it takes nothing of for `waits`, and then all it
-/// can; on the paused clock, so the kernel's buffers fill and the wait is the node's alone. While bytes move the
-/// clock stands: where both ends wait for the system it would go on to the next of the node's times.
-async fn taken_after(waits: Duration, length: usize) -> usize {
+/// The number of bytes that a client gets of an answer of `length` bytes if it reads nothing for `pause` and then all
+/// it can. Runs on the paused clock, so the kernel's buffers fill and only the node's timers wait. The clock is held
+/// while bytes move: with both ends waiting for the system it would advance to the node's next timer.
+async fn bytes_received_after(pause: Duration, length: usize) -> usize {
     let (messages, mut inbox) = unbounded_channel();
     let frontend = frontend(&Limits::default(), messages);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -31,42 +31,44 @@
     let client = async {
         let mut client = TcpStream::connect(address).await.unwrap();
         client.write_all(b"mg k v Oa Pc=read,d=9000\r\n").await.unwrap();
-        let Some(Message::Request { reply, .. }) = held(inbox.recv()).await else { panic!("a request") };
+        let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
+            panic!("a request")
+        };
         assert!(reply.send(Answer::untaken(Bytes::from(vec![b'v'; length]))).is_ok());
         settle().await;
-        sleep(waits).await;
-        let mut taken = Vec::new();
-        // Cut off, it may end in a reset.
-        let _ = held(client.take(length as u64).read_to_end(&mut taken)).await;
-        taken.len()
+        sleep(pause).await;
+        let mut received = Vec::new();
+        // A connection that was cut may end in a reset.
+        let _ = with_clock_held(client.take(length as u64).read_to_end(&mut received)).await;
+        received.len()
     };
     let run = async {
         tokio::select! {
             () = frontend.accept(&listener) => unreachable!("the frontend accepts for ever"),
-            taken = client => taken,
+            received = client => received,
         }
     };
     LocalSet::new().run_until(run).await
 }
 
-/// The bound of the review's table: a client that takes nothing of its answer for `STALLED` is closed, and one
-/// that comes a second before is given all of it.
+/// Limit from the hardening review: a client that reads nothing of its answer for the stall timeout is closed, and
+/// one that reads a second earlier gets all of it.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_takes_nothing_for_the_stall_time_is_closed() {
+async fn a_client_that_reads_nothing_for_the_stall_timeout_is_closed() {
     const LENGTH: usize = 64 << 20;
     let second = Duration::from_secs(1);
-    assert_eq!(taken_after(STALLED - second, LENGTH).await, LENGTH, "within the stall time");
-    let cut = taken_after(STALLED + second, LENGTH).await;
-    assert!(cut < LENGTH, "past the stall time {cut} bytes of {LENGTH} came");
+    assert_eq!(bytes_received_after(STALLED - second, LENGTH).await, LENGTH, "within the stall timeout");
+    let received = bytes_received_after(STALLED + second, LENGTH).await;
+    assert!(received < LENGTH, "past the stall timeout {received} bytes of {LENGTH} arrived");
 }
 
-/// The bound of the review's table: commands are held within the memory budget, though one read brings
-/// more; the rest are taken as answers make room.
+/// Limit from the hardening review: commands stay within the memory budget though one read brings more; the others
+/// are started as answers free memory.
 #[tokio::test(start_paused = true)]
-async fn commands_that_came_in_one_read_are_held_within_the_budget() {
+async fn commands_from_one_read_stay_within_the_memory_budget() {
     let second = Duration::from_secs(1);
     let (messages, mut inbox) = unbounded_channel();
-    // A quarter of a MiB for commands, each counted with room for its answer: four at once.
+    // A quarter of a MiB for commands, each counted with memory for its answer: four at once.
     let frontend = frontend(&Limits { memory_mb: 1, ..Limits::default() }, messages);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -76,13 +78,15 @@
         client.write_all(commands.as_bytes()).await.unwrap();
         let mut replies = Vec::new();
         while replies.len() < 4 {
-            let Some(Message::Request { reply, .. }) = held(inbox.recv()).await else { panic!("a request") };
+            let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
+                panic!("a request")
+            };
             replies.push(reply);
         }
         settle().await;
-        assert!(timeout(second, inbox.recv()).await.is_err(), "more than four commands held of ten");
+        assert!(timeout(second, inbox.recv()).await.is_err(), "more than four commands of ten in flight");
         assert!(replies.remove(0).send(Answer::untaken(protocol::FAILED)).is_ok());
-        let Some(Message::Request { .. }) = held(inbox.recv()).await else {
+        let Some(Message::Request { .. }) = with_clock_held(inbox.recv()).await else {
             panic!("the next command once an answer made room")
         };
     };
@@ -95,20 +99,20 @@
     LocalSet::new().run_until(run).await;
 }
 
-/// A client whose command closes its connection, and that then sends `more` bytes after `waits`: how much of
-/// that the node took before the client could send no more, on the paused clock.
-async fn taken_while_closing(waits: Duration, more: usize) -> usize {
+/// The number of bytes that the node accepts from a client whose command closes its connection and that sends `more`
+/// bytes after `pause`, on the paused clock.
+async fn bytes_sent_while_closing(pause: Duration, more: usize) -> usize {
     let frontend = frontend(&Limits::default(), unbounded_channel().0);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let client = async {
         let mut client = TcpStream::connect(address).await.unwrap();
-        // Its value is too long to be read past: the connection cannot go on.
+        // Its value is too long to be skipped, so the connection cannot continue.
         client.write_all(b"ms k 300000 Oa Pc=open,d=9000\r\n").await.unwrap();
         let mut answer = Vec::new();
-        held(client.read_to_end(&mut answer)).await.unwrap();
+        with_clock_held(client.read_to_end(&mut answer)).await.unwrap();
         assert!(answer.starts_with(b"CLIENT_ERROR "), "{:?}", String::from_utf8_lossy(&answer));
-        sleep(waits).await;
+        sleep(pause).await;
         let sending = async {
             let (piece, mut sent) = (vec![b'x'; 64 * 1024], 0);
             while sent < more && client.write_all(&piece).await.is_ok() {
@@ -117,7 +121,7 @@
             }
             sent
         };
-        held(sending).await
+        with_clock_held(sending).await
     };
     let run = async {
         tokio::select! {
@@ -128,30 +132,40 @@
     LocalSet::new().run_until(run).await
 }
 
-/// The bounds of the review's table: a connection that closes takes what its client still sends for `LINGER`
-/// and up to `LINGER_BYTES`, then no more.
+/// Limits from the hardening review: a closing connection reads what its client still sends for `LINGER_TIMEOUT` and
+/// up to `MAX_LINGER_BYTES`, then no more.
 #[tokio::test(start_paused = true)]
-async fn a_closing_connection_takes_what_comes_for_a_second_and_a_mebibyte() {
+async fn a_closing_connection_reads_for_a_second_and_up_to_a_mebibyte() {
     const MORE: usize = 64 << 20;
     let tenth = Duration::from_millis(100);
-    assert_eq!(taken_while_closing(LINGER - tenth, LINGER_BYTES / 2).await, LINGER_BYTES / 2, "within both");
-    assert!(taken_while_closing(LINGER + tenth, MORE).await < LINGER_BYTES, "past the second");
-    let sent = taken_while_closing(Duration::ZERO, MORE).await;
-    assert!((LINGER_BYTES..MORE).contains(&sent), "{sent} bytes sent within the second");
+    assert_eq!(
+        bytes_sent_while_closing(LINGER_TIMEOUT - tenth, MAX_LINGER_BYTES / 2).await,
+        MAX_LINGER_BYTES / 2,
+        "within both limits"
+    );
+    assert!(
+        bytes_sent_while_closing(LINGER_TIMEOUT + tenth, MORE).await < MAX_LINGER_BYTES,
+        "past the linger timeout"
+    );
+    let sent = bytes_sent_while_closing(Duration::ZERO, MORE).await;
+    assert!((MAX_LINGER_BYTES..MORE).contains(&sent), "{sent} bytes sent within the linger timeout");
 }
 
-/// A connection that was long between requests makes room before a half-open one does; a fresh one does not.
+/// A connection that was long between requests makes room before a half-open one; one that became idle just now does
+/// not.
 #[tokio::test]
 async fn the_long_idle_make_room_before_the_half_open() {
     let frontend = frontend(&Limits::default(), unbounded_channel().0);
     let (now, close) = (Instant::now(), Rc::new(Notify::new()));
-    let half_open = Place::take(&frontend, (Rank::Doubtful, 1), now - Duration::from_secs(1), &close);
-    let _long_idle = Place::take(&frontend, (Rank::Idle, 2), now - LONG_IDLE, &close);
-    let _idle = Place::take(&frontend, (Rank::Idle, 3), now, &close);
-    let left = || frontend.closable.borrow().keys().map(|(_, number)| *number).collect::<Vec<_>>();
+    let half_open =
+        EvictionEntry::take(&frontend, (Rank::Untrusted, 1), now - Duration::from_secs(1), &close);
+    let _long_idle = EvictionEntry::take(&frontend, (Rank::Idle, 2), now - LONG_IDLE, &close);
+    let _idle = EvictionEntry::take(&frontend, (Rank::Idle, 3), now, &close);
+    let remaining_numbers =
+        || frontend.candidates.borrow().keys().map(|(_, number)| *number).collect::<Vec<_>>();
     assert!(frontend.make_room());
-    assert_eq!(left(), [1, 3]);
+    assert_eq!(remaining_numbers(), [1, 3]);
     assert!(frontend.make_room());
-    assert_eq!(left(), [3]);
+    assert_eq!(remaining_numbers(), [3]);
     drop(half_open);
 }
--- a/crates/node/src/frontend/tests/closing.rs
+++ b/crates/node/src/frontend/tests/closing.rs
@@ -1,4 +1,5 @@
-//! What crosses with a close that the node chooses: taken and answered, or left to its client, and never between.
+//! Requests that cross with a close chosen by the node are either started and answered, or left to the client, and
+//! never lost in between.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{advance, sleep, timeout};
 
-use super::{frontend, held, settle, with_client};
+use super::{frontend, settle, with_client, with_clock_held};
 use crate::answer::Answer;
 use crate::config::Limits;
 use crate::message::Message;
@@ -18,54 +19,56 @@
 const SECOND: Duration = Duration::from_secs(1);
 const READ: &[u8] = b"mg k v Oa Pc=read,d=9000\r\n";
 
-/// Answers the next request, which has to come soon.
-async fn answers(inbox: &mut UnboundedReceiver<Message>) {
-    let Some(Message::Request { reply, .. }) = held(inbox.recv()).await else { panic!("a request") };
+/// Answers the next request, which has to arrive soon.
+async fn answer_next_request(inbox: &mut UnboundedReceiver<Message>) {
+    let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
+        panic!("a request")
+    };
     assert!(reply.send(Answer::untaken(protocol::FAILED)).is_ok());
 }
 
-async fn is_answered(client: &mut TcpStream) {
+async fn expect_answer(client: &mut TcpStream) {
     let mut answer = vec![0; protocol::FAILED.len()];
-    held(client.read_exact(&mut answer)).await.unwrap();
+    with_clock_held(client.read_exact(&mut answer)).await.unwrap();
     assert_eq!(answer, protocol::FAILED);
 }
 
-async fn is_refused(client: &mut TcpStream) {
+async fn expect_busy(client: &mut TcpStream) {
     let mut answer = vec![0; protocol::busy(None).len()];
-    held(client.read_exact(&mut answer)).await.unwrap();
+    with_clock_held(client.read_exact(&mut answer)).await.unwrap();
     assert_eq!(answer, protocol::busy(None));
 }
 
-async fn is_closed(client: &mut TcpStream) {
-    let read = held(client.read(&mut [0])).await;
+async fn expect_close(client: &mut TcpStream) {
+    let read = with_clock_held(client.read(&mut [0])).await;
     assert!(matches!(read, Ok(0)), "{read:?}");
 }
 
-/// The system brings what was sent while the node does not run.
-fn unheard() {
+/// Lets the system deliver what was sent while the node does not run.
+fn deliver_without_running_the_node() {
     std::thread::sleep(Duration::from_millis(100));
 }
 
-/// A whole request that comes in the instant in which its connection is told to make room is taken and answered,
-/// though the runtime has not heard of it.
+/// A complete request that arrives just as its connection is asked to make room is started and answered, though the
+/// runtime has not been notified of it.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_came_before_the_close_is_answered() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         client.write_all(READ).await.unwrap();
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
         settle().await;
         assert_eq!(client.try_write(READ).unwrap(), READ.len());
-        unheard();
+        deliver_without_running_the_node();
         assert!(frontend.make_room());
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
-        is_closed(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
+        expect_close(&mut client).await;
     })
     .await;
 }
 
-/// So is one of which a half had been read, of a client that nobody knows yet.
+/// The same for a request of which half had been read, from a client without an earlier request.
 #[tokio::test(start_paused = true)]
 async fn a_first_request_whose_end_came_before_the_close_is_answered() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
@@ -73,62 +76,63 @@
         client.write_all(first).await.unwrap();
         settle().await;
         assert_eq!(client.try_write(second).unwrap(), second.len());
-        unheard();
+        deliver_without_running_the_node();
         assert!(frontend.make_room());
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
-        is_closed(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
+        expect_close(&mut client).await;
     })
     .await;
 }
 
-/// So is one that waits for its client's penance to be over: it has been read.
+/// The same for a request that waits for its client's error delay to end: it has been read.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_waits_for_a_penance_is_answered_before_the_close() {
+async fn a_request_that_waits_for_the_error_delay_is_answered_before_the_close() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         client.write_all(b"get k\r\n").await.unwrap();
-        held(client.read_exact(&mut [0; 7])).await.unwrap();
+        with_clock_held(client.read_exact(&mut [0; 7])).await.unwrap();
         client.write_all(READ).await.unwrap();
         settle().await;
         assert!(inbox.try_recv().is_err() && frontend.make_room());
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
-        is_closed(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
+        expect_close(&mut client).await;
     })
     .await;
 }
 
-/// What comes behind the end of sending is taken off the connection, which a close over it would reset, and goes on
-/// to nobody.
+/// Input after writing was shut down is read and discarded, since closing with it unread would reset the connection,
+/// and it is not forwarded.
 #[tokio::test(start_paused = true)]
-async fn what_comes_behind_the_close_is_neither_sent_on_nor_a_reset() {
+async fn input_after_the_close_is_neither_forwarded_nor_reset() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         client.write_all(READ).await.unwrap();
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
         settle().await;
-        // Nothing was asked for long enough.
+        // Past the idle timeout.
         sleep(10 * SECOND + SECOND / 2).await;
-        is_closed(&mut client).await;
+        expect_close(&mut client).await;
         client.write_all(READ).await.unwrap();
         settle().await;
         assert!(client.take_error().unwrap().is_none(), "reset");
-        assert!(timeout(2 * SECOND, inbox.recv()).await.is_err(), "sent on");
-        assert_eq!(frontend.open.get(), 0, "closed in the end, though its client is not");
+        assert!(timeout(2 * SECOND, inbox.recv()).await.is_err(), "forwarded");
+        assert_eq!(frontend.open.get(), 0, "closed in the end, though its client does not close");
     })
     .await;
 }
 
-/// One that has to make room for others closes at once, though its client does not: nobody else may come meanwhile.
+/// A connection that has to make room is closed at once, even if its client does not close: no other client could
+/// connect meanwhile.
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_makes_room_waits_for_nobody() {
+async fn a_connection_that_makes_room_does_not_linger() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         client.write_all(READ).await.unwrap();
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
         settle().await;
         assert!(frontend.make_room());
-        held(async {
+        with_clock_held(async {
             while frontend.open.get() > 0 {
                 frontend.closed.notified().await;
             }
@@ -138,7 +142,7 @@
     .await;
 }
 
-/// One of which much more came in that instant than one look reads has all of it read.
+/// If more arrives at that moment than one read takes, all of it is read.
 #[tokio::test(start_paused = true)]
 async fn a_long_first_request_whose_end_came_before_the_close_is_answered() {
     let value = "v".repeat(60 * 1024);
@@ -148,61 +152,62 @@
         client.write_all(first).await.unwrap();
         settle().await;
         assert_eq!(client.try_write(second).unwrap(), second.len());
-        unheard();
+        deliver_without_running_the_node();
         assert!(frontend.make_room());
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
-        is_closed(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
+        expect_close(&mut client).await;
     })
     .await;
 }
 
-/// One that was written before its connection had its first turn, and was told to make room by then, is answered.
+/// A request written before its connection's task first ran, when the connection had been asked to make room by then,
+/// is answered.
 #[tokio::test(start_paused = true)]
-async fn a_first_request_that_came_before_the_first_turn_is_answered() {
+async fn a_first_request_that_came_before_the_first_poll_is_answered() {
     let (messages, mut inbox) = unbounded_channel();
     let frontend = frontend(&Limits::default(), messages);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     assert_eq!(client.try_write(READ).unwrap(), READ.len());
-    let play = async {
+    let scenario = async {
         while frontend.open.get() == 0 {
             tokio::task::yield_now().await;
         }
         assert!(inbox.try_recv().is_err() && frontend.make_room());
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
-        is_closed(&mut client).await;
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
+        expect_close(&mut client).await;
     };
     let run = async {
         tokio::select! {
-            // The play goes on between its accepting and the first turn of what it has accepted.
+            // The test body runs between the accept and the first poll of the accepted connection's task.
             biased;
             () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts for ever"),
-            () = play => {}
+            () = scenario => {}
         }
     };
     LocalSet::new().run_until(run).await;
 }
 
-/// A part of a first request that was read is answered before the close, and at once: its rest may be on its way.
+/// A partial first request that was read is answered before the close, and at once: its remainder may be on its way.
 #[tokio::test(start_paused = true)]
-async fn half_a_first_request_is_refused_before_its_connection_makes_room() {
+async fn half_a_first_request_is_rejected_before_its_connection_makes_room() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         let (first, second) = READ.split_at(10);
         client.write_all(first).await.unwrap();
         settle().await;
         assert!(frontend.make_room());
-        is_refused(&mut client).await;
-        is_closed(&mut client).await;
-        assert_eq!(frontend.open.get(), 0, "it waits for nobody");
+        expect_busy(&mut client).await;
+        expect_close(&mut client).await;
+        assert_eq!(frontend.open.get(), 0, "it does not linger");
         let _ = client.write_all(second).await;
-        assert!(timeout(2 * SECOND, inbox.recv()).await.is_err(), "sent on behind the close");
+        assert!(timeout(2 * SECOND, inbox.recv()).await.is_err(), "forwarded after the close");
     })
     .await;
 }
 
-/// A connection that has asked nothing until its time in a stop, and asks in that very instant, is answered.
+/// A connection without a request until its close time in a stop, with a request at that very moment, is answered.
 #[tokio::test(start_paused = true)]
 async fn a_first_request_in_the_instant_of_a_stops_close_is_answered() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
@@ -212,37 +217,37 @@
         settle().await;
         advance(times.part_after).await;
         assert_eq!(client.try_write(READ).unwrap(), READ.len());
-        unheard();
-        answers(&mut inbox).await;
-        is_answered(&mut client).await;
-        is_closed(&mut client).await;
+        deliver_without_running_the_node();
+        answer_next_request(&mut inbox).await;
+        expect_answer(&mut client).await;
+        expect_close(&mut client).await;
     })
     .await;
 }
 
-/// Half a command may get its other half in a stop, and is answered then; at the time of the last answer it is
-/// refused, as it has been read, and the kill finds no connection open on which a request could be sent.
+/// A partial command may be completed during a stop and is answered then. At the time of the last answer it is
+/// rejected, as it has been read, and the kill finds no connection open on which a request could be sent.
 #[tokio::test(start_paused = true)]
-async fn half_a_command_is_waited_for_until_the_last_answers_time() {
-    for (comes_after, taken) in
-        [(700, true), (850, false)].map(|(ms, taken)| (Duration::from_millis(ms), taken))
+async fn half_a_command_is_awaited_until_the_time_of_the_last_answer() {
+    for (resumes_after, completed_in_time) in [(700, true), (850, false)]
+        .map(|(ms, completed_in_time)| (Duration::from_millis(ms), completed_in_time))
     {
         with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
             client.write_all(READ).await.unwrap();
-            answers(&mut inbox).await;
-            is_answered(&mut client).await;
+            answer_next_request(&mut inbox).await;
+            expect_answer(&mut client).await;
             let (first, second) = READ.split_at(10);
             // With so short a deadline the kill comes 0.9 s after SIGTERM.
             frontend.lifecycle.stop(false, Stop::of(Duration::from_millis(200)));
             client.write_all(first).await.unwrap();
             settle().await;
-            sleep(comes_after).await;
+            sleep(resumes_after).await;
             settle().await;
-            if taken {
+            if completed_in_time {
                 client.write_all(second).await.unwrap();
-                answers(&mut inbox).await;
-                is_answered(&mut client).await;
-                return is_closed(&mut client).await;
+                answer_next_request(&mut inbox).await;
+                expect_answer(&mut client).await;
+                return expect_close(&mut client).await;
             }
             let mut answer = vec![0; protocol::busy(None).len() + 1];
             let read = client.try_read(&mut answer).map(|read| &answer[..read]);
@@ -250,20 +255,22 @@
             let closed = client.try_read(&mut [0]);
             assert!(matches!(closed, Ok(0)), "{closed:?}");
             client.write_all(second).await.unwrap();
-            assert!(timeout(2 * SECOND, inbox.recv()).await.is_err(), "sent on behind the close");
+            assert!(timeout(2 * SECOND, inbox.recv()).await.is_err(), "forwarded after the close");
         })
         .await;
     }
 }
 
-/// A client that takes its last answer slowly has all of it, though it sends on meanwhile: its connection does not end
-/// while the system has much of the answer still to send, as what comes behind the end would reset it.
+/// A client that reads its last answer slowly gets all of it, though it keeps sending: its connection does not end
+/// while the kernel has much of the answer still to send, as input after the end would reset it.
 #[tokio::test(start_paused = true)]
-async fn a_last_answer_that_is_taken_slowly_is_not_cut_off_by_what_comes() {
+async fn a_last_answer_that_is_read_slowly_is_not_cut_off_by_input() {
     const LENGTH: usize = 1 << 20;
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         client.write_all(READ).await.unwrap();
-        let Some(Message::Request { reply, .. }) = held(inbox.recv()).await else { panic!("a request") };
+        let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
+            panic!("a request")
+        };
         assert!(reply.send(Answer::untaken(vec![b'v'; LENGTH].into())).is_ok());
         settle().await;
         frontend.lifecycle.stop(false, Stop::of(SECOND));
@@ -271,9 +278,9 @@
         client.write_all(READ).await.unwrap();
         settle().await;
         let mut answer = Vec::new();
-        let ended = held(client.read_to_end(&mut answer)).await;
+        let ended = with_clock_held(client.read_to_end(&mut answer)).await;
         assert_eq!((ended.ok(), answer.len()), (Some(LENGTH), LENGTH));
-        assert!(inbox.try_recv().is_err(), "sent on");
+        assert!(inbox.try_recv().is_err(), "forwarded");
     })
     .await;
 }
--- a/crates/node/src/frontend/tests/final_answers.rs
+++ b/crates/node/src/frontend/tests/final_answers.rs
@@ -1,5 +1,5 @@
-//! Every request that was read has its final answer, by its time and whatever fails: no fault of cache servers and no
-//! bound of the node's own frees one of it.
+//! Every request that was read gets its final answer in time: no fault of a cache server and no limit of the node
+//! exempts one.
 
 use std::time::Duration;
 
@@ -7,20 +7,21 @@
 use tokio::net::TcpStream;
 use tokio::time::{advance, timeout, Instant};
 
-use super::node::{Node, Server};
-use super::{held, settle, LONG};
+use super::node::{Node, ServerBehaviour};
+use super::{settle, with_clock_held, LONG};
 use crate::config::Limits;
 
 const MS: Duration = Duration::from_millis(1);
-const SERVERS: [Server; 4] = [Server::Silent, Server::Closes, Server::Resets, Server::Spoilt];
+const SERVER_BEHAVIOURS: [ServerBehaviour; 4] =
+    [ServerBehaviour::Silent, ServerBehaviour::Closes, ServerBehaviour::Resets, ServerBehaviour::Malformed];
 
-/// So many commands whose ids begin with this.
+/// `count` commands whose ids begin with `ids`.
 fn reads(ids: &str, wait: u64, count: usize) -> String {
     (0..count).map(|n| format!("mg k{n} v O{ids}-{n} Pc=read,d={wait}\r\n")).collect()
 }
 
-/// Lets this much time pass, in steps between which the system brings what was sent.
-async fn pass(time: Duration) {
+/// Lets this much time pass, in steps between which the system delivers what was sent.
+async fn advance_by(time: Duration) {
     const STEP: Duration = Duration::from_millis(50);
     let end = Instant::now() + time;
     settle().await;
@@ -30,8 +31,8 @@
     }
 }
 
-/// So many answers are there, each a line, and none of them is an error of the client's.
-async fn has_answers(client: TcpStream, count: usize) {
+/// Checks that `count` answers are available, each one line, and that none is an error of the client's own.
+async fn expect_answers(client: TcpStream, count: usize) {
     let mut lines = BufReader::new(client).lines();
     for n in 0..count {
         let line = timeout(LONG, lines.next_line()).await;
@@ -40,44 +41,44 @@
     }
 }
 
-/// The same with no time passing.
-async fn has_answers_by_now(client: TcpStream, count: usize, of: &str) {
+/// The same without time passing.
+async fn expect_answers_now(client: TcpStream, count: usize, context: &str) {
     let now = Instant::now();
-    held(has_answers(client, count)).await;
-    assert_eq!(now.elapsed(), Duration::ZERO, "{of}");
+    with_clock_held(expect_answers(client, count)).await;
+    assert_eq!(now.elapsed(), Duration::ZERO, "{context}");
 }
 
-/// Of a client that sends many commands at once, whatever its cache server does with them.
+/// A client sends many commands at once, whatever its cache server does with them.
 #[tokio::test(start_paused = true)]
-async fn no_fault_of_a_cache_server_frees_a_request_of_its_answer() {
-    for server in SERVERS {
+async fn every_request_is_answered_whatever_its_cache_server_does() {
+    for server in SERVER_BEHAVIOURS {
         let node = Node::start_with(server, &Limits::default()).await;
-        let play = async {
+        let scenario = async {
             let mut client = node.client().await;
             client.write_all(reads("a", 300, 40).as_bytes()).await.unwrap();
-            pass(300 * MS).await;
-            has_answers_by_now(client, 40, &format!("{server:?}")).await;
+            advance_by(300 * MS).await;
+            expect_answers_now(client, 40, &format!("{server:?}")).await;
         };
-        node.run(play).await;
+        node.run(scenario).await;
     }
 }
 
-/// Where the memory for commands holds few of them: the rest wait, and are answered in the same order.
+/// The memory for commands holds only a few of them: the others wait, and are answered in order.
 #[tokio::test(start_paused = true)]
-async fn no_bound_on_memory_frees_a_request_of_its_answer() {
+async fn every_request_is_answered_with_little_memory() {
     let limits = Limits { memory_mb: 1, ..Limits::default() };
-    for server in SERVERS {
+    for server in SERVER_BEHAVIOURS {
         let node = Node::start_with(server, &limits).await;
-        let play = async {
+        let scenario = async {
             let mut clients = [node.client().await, node.client().await, node.client().await];
             for (ids, client) in ["a", "b", "c"].into_iter().zip(&mut clients) {
                 client.write_all(reads(ids, 300, 40).as_bytes()).await.unwrap();
             }
             for client in clients {
-                has_answers(client, 40).await;
+                expect_answers(client, 40).await;
             }
         };
-        node.run(play).await;
+        node.run(scenario).await;
     }
 }
 
@@ -85,35 +86,35 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_with_little_time_left_is_answered_within_it() {
     for wait in 0..=20 {
-        for server in SERVERS {
+        for server in SERVER_BEHAVIOURS {
             let node = Node::start_with(server, &Limits::default()).await;
-            let play = async {
+            let scenario = async {
                 let mut client = node.client().await;
                 client.write_all(reads("a", wait, 1).as_bytes()).await.unwrap();
-                pass(wait as u32 * MS).await;
-                has_answers_by_now(client, 1, &format!("{server:?}, {wait} ms")).await;
+                advance_by(wait as u32 * MS).await;
+                expect_answers_now(client, 1, &format!("{server:?}, {wait} ms")).await;
             };
-            node.run(play).await;
+            node.run(scenario).await;
         }
     }
 }
 
-/// The same where the node does not run for a while between its reading and the answer.
+/// The same if the node does not run for a while between reading the request and the answer.
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_time_ends_while_the_node_is_held_up_is_answered_at_once() {
+async fn a_request_that_expires_while_the_node_is_paused_is_answered_at_once() {
     for wait in [1, 5, 20, 100] {
         for yields in 0..6 {
             let node = Node::start().await;
-            let play = async {
+            let scenario = async {
                 let mut client = node.client().await;
                 client.write_all(reads("a", wait, 1).as_bytes()).await.unwrap();
                 for _ in 0..yields {
                     tokio::task::yield_now().await;
                 }
                 advance(150 * MS).await;
-                has_answers_by_now(client, 1, &format!("{wait} ms, held up after {yields} turns")).await;
+                expect_answers_now(client, 1, &format!("{wait} ms, paused after {yields} yields")).await;
             };
-            node.run(play).await;
+            node.run(scenario).await;
         }
     }
 }
--- a/crates/node/src/frontend/tests/logs.rs
+++ b/crates/node/src/frontend/tests/logs.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a command: its client's own id from its taking to its answer, and why it was given up.
+//! Log lines of a command: they carry the client's own id from start to answer, and the reason if it was given up.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -11,14 +11,14 @@
 use tracing::{Dispatch, Level};
 
 use super::node::Node;
-use super::{held, settle};
+use super::{settle, with_clock_held};
 use crate::stop::Stop;
 
 const SECOND: Duration = Duration::from_secs(1);
 /// The start of a command, with its id.
-const HALF: &[u8] = b"mg k v Ohalf Pc=read";
+const PARTIAL_COMMAND: &[u8] = b"mg k v Ohalf Pc=read";
 
-/// The lines of the log, from its start on this thread.
+/// Captures the log lines of this thread.
 #[derive(Clone, Default)]
 struct Log(Arc<Mutex<Vec<u8>>>);
 
@@ -36,19 +36,19 @@
 impl Log {
     fn start() -> (Self, [Dispatch; 2], DefaultGuard) {
         let log = Log::default();
-        let lines = || {
+        let subscriber = || {
             let writer = log.clone();
-            let lines = tracing_subscriber::fmt().with_max_level(Level::DEBUG).with_ansi(false);
-            Dispatch::new(lines.with_writer(move || writer.clone()).finish())
+            let subscriber = tracing_subscriber::fmt().with_max_level(Level::DEBUG).with_ansi(false);
+            Dispatch::new(subscriber.with_writer(move || writer.clone()).finish())
         };
-        // While there is only one, a line that is first met by the thread of another test, which has none, is taken to
-        // interest nobody from then on.
-        let dispatches = [lines(), lines()];
+        // With a single dispatcher, a call site first reached by another test's thread, which has none, would be
+        // cached as disabled for good.
+        let dispatches = [subscriber(), subscriber()];
         let guard = set_default(&dispatches[0]);
         (log, dispatches, guard)
     }
 
-    /// How many lines hold all of these.
+    /// Number of lines that contain all of `parts`.
     fn count(&self, parts: &[&str]) -> usize {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         text.lines().filter(|line| parts.iter().all(|part| line.contains(part))).count()
@@ -60,36 +60,36 @@
     settle().await;
 }
 
-/// By the client's id the lines of one request are found, whatever the node calls it.
+/// The client's id finds the lines of one request, whatever number the node gives it.
 #[tokio::test(start_paused = true)]
-async fn the_lines_of_a_request_hold_its_clients_id() {
+async fn log_lines_of_a_request_carry_its_clients_id() {
     let (log, _dispatches, _guard) = Log::start();
     let node = Node::start().await;
-    let play = async {
+    let scenario = async {
         let mut client = node.client().await;
         send(&mut client, b"mg k v Oown Pc=read,d=300\r\n").await;
         sleep(SECOND).await;
-        held(client.read_exact(&mut [0; 14])).await.unwrap();
+        with_clock_held(client.read_exact(&mut [0; 14])).await.unwrap();
         for line in [" attempt ", " outcome ", " answer "] {
             assert_eq!(log.count(&[line, "opaque=own", "request="]), 1, "{line}");
         }
         assert_eq!(log.count(&[" answer ", "opaque=own", "end=", "left="]), 1);
     };
-    node.run(play).await;
+    node.run(scenario).await;
 }
 
-/// What was begun and has no answer is said once, with its id as far as it came, and why.
+/// A command that was started and gets no answer is logged once, with its id as far as it arrived and the reason.
 #[tokio::test(start_paused = true)]
-async fn a_command_that_is_given_up_is_said_once_with_the_reason() {
+async fn a_command_that_is_given_up_is_logged_once_with_the_reason() {
     for reason in ["TooSlow", "ClientGone", "MadeRoom", "Stopping", "FramingLost"] {
         let (log, _dispatches, _guard) = Log::start();
         let node = Node::start().await;
-        let play = async {
+        let scenario = async {
             let mut client = node.client().await;
             if reason == "FramingLost" {
-                send(&mut client, &[b"ms k 300000 Obad Pc=read,d=9\r\n", HALF].concat()).await;
+                send(&mut client, &[b"ms k 300000 Obad Pc=read,d=9\r\n", PARTIAL_COMMAND].concat()).await;
             } else {
-                send(&mut client, HALF).await;
+                send(&mut client, PARTIAL_COMMAND).await;
             }
             match reason {
                 "TooSlow" => sleep(3 * SECOND).await,
@@ -109,16 +109,16 @@
             assert_eq!(log.count(&line), 1, "{reason}");
             assert_eq!(log.count(&[&format!("opaque={id}")]), 1, "{reason}");
         };
-        node.run(play).await;
+        node.run(scenario).await;
     }
 }
 
-/// A request in hand whose client goes is said with its reason, and with its id by the driver.
+/// A request in flight whose client disconnects is logged with the reason, and by the driver with its id.
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_client_goes_is_said_with_its_id() {
+async fn a_request_whose_client_disconnects_is_logged_with_its_id() {
     let (log, _dispatches, _guard) = Log::start();
     let node = Node::start().await;
-    let play = async {
+    let scenario = async {
         let mut client = node.client().await;
         send(&mut client, b"mg k v Oown Pc=read,d=300\r\n").await;
         drop(client);
@@ -126,5 +126,5 @@
         assert_eq!(log.count(&["request given up", "reason=ClientGone"]), 1);
         assert_eq!(log.count(&["withdrawn", "opaque=own", "left=0.2"]), 1);
     };
-    node.run(play).await;
+    node.run(scenario).await;
 }
--- a/crates/node/src/frontend/tests/mod.rs
+++ b/crates/node/src/frontend/tests/mod.rs
@@ -1,15 +1,15 @@
-//! Client connections: their bounds, each of the review's table, and what crosses with their ends.
+//! Client connections: their limits, as listed in the hardening review, and what crosses with their end.
 
 mod accept;
 mod bounds;
 mod closing;
+mod disconnects;
+mod eviction;
 mod final_answers;
-mod floods;
-mod hang_ups;
 mod input;
 mod logs;
 mod node;
-mod room;
+mod slow_readers;
 mod slow_writers;
 mod stop;
 
@@ -29,13 +29,13 @@
 use crate::message::Message;
 use crate::upstream::{Bounds, Upstream};
 
-/// A frontend within these limits whose requests go to `messages`, with a second for every time it is given, and deadlines
-/// of some seconds.
+/// A frontend within these limits that sends its requests to `messages`, with one second for every configurable time,
+/// and deadlines of some seconds.
 fn frontend(limits: &Limits, messages: UnboundedSender<Message>) -> Rc<Frontend> {
     frontend_for(limits, messages, LONG)
 }
 
-/// The same where the shortest deadline is this.
+/// The same with this shortest deadline.
 fn frontend_for(limits: &Limits, messages: UnboundedSender<Message>, shortest: Duration) -> Rc<Frontend> {
     let second = Duration::from_secs(1);
     let bounds = Bounds { dial: second, idle: second, grace: second };
@@ -44,40 +44,40 @@
     Frontend::new(messages, upstream, Lifecycle::new(), budget, penance(shortest))
 }
 
-/// Longer than anything takes on a busy machine; only a failing test waits for it.
+/// Longer than anything takes on a busy machine; only a failing test waits this long.
 const LONG: Duration = Duration::from_secs(20);
 
-/// What comes over sockets, with the paused clock held meanwhile: the system takes its own time to bring it.
-async fn held<T>(what: impl Future<Output = T>) -> T {
+/// Awaits socket I/O with the paused clock held: the system takes real time to deliver.
+async fn with_clock_held<T>(operation: impl Future<Output = T>) -> T {
     let (release, hold) = std::sync::mpsc::channel::<()>();
     let held = tokio::task::spawn_blocking(move || hold.recv_timeout(LONG));
     let done = tokio::select! {
-        done = what => done,
-        _ = held => panic!("nothing came"),
+        done = operation => done,
+        _ = held => panic!("nothing arrived in time"),
     };
     drop(release);
     done
 }
 
-/// Gives the system time to bring what was sent, and the node to read it, on the paused clock.
+/// Gives the system real time to deliver what was sent, and the node to read it, on the paused clock.
 async fn settle() {
-    let waits = || std::thread::sleep(Duration::from_millis(20));
-    tokio::task::spawn_blocking(waits).await.unwrap();
+    let wait = || std::thread::sleep(Duration::from_millis(20));
+    tokio::task::spawn_blocking(wait).await.unwrap();
 }
 
-/// Plays this with one client of a frontend within these limits, and with what the driver would be told.
+/// Runs `scenario` with one client of a frontend within these limits, and with the messages to the driver.
 async fn with_client<F: Future<Output = ()>>(
     limits: &Limits,
-    play: impl FnOnce(TcpStream, Rc<Frontend>, UnboundedReceiver<Message>) -> F,
+    scenario: impl FnOnce(TcpStream, Rc<Frontend>, UnboundedReceiver<Message>) -> F,
 ) {
-    with_client_for(limits, LONG, play).await;
+    with_client_for(limits, LONG, scenario).await;
 }
 
-/// The same where the shortest deadline is this.
+/// The same with this shortest deadline.
 async fn with_client_for<F: Future<Output = ()>>(
     limits: &Limits,
     shortest: Duration,
-    play: impl FnOnce(TcpStream, Rc<Frontend>, UnboundedReceiver<Message>) -> F,
+    scenario: impl FnOnce(TcpStream, Rc<Frontend>, UnboundedReceiver<Message>) -> F,
 ) {
     let (messages, inbox) = unbounded_channel();
     let frontend = frontend_for(limits, messages, shortest);
@@ -85,13 +85,13 @@
     let address = listener.local_addr().unwrap();
     let client = async {
         let client = TcpStream::connect(address).await.unwrap();
-        play(client, frontend.clone(), inbox).await;
+        scenario(client, frontend.clone(), inbox).await;
     };
-    let run = async {
+    let serving = async {
         tokio::select! {
             () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts for ever"),
             () = client => {}
         }
     };
-    LocalSet::new().run_until(run).await;
+    LocalSet::new().run_until(serving).await;
 }
--- a/crates/node/src/frontend/tests/node.rs
+++ b/crates/node/src/frontend/tests/node.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-use super::{held, penance};
+use super::{penance, with_clock_held};
 use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::config::Limits;
@@ -25,30 +25,31 @@
 use crate::roster::Roster;
 use crate::upstream::{Bounds, Upstream};
 
-/// What the cache server does with what it is asked.
+/// How the cache server treats commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Server {
-    /// It takes everything and answers nothing.
+pub(super) enum ServerBehaviour {
+    /// Accepts everything and answers nothing.
     Silent,
-    /// It closes each connection that it is asked something on.
+    /// Closes each connection that carries a command.
     Closes,
-    /// It resets each connection that it is asked something on.
+    /// Resets each connection that carries a command.
     Resets,
-    /// It answers with something that is no answer.
-    Spoilt,
+    /// Sends something that is not an answer.
+    Malformed,
 }
 
-/// What the cache server was asked and nobody has looked at yet.
+/// Lines received by the cache server that no test has consumed yet.
 #[derive(Default)]
-struct Asked {
+struct ReceivedLines {
     lines: RefCell<Vec<String>>,
-    more: Notify,
+    added: Notify,
 }
 
+/// A node under test.
 pub(super) struct Node {
     pub(super) frontend: Rc<Frontend>,
     listener: TcpListener,
-    asked: Rc<Asked>,
+    received: Rc<ReceivedLines>,
     local: LocalSet,
 }
 
@@ -74,12 +75,12 @@
 }
 
 impl Node {
-    /// With a cache server that answers nothing, and limits that nothing here reaches.
+    /// With a cache server that answers nothing, and limits that no test reaches.
     pub(super) async fn start() -> Self {
-        Self::start_with(Server::Silent, &Limits::default()).await
+        Self::start_with(ServerBehaviour::Silent, &Limits::default()).await
     }
 
-    pub(super) async fn start_with(server: Server, limits: &Limits) -> Self {
+    pub(super) async fn start_with(behaviour: ServerBehaviour, limits: &Limits) -> Self {
         let second = Duration::from_secs(1);
         let bounds = Bounds { dial: second, idle: second, grace: second };
         let budget = Budget::new(limits);
@@ -87,7 +88,7 @@
         let upstream = Rc::new(Upstream::new(bounds, budget.clone(), figures.clone()));
         let (messages, inbox) = unbounded_channel();
         let clock = Clock::start();
-        let around = Around {
+        let context = Around {
             clock,
             upstream: upstream.clone(),
             messages: messages.clone(),
@@ -96,78 +97,82 @@
             figures,
             fleet: None,
         };
-        let mut driver = Driver::new(&settings(), 1, around).unwrap();
-        let (asked, local) = (Rc::new(Asked::default()), LocalSet::new());
-        let address = cache_server(&local, server, asked.clone()).await;
+        let mut driver = Driver::new(&settings(), 1, context).unwrap();
+        let (received, local) = (Rc::new(ReceivedLines::default()), LocalSet::new());
+        let address = cache_server(&local, behaviour, received.clone()).await;
         let member = format!(r#"{{"id":"s","host_port":"{address}","phase":"ready"}}"#);
         let list = format!(r#"{{"revision":1,"complete":true,"members":[{member}]}}"#);
         driver.known(Roster::from_json(list.as_bytes(), &clock).unwrap());
         let frontend = Frontend::new(messages, upstream, lifecycle, budget, penance(2 * second));
         local.spawn_local(async move {
-            // Nothing is told of lists, but the driver goes on to ask for them.
-            let (_news, lists) = unbounded_channel();
+            // No endpoint list arrives, but the driver keeps polling for one.
+            let (_sender, lists) = unbounded_channel();
             driver.run(inbox, lists).await;
         });
-        Node { frontend, listener: TcpListener::bind("127.0.0.1:0").await.unwrap(), asked, local }
+        Node { frontend, listener: TcpListener::bind("127.0.0.1:0").await.unwrap(), received, local }
     }
 
-    /// Runs the node while this is played.
-    pub(super) async fn run(&self, play: impl Future<Output = ()>) {
-        let run = async {
+    /// Runs the node while `scenario` runs.
+    pub(super) async fn run(&self, scenario: impl Future<Output = ()>) {
+        let serving = async {
             tokio::select! {
                 () = self.frontend.clone().accept(&self.listener) => unreachable!("it accepts for ever"),
-                () = play => {}
+                () = scenario => {}
             }
         };
-        self.local.run_until(run).await;
+        self.local.run_until(serving).await;
     }
 
     pub(super) async fn client(&self) -> TcpStream {
         TcpStream::connect(self.listener.local_addr().unwrap()).await.unwrap()
     }
 
-    /// Whether the cache server was asked what nobody has looked at.
-    pub(super) fn was_asked(&self) -> bool {
-        !self.asked.lines.borrow().is_empty()
+    /// Whether the cache server has received a line that no test has consumed.
+    pub(super) fn has_unread_line(&self) -> bool {
+        !self.received.lines.borrow().is_empty()
     }
 
-    /// The next line that the cache server was asked.
-    pub(super) async fn asked(&self) -> String {
-        held(async {
-            while !self.was_asked() {
-                self.asked.more.notified().await;
+    /// The next line that the cache server received.
+    pub(super) async fn next_line(&self) -> String {
+        with_clock_held(async {
+            while !self.has_unread_line() {
+                self.received.added.notified().await;
             }
         })
         .await;
-        self.asked.lines.borrow_mut().remove(0)
+        self.received.lines.borrow_mut().remove(0)
     }
 }
 
-async fn cache_server(local: &LocalSet, server: Server, asked: Rc<Asked>) -> SocketAddr {
+async fn cache_server(
+    local: &LocalSet,
+    behaviour: ServerBehaviour,
+    received: Rc<ReceivedLines>,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     local.spawn_local(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            tokio::task::spawn_local(serve(stream, server, asked.clone()));
+            tokio::task::spawn_local(serve(stream, behaviour, received.clone()));
         }
     });
     address
 }
 
-async fn serve(stream: TcpStream, server: Server, asked: Rc<Asked>) {
+async fn serve(stream: TcpStream, behaviour: ServerBehaviour, received: Rc<ReceivedLines>) {
     let mut stream = BufReader::new(stream);
     let mut line = String::new();
     while stream.read_line(&mut line).await.is_ok_and(|read| read > 0) {
-        asked.lines.borrow_mut().push(std::mem::take(&mut line));
-        asked.more.notify_one();
-        match server {
-            Server::Silent => {}
-            Server::Closes => return,
-            Server::Resets => {
+        received.lines.borrow_mut().push(std::mem::take(&mut line));
+        received.added.notify_one();
+        match behaviour {
+            ServerBehaviour::Silent => {}
+            ServerBehaviour::Closes => return,
+            ServerBehaviour::Resets => {
                 return SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            Server::Spoilt => stream.write_all(b"VALUE\r\n").await.unwrap(),
+            ServerBehaviour::Malformed => stream.write_all(b"VALUE\r\n").await.unwrap(),
         }
     }
 }
--- a/crates/node/src/frontend/tests/floods.rs
+++ b/crates/node/src/frontend/tests/slow_readers.rs
@@ -1,4 +1,4 @@
-//! Clients that are slow in both directions, and that take nothing.
+//! Clients that are slow in both directions, and clients that read nothing.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
-use super::{frontend, held, settle, with_client};
+use super::{frontend, settle, with_client, with_clock_held};
 use crate::answer::Answer;
 use crate::config::Limits;
 use crate::frontend::STALLED;
@@ -19,9 +19,9 @@
 const SECOND: Duration = Duration::from_secs(1);
 const KIB: usize = 1024;
 
-/// How long a client that is owed an answer of `length` bytes keeps its connection that sends a command each second
-/// and takes `taken` bytes of the answer every `each`. The kernels hold little between the two.
-async fn keeps_for(length: usize, taken: usize, each: Duration) -> Duration {
+/// How long a client keeps its connection if it waits for an answer of `length` bytes, sends a command each second and
+/// reads `piece_length` bytes of the answer every `interval`. The kernel buffers in between are small.
+async fn connection_lifetime(length: usize, piece_length: usize, interval: Duration) -> Duration {
     let (messages, mut inbox) = unbounded_channel();
     let frontend = frontend(&Limits::default(), messages);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -32,13 +32,15 @@
         socket.set_recv_buffer_size(4096).unwrap();
         let (mut reader, mut writer) = socket.connect(address).await.unwrap().into_split();
         writer.write_all(b"mg k v Oa Pc=read,d=9000\r\n").await.unwrap();
-        let Some(Message::Request { reply, .. }) = held(inbox.recv()).await else { panic!("a request") };
+        let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
+            panic!("a request")
+        };
         assert!(reply.send(Answer::untaken(Bytes::from(vec![b'v'; length]))).is_ok());
         let owed_since = Instant::now();
-        let taking = tokio::task::spawn_local(async move {
-            let mut piece = vec![0; taken];
+        let reading = tokio::task::spawn_local(async move {
+            let mut piece = vec![0; piece_length];
             loop {
-                sleep(each).await;
+                sleep(interval).await;
                 if reader.read_exact(&mut piece).await.is_err() {
                     return;
                 }
@@ -51,45 +53,47 @@
                 break;
             }
         }
-        taking.abort();
+        reading.abort();
         owed_since.elapsed()
     };
     let run = async {
         tokio::select! {
             () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts for ever"),
-            kept = client => kept,
+            lifetime = client => lifetime,
         }
     };
     LocalSet::new().run_until(run).await
 }
 
-/// What a client sends is no sign that it takes its answers. It leaves less unread than keeps its commands waiting.
+/// Input from a client is no sign that it reads its answers. Less is left unread here than makes its commands wait.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_only_sends_does_not_keep_its_connection() {
-    let kept = keeps_for(100 * KIB, 1, Duration::from_secs(3600)).await;
-    assert!(kept <= STALLED + 3 * SECOND, "kept for {kept:?}");
+    let lifetime = connection_lifetime(100 * KIB, 1, Duration::from_secs(3600)).await;
+    assert!(lifetime <= STALLED + 3 * SECOND, "closed after {lifetime:?}");
 }
 
-/// Nor are a few bytes now and then.
+/// Neither is a few bytes read now and then.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_takes_its_answer_in_drips_does_not_keep_its_connection() {
-    let kept = keeps_for(KIB * KIB, 16 * KIB, 3 * SECOND).await;
-    assert!(kept <= 3 * STALLED, "kept for {kept:?}");
+async fn a_client_that_reads_its_answer_in_drips_does_not_keep_its_connection() {
+    let lifetime = connection_lifetime(KIB * KIB, 16 * KIB, 3 * SECOND).await;
+    assert!(lifetime <= 3 * STALLED, "closed after {lifetime:?}");
 }
 
-/// A client that takes its answer steadily, at more than the least rate, keeps its connection, though the system would
-/// hold much more for it than it takes within the stall time.
+/// A client that reads its answer steadily, above the minimum rate, keeps its connection, though the kernel could
+/// hold much more for it than it reads within the stall timeout.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_takes_its_answer_steadily_keeps_its_connection() {
+async fn a_client_that_reads_its_answer_steadily_keeps_its_connection() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         client.write_all(b"mg k v Oa Pc=read,d=9000\r\n").await.unwrap();
-        let Some(Message::Request { reply, .. }) = held(inbox.recv()).await else { panic!("a request") };
+        let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
+            panic!("a request")
+        };
         assert!(reply.send(Answer::untaken(Bytes::from(vec![b'v'; 16 * KIB * KIB]))).is_ok());
         settle().await;
         let mut piece = vec![0; 64 * KIB];
         for _ in 0..40 {
             sleep(SECOND).await;
-            held(client.read_exact(&mut piece)).await.unwrap();
+            with_clock_held(client.read_exact(&mut piece)).await.unwrap();
             settle().await;
             assert_eq!(frontend.open.get(), 1, "closed");
         }
--- a/crates/node/src/frontend/tests/stop.rs
+++ b/crates/node/src/frontend/tests/stop.rs
@@ -1,4 +1,4 @@
-//! What is taken while the process ends.
+//! Requests accepted while the process ends.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,9 +17,9 @@
 use crate::message::Message;
 use crate::stop::Stop;
 
-/// How long after a stop the last request was taken from a client that asks again `rest` after each answer, on
-/// one connection for as long as it is open, where answers take `serving`; on the paused clock.
-async fn last_taken_after_a_stop(rest: Duration, serving: Duration) -> Duration {
+/// How long after a stop the last request was accepted from a client that sends again `pause` after each answer, on
+/// one connection for as long as it is open, if answers take `answer_time`; on the paused clock.
+async fn last_accepted_after_a_stop(pause: Duration, answer_time: Duration) -> Duration {
     let (messages, mut inbox) = unbounded_channel();
     let frontend = frontend(&Limits::default(), messages);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -31,14 +31,14 @@
             if client.read_exact(&mut answer).await.is_err() {
                 return;
             }
-            sleep(rest).await;
+            sleep(pause).await;
         }
     };
-    let taken = Rc::new(Cell::new(Instant::now()));
+    let accepted = Rc::new(Cell::new(Instant::now()));
     let serve = async {
         while let Some(Message::Request { reply, .. }) = inbox.recv().await {
-            taken.set(Instant::now());
-            sleep(serving).await;
+            accepted.set(Instant::now());
+            sleep(answer_time).await;
             let _ = reply.send(Answer::untaken(protocol::FAILED));
         }
     };
@@ -46,9 +46,9 @@
         sleep(Duration::from_secs(1)).await;
         let stopped = Instant::now();
         frontend.lifecycle.stop(false, Stop::of(Duration::from_secs(2)));
-        // The test ends by itself: by then the kill has come.
+        // The test ends by itself: by then the kill would have come.
         sleep(Duration::from_secs(3)).await;
-        taken.get().saturating_duration_since(stopped)
+        accepted.get().saturating_duration_since(stopped)
     };
     let all = async {
         tokio::select! {
@@ -60,22 +60,25 @@
     LocalSet::new().run_until(all).await
 }
 
-/// Clients send on every connection that stays open: all that a stopping node takes has its whole deadline left
-/// before the kill, whether the connection is busy or idle when its time comes.
+/// Clients send on every connection that stays open: each request accepted by a stopping node has its whole deadline
+/// left before the kill, whether the connection is busy or idle at its close time.
 #[tokio::test(start_paused = true)]
-async fn after_a_stop_nothing_is_taken_that_the_kill_would_cut_off() {
+async fn after_a_stop_no_request_is_accepted_that_the_kill_would_cut_off() {
     let ms = Duration::from_millis;
     let part = Stop::of(ms(2000)).part_after;
-    for (rest, serving) in [(ms(0), ms(70)), (ms(50), ms(1)), (ms(250), ms(40)), (ms(5), ms(900))] {
-        let last = last_taken_after_a_stop(rest, serving).await;
-        assert!(last <= part, "asked {rest:?} after answers that took {serving:?}: taken at {last:?}");
+    for (pause, answer_time) in [(ms(0), ms(70)), (ms(50), ms(1)), (ms(250), ms(40)), (ms(5), ms(900))] {
+        let last = last_accepted_after_a_stop(pause, answer_time).await;
+        assert!(
+            last <= part,
+            "requests {pause:?} after answers that took {answer_time:?}: last accepted at {last:?}"
+        );
     }
 }
 
-/// A client that sends without pause is never between requests: when its time comes no further command is taken, and
-/// all that was gets its answer before the connection ends.
+/// A client that sends without pause is never between requests: at its close time no further command is started, and
+/// all started ones are answered before the connection ends.
 #[tokio::test(start_paused = true)]
-async fn after_a_stop_a_client_that_sends_without_pause_is_parted_from() {
+async fn after_a_stop_a_client_that_sends_without_pause_is_disconnected() {
     let ms = Duration::from_millis;
     with_client(&Limits::default(), |client, frontend, mut inbox| async move {
         let (mut reader, mut writer) = client.into_split();
@@ -85,8 +88,8 @@
                 sleep(ms(5)).await;
             }
         });
-        let taken = Rc::new(Cell::new((0, Instant::now())));
-        let take = taken.clone();
+        let accepted = Rc::new(Cell::new((0, Instant::now())));
+        let take = accepted.clone();
         tokio::task::spawn_local(async move {
             while let Some(Message::Request { reply, .. }) = inbox.recv().await {
                 take.set((take.get().0 + 1, Instant::now()));
@@ -101,10 +104,10 @@
         frontend.lifecycle.stop(false, times);
         let mut answers = Vec::new();
         let ended = timeout(times.end_after, reader.read_to_end(&mut answers)).await;
-        let (count, last) = taken.get();
-        assert!(matches!(ended, Ok(Ok(_))), "{ended:?}, the last taken at {:?}", last - stopped);
-        assert!(last - stopped <= times.part_after, "taken at {:?}", last - stopped);
-        assert_eq!(answers, protocol::FAILED.repeat(count), "{count} taken");
+        let (count, last) = accepted.get();
+        assert!(matches!(ended, Ok(Ok(_))), "{ended:?}, the last accepted at {:?}", last - stopped);
+        assert!(last - stopped <= times.part_after, "accepted at {:?}", last - stopped);
+        assert_eq!(answers, protocol::FAILED.repeat(count), "{count} accepted");
     })
     .await;
 }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,4 @@
-//! Logging: where lines go, how they look, and how often one may be said.
+//! Logging: where lines are written, their format, and rate limiting.
 
 use std::cell::Cell;
 use std::io;
@@ -14,61 +14,62 @@
 
 use crate::config::{wrong, Wrong};
 
-/// What `HALLPIN_LOG` holds: a level, or `TARGET=LEVEL` and more of them behind commas.
-pub const FILTER: &str = "HALLPIN_LOG";
+/// Environment variable with the log filter: a level, or comma-separated `TARGET=LEVEL` entries.
+pub const FILTER_VARIABLE: &str = "HALLPIN_LOG";
 
-/// How the lines of the log look.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// One line an event, for people.
+    /// One line of text per event.
     #[default]
     Human,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
 }
 
-/// Sends the log to standard error. A writer that fails loses lines and nothing else.
+/// Sends the log to standard error. A writer that fails loses lines and has no other effect.
 ///
 /// # Errors
-/// Names `HALLPIN_LOG` where it is no filter.
+/// Names `HALLPIN_LOG` if its value is not a valid filter.
 pub fn start(format: Format) -> Result<(), Wrong> {
-    let filter = match std::env::var(FILTER) {
-        Ok(text) => text.parse().map_err(wrong(FILTER))?,
+    let filter = match std::env::var(FILTER_VARIABLE) {
+        Ok(text) => text.parse().map_err(wrong(FILTER_VARIABLE))?,
         Err(_) => Targets::new().with_default(Level::INFO),
     };
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(io::stderr)
         .with_ansi(false)
-        // Said of a writer that fails, by that same writer, it would end the process.
+        // An internal error would be reported through the writer that failed, which would end the process.
         .log_internal_errors(false);
     let lines = match format {
         Format::Human => lines.boxed(),
         Format::Json => lines.json().flatten_event(true).boxed(),
     };
-    // Only the first caller of a process sets it up.
+    // Only the first call in a process installs the subscriber.
     let _ = tracing_subscriber::registry().with(lines.with_filter(filter)).try_init();
     Ok(())
 }
 
-/// Lets one kind of line pass so often and counts the others, where a crowd could flood the log.
+/// Rate limiter for one kind of log line: passes a few lines per window and counts the others, so that a crowd of
+/// clients cannot flood the log.
 #[derive(Debug, Default)]
 pub struct Throttle {
-    since: Cell<Option<Instant>>,
+    window_start: Cell<Option<Instant>>,
     passed: Cell<u32>,
     suppressed: Cell<u64>,
 }
 
 impl Throttle {
     const WINDOW: Duration = Duration::from_secs(1);
-    const LINES: u32 = 10;
+    const MAX_LINES: u32 = 10;
 
-    /// How many were suppressed since the last that passed, if this one may pass.
+    /// Number of lines suppressed since the last one that passed, or `None` if this line is suppressed too.
     pub fn pass(&self, now: Instant) -> Option<u64> {
-        if self.since.get().is_none_or(|since| now >= since + Self::WINDOW) {
-            self.since.set(Some(now));
+        if self.window_start.get().is_none_or(|start| now >= start + Self::WINDOW) {
+            self.window_start.set(Some(now));
             self.passed.set(0);
         }
-        if self.passed.get() >= Self::LINES {
+        if self.passed.get() >= Self::MAX_LINES {
             self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
@@ -85,7 +86,7 @@
     fn a_flood_passes_a_few_times_a_second_and_the_rest_is_counted() {
         let (throttle, start) = (Throttle::default(), Instant::now());
         let passed = (0..1000).filter(|_| throttle.pass(start).is_some()).count();
-        assert_eq!(passed, Throttle::LINES as usize);
+        assert_eq!(passed, Throttle::MAX_LINES as usize);
         assert_eq!(throttle.pass(start + Throttle::WINDOW), Some(990));
         assert_eq!(throttle.pass(start + Throttle::WINDOW), Some(0));
     }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What the parts of the node tell each other.
+//! Messages between the parts of the node.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,7 +13,8 @@
 use crate::roster::Roster;
 use crate::upstream::Ended;
 
-/// Whether a client has gone away. All who would still send for it see that at once, however many messages wait.
+/// Whether a client has disconnected. The flag is shared, so whoever would still send for the client sees it at once,
+/// however many messages are queued.
 #[derive(Clone, Debug, Default)]
 pub struct Gone(Rc<Cell<bool>>);
 
@@ -27,32 +28,32 @@
     }
 }
 
-/// What the rest of the node tells the driver.
+/// Messages to the driver.
 pub enum Message {
     Request {
         id: RequestId,
         command: Command,
-        /// When its first byte was read: from when its client counts.
+        /// When the first byte of the command was read. The client's deadline counts from here.
         at: Instant,
         reply: oneshot::Sender<Answer>,
         gone: Gone,
     },
-    /// The client has gone away.
+    /// The client has disconnected.
     Withdrawn(RequestId),
     Ended {
         request: RequestId,
         attempt: AttemptId,
         ended: Ended,
     },
-    /// A probe has ended.
+    /// A health check has ended.
     Probed {
         server: ServerId,
         status: Status,
     },
     Roster(Roster),
-    /// What the plane between nodes tells the balancer.
+    /// News from the control plane between nodes for the balancer.
     Fleet(FleetNews),
     RosterFailed,
-    /// An operator asks what the list holds.
+    /// The operator's listener asks for the member counts.
     Members(oneshot::Sender<Members>),
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operators' listener: one line a connection, one answer. Its callers hold a few descriptors that are set
-//! aside for them, and a caller that is slow or says nothing gives way to the next.
+//! The operators' listener: one line per connection, one answer. A few descriptors are reserved for its callers, and
+//! when all are in use the oldest caller gives way to the newest, so a slow or silent one blocks nobody.
 
 #[cfg(test)]
 mod tests;
@@ -26,13 +26,14 @@
 use crate::port::{self, Accept};
 use crate::system_error::{AcceptRetry, NextAccept, Operation, ACCEPT_PAUSE};
 
-/// Callers that are heard at once, each with a descriptor. One more takes the place of the oldest.
+/// Callers served at once, each with a reserved descriptor. One more replaces the oldest.
 pub const MAX_CALLERS: usize = 8;
-/// Longest call, without its end.
-const MAX_CALL: usize = 128;
-/// From connecting to the end of the call; as much again for taking the answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Longest call, without its line end.
+const MAX_CALL_BYTES: usize = 128;
+/// From connecting to the end of the call; the caller has as long again to receive the answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// An operator's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Ready,
@@ -41,7 +42,7 @@
     Resume,
 }
 
-/// Why a call is not carried out.
+/// Why a call is not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Refusal {
     Unknown,
@@ -73,10 +74,10 @@
     }
 }
 
-/// Takes the call out of what has come; `None` until its line is whole.
+/// Parses the call in `input`; `None` until its line is complete.
 fn parse(input: &[u8]) -> Option<Result<Call, Refusal>> {
-    let Some(end) = input.iter().take(MAX_CALL + 2).position(|&b| b == b'\n') else {
-        return (input.len() >= MAX_CALL + 2).then_some(Err(Refusal::TooLong));
+    let Some(end) = input.iter().take(MAX_CALL_BYTES + 2).position(|&b| b == b'\n') else {
+        return (input.len() >= MAX_CALL_BYTES + 2).then_some(Err(Refusal::TooLong));
     };
     let line = &input[..end];
     let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -90,14 +91,15 @@
     })
 }
 
-/// What was done, in the words of the answer's first line.
+/// The first line of the answer.
 fn render(outcome: Result<&str, Refusal>) -> String {
     match outcome {
-        Ok(done) => format!("ok {done}\n"),
+        Ok(state) => format!("ok {state}\n"),
         Err(refusal) => format!("fail {}\n", refusal.reason()),
     }
 }
 
+/// The operators' listener and what its calls act on.
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
     figures: Rc<Figures>,
@@ -110,13 +112,16 @@
         Rc::new(Operator { lifecycle, figures, driver, callers: RefCell::default() })
     }
 
-    /// Where operators call; nothing yet where an earlier process still holds that, as it does until it has ended, or
-    /// where the machine is short of something.
+    /// Binds the operators' address. Returns `None` if an earlier process still holds it, as it does until it has
+    /// ended, or if the machine is short of a resource.
     pub fn bind(address: SocketAddr) -> Result<Option<TcpListener>, Wrong> {
-        Self::bound(address, port::bind(address, false))
+        Self::listener_from(address, port::bind(address, false))
     }
 
-    fn bound(address: SocketAddr, bound: io::Result<TcpListener>) -> Result<Option<TcpListener>, Wrong> {
+    fn listener_from(
+        address: SocketAddr,
+        bound: io::Result<TcpListener>,
+    ) -> Result<Option<TcpListener>, Wrong> {
         match bound {
             Ok(listener) => Ok(Some(listener)),
             Err(error) if port::may_be_had_later(&error) => Ok(None),
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Hears callers for ever, as soon as the address is free.
+    /// Serves callers forever, starting as soon as the address is free.
     pub async fn run(self: Rc<Self>, address: SocketAddr, mut bound: Option<TcpListener>) {
         loop {
             let listener = match bound.take() {
@@ -135,9 +140,9 @@
                 info!("operators call at {address}");
             }
             self.accept(&listener).await;
-            // The listener was given up. The address is free for another one as soon as this one is closed.
+            // The listener no longer accepts. The address is free for a new one as soon as this one is closed.
             drop(listener);
-            sleep(PATIENCE).await;
+            sleep(CALL_TIMEOUT).await;
         }
     }
 
@@ -146,14 +151,14 @@
             match port::bind_when_free(address, false).await {
                 Ok(listener) => return listener,
                 Err(error) => {
-                    warn!("operator {address}: {error}; trying on");
-                    sleep(PATIENCE).await;
+                    warn!("operators' listener at {address}: {error}; binding again");
+                    sleep(CALL_TIMEOUT).await;
                 }
             }
         }
     }
 
-    /// Hears callers until the listener is of no use any more.
+    /// Serves callers until the listener no longer accepts.
     async fn accept(self: &Rc<Self>, listener: &impl Accept<Stream = TcpStream>) {
         let mut retry = AcceptRetry::new(Operation::AcceptOperator);
         loop {
@@ -164,12 +169,12 @@
                 }
                 Err(error) => match retry.failed(&error) {
                     NextAccept::AtOnce => {}
-                    // The descriptors are the callers' own, so a shortage of them passes.
+                    // The callers have reserved descriptors, so a shortage passes.
                     NextAccept::AfterPause | NextAccept::AfterMakingRoom => sleep(ACCEPT_PAUSE).await,
                     NextAccept::Never => return,
                 },
             }
-            // Callers that are here have their turn before more of them come.
+            // Lets the callers accepted so far run before accepting more.
             tokio::task::yield_now().await;
         }
     }
@@ -184,34 +189,34 @@
         }
         let operator = self.clone();
         let caller = tokio::task::spawn_local(async move {
-            // A caller that breaks off has nothing to be told.
-            let _ = operator.converse(stream).await;
+            // A caller that disconnects needs no answer.
+            let _ = operator.serve_caller(stream).await;
         });
         callers.push_back(caller.abort_handle());
     }
 
-    async fn converse(&self, mut stream: TcpStream) -> io::Result<()> {
+    async fn serve_caller(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let call = match timeout(PATIENCE, read_call(&mut stream)).await {
+        let call = match timeout(CALL_TIMEOUT, read_call(&mut stream)).await {
             Ok(call) => call?,
             Err(_) => Err(Refusal::TooSlow),
         };
         let answer = match call {
-            Ok(call) => self.carry_out(call).await,
+            Ok(call) => self.execute(call).await,
             Err(refusal) => render(Err(refusal)),
         };
-        let tell = async {
+        let send_answer = async {
             stream.write_all(answer.as_bytes()).await?;
             stream.shutdown().await?;
-            // A close with input unread would reset the connection, and the caller might lose the answer.
-            let mut scrap = [0; 512];
-            while stream.read(&mut scrap).await? > 0 {}
+            // Closing with unread input would reset the connection, and the caller might lose the answer.
+            let mut discarded = [0; 512];
+            while stream.read(&mut discarded).await? > 0 {}
             Ok(())
         };
-        timeout(PATIENCE, tell).await.unwrap_or(Ok(()))
+        timeout(CALL_TIMEOUT, send_answer).await.unwrap_or(Ok(()))
     }
 
-    async fn carry_out(&self, call: Call) -> String {
+    async fn execute(&self, call: Call) -> String {
         let outcome = match call {
             Call::ShowStat => return self.show_stat().await,
             Call::Ready => match self.lifecycle.state() {
@@ -232,7 +237,7 @@
 
     async fn show_stat(&self) -> String {
         let (reply, members) = oneshot::channel();
-        // The driver is gone only when the program ends.
+        // The driver ends only with the process.
         let _ = self.driver.send(Message::Members(reply));
         let members: Members = members.await.unwrap_or_default();
         self.figures.render(members) + "eof\n"
@@ -240,12 +245,12 @@
 }
 
 async fn read_call(stream: &mut (impl AsyncRead + Unpin)) -> io::Result<Result<Call, Refusal>> {
-    let mut input = Vec::with_capacity(MAX_CALL + 2);
+    let mut input = Vec::with_capacity(MAX_CALL_BYTES + 2);
     loop {
         if let Some(call) = parse(&input) {
             return Ok(call);
         }
-        let room = (MAX_CALL + 2 - input.len()) as u64;
+        let room = (MAX_CALL_BYTES + 2 - input.len()) as u64;
         match (&mut *stream).take(room).read_buf(&mut input).await {
             Ok(0) => return Ok(Err(Refusal::Incomplete)),
             Ok(_) => {}
--- a/crates/node/src/operator/tests.rs
+++ b/crates/node/src/operator/tests.rs
@@ -1,4 +1,4 @@
-//! Calls as they come in, and answers as they go out.
+//! Parsing of calls, answers, and errors of the operators' listener.
 
 use std::io::{Read, Write};
 use std::pin::Pin;
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_call_is_one_whole_line() {
-    for (text, want) in [
+    for (text, expected) in [
         ("ready\n", Some(Ok(Call::Ready))),
         ("show-stat\r\n", Some(Ok(Call::ShowStat))),
         ("drain\nresume\n", Some(Ok(Call::Drain))),
@@ -29,10 +29,10 @@
         ("ready \n", Some(Err(Refusal::Malformed))),
         ("re\0dy\n", Some(Err(Refusal::Malformed))),
     ] {
-        assert_eq!(parse(text.as_bytes()), want, "{text:?}");
+        assert_eq!(parse(text.as_bytes()), expected, "{text:?}");
     }
-    assert_eq!(parse(&[b'a'; MAX_CALL + 1]), None);
-    assert_eq!(parse(&[b'a'; MAX_CALL + 2]), Some(Err(Refusal::TooLong)));
+    assert_eq!(parse(&[b'a'; MAX_CALL_BYTES + 1]), None);
+    assert_eq!(parse(&[b'a'; MAX_CALL_BYTES + 2]), Some(Err(Refusal::TooLong)));
     assert_eq!(parse(b"\xff\n"), Some(Err(Refusal::Malformed)));
 }
 
@@ -46,22 +46,22 @@
     Operator::new(Lifecycle::new(), Figures::new([]), unbounded_channel().0)
 }
 
-/// Calls there; the answer.
+/// Sends `ready` to this address and returns the answer.
 async fn call(address: SocketAddr) -> String {
     let conversation = move || {
         let mut stream = std::net::TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE * 10)).unwrap();
+        stream.set_read_timeout(Some(CALL_TIMEOUT * 10)).unwrap();
         stream.write_all(b"ready\n").unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).map(|_| answer).unwrap()
     };
-    // A paused clock stands meanwhile.
+    // The paused clock does not advance while a blocking task runs.
     tokio::task::spawn_blocking(conversation).await.unwrap()
 }
 
-/// Operators are heard though accepting has failed for them; the descriptors of callers are left alone.
+/// Callers are served after `accept` has failed, and a shortage closes none of their descriptors.
 #[tokio::test]
-async fn a_caller_is_heard_behind_errors() {
+async fn a_caller_is_served_after_errors() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let failures = [Errno::CONNABORTED, Errno::MFILE, Errno::NFILE, Errno::INTR, Errno::NETDOWN];
@@ -69,7 +69,7 @@
     let local = LocalSet::new();
     let answer = local.run_until(async {
         tokio::select! {
-            () = operator.accept(&listener) => panic!("operators are heard for ever"),
+            () = operator.accept(&listener) => panic!("operators are served forever"),
             answer = call(address) => answer,
         }
     });
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn errors_that_never_end_are_met_with_pauses() {
+async fn persistent_errors_are_retried_with_pauses() {
     for errno in [Errno::CONNABORTED, Errno::MFILE] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let listener = FailingListener::always(errno, listener);
@@ -86,7 +86,7 @@
     }
 }
 
-/// A listener that is none any more is replaced by another at the same address.
+/// A listener that was shut down is replaced by a new one at the same address.
 #[tokio::test(start_paused = true)]
 async fn a_listener_that_was_shut_down_is_replaced() {
     let bound = Operator::bind("127.0.0.1:0".parse().unwrap()).unwrap().unwrap();
@@ -95,23 +95,23 @@
     let local = LocalSet::new();
     let answer = local.run_until(async {
         tokio::task::spawn_local(operator().run(address, Some(bound)));
-        let listens = async {
+        let listening = async {
             while std::net::TcpStream::connect(address).is_err() {
-                sleep(PATIENCE / 10).await;
+                sleep(CALL_TIMEOUT / 10).await;
             }
         };
-        timeout(PATIENCE * 10, listens).await.expect("it listens again");
+        timeout(CALL_TIMEOUT * 10, listening).await.expect("it listens again");
         call(address).await
     });
     assert_eq!(answer.await, "fail starting\n");
 }
 
-/// A node that starts while the machine is short of something hears operators later; only a configuration that
-/// cannot work ends it.
+/// A node that starts while the machine is short of a resource binds the operators' address later; only a
+/// configuration that cannot work ends it.
 #[test]
-fn a_shortage_at_the_start_puts_the_operators_address_off() {
+fn a_shortage_at_start_delays_binding_the_operators_address() {
     let address = "127.0.0.1:9".parse().unwrap();
-    let bound = |errno: Errno| Operator::bound(address, Err(errno.into()));
+    let bound = |errno: Errno| Operator::listener_from(address, Err(errno.into()));
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRINUSE, Errno::INTR] {
         assert!(matches!(bound(errno), Ok(None)), "{errno:?}");
     }
@@ -120,7 +120,7 @@
     }
 }
 
-/// Comes byte by byte, each behind a read that a signal interrupts.
+/// Yields its text byte by byte, each after a read interrupted by a signal.
 struct Interrupted<'a> {
     text: &'a [u8],
     interrupted: bool,
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn a_call_is_read_in_the_shortest_of_reads() {
+async fn a_call_is_read_byte_by_byte() {
     let read = async |text| read_call(&mut Interrupted { text, interrupted: false }).await.unwrap();
     assert_eq!(read(b"show-stat\r\n").await, Ok(Call::ShowStat));
     assert_eq!(read(b"show-st").await, Err(Refusal::Incomplete));
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,17 +1,17 @@
-//! Connections to cache servers: where each server is, whether it may be written to, and the kept
-//! connections to it. One attempt at a time on a connection, as an answer waits behind those before it.
+//! Connections to cache servers: the address of each server, whether it may be written to, and the cached connections
+//! to it. A connection carries one attempt at a time, because an answer has to wait for the ones before it.
 
 mod attempt;
+mod body_stream;
+mod call;
 mod connection;
 mod dial;
-mod errand;
 mod keep_alive;
 mod pool;
-mod rest;
 #[cfg(test)]
 pub(crate) mod tests;
 
 pub use attempt::{Ended, Served};
-pub use errand::{Errand, Runs};
+pub use body_stream::{BodyStream, BrokenBody};
+pub use call::{Errand, Runs};
 pub use pool::{Bounds, Upstream};
-pub use rest::{Broken, Rest};
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt or probe on a connection, and what came of it.
+//! One attempt or health check on a connection, and its result.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -10,26 +10,26 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{timeout_at, Instant};
 
-use super::connection::{Connection, Place};
-use super::errand::Errand;
+use super::body_stream::{BodyStream, READ_CHUNK_BYTES};
+use super::call::Errand;
+use super::connection::{Admission, Connection};
 use super::pool::Upstream;
-use super::rest::{Rest, READ_CHUNK};
 
-/// The client's answer, as far as it has come.
+/// The client's answer, as far as it has been received.
 #[derive(Debug)]
 pub struct Served {
     pub text: Bytes,
-    /// What follows, of a long value.
-    pub rest: Option<Rest>,
+    /// The rest of a long value.
+    pub body: Option<BodyStream>,
 }
 
 impl From<Bytes> for Served {
     fn from(text: Bytes) -> Self {
-        Served { text, rest: None }
+        Served { text, body: None }
     }
 }
 
-/// How an attempt ended, and the client's answer where it was served.
+/// The result of an attempt, with the client's answer if it was served.
 #[derive(Debug)]
 pub struct Ended {
     pub status: Status,
@@ -43,20 +43,21 @@
     }
 }
 
-/// An answer that cannot be read, or is not this request's. It may have run, but it is no word of the server or
-/// the origin that it failed, as an error would be: another server may well serve it.
-const SPOILT: Status = Status::Unknown;
+/// Status for an answer that cannot be parsed or belongs to another request. The request may have run, but unlike an
+/// error this does not mean that the server or the origin failed: another server may still serve it.
+const UNREADABLE_ANSWER: Status = Status::Unknown;
 
-/// By so much the time that a command tells may be more than what its client has left as its last byte goes out: a
-/// command whose rest is held back for longer is given up, and its server never begins it.
-pub(super) const TOLD_SLACK: Duration = Duration::from_millis(150);
+/// How far the time forwarded in a command may exceed the client's remaining time when the last byte goes out. A
+/// command whose remainder is blocked for longer is given up, and its server never starts it.
+pub(super) const FORWARDED_TIME_SLACK: Duration = Duration::from_millis(150);
 
 impl Upstream {
-    /// Asks a server whether it is ready. It has as long to answer as a connection has to come up.
+    /// Health check: asks a server whether it is ready. The answer may take as long as a connection may take to come
+    /// up.
     pub async fn probe(&self, server: &ServerId) -> Status {
         let until = Instant::now() + self.bounds.dial * 2;
-        let asked = async {
-            let mut connection = self.open(server, until, false).await?;
+        let check = async {
+            let mut connection = self.acquire(server, until, false).await?;
             let broken = |_| Status::Broken;
             connection.stream.write_all(protocol::PROBE).await.map_err(broken)?;
             let mut buf = BytesMut::new();
@@ -65,147 +66,155 @@
                     Ok(Some(ready)) => break ready,
                     Ok(None) if connection.stream.read_buf(&mut buf).await.map_err(broken)? > 0 => {}
                     Ok(None) => return Err(Status::Broken),
-                    Err(protocol::Malformed) => return Err(SPOILT),
+                    Err(protocol::Malformed) => return Err(UNREADABLE_ANSWER),
                 }
             };
             connection.answered(ready);
             if buf.is_empty() {
-                self.keep(server, connection);
+                self.cache_connection(server, connection);
             }
             Ok(if ready { Status::Success } else { Status::Error })
         };
-        let status = timeout_at(until, asked).await.unwrap_or(Err(Status::TimedOut));
-        status.unwrap_or_else(|failed| failed)
+        let status = timeout_at(until, check).await.unwrap_or(Err(Status::TimedOut));
+        status.unwrap_or_else(|failure| failure)
     }
 
-    /// One attempt. Dropping the future closes the connection, which gives the attempt up.
-    pub async fn attempt(self: &Rc<Self>, server: &ServerId, errand: &Errand) -> Ended {
-        // What may not be written by then need not come up later either.
-        let connection = match self.open(server, errand.latest(), errand.repeats.is_some()).await {
+    /// Makes one attempt. Dropping the future closes the connection and thereby abandons the attempt.
+    pub async fn attempt(self: &Rc<Self>, server: &ServerId, call: &Errand) -> Ended {
+        // A connection that comes up after the write deadline is of no use.
+        let connection = match self.acquire(server, call.write_deadline(), call.repeats.is_some()).await {
             Ok(connection) => connection,
-            // It had less than the time of a connection to come up.
-            Err(Status::Unreachable) if errand.is_beyond_window(Instant::now()) => {
+            // The repeat window left it less than the dial timeout.
+            Err(Status::Unreachable) if call.is_past_repeat_window(Instant::now()) => {
                 return Status::Void.into()
             }
             Err(status) => return status.into(),
         };
-        if let Err(status) = errand.may_write(Instant::now()) {
-            self.keep(server, connection);
+        if let Err(status) = call.may_write(Instant::now()) {
+            self.cache_connection(server, connection);
             return status.into();
         }
-        let cut = connection.cut();
+        let revoked = connection.revoked();
         tokio::select! {
             biased;
-            // It may have run, but that it was cut off says nothing of the server.
-            () = cut => if errand.written.get() { SPOILT } else { Status::Void }.into(),
-            ended = self.converse(server, errand, connection) => ended,
+            // The command may have run, but a revoked connection says nothing about the server.
+            () = revoked => if call.written.get() { UNREADABLE_ANSWER } else { Status::Void }.into(),
+            ended = self.exchange(server, call, connection) => ended,
         }
     }
 
-    /// Writes the command while it may go out. Where it fails the last byte was not written: it never ran.
-    async fn put(&self, server: &ServerId, errand: &Errand, connection: &Connection) -> Result<(), Status> {
-        let (mut text, mut out) = (Bytes::new(), 0);
-        let mut told = Instant::now();
+    /// Writes the command as long as it may go out. On an error the last byte was not written, so the command never
+    /// ran.
+    async fn write_command(
+        &self,
+        server: &ServerId,
+        call: &Errand,
+        connection: &Connection,
+    ) -> Result<(), Status> {
+        let (mut text, mut sent) = (Bytes::new(), 0);
+        let mut forwarded_at = Instant::now();
         loop {
             let now = Instant::now();
-            errand.may_write(now)?;
-            if out == 0 {
-                // For a drain the first byte counts.
-                if !self.may_send(server, connection) {
+            call.may_write(now)?;
+            if sent == 0 {
+                // The drain grace applies to the first byte.
+                if !self.may_write_to(server, connection) {
                     return Err(Status::Unreachable);
                 }
-                // The time that it tells counts from here, however long the first byte was held back.
-                text = errand.command.forward(errand.until.saturating_duration_since(now)).into();
-                told = now;
-            } else if now >= told + TOLD_SLACK {
+                // The forwarded time counts from here, however long the first byte was blocked before.
+                text = call.command.forward(call.until.saturating_duration_since(now)).into();
+                forwarded_at = now;
+            } else if now >= forwarded_at + FORWARDED_TIME_SLACK {
                 return Err(Status::Unreachable);
             }
             #[cfg(test)]
-            self.held_up().await;
-            match connection.stream.try_write(&text[out..]) {
-                Ok(written) => out += written,
+            self.delay_write().await;
+            match connection.stream.try_write(&text[sent..]) {
+                Ok(written) => sent += written,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    let held_back = if out == 0 { errand.until } else { told + TOLD_SLACK };
-                    let by = errand.latest().min(held_back);
-                    let writable = timeout_at(by, connection.stream.writable()).await;
+                    let blocked_until =
+                        if sent == 0 { call.until } else { forwarded_at + FORWARDED_TIME_SLACK };
+                    let deadline = call.write_deadline().min(blocked_until);
+                    let writable = timeout_at(deadline, connection.stream.writable()).await;
                     writable.map_err(|_| Status::Unreachable)?.map_err(|_| Status::Unreachable)?;
                 }
                 Err(_) => return Err(Status::Unreachable),
             }
-            if out == text.len() {
-                errand.wrote(now);
+            if sent == text.len() {
+                call.record_written(now);
                 return Ok(());
             }
         }
     }
 
-    async fn converse(
+    async fn exchange(
         self: &Rc<Self>,
         server: &ServerId,
-        errand: &Errand,
+        call: &Errand,
         mut connection: Connection,
     ) -> Ended {
-        // What may not run twice goes out again only if it surely never ran.
-        let busy_is_proof = errand.repeats.is_none() || connection.is_sure();
-        if let Err(status) = self.put(server, errand, &connection).await {
+        // A command that must not run twice is sent again only if it certainly never ran.
+        let busy_is_proof = call.repeats.is_none() || connection.is_unambiguous();
+        if let Err(status) = self.write_command(server, call, &connection).await {
             return status.into();
         }
-        self.figures.upstream_request();
-        // Not kept with the connection: it has the size of the largest answer.
+        self.figures.count_upstream_request();
+        // The buffer is not kept with the connection: it grows to the size of the largest answer.
         let mut buf = BytesMut::new();
-        let own = Bytes::copy_from_slice(&errand.command.opaque());
-        let mut before = connection.last.replace(own.clone()).filter(|last| *last != own);
+        let own_opaque = Bytes::copy_from_slice(&call.command.opaque());
+        let mut previous =
+            connection.last_opaque.replace(own_opaque.clone()).filter(|last| *last != own_opaque);
         let reply = loop {
             match protocol::next_reply(&mut buf) {
-                // A second answer to the request before, that came late: this one's own is still to come.
+                // A late duplicate answer to the previous request; the answer to this one is still to come.
                 Ok(Some(Reply::Served { opaque, body: Body::Value(_) | Body::Receipt(_), .. }))
-                    if before.as_ref() == Some(&opaque) =>
+                    if previous.as_ref() == Some(&opaque) =>
                 {
-                    before = None;
+                    previous = None;
                     continue;
                 }
                 Ok(Some(reply)) => break reply,
                 Ok(None) => {}
-                Err(protocol::Malformed) => return SPOILT.into(),
+                Err(protocol::Malformed) => return UNREADABLE_ANSWER.into(),
             }
-            buf.reserve(READ_CHUNK);
+            buf.reserve(READ_CHUNK_BYTES);
             match connection.stream.read_buf(&mut buf).await {
                 Ok(0) | Err(_) => return Status::Broken.into(),
                 Ok(_) => {}
             }
         };
-        match connection.place {
-            Place::Given => {}
-            Place::Unknown if matches!(reply, Reply::Busy) && buf.is_empty() => {
-                connection.place = Place::TurnedAway;
+        match connection.admission {
+            Admission::Admitted => {}
+            Admission::Unknown if matches!(reply, Reply::Busy) && buf.is_empty() => {
+                connection.admission = Admission::Rejected;
             }
-            Place::Unknown | Place::TurnedAway => {
-                connection.place = Place::Given;
-                self.placed(server);
+            Admission::Unknown | Admission::Rejected => {
+                connection.admission = Admission::Admitted;
+                self.record_accepted_connection(server);
             }
         }
         connection.answered(matches!(reply, Reply::Served { .. }));
         let ended = match reply {
             Reply::Busy if busy_is_proof => Status::Overloaded.into(),
-            Reply::Busy => SPOILT.into(),
+            Reply::Busy => UNREADABLE_ANSWER.into(),
             Reply::Failed => Status::Error.into(),
             Reply::Served { opaque, body, note } => {
-                let Some(text) = protocol::served(&errand.command, &opaque, &body) else {
-                    return SPOILT.into();
+                let Some(text) = protocol::served(&call.command, &opaque, &body) else {
+                    return UNREADABLE_ANSWER.into();
                 };
                 let served =
-                    |rest| Ended { status: Status::Success, note, answer: Some(Served { text, rest }) };
+                    |body| Ended { status: Status::Success, note, answer: Some(Served { text, body }) };
                 if let Body::Long(length) = body {
-                    let rest = Rest::new(self.clone(), server.clone(), connection, buf, length, errand);
-                    return served(Some(rest));
+                    let body = BodyStream::new(self.clone(), server.clone(), connection, buf, length, call);
+                    return served(Some(body));
                 }
                 served(None)
             }
         };
-        if connection.no_place() {
-            self.no_place();
+        if connection.was_rejected_for_capacity() {
+            self.record_rejected_connection();
         } else if buf.is_empty() {
-            self.keep(server, connection);
+            self.cache_connection(server, connection);
         }
         ended
     }
--- /dev/null
+++ b/crates/node/src/upstream/body_stream.rs
@@ -0,0 +1,153 @@
+//! The remainder of a long value, forwarded as the client reads it, and how long a cache server may take for it.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use hallpin_balancer::ServerId;
+use tokio::io::AsyncReadExt;
+use tokio::sync::watch::Receiver;
+use tokio::time::{timeout_at, Instant};
+
+use super::call::Errand;
+use super::connection::Connection;
+use super::pool::Upstream;
+use crate::budget::Held;
+use crate::lifecycle::Phase;
+
+/// Buffer space reserved for a read, so that a long value does not arrive in many small ones.
+pub(super) const READ_CHUNK_BYTES: usize = 8 * 1024;
+/// A cache server that sends nothing of a requested value for this long is considered dead.
+pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Minimum rate of a long value while waiting for the server, beyond the first stall timeout: a server that sends one
+/// byte just within each timeout would otherwise hold a connection at both ends forever. For the longest value (4
+/// MiB) this allows some four minutes of waiting.
+const MIN_RATE_BYTES_PER_S: f64 = 16.0 * 1024.0;
+
+/// After its client's deadline, a server that has sent nothing for this long is considered dead. One that still
+/// sends, however slowly, is not cut: the node would lose what the server was about to finish.
+pub(super) const HANG_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// The value ended early or lacks its terminator.
+#[derive(Debug)]
+pub struct BrokenBody;
+
+/// The remainder of a long value. It is read as the client takes it, so that a slow client slows its cache server
+/// down and only one piece is held in memory.
+pub struct BodyStream {
+    upstream: Rc<Upstream>,
+    server: ServerId,
+    connection: Connection,
+    buf: BytesMut,
+    /// Bytes of the value that have not been returned yet.
+    remaining: usize,
+    /// When the client stops waiting, and the phases of this process, which tell when it ends.
+    deadline: Instant,
+    phases: Receiver<Phase>,
+    /// When the answer's first line arrived, and when the client's output reached this value: in between it may have
+    /// waited for earlier answers, and the client does not count that time.
+    started_at: Instant,
+    output_reached_at: Option<Instant>,
+    /// Since when the next bytes are waited for.
+    waiting_since: Option<Instant>,
+    /// Total time spent waiting for the server and the bytes received meanwhile: together they bound a trickle. The
+    /// time that the client takes between pieces is not counted.
+    total_wait: Duration,
+    received: usize,
+    _buffer_reservation: Held,
+}
+
+impl std::fmt::Debug for BodyStream {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "{} bytes of {}", self.remaining, self.server.0)
+    }
+}
+
+impl BodyStream {
+    pub(super) fn new(
+        upstream: Rc<Upstream>,
+        server: ServerId,
+        connection: Connection,
+        buf: BytesMut,
+        remaining: usize,
+        call: &Errand,
+    ) -> Self {
+        let _buffer_reservation = Held::new(&upstream.budget, READ_CHUNK_BYTES);
+        BodyStream {
+            upstream,
+            server,
+            connection,
+            buf,
+            remaining,
+            deadline: call.deadline,
+            phases: call.phases.clone(),
+            started_at: Instant::now(),
+            output_reached_at: None,
+            waiting_since: None,
+            total_wait: Duration::ZERO,
+            received: 0,
+            _buffer_reservation,
+        }
+    }
+
+    /// The next piece, or `None` once the value is complete. Dropping the future loses nothing.
+    ///
+    /// # Errors
+    /// [`BrokenBody`] if the value ends early, lacks its terminator, or takes too long.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, BrokenBody> {
+        let output_reached_at = *self.output_reached_at.get_or_insert_with(Instant::now);
+        let deadline = self.deadline + output_reached_at.saturating_duration_since(self.started_at);
+        loop {
+            let ready = self.remaining.min(self.buf.len());
+            if ready > 0 {
+                self.remaining -= ready;
+                return Ok(Some(self.buf.split_to(ready).freeze()));
+            }
+            if self.remaining == 0 && self.buf.len() >= 2 {
+                let end = self.buf.split_to(2);
+                return if end == b"\r\n"[..] { Ok(None) } else { Err(BrokenBody) };
+            }
+            let waiting_since = *self.waiting_since.get_or_insert_with(Instant::now);
+            self.buf.reserve(READ_CHUNK_BYTES);
+            let ends = self.phases.borrow_and_update().ends;
+            let read_deadline =
+                (waiting_since + self.read_timeout()).min(deadline.max(waiting_since + HANG_TIMEOUT));
+            let read_deadline = ends.map_or(read_deadline, |ends| read_deadline.min(ends));
+            // Even if bytes arrived meanwhile, there is nobody left to forward them to.
+            if read_deadline <= Instant::now() {
+                return Err(BrokenBody);
+            }
+            let revoked = self.connection.revoked();
+            let read = timeout_at(read_deadline, self.connection.stream.read_buf(&mut self.buf));
+            let read = tokio::select! {
+                biased;
+                () = revoked => return Err(BrokenBody),
+                Ok(()) = self.phases.changed() => continue,
+                read = read => read,
+            };
+            match read {
+                Ok(Ok(read)) if read > 0 => {
+                    self.total_wait += waiting_since.elapsed();
+                    self.received += read;
+                    self.waiting_since = None;
+                }
+                _ => return Err(BrokenBody),
+            }
+        }
+    }
+
+    /// How long the server may take for its next piece: at most the stall timeout, and no more than keeps the total
+    /// wait within the stall timeout and the minimum rate.
+    fn read_timeout(&self) -> Duration {
+        let allowed = STALL_TIMEOUT + Duration::from_secs_f64(self.received as f64 / MIN_RATE_BYTES_PER_S);
+        allowed.saturating_sub(self.total_wait).min(STALL_TIMEOUT)
+    }
+
+    /// Ends a complete value and returns its connection to the cache for another attempt.
+    pub fn finish(self) {
+        let BodyStream { upstream, server, connection, buf, .. } = self;
+        if buf.is_empty() {
+            upstream.cache_connection(&server, connection);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/upstream/call.rs
@@ -0,0 +1,77 @@
+//! The parameters of one attempt, and the deadline for writing its last byte. The deadline is checked right before
+//! each write, because the connection may have come up late, or a server that reads nothing may have blocked the
+//! write.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use hallpin_balancer::{AttemptId, Status};
+use hallpin_protocol::Command;
+use tokio::sync::watch::Receiver;
+use tokio::time::Instant;
+
+use crate::lifecycle::Phase;
+use crate::message::Gone;
+
+/// Which attempts of one request were written completely, and so may have run, and when.
+#[derive(Default)]
+pub struct Runs(RefCell<Vec<(AttemptId, Instant)>>);
+
+impl Runs {
+    pub(super) fn record_written(&self, attempt: AttemptId, at: Instant) {
+        self.0.borrow_mut().push((attempt, at));
+    }
+
+    /// The server has answered that the attempt never ran.
+    pub fn never_ran(&self, attempt: AttemptId) {
+        self.0.borrow_mut().retain(|(written, _)| *written != attempt);
+    }
+
+    fn first_written_at(&self) -> Option<Instant> {
+        self.0.borrow().iter().map(|(_, at)| *at).min()
+    }
+}
+
+/// The parameters of one attempt.
+pub struct Errand {
+    pub command: Rc<Command>,
+    pub attempt: AttemptId,
+    /// When the node stops waiting for the answer.
+    pub until: Instant,
+    /// How long after the first attempt that may have run another one may go out; `None` means without limit.
+    pub repeats: Option<Duration>,
+    /// Shared by all attempts of the request, as a later attempt may be written before an earlier one.
+    pub runs: Rc<Runs>,
+    /// Set once the last byte is written; from then on the command may have run.
+    pub written: Rc<Cell<bool>>,
+    pub gone: Gone,
+    /// When the client stops waiting. A long value that is incomplete by then, or when the process ends (`phases`),
+    /// is cut.
+    pub deadline: Instant,
+    pub phases: Receiver<Phase>,
+}
+
+impl Errand {
+    /// Latest time to write the last byte, as far as is known now.
+    pub(super) fn write_deadline(&self) -> Instant {
+        let window = self.repeats.and_then(|repeats| self.runs.first_written_at()?.checked_add(repeats));
+        window.map_or(self.until, |ends| ends.min(self.until))
+    }
+
+    /// Whether the repeat window has closed although the node would still wait for an answer.
+    pub(super) fn is_past_repeat_window(&self, now: Instant) -> bool {
+        (self.write_deadline()..self.until).contains(&now)
+    }
+
+    /// Whether a write that may complete the command may go out now. The error says nothing about the server.
+    pub(super) fn may_write(&self, now: Instant) -> Result<(), Status> {
+        (now < self.write_deadline() && !self.gone.is_told()).then_some(()).ok_or(Status::Void)
+    }
+
+    /// Records that the last byte was taken by a write that began at `at`.
+    pub(super) fn record_written(&self, at: Instant) {
+        self.written.set(true);
+        self.runs.record_written(self.attempt, at);
+    }
+}
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache server, its place among the open ones, and whose fault it is where none comes up.
+//! One connection to a cache server, its slot among the open connections, and what a peek at it shows.
 
 #[cfg(test)]
 mod tests;
@@ -16,31 +16,32 @@
 
 use crate::plane::Opened;
 
-/// So long after an answer that names no id another to the same command may come. Much more than the milliseconds that
-/// a second answer takes: for what it would pass off as never run there are other connections.
-pub(super) const ECHO: Duration = Duration::from_millis(250);
-/// The same after an answer that names its command. Some milliseconds are usual; more would have every write open a
-/// connection of its own.
-pub(super) const NAMED_ECHO: Duration = Duration::from_millis(50);
+/// How long after an answer without an opaque id a duplicate answer to the same command may arrive. Far longer than
+/// the milliseconds that a duplicate takes: a command that it would wrongly report as never run can use another
+/// connection.
+pub(super) const DUPLICATE_ANSWER_WINDOW: Duration = Duration::from_millis(250);
+/// The same after an answer that carries the opaque id of its command. A few milliseconds are usual; a longer window
+/// would make every write open its own connection.
+pub(super) const NAMED_DUPLICATE_WINDOW: Duration = Duration::from_millis(50);
 
-/// A place among the open connections, taken before connecting and given back when dropped.
-pub(super) struct Slot(Rc<Cell<usize>>);
+/// A slot among the open connections, taken before connecting and released on drop.
+pub(super) struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Slot {
+impl ConnectionSlot {
     pub(super) fn take(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        Slot(open.clone())
+        ConnectionSlot(open.clone())
     }
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Waits until the part of a budget has ended that a connection is counted in, and it has to be closed.
-pub(super) fn cut(opened: Option<&Opened>) -> impl Future<Output = ()> {
+/// Waits until the quota that counts this connection is revoked, so that the connection has to be closed.
+pub(super) fn revoked(opened: Option<&Opened>) -> impl Future<Output = ()> {
     let mark = opened.map(|opened| opened.mark.clone());
     async move {
         match mark {
@@ -50,94 +51,100 @@
     }
 }
 
-/// What a connection shows on which nothing is asked.
+/// What a peek shows on a connection with no outstanding command.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Peeked {
+pub(super) enum PeerState {
     Quiet,
-    /// The peer has closed it, with nothing more to read.
-    Ended,
-    /// The peer has said something unasked, or it is broken.
-    Spoilt,
+    /// The peer has closed the connection and nothing is left to read.
+    Closed,
+    /// The peer has sent something unrequested, or the connection is broken.
+    Unusable,
 }
 
-/// What `recv(2)` tells of a connection. A call that a signal interrupted has told nothing.
-fn peeked(mut peek: impl FnMut() -> io::Result<usize>) -> Peeked {
+/// Classifies the result of `recv(2)`. A call interrupted by a signal is repeated.
+fn classify_peek(mut peek: impl FnMut() -> io::Result<usize>) -> PeerState {
     loop {
         match peek() {
-            Ok(0) => return Peeked::Ended,
+            Ok(0) => return PeerState::Closed,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Peeked::Quiet,
-            _ => return Peeked::Spoilt,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return PeerState::Quiet,
+            _ => return PeerState::Unusable,
         }
     }
 }
 
-/// Whether its server had a place for it.
+/// Whether the server had capacity for the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Place {
-    /// No answer has come on it.
+pub(super) enum Admission {
+    /// No answer has arrived yet.
     Unknown,
-    /// Its one answer was `busy`: that of a server without a place, if an end follows.
-    TurnedAway,
-    Given,
+    /// The only answer so far was `busy`. If the peer then closes, the server had no capacity for the connection.
+    Rejected,
+    Admitted,
 }
 
+/// A connection to a cache server.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
-    /// Its count in a budget, where there are budgets.
+    /// The connection's quota use, if quotas are configured.
     pub(super) opened: Option<Opened>,
-    /// The id of its last command, of which an answer may still come.
-    pub(super) last: Option<Bytes>,
-    /// From when on an answer that names no id can only be the next command's own; `None` until one that does name
-    /// its id has come, as answers follow the order of their commands.
-    sure: Option<Instant>,
-    /// Since when its server may count it as idle.
-    pub(super) used: Instant,
-    pub(super) place: Place,
-    pub(super) _slot: Slot,
+    /// The opaque id of the last command; a late answer to it may still arrive.
+    pub(super) last_opaque: Option<Bytes>,
+    /// From when on an answer without an opaque id can only belong to the next command. `None` until an answer that
+    /// carries its id has arrived, as answers come in the order of their commands.
+    unambiguous: Option<Instant>,
+    /// Since when the server may count the connection as idle.
+    pub(super) last_used: Instant,
+    pub(super) admission: Admission,
+    pub(super) _slot: ConnectionSlot,
 }
 
 impl Connection {
-    pub(super) fn new(stream: TcpStream, opened: Option<Opened>, slot: Slot) -> Self {
+    pub(super) fn new(stream: TcpStream, opened: Option<Opened>, slot: ConnectionSlot) -> Self {
         let now = Instant::now();
-        let (sure, place) = (Some(now), Place::Unknown);
-        Connection { stream, opened, last: None, sure, used: now, place, _slot: slot }
+        let (unambiguous, admission) = (Some(now), Admission::Unknown);
+        Connection { stream, opened, last_opaque: None, unambiguous, last_used: now, admission, _slot: slot }
     }
 
-    /// An answer has come, which names its command or may be a second one to the command before.
+    /// Records an answer. `named` tells whether it carries its opaque id; one without an id may be a duplicate of the
+    /// answer to the previous command.
     pub(super) fn answered(&mut self, named: bool) {
         let now = Instant::now();
-        self.used = now;
-        self.sure = if named { Some(now + NAMED_ECHO) } else { self.is_sure().then(|| now + ECHO) };
+        self.last_used = now;
+        self.unambiguous = if named {
+            Some(now + NAMED_DUPLICATE_WINDOW)
+        } else {
+            self.is_unambiguous().then(|| now + DUPLICATE_ANSWER_WINDOW)
+        };
     }
 
-    /// Whether an answer without an id would be the next command's own.
-    pub(super) fn is_sure(&self) -> bool {
-        self.sure.is_some_and(|from| from <= Instant::now())
+    /// Whether an answer without an opaque id would belong to the next command.
+    pub(super) fn is_unambiguous(&self) -> bool {
+        self.unambiguous.is_some_and(|from| from <= Instant::now())
     }
 
-    /// What its peer has done unasked. The kernel is asked, as the runtime may not have heard yet.
-    pub(super) fn peek(&self) -> Peeked {
-        peeked(|| socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]))
+    /// Peeks at what the peer has done unrequested. Asks the kernel, as the runtime may not have been notified yet.
+    pub(super) fn peek(&self) -> PeerState {
+        classify_peek(|| socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]))
     }
 
-    /// Whether its server has turned its first command away and closed it, in want of a place.
-    pub(super) fn no_place(&self) -> bool {
-        self.place == Place::TurnedAway && self.peek() == Peeked::Ended
+    /// Whether the server rejected the first command and closed the connection for lack of capacity.
+    pub(super) fn was_rejected_for_capacity(&self) -> bool {
+        self.admission == Admission::Rejected && self.peek() == PeerState::Closed
     }
 
-    /// Waits until it has to be closed.
-    pub(super) fn cut(&self) -> impl Future<Output = ()> {
-        cut(self.opened.as_ref())
+    /// Waits until the connection has to be closed.
+    pub(super) fn revoked(&self) -> impl Future<Output = ()> {
+        revoked(self.opened.as_ref())
     }
 
-    /// Whether it is within its part of a budget, by the clock of now.
-    pub(super) fn holds(&self) -> bool {
+    /// Whether the connection is within its quota at the current time.
+    pub(super) fn is_within_quota(&self) -> bool {
         self.opened.as_ref().is_none_or(Opened::holds)
     }
 
-    /// Whether it has to be closed.
-    pub(super) fn is_cut(&self) -> bool {
+    /// Whether the connection has to be closed.
+    pub(super) fn is_revoked(&self) -> bool {
         self.opened.as_ref().is_some_and(|opened| opened.mark.is_cut())
     }
 
@@ -148,8 +155,9 @@
     }
 }
 
-pub(super) struct Idle {
+/// A cached connection.
+pub(super) struct IdleConnection {
     pub(super) connection: Connection,
-    /// Since when it is kept: it has been quiet for no longer.
+    /// Since when the connection is cached; it has been quiet for no longer.
     pub(super) since: Instant,
 }
