--- a/crates/node/src/upstream/dial.rs
+++ b/crates/node/src/upstream/dial.rs
@@ -1,4 +1,4 @@
-//! Connecting to a cache server, and whose fault it is where that fails.
+//! Connecting to a cache server, with retries for failures of the local machine.
 
 use std::io;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 
 use crate::system_error::{classify, report, ErrorClass, Operation, SystemCall};
 
-/// Wait before connecting again after a failure of this machine's own.
-pub(super) const CONNECT_PAUSE: Duration = Duration::from_millis(5);
-/// How often an attempt connects again after such a failure, for 0.1 s in all.
+/// Delay before connecting again after a local failure.
+pub(super) const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Retries of one attempt after local failures, 0.1 s in all.
 pub(super) const MAX_CONNECT_RETRIES: u32 = 20;
 
-/// Whether closing another connection gives back what this machine lacks. It opens no route.
+/// Whether closing another connection frees what this machine lacks. Closing does not restore a route.
 fn is_eased_by_closing(error: &io::Error) -> bool {
     let is_own = classify(SystemCall::Connect, error) == ErrorClass::OwnShortage;
     is_own && !matches!(Errno::from_io_error(error), Some(Errno::NETUNREACH | Errno::NETDOWN))
 }
 
-/// Connects by then. A failure that says nothing of the server is followed by another call: at once where `close_oldest`
-/// has given something back, else after a pause, so often that a moment's shortage is over.
+/// Connects before `until`. A failure that says nothing about the server is retried: at once if `close_oldest` has
+/// freed a connection, otherwise after a delay, often enough to outlast a short shortage.
 ///
 /// # Errors
-/// `Unreachable` where the server is at fault, `Void` where this machine is.
+/// `Unreachable` if the server is at fault, `Void` if this machine is.
 pub(super) async fn dial<T>(
     until: Instant,
     mut connect: impl AsyncFnMut() -> io::Result<T>,
@@ -41,14 +41,14 @@
             ErrorClass::PeerFault | ErrorClass::Fatal => return Err(Status::Unreachable),
             ErrorClass::RetryNow | ErrorClass::OwnShortage => {}
         }
-        report(Operation::ConnectServer, &error, "connecting again, or the attempt is void");
+        report(Operation::ConnectServer, &error, "connecting again, or ending the attempt as void");
         if is_eased_by_closing(&error) && close_oldest() {
             continue;
         }
         retries += 1;
-        if retries > MAX_CONNECT_RETRIES || Instant::now() + CONNECT_PAUSE >= until {
+        if retries > MAX_CONNECT_RETRIES || Instant::now() + CONNECT_RETRY_DELAY >= until {
             return Err(Status::Void);
         }
-        sleep(CONNECT_PAUSE).await;
+        sleep(CONNECT_RETRY_DELAY).await;
     }
 }
--- a/crates/node/src/upstream/keep_alive.rs
+++ b/crates/node/src/upstream/keep_alive.rs
@@ -1,6 +1,7 @@
-//! For how long a kept connection may stand idle: as long as cache servers keep it, and less where they are short of
-//! places for new ones. Nobody tells a node how many a server holds; it shows in new ones that are turned away. A
-//! server that closes sooner than the settings say shows it too, in the ends of those that stood idle longest.
+//! How long a cached connection may stay idle: as long as cache servers keep it, and less if they lack capacity for
+//! new connections. Servers do not announce their connection limit; it shows when they reject new connections. A
+//! server whose idle timeout is shorter than the configured one shows it by closing the connections that were idle
+//! longest.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,141 +9,158 @@
 use hallpin_balancer::ServerId;
 use tokio::time::Instant;
 
-use super::connection::{Idle, Peeked};
+use super::connection::{IdleConnection, PeerState};
 use super::pool::{Endpoint, Upstream};
 
-/// How often kept connections are looked at.
-const SWEEP: Duration = Duration::from_secs(1);
-/// Well before the server closes: what is written to a connection just then ends as a reset.
-const AHEAD: f64 = 0.9;
-/// A server that closes a new connection as it turns the first request away has its places taken, mostly by idle
-/// connections of all nodes: each node that meets this halves the time for which it keeps its own.
-const CUT: f64 = 0.5;
-/// Part of the whole time that comes back with each new connection that was served. With `CUT` one in 500 new
-/// connections may be turned away where the whole time is kept, and one in 50 where a tenth is.
-const GROWTH: f64 = 0.001;
-
-/// Part by which the time that one server's closes have told grows with each new connection to it: what closed them
-/// may have been no idle time, or it may have changed.
-const REGROWTH: f64 = 0.01;
-
-/// For how long one server lets a connection stand idle, as far as its closes have told.
-pub(super) struct IdleClose(Cell<Duration>);
-
-impl Default for IdleClose {
+/// Interval at which cached connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Fraction of the server's idle timeout after which a connection is dropped, well before the server closes it: a
+/// command written just as the server closes ends in a reset.
+const IDLE_MARGIN_FACTOR: f64 = 0.9;
+/// A server that rejects the first request on a new connection and closes it is at its connection limit, mostly
+/// because of idle connections of all nodes. Each node that sees this halves its own idle limit.
+const SHRINK_FACTOR: f64 = 0.5;
+/// Part of the full idle limit regained with each new connection that was served. With `SHRINK_FACTOR`, one in 500
+/// new connections may be rejected at the full limit, and one in 50 at a tenth of it.
+const GROWTH_PER_CONNECTION: f64 = 0.001;
+
+/// Growth of the idle timeout learnt from one server's closes with each new connection to it: those closes may have
+/// had another reason, or the timeout may have changed.
+const RELAX_FACTOR: f64 = 0.01;
+
+/// Idle timeout of one server, as far as its closes have shown.
+pub(super) struct ObservedIdleTimeout(Cell<Duration>);
+
+impl Default for ObservedIdleTimeout {
     fn default() -> Self {
-        IdleClose(Cell::new(Duration::MAX))
+        ObservedIdleTimeout(Cell::new(Duration::MAX))
     }
 }
 
-impl IdleClose {
-    /// It has closed one that had stood idle for so long, and not yet for so long less `gap`.
-    fn closed(&self, idle: Duration, gap: Duration, longest: Duration) {
-        let before = self.0.get().min(longest);
-        self.0.set(before.min((idle.saturating_sub(gap)).mul_f64(AHEAD).max(before.mul_f64(CUT))));
+impl ObservedIdleTimeout {
+    /// Records a close of a connection that had been idle for `idle` and was still open `gap` earlier.
+    fn observe_close(&self, idle: Duration, gap: Duration, max_idle: Duration) {
+        let before = self.0.get().min(max_idle);
+        self.0.set(
+            before.min(
+                (idle.saturating_sub(gap)).mul_f64(IDLE_MARGIN_FACTOR).max(before.mul_f64(SHRINK_FACTOR)),
+            ),
+        );
     }
 
-    fn placed(&self) {
-        self.0.set(self.0.get().saturating_add(self.0.get().mul_f64(REGROWTH)));
+    fn relax(&self) {
+        self.0.set(self.0.get().saturating_add(self.0.get().mul_f64(RELAX_FACTOR)));
     }
 }
 
+/// Idle limit for cached connections to all servers.
 pub(super) struct KeepAlive {
-    longest: Duration,
-    share: Cell<f64>,
+    max_idle: Duration,
+    scale: Cell<f64>,
 }
 
 impl KeepAlive {
-    /// Cache servers close a connection that has stood idle for `idle_close`.
+    /// Cache servers close a connection that has been idle for `idle_close`.
     pub(super) fn new(idle_close: Duration) -> Self {
-        KeepAlive { longest: idle_close.mul_f64(AHEAD), share: Cell::new(1.0) }
+        KeepAlive { max_idle: idle_close.mul_f64(IDLE_MARGIN_FACTOR), scale: Cell::new(1.0) }
     }
 
-    pub(super) fn time(&self) -> Duration {
-        self.longest.mul_f64(self.share.get())
+    pub(super) fn idle_limit(&self) -> Duration {
+        self.max_idle.mul_f64(self.scale.get())
     }
 
-    /// A server had no place for a new connection.
-    pub(super) fn no_place(&self) {
-        self.share.set(self.share.get() * CUT);
+    /// Records that a server had no capacity for a new connection.
+    pub(super) fn shrink(&self) {
+        self.scale.set(self.scale.get() * SHRINK_FACTOR);
     }
 
-    /// A server had one.
-    pub(super) fn place(&self) {
-        self.share.set((self.share.get() + GROWTH).min(1.0));
+    /// Records that a server had capacity for a new connection.
+    pub(super) fn grow(&self) {
+        self.scale.set((self.scale.get() + GROWTH_PER_CONNECTION).min(1.0));
     }
 }
 
 impl Upstream {
-    /// Whether a connection taken out of the kept ones may be used.
-    pub(super) fn fresh(&self, server: &ServerId, idle: &Idle) -> bool {
+    /// Whether a connection taken out of the cache may be used.
+    pub(super) fn is_usable(&self, server: &ServerId, idle: &IdleConnection) -> bool {
         let endpoints = self.endpoints.borrow();
-        let Some(Endpoint { idle: others, idle_close, .. }) = endpoints.get(server) else { return false };
-        let oldest = others.iter().all(|other| other.connection.used >= idle.connection.used);
-        self.lasts(idle, oldest, idle_close)
+        let Some(Endpoint { idle: others, idle_timeout, .. }) = endpoints.get(server) else { return false };
+        let oldest = others.iter().all(|other| other.connection.last_used >= idle.connection.last_used);
+        self.may_stay_cached(idle, oldest, idle_timeout)
     }
 
-    /// Whether a kept connection may stay, and what its end tells. An idle time ends the oldest first.
-    fn lasts(&self, idle: &Idle, oldest: bool, idle_close: &IdleClose) -> bool {
-        let age = idle.connection.used.elapsed();
-        if age >= self.keep_alive.time().min(idle_close.0.get()) {
+    /// Whether a cached connection may stay, learning from its close. A server's idle timeout closes the oldest
+    /// connection first.
+    fn may_stay_cached(
+        &self,
+        idle: &IdleConnection,
+        oldest: bool,
+        idle_timeout: &ObservedIdleTimeout,
+    ) -> bool {
+        let age = idle.connection.last_used.elapsed();
+        if age >= self.keep_alive.idle_limit().min(idle_timeout.0.get()) {
             return false;
         }
         let peeked = idle.connection.peek();
-        if peeked == Peeked::Ended {
-            // It was looked at so long ago: what ended before that ended right behind its answer.
+        if peeked == PeerState::Closed {
+            // Time since the previous check. A connection that was closed within this time of its answer was not closed
+            // for being idle.
             let gap = self.sweep_after();
             if age > gap && oldest {
-                idle_close.closed(age, gap, self.keep_alive.longest);
-            } else if age <= gap && idle.connection.no_place() {
-                self.keep_alive.no_place();
+                idle_timeout.observe_close(age, gap, self.keep_alive.max_idle);
+            } else if age <= gap && idle.connection.was_rejected_for_capacity() {
+                self.keep_alive.shrink();
             }
         }
-        peeked == Peeked::Quiet
+        peeked == PeerState::Quiet
     }
 
-    /// A server had a place for a new connection.
-    pub(super) fn placed(&self, server: &ServerId) {
-        self.keep_alive.place();
+    /// Records that a server had capacity for a new connection.
+    pub(super) fn record_accepted_connection(&self, server: &ServerId) {
+        self.keep_alive.grow();
         if let Some(endpoint) = self.endpoints.borrow().get(server) {
-            endpoint.idle_close.placed();
+            endpoint.idle_timeout.relax();
         }
     }
 
-    /// Where a server had no place for a new connection, idle ones are given back at once.
-    pub(super) fn no_place(&self) {
-        self.keep_alive.no_place();
-        let time = self.keep_alive.time();
+    /// Records that a server had no capacity for a new connection. Connections idle beyond the reduced limit are
+    /// closed at once.
+    pub(super) fn record_rejected_connection(&self) {
+        self.keep_alive.shrink();
+        let time = self.keep_alive.idle_limit();
         for endpoint in self.endpoints.borrow_mut().values_mut() {
-            endpoint.idle.retain(|idle| idle.connection.used.elapsed() < time);
+            endpoint.idle.retain(|idle| idle.connection.last_used.elapsed() < time);
         }
     }
 
-    /// When kept connections are to be looked at again: a time to keep them that is short is kept to.
+    /// Time until the next sweep, short enough to honour a short idle limit.
     pub fn sweep_after(&self) -> Duration {
-        (self.keep_alive.time() / 2).clamp(SWEEP / 20, SWEEP)
+        (self.keep_alive.idle_limit() / 2).clamp(SWEEP_INTERVAL / 20, SWEEP_INTERVAL)
     }
 
-    /// Closes kept connections that are old, dead or lead to a server that leaves: they hold descriptors.
+    /// Closes cached connections that are too old, dead, or lead to a server past its drain grace, as each holds a
+    /// descriptor.
     pub fn sweep(&self) {
         let now = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
         for endpoint in endpoints.values_mut() {
-            let Endpoint { idle, idle_close, .. } = endpoint;
-            let oldest = idle.iter().map(|idle| idle.connection.used).min();
-            idle.retain(|idle| self.lasts(idle, Some(idle.connection.used) == oldest, idle_close));
+            let Endpoint { idle, idle_timeout, .. } = endpoint;
+            let oldest = idle.iter().map(|idle| idle.connection.last_used).min();
+            idle.retain(|idle| {
+                self.may_stay_cached(idle, Some(idle.connection.last_used) == oldest, idle_timeout)
+            });
         }
-        endpoints.retain(|_, endpoint| endpoint.closes.is_none_or(|at| at > now));
+        endpoints.retain(|_, endpoint| endpoint.closes_at.is_none_or(|at| at > now));
         drop(endpoints);
         // Another process may have come to share the limits.
-        while self.open.get() > self.budget.servers() && self.close_oldest() {}
+        while self.open_connections.get() > self.budget.servers() && self.close_oldest() {}
     }
 
-    /// Closes the kept connection that was not used for the longest time.
+    /// Closes the cached connection that has been unused for longest.
     pub fn close_oldest(&self) -> bool {
         let mut endpoints = self.endpoints.borrow_mut();
-        let with = endpoints.values_mut().filter(|e| !e.idle.is_empty());
-        let oldest = with.min_by_key(|e| e.idle[0].since);
+        let with_idle = endpoints.values_mut().filter(|e| !e.idle.is_empty());
+        let oldest = with_idle.min_by_key(|e| e.idle[0].since);
         oldest.map(|e| e.idle.remove(0)).is_some()
     }
 }
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -1,17 +1,17 @@
-//! What the tests of the connections share.
+//! Shared helpers for the upstream tests.
 
+mod blocked_writes;
 mod budgeted;
 mod cut_values;
 mod deadlines;
 mod dial;
-mod held_back;
-mod held_up;
+mod duplicate_answers;
 mod idle_closes;
 mod keep_alive;
 mod last_byte;
 mod long_values;
 mod pooling;
-mod second_answers;
+mod scheduling_delays;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -34,9 +34,9 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// With so many connections at most.
-fn upstream(grace: Duration, most: usize) -> Rc<Upstream> {
-    let limits = Limits { sockets: RESERVED + 3 * most, ..Limits::default() };
+/// An upstream with at most `max_connections` connections.
+fn upstream(grace: Duration, max_connections: usize) -> Rc<Upstream> {
+    let limits = Limits { sockets: RESERVED + 3 * max_connections, ..Limits::default() };
     Rc::new(Upstream::new(Bounds { dial: LONG, idle: LONG, grace }, Budget::new(&limits), Figures::new([])))
 }
 
@@ -70,10 +70,10 @@
 }
 
 impl Upstream {
-    /// Stands for a process that is not run for a while. The clock has to be paused.
-    pub(super) async fn held_up(&self) {
-        if !self.hold_up.get().is_zero() {
-            advance(self.hold_up.get()).await;
+    /// Simulates a process that is not scheduled for a while. The clock has to be paused.
+    pub(super) async fn delay_write(&self) {
+        if !self.injected_write_delay.get().is_zero() {
+            advance(self.injected_write_delay.get()).await;
         }
     }
 }
--- a/crates/node/src/upstream/tests/budgeted.rs
+++ b/crates/node/src/upstream/tests/budgeted.rs
@@ -1,4 +1,4 @@
-//! Which connection is used where the node's part of a cache server's connections has no other left.
+//! Choice of a connection when the node's quota of a cache server's connections allows no other.
 
 use hallpin_balancer::{ServerId, Settings, Status};
 use hallpin_control_plane::FleetFile;
@@ -10,7 +10,7 @@
 use super::*;
 use crate::plane::{Fleet, Opened, Setup};
 
-/// A node alone that has no lease yet: it goes by the part that is safe without one.
+/// A single node without a lease, which uses the quota that is safe without one.
 fn fleet() -> Rc<Fleet> {
     let file = "version = 1\nrealm = \"test\"\n[budgets]\ncontracts = \"c\"\nconnections_per_box = 40\n\
                 lease = \"400ms\"\n";
@@ -29,8 +29,8 @@
     Fleet::new(setup, &Settings::default(), 0, &Figures::new([]), unbounded_channel().0).unwrap()
 }
 
-/// The one connection that there is was answered a moment ago. A command that must not run twice uses it, and does not
-/// believe a `busy` there.
+/// The only connection was answered a moment ago. A command that must not run twice uses it, but a `busy` there does
+/// not count as proof that it never ran.
 #[tokio::test]
 async fn without_another_connection_a_busy_proves_nothing() {
     for (answer, status) in [("HD Oz c1\r\n", Status::Success), ("SERVER_ERROR busy\r\n", Status::Unknown)] {
@@ -43,10 +43,10 @@
         let mut connection = upstream.connect(&server, Instant::now() + LONG).await.ok().unwrap();
         let mut peer = listener.accept().await.unwrap().0;
         connection.answered(true);
-        upstream.keep(&server, connection);
+        upstream.cache_connection(&server, connection);
         let _others: Vec<Opened> = std::iter::from_fn(|| fleet.open(&server)).collect();
         let once = Errand { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
-        let answered = async {
+        let answering = async {
             assert!(peer.read(&mut [0; 256]).await.unwrap() > 0);
             peer.write_all(answer.as_bytes()).await.unwrap();
         };
@@ -56,7 +56,7 @@
             ended
         };
         tokio::select! {
-            (ended, ()) = async { tokio::join!(attempt, answered) } => assert_eq!(ended.status, status),
+            (ended, ()) = async { tokio::join!(attempt, answering) } => assert_eq!(ended.status, status),
             _ = listener.accept() => panic!("another connection"),
         }
     }
--- a/crates/node/src/upstream/tests/cut_values.rs
+++ b/crates/node/src/upstream/tests/cut_values.rs
@@ -1,21 +1,20 @@
-//! A long value that hangs in the middle is cut in its client's time and in that of a process that ends, on the
-//! paused clock.
+//! A long value that hangs midway is cut at its client's deadline and when the process ends, on the paused clock.
 
 use hallpin_balancer::ServerId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-use super::super::rest::{Broken, HANGS};
-use super::super::Rest;
+use super::super::body_stream::{BrokenBody, HANG_TIMEOUT};
+use super::super::BodyStream;
 use super::*;
 use crate::stop::Stop;
 
 const LENGTH: usize = 70_000;
 const WAIT: Duration = Duration::from_millis(300);
 
-/// A value of which only the beginning has come, and its server's end of the connection.
-async fn begun(errand: &Errand) -> (Rest, TcpStream) {
+/// A value of which only the beginning has arrived, and the server's end of the connection.
+async fn partial_value(call: &Errand) -> (BodyStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
     upstream.learn(&roster(&listener, "ready"));
@@ -26,65 +25,67 @@
         stream.write_all(format!("VA {LENGTH} Oa\r\nv").as_bytes()).await.unwrap();
         stream
     };
-    let (ended, peer) = tokio::join!(upstream.attempt(&server, errand), peer);
-    (ended.answer.and_then(|served| served.rest).expect("a long value"), peer)
+    let (ended, peer) = tokio::join!(upstream.attempt(&server, call), peer);
+    (ended.answer.and_then(|served| served.body).expect("a long value"), peer)
 }
 
-async fn whole(rest: &mut Rest) -> Result<usize, Broken> {
-    let mut came = 0;
-    while let Some(piece) = rest.next().await? {
-        came += piece.len();
+async fn read_to_end(body: &mut BodyStream) -> Result<usize, BrokenBody> {
+    let mut received = 0;
+    while let Some(piece) = body.next().await? {
+        received += piece.len();
     }
-    Ok(came)
+    Ok(received)
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_value_that_hangs_is_cut_when_its_client_stops_waiting() {
     let start = Instant::now();
-    let (mut rest, _peer) = begun(&Errand { deadline: start + WAIT, ..errand(READ) }).await;
-    assert!(whole(&mut rest).await.is_err());
-    assert_eq!(start.elapsed(), HANGS);
+    let (mut body, _peer) = partial_value(&Errand { deadline: start + WAIT, ..errand(READ) }).await;
+    assert!(read_to_end(&mut body).await.is_err());
+    assert_eq!(start.elapsed(), HANG_TIMEOUT);
 }
 
-/// A server that is slow and still gives ends its value, also behind its client's time.
+/// A slow server that still sends completes its value, even after the client's deadline.
 #[tokio::test(start_paused = true)]
 async fn a_value_that_still_comes_is_given_whole() {
-    let (mut rest, mut peer) = begun(&Errand { deadline: Instant::now() + WAIT, ..errand(READ) }).await;
-    let given = async {
+    let (mut body, mut peer) =
+        partial_value(&Errand { deadline: Instant::now() + WAIT, ..errand(READ) }).await;
+    let sending = async {
         for half in [LENGTH / 2, LENGTH - 1 - LENGTH / 2] {
-            sleep(HANGS * 3 / 4).await;
+            sleep(HANG_TIMEOUT * 3 / 4).await;
             peer.write_all(&vec![b'v'; half]).await.unwrap();
         }
         peer.write_all(b"\r\n").await.unwrap();
     };
-    let (came, ()) = tokio::join!(whole(&mut rest), given);
-    assert_eq!(came.unwrap(), LENGTH);
+    let (received, ()) = tokio::join!(read_to_end(&mut body), sending);
+    assert_eq!(received.unwrap(), LENGTH);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_value_that_hangs_is_cut_when_the_process_ends() {
     let lifecycle = Lifecycle::new();
-    let (mut rest, _peer) = begun(&Errand { phases: lifecycle.follow(), ..errand(READ) }).await;
+    let (mut body, _peer) = partial_value(&Errand { phases: lifecycle.follow(), ..errand(READ) }).await;
     let stop = async {
         sleep(WAIT).await;
         lifecycle.stop(false, Stop { part_after: Duration::ZERO, end_after: WAIT });
     };
     let start = Instant::now();
-    let (broken, ()) = tokio::join!(whole(&mut rest), stop);
-    assert!(broken.is_err());
+    let (result, ()) = tokio::join!(read_to_end(&mut body), stop);
+    assert!(result.is_err());
     assert_eq!(start.elapsed(), 2 * WAIT);
 }
 
-/// The time for which it stood behind earlier answers is not its client's.
+/// Time spent waiting for earlier answers does not count towards the client's deadline.
 #[tokio::test(start_paused = true)]
 async fn a_value_has_its_time_when_its_turn_comes() {
-    let (mut rest, mut peer) = begun(&Errand { deadline: Instant::now() + WAIT, ..errand(READ) }).await;
+    let (mut body, mut peer) =
+        partial_value(&Errand { deadline: Instant::now() + WAIT, ..errand(READ) }).await;
     sleep(2 * WAIT).await;
-    let given = async {
+    let sending = async {
         sleep(WAIT / 2).await;
         peer.write_all(&[b'v'; LENGTH - 1]).await.unwrap();
         peer.write_all(b"\r\n").await.unwrap();
     };
-    let (came, ()) = tokio::join!(whole(&mut rest), given);
-    assert_eq!(came.unwrap(), LENGTH);
+    let (received, ()) = tokio::join!(read_to_end(&mut body), sending);
+    assert_eq!(received.unwrap(), LENGTH);
 }
--- a/crates/node/src/upstream/tests/dial.rs
+++ b/crates/node/src/upstream/tests/dial.rs
@@ -1,4 +1,4 @@
-//! What a connect that fails at this machine leads to, and what one that fails at the server does.
+//! Effects of a connect failure caused by this machine, and of one caused by the server.
 
 use std::cell::Cell;
 use std::io;
@@ -9,39 +9,39 @@
 use tokio::time::Instant;
 
 use crate::system_error::{classify, ErrorClass, SystemCall};
-use crate::upstream::dial::{dial, CONNECT_PAUSE, MAX_CONNECT_RETRIES};
-/// Connects after these failures, with so many connections that may be closed; the outcome, in which time, and how many
-/// of those are left.
+use crate::upstream::dial::{dial, CONNECT_RETRY_DELAY, MAX_CONNECT_RETRIES};
+/// Connects after these failures with `cached` connections that may be closed. Returns the outcome, the time taken,
+/// and how many of those connections are left.
 async fn dial_after(failures: &[Errno], cached: usize) -> (Result<(), Status>, Duration, usize) {
-    let (since, mut failures, left) = (Instant::now(), failures.iter(), Cell::new(cached));
+    let (since, mut failures, remaining) = (Instant::now(), failures.iter(), Cell::new(cached));
     let close_oldest = || {
-        let closed = left.get() > 0;
-        left.set(left.get() - usize::from(closed));
+        let closed = remaining.get() > 0;
+        remaining.set(remaining.get() - usize::from(closed));
         closed
     };
     let connect = async || failures.next().map_or(Ok(()), |errno| Err((*errno).into()));
-    let dialled = dial(since + Duration::from_secs(1), connect, close_oldest).await;
-    (dialled, since.elapsed(), left.get())
+    let result = dial(since + Duration::from_secs(1), connect, close_oldest).await;
+    (result, since.elapsed(), remaining.get())
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_moments_shortage_is_outwaited_and_is_no_word_of_the_server() {
+async fn a_short_shortage_is_retried_and_not_blamed_on_the_server() {
     let own = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
     for errno in own {
-        let pause = CONNECT_PAUSE;
+        let pause = CONNECT_RETRY_DELAY;
         assert_eq!(dial_after(&[errno; 2], 2).await, (Ok(()), Duration::ZERO, 0), "{errno:?}");
         assert_eq!(dial_after(&[errno; 3], 2).await, (Ok(()), pause, 0), "{errno:?}");
         assert_eq!(dial_after(&[errno; 100], 0).await.0, Err(Status::Void), "{errno:?}");
     }
     for errno in [Errno::NETUNREACH, Errno::NETDOWN, Errno::INTR] {
-        let pause = CONNECT_PAUSE;
+        let pause = CONNECT_RETRY_DELAY;
         assert_eq!(
             dial_after(&[errno], 2).await,
             (Ok(()), pause, 2),
             "{errno:?}: no other connection is closed"
         );
-        let (status, took, left) = dial_after(&[errno; 100], 2).await;
-        assert_eq!((status, left), (Err(Status::Void), 2), "{errno:?}");
+        let (status, took, remaining) = dial_after(&[errno; 100], 2).await;
+        assert_eq!((status, remaining), (Err(Status::Void), 2), "{errno:?}");
         assert_eq!(took, pause * MAX_CONNECT_RETRIES, "{errno:?}");
     }
     for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT, Errno::CONNRESET] {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_this_machine_lacks_is_its_own_limit_and_what_the_peer_does_is_not() {
+fn local_shortages_are_told_from_peer_faults() {
     let own = [
         Errno::MFILE,
         Errno::NFILE,
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_this_machine_lacks_is_not_held_against_a_server() {
+fn a_local_shortage_is_not_blamed_on_the_server() {
     assert!(is_own_shortage(&io::Error::from_raw_os_error(24)));
     assert!(!is_own_shortage(&io::ErrorKind::ConnectionRefused.into()));
 }
--- a/crates/node/src/upstream/tests/long_values.rs
+++ b/crates/node/src/upstream/tests/long_values.rs
@@ -1,15 +1,15 @@
-//! How long a cache server is waited for, on the paused clock.
+//! How long the node waits for a cache server, on the paused clock.
 
 use hallpin_balancer::{ServerId, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-use super::super::rest::{Broken, STALLED};
+use super::super::body_stream::{BrokenBody, STALL_TIMEOUT};
 use super::*;
 
-/// A server that answers a long value at `every` a piece of `piece` bytes, on the paused clock: how much of
-/// the value came, and whether it ended broken.
-async fn long_value_given(piece: usize, every: Duration) -> (usize, bool) {
+/// A server that sends `piece` bytes of a long value at each `every`, on the paused clock. Returns how many bytes
+/// arrived, and whether the value ended broken.
+async fn receive_long_value(piece: usize, every: Duration) -> (usize, bool) {
     const LENGTH: usize = 1 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
@@ -31,29 +31,29 @@
         let _ = stream.write_all(b"\r\n").await;
     });
     let ended = upstream.attempt(&ServerId("s".into()), &errand(READ)).await;
-    let mut rest = ended.answer.and_then(|served| served.rest).expect("a long value");
-    let mut came = 0;
+    let mut body = ended.answer.and_then(|served| served.body).expect("a long value");
+    let mut received = 0;
     let broken = loop {
-        match rest.next().await {
-            Ok(Some(piece)) => came += piece.len(),
+        match body.next().await {
+            Ok(Some(piece)) => received += piece.len(),
             Ok(None) => break false,
-            Err(Broken) => break true,
+            Err(BrokenBody) => break true,
         }
     };
-    drop(rest);
+    drop(body);
     peer.abort();
-    (came, broken)
+    (received, broken)
 }
 
-/// Finding 12 of the hardening review: a byte just within each `STALLED` no longer holds the value open for
-/// ever, while a slow but steady server, above the least rate, gives all of it.
+/// Guards against a server that sends one byte just within each stall timeout and so held the value open forever
+/// (finding 12 of the hardening review). A slow but steady server, above the minimum rate, delivers the whole value.
 #[tokio::test(start_paused = true)]
 async fn a_trickled_value_is_given_up_and_a_steady_one_is_not() {
     let local = tokio::task::LocalSet::new();
     let (trickled, steady) = local
         .run_until(async {
-            let trickled = long_value_given(1, STALLED - Duration::from_secs(1)).await;
-            let steady = long_value_given(32 * 1024, Duration::from_secs(1)).await;
+            let trickled = receive_long_value(1, STALL_TIMEOUT - Duration::from_secs(1)).await;
+            let steady = receive_long_value(32 * 1024, Duration::from_secs(1)).await;
             (trickled, steady)
         })
         .await;
@@ -61,8 +61,8 @@
     assert_eq!(steady, (1 << 20, false), "a steady server at twice the least rate");
 }
 
-/// The bound of the review's table: a probe of a server that takes the connection and says nothing lasts two
-/// dial times, on the paused clock, and ends as timed out.
+/// A health check of a server that accepts the connection and sends nothing lasts two dial timeouts, on the paused
+/// clock, and ends as timed out.
 #[tokio::test(start_paused = true)]
 async fn a_probe_of_a_silent_server_lasts_two_dial_times() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/node/src/upstream/tests/pooling.rs
+++ b/crates/node/src/upstream/tests/pooling.rs
@@ -1,14 +1,14 @@
-//! Which connections are used, kept and closed.
+//! Which connections are used, cached and closed.
 
 use hallpin_balancer::{ServerId, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-use super::super::connection::{Idle, Peeked};
-use super::super::pool::SETTLE;
+use super::super::connection::{IdleConnection, PeerState};
+use super::super::pool::SETTLE_TIME;
 use super::*;
 
-/// What a whole list costs that names the servers known already; for docs/measurements/growth.md.
+/// Cost of a complete list that names only known servers; for docs/measurements/growth.md.
 #[test]
 #[ignore = "a measurement: run with --ignored --nocapture, in release"]
 fn measure_learning_a_whole_list() {
@@ -31,8 +31,8 @@
     }
 }
 
-/// News of a drain that comes while an attempt waits for its connection: past the grace not a byte is
-/// written, and the attempt never ran.
+/// A drain is notified while an attempt waits for its connection: after the grace nothing is written, and the attempt
+/// never ran.
 #[tokio::test]
 async fn nothing_is_written_to_a_draining_server_past_the_grace() {
     let none = Duration::ZERO;
@@ -41,7 +41,7 @@
         ("gone", none, none, false),
         ("odd", none, none, false),
         ("draining", LONG, none, true),
-        // What is written in its last round may arrive behind it.
+        // A write in the last quantum may arrive after the grace.
         ("draining", LONG, LONG, false),
         ("draining", LONG, LONG / 2, true),
         ("ready", none, none, true),
@@ -50,8 +50,8 @@
         let upstream = upstream(grace, 9);
         upstream.rounds(round);
         upstream.learn(&roster(&listener, "ready"));
-        let (server, errand) = (ServerId("s".into()), errand(READ));
-        let attempt = upstream.attempt(&server, &errand);
+        let (server, call) = (ServerId("s".into()), errand(READ));
+        let attempt = upstream.attempt(&server, &call);
         let peer = async {
             let mut stream = listener.accept().await.unwrap().0;
             let mut seen = Vec::new();
@@ -62,7 +62,7 @@
             let _ = stream.write_all(b"SERVER_ERROR failed\r\n").await;
             seen
         };
-        // The attempt starts to connect, then the news comes, then the connection is up.
+        // The attempt starts to connect, then the notification arrives, then the connection comes up.
         tokio::pin!(attempt);
         tokio::select! {
             biased;
@@ -81,15 +81,15 @@
         );
         let status = if written { Status::Error } else { Status::Unreachable };
         assert_eq!(
-            (ended.status, !seen.is_empty(), errand.written.get()),
+            (ended.status, !seen.is_empty(), call.written.get()),
             (status, written, written),
             "{phase}, {grace:?}, {round:?}"
         );
     }
 }
 
-/// More than belongs to an answer may come a moment behind it, and would be read as the next one's: a
-/// connection that has just answered is used a moment later; one that has said more is closed.
+/// Surplus bytes may follow an answer and would be read as the next one: a connection that has just answered is used
+/// a moment later, and one that has sent more is closed.
 #[tokio::test]
 async fn a_connection_is_used_again_once_nothing_more_has_come() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -99,31 +99,37 @@
     let connection = upstream.connect(&server, now + LONG).await.ok().unwrap();
     let mut peer = listener.accept().await.unwrap().0;
     let keep = |connection, since| {
-        upstream.endpoints.borrow_mut().get_mut(&server).unwrap().idle.push(Idle { connection, since })
+        upstream
+            .endpoints
+            .borrow_mut()
+            .get_mut(&server)
+            .unwrap()
+            .idle
+            .push(IdleConnection { connection, since })
     };
     keep(connection, now);
-    let connection = upstream.kept(&server, true).await.expect("it has been quiet");
-    assert!(now.elapsed() >= SETTLE, "it had only just answered");
+    let connection = upstream.cached_connection(&server, true).await.expect("it has been quiet");
+    assert!(now.elapsed() >= SETTLE_TIME, "it had only just answered");
     peer.write_all(b"more").await.unwrap();
-    while connection.peek() == Peeked::Quiet {
+    while connection.peek() == PeerState::Quiet {
         tokio::task::yield_now().await;
     }
     keep(connection, now);
-    assert!(upstream.kept(&server, true).await.is_none(), "it has said more");
-    assert_eq!(upstream.open.get(), 0);
+    assert!(upstream.cached_connection(&server, true).await.is_none(), "it has sent more");
+    assert_eq!(upstream.open_connections.get(), 0);
 }
 
-/// A repetition of a drain, or a server that leaves before it was ever ready, opens no new grace.
+/// Neither a repeated drain nor a server that leaves before it was ever ready starts a new grace.
 #[tokio::test]
-async fn a_drain_that_is_told_again_gives_no_new_grace() {
+async fn a_repeated_drain_notification_starts_no_new_grace() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
     upstream.learn(&roster(&listener, "draining"));
     assert!(upstream.endpoints.borrow().is_empty());
 }
 
-/// At the node's own limit an idle connection makes room; without one the attempt is not made, which
-/// says nothing against the server.
+/// At the node's own limit an idle connection is closed to make room; without one the attempt is not made, which says
+/// nothing about the server.
 #[tokio::test]
 async fn connections_stay_within_the_budget() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -131,9 +137,9 @@
     upstream.learn(&roster(&listener, "ready"));
     let server = ServerId("s".into());
     let until = Instant::now() + LONG;
-    let held = upstream.connect(&server, until).await.ok().unwrap();
+    let connection = upstream.connect(&server, until).await.ok().unwrap();
     assert_eq!(upstream.connect(&server, until).await.err(), Some(Status::Void));
-    upstream.keep(&server, held);
+    upstream.cache_connection(&server, connection);
     assert!(upstream.connect(&server, until).await.is_ok());
-    assert_eq!(upstream.open.get(), 0);
+    assert_eq!(upstream.open_connections.get(), 0);
 }
