--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -11,17 +11,17 @@
     /// The rest of a long value, which follows `text`.
     pub body: Option<BodyStream>,
     /// The request that ends once the last byte is written, for a command that started one.
-    pub ends: Option<(Ticket, End)>,
+    pub request_end: Option<(Ticket, End)>,
 }
 
 impl Answer {
     /// The final answer of a request.
     pub fn of(ticket: Ticket, Served { text, body }: Served, end: End) -> Self {
-        Answer { text, body, ends: Some((ticket, end)) }
+        Answer { text, body, request_end: Some((ticket, end)) }
     }
 
     /// The answer to a command that starts no request, or that is rejected.
     pub fn untaken(text: Bytes) -> Self {
-        Answer { text, body: None, ends: None }
+        Answer { text, body: None, request_end: None }
     }
 }
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -69,7 +69,7 @@
     /// Counts a new request of this class.
     pub fn take(self: &Rc<Self>, class: usize) -> Ticket {
         increment(&self.started);
-        Ticket { figures: self.clone(), class, end: End::Failed }
+        Ticket { metrics: self.clone(), class, end: End::Failed }
     }
 
     /// Counts an attempt that was written completely to a cache server.
@@ -116,7 +116,7 @@
 
 /// A request that was started. Dropping it counts the request as ended: as failed, unless [`Ticket::end`] was called.
 pub struct Ticket {
-    figures: Rc<Figures>,
+    metrics: Rc<Figures>,
     class: usize,
     end: End,
 }
@@ -129,7 +129,7 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        if let Some(class) = self.figures.classes.get(self.class) {
+        if let Some(class) = self.metrics.classes.get(self.class) {
             increment(&class.ended[self.end as usize]);
         }
     }
@@ -141,15 +141,15 @@
 
     #[test]
     fn a_request_is_pending_until_it_ends_in_one_way() {
-        let figures = Figures::new(["read", "save"]);
-        let (served, refused, left) = (figures.take(0), figures.take(1), figures.take(1));
-        figures.count_upstream_request();
-        assert_eq!(figures.pending(), 3);
+        let metrics = Figures::new(["read", "save"]);
+        let (served, refused, left) = (metrics.take(0), metrics.take(1), metrics.take(1));
+        metrics.count_upstream_request();
+        assert_eq!(metrics.pending(), 3);
         served.end(End::Completed);
         refused.end(End::Rejected);
-        assert_eq!(figures.pending(), 1);
+        assert_eq!(metrics.pending(), 1);
         drop(left);
-        let text = figures.render(Members { listed: 12, unavailable: 2 });
+        let text = metrics.render(Members { listed: 12, unavailable: 2 });
         let expected = "app_completed_total{lane=\"read\"} 1\napp_completed_total{lane=\"save\"} 0\n\
             app_rejected_total{lane=\"read\"} 0\napp_rejected_total{lane=\"save\"} 1\n\
             app_failed_total{lane=\"read\"} 0\napp_failed_total{lane=\"save\"} 1\n\
--- a/crates/node/src/frontend/client.rs
+++ b/crates/node/src/frontend/client.rs
@@ -145,6 +145,7 @@
         }
     }
 
+    /// Whether an answer is pending or not completely sent.
     pub(super) fn owes_answers(&self) -> bool {
         !self.pending.is_empty() || !self.output.is_empty() || self.body.is_some()
     }
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -18,6 +18,7 @@
 pub(super) const MAX_UNSENT_BYTES: usize = 128 * 1024;
 
 impl Client {
+    /// Whether memory is left for a command; one command per connection is always allowed.
     fn has_room(&self) -> bool {
         self.frontend.budget.has_room() || self.pending.is_empty()
     }
@@ -45,6 +46,7 @@
         self.input_reservation.set(self.input.len());
     }
 
+    /// Passes a command to the driver, or answers it directly.
     fn start_command(&mut self, input: Input, at: Instant) -> PendingAnswer {
         let frontend = &self.frontend;
         match input {
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Appends bytes that were read apart from the event loop.
     pub(super) fn append_input(&mut self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -39,11 +39,12 @@
         }
         self.append_output(&answer.text);
         match answer.body {
-            Some(body) => self.body = Some((body, answer.ends)),
-            None => self.register_end(answer.ends),
+            Some(body) => self.body = Some((body, answer.request_end)),
+            None => self.register_end(answer.request_end),
         }
     }
 
+    /// Appends to the output, which counts as used memory until it is written.
     pub(super) fn append_output(&mut self, bytes: &[u8]) {
         if self.output.is_empty() {
             self.sequence = self.frontend.take_number();
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Accounts for `bytes` written, and ends the requests that they complete.
     pub(super) fn record_written(&mut self, bytes: usize) {
         self.last_written_at = Instant::now();
         (self.sequence, self.idle_since) = (self.frontend.take_number(), self.last_written_at);
--- a/crates/node/src/frontend/serve.rs
+++ b/crates/node/src/frontend/serve.rs
@@ -34,6 +34,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Client {
+    /// Serves the connection until it ends.
     pub(super) async fn serve(&mut self) {
         if self.stream.set_nodelay(true).is_err() {
             return;
--- a/crates/node/src/frontend/shared.rs
+++ b/crates/node/src/frontend/shared.rs
@@ -90,6 +90,7 @@
         })
     }
 
+    /// The next unused number.
     pub(super) fn take_number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
@@ -150,6 +151,7 @@
 }
 
 impl<'a> EvictionEntry<'a> {
+    /// Registers a connection under `key`.
     pub(super) fn take(frontend: &'a Frontend, key: (Rank, u64), since: Instant, close: &Rc<Notify>) -> Self {
         frontend.candidates.borrow_mut().insert(key, EvictionCandidate { since, close: close.clone() });
         EvictionEntry { frontend, key }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -19,10 +19,12 @@
 pub struct Gone(Rc<Cell<bool>>);
 
 impl Gone {
+    /// Marks the client as disconnected.
     pub fn tell(&self) {
         self.0.set(true);
     }
 
+    /// Whether the client has disconnected.
     pub fn is_told(&self) -> bool {
         self.0.get()
     }
@@ -30,6 +32,7 @@
 
 /// Messages to the driver.
 pub enum Message {
+    /// A client has sent a complete command.
     Request {
         id: RequestId,
         command: Command,
@@ -40,20 +43,16 @@
     },
     /// The client has disconnected.
     Withdrawn(RequestId),
-    Ended {
-        request: RequestId,
-        attempt: AttemptId,
-        ended: Ended,
-    },
+    /// An attempt has ended.
+    Ended { request: RequestId, attempt: AttemptId, ended: Ended },
     /// A health check has ended.
-    Probed {
-        server: ServerId,
-        status: Status,
-    },
+    Probed { server: ServerId, status: Status },
+    /// Discovery has delivered an endpoint list.
     Roster(Roster),
     /// News from the control plane between nodes for the balancer.
     Fleet(FleetNews),
+    /// A call to discovery has failed.
     RosterFailed,
-    /// The operator's listener asks for the member counts.
+    /// The operators' listener asks for the number of listed cache servers.
     Members(oneshot::Sender<Members>),
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -102,18 +102,21 @@
 /// The operators' listener and what its calls act on.
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
-    figures: Rc<Figures>,
+    metrics: Rc<Figures>,
     driver: UnboundedSender<Message>,
     callers: RefCell<VecDeque<AbortHandle>>,
 }
 
 impl Operator {
-    pub fn new(lifecycle: Rc<Lifecycle>, figures: Rc<Figures>, driver: UnboundedSender<Message>) -> Rc<Self> {
-        Rc::new(Operator { lifecycle, figures, driver, callers: RefCell::default() })
+    pub fn new(lifecycle: Rc<Lifecycle>, metrics: Rc<Figures>, driver: UnboundedSender<Message>) -> Rc<Self> {
+        Rc::new(Operator { lifecycle, metrics, driver, callers: RefCell::default() })
     }
 
     /// Binds the operators' address. Returns `None` if an earlier process still holds it, as it does until it has
     /// ended, or if the machine is short of a resource.
+    ///
+    /// # Errors
+    /// Names the address if it can never be bound.
     pub fn bind(address: SocketAddr) -> Result<Option<TcpListener>, Wrong> {
         Self::listener_from(address, port::bind(address, false))
     }
@@ -179,6 +182,7 @@
         }
     }
 
+    /// Serves a caller in a task of its own, in place of the oldest if all slots are in use.
     fn admit(self: &Rc<Self>, stream: TcpStream) {
         let mut callers = self.callers.borrow_mut();
         callers.retain(|caller| !caller.is_finished());
@@ -195,6 +199,7 @@
         callers.push_back(caller.abort_handle());
     }
 
+    /// Reads one call, executes it and sends the answer.
     async fn serve_caller(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let call = match timeout(CALL_TIMEOUT, read_call(&mut stream)).await {
@@ -216,6 +221,7 @@
         timeout(CALL_TIMEOUT, send_answer).await.unwrap_or(Ok(()))
     }
 
+    /// Executes a call and returns its answer.
     async fn execute(&self, call: Call) -> String {
         let outcome = match call {
             Call::ShowStat => return self.show_stat().await,
@@ -240,7 +246,7 @@
         // The driver ends only with the process.
         let _ = self.driver.send(Message::Members(reply));
         let members: Members = members.await.unwrap_or_default();
-        self.figures.render(members) + "eof\n"
+        self.metrics.render(members) + "eof\n"
     }
 }
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -18,6 +18,7 @@
 /// The client's answer, as far as it has been received.
 #[derive(Debug)]
 pub struct Served {
+    /// The whole answer, or the beginning of one with a long value.
     pub text: Bytes,
     /// The rest of a long value.
     pub body: Option<BodyStream>,
@@ -147,6 +148,7 @@
         }
     }
 
+    /// Writes the command and reads its answer.
     async fn exchange(
         self: &Rc<Self>,
         server: &ServerId,
@@ -158,7 +160,7 @@
         if let Err(status) = self.write_command(server, call, &connection).await {
             return status.into();
         }
-        self.figures.count_upstream_request();
+        self.metrics.count_upstream_request();
         // The buffer is not kept with the connection: it grows to the size of the largest answer.
         let mut buf = BytesMut::new();
         let own_opaque = Bytes::copy_from_slice(&call.command.opaque());
--- a/crates/node/src/upstream/call.rs
+++ b/crates/node/src/upstream/call.rs
@@ -19,6 +19,7 @@
 pub struct Runs(RefCell<Vec<(AttemptId, Instant)>>);
 
 impl Runs {
+    /// Records that the last byte of an attempt was written.
     pub(super) fn record_written(&self, attempt: AttemptId, at: Instant) {
         self.0.borrow_mut().push((attempt, at));
     }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -148,6 +148,7 @@
         self.opened.as_ref().is_some_and(|opened| opened.mark.is_cut())
     }
 
+    /// Tells the quota whether a command is in flight.
     pub(super) fn set_busy(&self, busy: bool) {
         if let Some(opened) = &self.opened {
             opened.mark.set_busy(busy);
--- a/crates/node/src/upstream/keep_alive.rs
+++ b/crates/node/src/upstream/keep_alive.rs
@@ -48,6 +48,7 @@
         );
     }
 
+    /// Lets the idle timeout grow after a new connection to the server.
     fn relax(&self) {
         self.0.set(self.0.get().saturating_add(self.0.get().mul_f64(RELAX_FACTOR)));
     }
@@ -65,6 +66,7 @@
         KeepAlive { max_idle: idle_close.mul_f64(IDLE_MARGIN_FACTOR), scale: Cell::new(1.0) }
     }
 
+    /// How long a cached connection may stay idle now.
     pub(super) fn idle_limit(&self) -> Duration {
         self.max_idle.mul_f64(self.scale.get())
     }
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -62,7 +62,7 @@
     pub(super) open_connections: Rc<Cell<usize>>,
     pub(super) endpoints: RefCell<BTreeMap<ServerId, Endpoint>>,
     pub(super) budget: Rc<Budget>,
-    pub(super) figures: Rc<Figures>,
+    pub(super) metrics: Rc<Figures>,
     pub(super) keep_alive: KeepAlive,
     round: Cell<Duration>,
     /// Delay that a test injects between reading the clock and each write.
@@ -73,13 +73,13 @@
 }
 
 impl Upstream {
-    pub fn new(bounds: Bounds, budget: Rc<Budget>, figures: Rc<Figures>) -> Self {
+    pub fn new(bounds: Bounds, budget: Rc<Budget>, metrics: Rc<Figures>) -> Self {
         Upstream {
             bounds,
             open_connections: Rc::default(),
             endpoints: RefCell::default(),
             budget,
-            figures,
+            metrics,
             keep_alive: KeepAlive::new(bounds.idle),
             round: Cell::default(),
             #[cfg(test)]
@@ -184,6 +184,7 @@
         Some(taken)
     }
 
+    /// A cached connection that has been quiet for the settle time and may still be used.
     pub(super) async fn cached_connection(&self, server: &ServerId, unambiguous: bool) -> Option<Connection> {
         loop {
             let idle = self.take_cached(server, unambiguous)?;
@@ -194,6 +195,7 @@
         }
     }
 
+    /// Returns a connection to the cache, or closes it if the server has moved or is no longer listed.
     pub(super) fn cache_connection(&self, server: &ServerId, connection: Connection) {
         let address = connection.stream.peer_addr().ok();
         let mut endpoints = self.endpoints.borrow_mut();
@@ -203,6 +205,10 @@
         }
     }
 
+    /// Opens a connection within this node's connection limit and its quota of the server's connections.
+    ///
+    /// # Errors
+    /// `Void` if a limit or a shortage of this node prevents it, `Unreachable` if the server does not accept.
     pub(super) async fn connect(&self, server: &ServerId, until: Instant) -> Result<Connection, Status> {
         let address = self.endpoints.borrow().get(server).map(|e| e.address).ok_or(Status::Unreachable)?;
         if self.open_connections.get() >= self.budget.servers() && !self.close_oldest() {
