--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -8,7 +8,7 @@
 /// The answer to a command, and the request that it ends.
 pub struct Answer {
     pub text: Bytes,
-    /// The rest of a long value, which follows `text`.
+    /// The remainder of a long value, which follows `text`.
     pub body: Option<BodyStream>,
     /// The request that ends once the last byte is written, for a command that started one.
     pub request_end: Option<(Ticket, End)>,
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -142,13 +142,13 @@
     #[test]
     fn a_request_is_pending_until_it_ends_in_one_way() {
         let metrics = Figures::new(["read", "save"]);
-        let (served, refused, left) = (metrics.take(0), metrics.take(1), metrics.take(1));
+        let (served, rejected, dropped) = (metrics.take(0), metrics.take(1), metrics.take(1));
         metrics.count_upstream_request();
         assert_eq!(metrics.pending(), 3);
         served.end(End::Completed);
-        refused.end(End::Rejected);
+        rejected.end(End::Rejected);
         assert_eq!(metrics.pending(), 1);
-        drop(left);
+        drop(dropped);
         let text = metrics.render(Members { listed: 12, unavailable: 2 });
         let expected = "app_completed_total{lane=\"read\"} 1\napp_completed_total{lane=\"save\"} 0\n\
             app_rejected_total{lane=\"read\"} 0\napp_rejected_total{lane=\"save\"} 1\n\
--- a/crates/node/src/frontend/client.rs
+++ b/crates/node/src/frontend/client.rs
@@ -73,7 +73,7 @@
     /// The remainder of a long value whose beginning ends the output. Later answers wait.
     pub(super) body: Option<(BodyStream, Option<(Ticket, End)>)>,
     pub(super) pending: VecDeque<PendingAnswer>,
-    /// Set once nobody waits for the pending answers.
+    /// Set once the pending answers are no longer wanted.
     pub(super) gone: Gone,
     /// No further input is accepted: the pending commands are answered, then the connection ends.
     pub(super) input_closed: bool,
@@ -155,7 +155,7 @@
         !self.owes_answers() && self.input.is_empty()
     }
 
-    /// Withdraws the pending requests, as nobody waits for their answers any more.
+    /// Withdraws the pending requests, as their answers are no longer wanted.
     pub(super) fn withdraw_pending(&mut self) {
         self.gone.tell();
         for pending in self.pending.drain(..) {
--- a/crates/node/src/frontend/closing.rs
+++ b/crates/node/src/frontend/closing.rs
@@ -43,7 +43,7 @@
     }
 
     /// Answers an abandoned partial command: the client may have sent the remainder, and a request that was read in
-    /// part is owed an answer.
+    /// part must be answered.
     pub(super) fn reject_partial_command(&mut self) {
         self.close_input(if self.making_room { AbandonReason::MadeRoom } else { AbandonReason::Stopping });
         self.pending.push_back(PendingAnswer::Ready(protocol::busy(None)));
--- a/crates/node/src/frontend/serve.rs
+++ b/crates/node/src/frontend/serve.rs
@@ -77,13 +77,13 @@
                 false if self.is_trusted => Rank::Idle,
                 false => Rank::Untrusted,
             };
-            let has_queued = self.input.has_waiting_commands();
-            let may_evict = stalled || (!owes_answers && (is_idle || has_queued || !self.is_trusted));
+            let queued = self.input.has_waiting_commands();
+            let may_evict = stalled || (!owes_answers && (is_idle || queued || !self.is_trusted));
             let eviction_entry = may_evict
                 .then(|| EvictionEntry::take(&frontend, (rank, self.sequence), self.idle_since, &self.close));
             let read_limit = self.read_limit(closing);
             self.has_unread_input &= read_limit == 0;
-            if has_queued || read_limit == 0 {
+            if queued || read_limit == 0 {
                 // Input that the node leaves unread or waiting is not the client's delay.
                 self.command_since = self.command_since.map(|_| now);
             }
@@ -92,7 +92,7 @@
                 (is_idle && self.command_since.is_none()).then_some(self.idle_since + IDLE_TIMEOUT);
             // The next time in a stop: to close between requests, and after that to abandon a partial command.
             let next_stage = if closing { phase.ends.filter(|at| *at > now) } else { closes_at };
-            let delay_ends = (has_queued && !closing).then_some(self.paused_until).filter(|at| *at > now);
+            let delay_ends = (queued && !closing).then_some(self.paused_until).filter(|at| *at > now);
             let stall_deadline = self.stall_deadline();
             let output_deadline = if stalled { stall_deadline } else { stall_deadline.min(evictable_at) };
             let (reader, mut writer) = self.stream.split();
@@ -144,7 +144,7 @@
                 () = sleep_until(command_due.unwrap_or(now)), if command_due.is_some() && is_idle => {
                     (self.ending, self.command_since) = (true, None);
                 }
-                () = sleep_until(command_due.unwrap_or(now)), if command_due.is_some() && !has_queued && read_limit > 0 => {
+                () = sleep_until(command_due.unwrap_or(now)), if command_due.is_some() && !queued && read_limit > 0 => {
                     self.close_input(AbandonReason::TooSlow);
                     self.command_since = None;
                     self.pending.push_back(PendingAnswer::Ready(protocol::TOO_SLOW));
--- a/crates/node/src/frontend/tests/bounds.rs
+++ b/crates/node/src/frontend/tests/bounds.rs
@@ -44,7 +44,7 @@
     };
     let run = async {
         tokio::select! {
-            () = frontend.accept(&listener) => unreachable!("the frontend accepts for ever"),
+            () = frontend.accept(&listener) => unreachable!("the frontend accepts forever"),
             received = client => received,
         }
     };
@@ -92,7 +92,7 @@
     };
     let run = async {
         tokio::select! {
-            () = frontend.accept(&listener) => unreachable!("the frontend accepts for ever"),
+            () = frontend.accept(&listener) => unreachable!("the frontend accepts forever"),
             () = client => {}
         }
     };
@@ -125,7 +125,7 @@
     };
     let run = async {
         tokio::select! {
-            () = frontend.accept(&listener) => unreachable!("the frontend accepts for ever"),
+            () = frontend.accept(&listener) => unreachable!("the frontend accepts forever"),
             sent = client => sent,
         }
     };
--- a/crates/node/src/frontend/tests/closing.rs
+++ b/crates/node/src/frontend/tests/closing.rs
@@ -183,7 +183,7 @@
         tokio::select! {
             // The test body runs between the accept and the first poll of the accepted connection's task.
             biased;
-            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts for ever"),
+            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts forever"),
             () = scenario => {}
         }
     };
--- a/crates/node/src/frontend/tests/input.rs
+++ b/crates/node/src/frontend/tests/input.rs
@@ -37,7 +37,7 @@
     let (mut input, from) = (InputBuffer::new(), Instant::now());
     receive(&mut input, &COMMAND[..5]);
     assert_eq!(arrival_times(&mut input, from), []);
-    assert!(!input.has_waiting_commands(), "a part of one command");
+    assert!(!input.has_waiting_commands(), "only part of one command");
     advance(MS).await;
     receive(&mut input, &[&COMMAND[5..], &COMMAND[..5]].concat());
     advance(MS).await;
--- a/crates/node/src/frontend/tests/mod.rs
+++ b/crates/node/src/frontend/tests/mod.rs
@@ -89,7 +89,7 @@
     };
     let serving = async {
         tokio::select! {
-            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts for ever"),
+            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts forever"),
             () = client => {}
         }
     };
--- a/crates/node/src/frontend/tests/node.rs
+++ b/crates/node/src/frontend/tests/node.rs
@@ -116,7 +116,7 @@
     pub(super) async fn run(&self, scenario: impl Future<Output = ()>) {
         let serving = async {
             tokio::select! {
-                () = self.frontend.clone().accept(&self.listener) => unreachable!("it accepts for ever"),
+                () = self.frontend.clone().accept(&self.listener) => unreachable!("it accepts forever"),
                 () = scenario => {}
             }
         };
--- a/crates/node/src/frontend/tests/slow_readers.rs
+++ b/crates/node/src/frontend/tests/slow_readers.rs
@@ -58,7 +58,7 @@
     };
     let run = async {
         tokio::select! {
-            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts for ever"),
+            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts forever"),
             lifetime = client => lifetime,
         }
     };
--- a/crates/node/src/frontend/tests/stop.rs
+++ b/crates/node/src/frontend/tests/stop.rs
@@ -53,7 +53,7 @@
     let all = async {
         tokio::select! {
             after = run => after,
-            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts for ever"),
+            () = frontend.clone().accept(&listener) => unreachable!("the frontend accepts forever"),
             () = async { tokio::join!(client, serve); std::future::pending().await } => unreachable!(),
         }
     };
@@ -65,11 +65,11 @@
 #[tokio::test(start_paused = true)]
 async fn after_a_stop_no_request_is_accepted_that_the_kill_would_cut_off() {
     let ms = Duration::from_millis;
-    let part = Stop::of(ms(2000)).part_after;
+    let close_time = Stop::of(ms(2000)).part_after;
     for (pause, answer_time) in [(ms(0), ms(70)), (ms(50), ms(1)), (ms(250), ms(40)), (ms(5), ms(900))] {
         let last = last_accepted_after_a_stop(pause, answer_time).await;
         assert!(
-            last <= part,
+            last <= close_time,
             "requests {pause:?} after answers that took {answer_time:?}: last accepted at {last:?}"
         );
     }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -49,7 +49,7 @@
     Probed { server: ServerId, status: Status },
     /// Discovery has delivered an endpoint list.
     Roster(Roster),
-    /// News from the control plane between nodes for the balancer.
+    /// An update from the control plane between nodes for the balancer.
     Fleet(FleetNews),
     /// A call to discovery has failed.
     RosterFailed,
--- a/crates/node/src/operator/tests.rs
+++ b/crates/node/src/operator/tests.rs
@@ -132,9 +132,9 @@
         if self.interrupted {
             return Poll::Ready(Err(Errno::INTR.into()));
         }
-        let (next, rest) = self.text.split_at(self.text.len().min(1));
+        let (next, remaining) = self.text.split_at(self.text.len().min(1));
         into.put_slice(next);
-        self.text = rest;
+        self.text = remaining;
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -18,9 +18,9 @@
 /// The client's answer, as far as it has been received.
 #[derive(Debug)]
 pub struct Served {
-    /// The whole answer, or the beginning of one with a long value.
+    /// The complete answer, or the beginning of one with a long value.
     pub text: Bytes,
-    /// The rest of a long value.
+    /// The remainder of a long value.
     pub body: Option<BodyStream>,
 }
 
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -64,7 +64,7 @@
     pub(super) budget: Rc<Budget>,
     pub(super) metrics: Rc<Figures>,
     pub(super) keep_alive: KeepAlive,
-    round: Cell<Duration>,
+    quantum: Cell<Duration>,
     /// Delay that a test injects between reading the clock and each write.
     #[cfg(test)]
     pub(super) injected_write_delay: Cell<Duration>,
@@ -81,7 +81,7 @@
             budget,
             metrics,
             keep_alive: KeepAlive::new(bounds.idle),
-            round: Cell::default(),
+            quantum: Cell::default(),
             #[cfg(test)]
             injected_write_delay: Cell::default(),
             fleet: OnceCell::new(),
@@ -90,8 +90,8 @@
 
     /// Sets the processing quantum. It is left of each drain grace, as of the repeat windows, because a write takes
     /// time to arrive.
-    pub fn rounds(&self, round: Duration) {
-        self.round.set(round);
+    pub fn rounds(&self, quantum: Duration) {
+        self.quantum.set(quantum);
     }
 
     /// How long after the notification of a drain its server is written to: what the notification and one quantum
@@ -99,7 +99,7 @@
     pub(super) fn drain_write_window(&self) -> Duration {
         let grace = self.bounds.grace;
         let remaining =
-            grace.mul_f64(GRACE_FRACTION_AFTER_NOTICE).min(grace.saturating_sub(self.round.get()));
+            grace.mul_f64(GRACE_FRACTION_AFTER_NOTICE).min(grace.saturating_sub(self.quantum.get()));
         remaining - MAX_SCHEDULING_DELAY.min(remaining / 2)
     }
 
--- a/crates/node/src/upstream/tests/idle_closes.rs
+++ b/crates/node/src/upstream/tests/idle_closes.rs
@@ -113,7 +113,11 @@
 async fn a_close_shortly_after_a_busy_means_no_capacity() {
     let harness = Harness::new().await;
     let (status, stream) = harness.attempt(&errand(READ), "SERVER_ERROR busy\r\n").await;
-    assert_eq!((status, harness.cached_connections()), (Status::Overloaded, 1), "it has not ended yet");
+    assert_eq!(
+        (status, harness.cached_connections()),
+        (Status::Overloaded, 1),
+        "the connection has not ended yet"
+    );
     harness.close_and_sweep(stream).await;
     assert!(!harness.stays_cached(LONG * 2 / 3).await);
 }
--- a/crates/node/src/upstream/tests/long_values.rs
+++ b/crates/node/src/upstream/tests/long_values.rs
@@ -45,7 +45,7 @@
     (received, broken)
 }
 
-/// Guards against a server that sends one byte just within each stall timeout and so held the value open forever
+/// Guards against a server that sends one byte just within each stall timeout and so kept the value open forever
 /// (finding 12 of the hardening review). A slow but steady server, above the minimum rate, delivers the whole value.
 #[tokio::test(start_paused = true)]
 async fn a_trickled_value_is_given_up_and_a_steady_one_is_not() {
--- a/crates/node/src/upstream/tests/pooling.rs
+++ b/crates/node/src/upstream/tests/pooling.rs
@@ -36,7 +36,7 @@
 #[tokio::test]
 async fn nothing_is_written_to_a_draining_server_past_the_grace() {
     let none = Duration::ZERO;
-    for (phase, grace, round, written) in [
+    for (phase, grace, quantum, written) in [
         ("draining", none, none, false),
         ("gone", none, none, false),
         ("odd", none, none, false),
@@ -48,7 +48,7 @@
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = upstream(grace, 9);
-        upstream.rounds(round);
+        upstream.rounds(quantum);
         upstream.learn(&roster(&listener, "ready"));
         let (server, call) = (ServerId("s".into()), errand(READ));
         let attempt = upstream.attempt(&server, &call);
@@ -83,7 +83,7 @@
         assert_eq!(
             (ended.status, !seen.is_empty(), call.written.get()),
             (status, written, written),
-            "{phase}, {grace:?}, {round:?}"
+            "{phase}, {grace:?}, {quantum:?}"
         );
     }
 }
