--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What the parts of the node tell each other.
+//! Messages between the parts of the node.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,46 +13,46 @@
 use crate::roster::Roster;
 use crate::upstream::Ended;
 
-/// Whether a client has gone away. All who would still send for it see that at once, however many messages wait.
+/// Whether a client has disconnected. The flag is shared, so whoever would still send for the client sees it at once,
+/// however many messages are queued.
 #[derive(Clone, Debug, Default)]
 pub struct Gone(Rc<Cell<bool>>);
 
 impl Gone {
+    /// Marks the client as disconnected.
     pub fn tell(&self) {
         self.0.set(true);
     }
 
+    /// Whether the client has disconnected.
     pub fn is_told(&self) -> bool {
         self.0.get()
     }
 }
 
-/// What the rest of the node tells the driver.
+/// Messages to the driver.
 pub enum Message {
+    /// A client has sent a complete command.
     Request {
         id: RequestId,
         command: Command,
-        /// When its first byte was read: from when its client counts.
+        /// When the first byte of the command was read. The client's deadline counts from here.
         at: Instant,
         reply: oneshot::Sender<Answer>,
         gone: Gone,
     },
-    /// The client has gone away.
+    /// The client has disconnected.
     Withdrawn(RequestId),
-    Ended {
-        request: RequestId,
-        attempt: AttemptId,
-        ended: Ended,
-    },
-    /// A probe has ended.
-    Probed {
-        server: ServerId,
-        status: Status,
-    },
+    /// An attempt has ended.
+    Ended { request: RequestId, attempt: AttemptId, ended: Ended },
+    /// A health check has ended.
+    Probed { server: ServerId, status: Status },
+    /// Discovery has delivered an endpoint list.
     Roster(Roster),
-    /// What the plane between nodes tells the balancer.
+    /// An update from the control plane between nodes for the balancer.
     Fleet(FleetNews),
+    /// A call to discovery has failed.
     RosterFailed,
-    /// An operator asks what the list holds.
+    /// The operators' listener asks for the number of listed cache servers.
     Members(oneshot::Sender<Members>),
 }
