--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The node's clock: seconds on the monotonic clock, and when servers started, as far as the wall clock can say.
+//! The node's clock: seconds on the monotonic clock, and conversion of servers' start times from the wall clock.
 
 pub mod source;
 mod start_times;
@@ -13,8 +13,8 @@
 use source::{Reading, SystemClock, TimeSource};
 use start_times::StartTimes;
 
-/// Seconds since the process started, whatever becomes of the wall clock. Copies share what is known of servers'
-/// start times; that lives as long as the process, of which a node has one clock.
+/// Seconds since the process started, independent of steps of the wall clock. Copies share the known start times of
+/// servers. These are leaked, as a node has one clock for the life of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     source: &'static dyn TimeSource,
@@ -23,19 +23,19 @@
 }
 
 impl Clock {
-    /// The machine's clock, from now on.
+    /// A clock based on the machine's clocks that starts at 0 now.
     pub fn start() -> Self {
         Self::of(&SystemClock)
     }
 
-    /// A clock that goes by `source`, from now on.
+    /// A clock based on `source` that starts at 0 now.
     pub fn of(source: &'static dyn TimeSource) -> Self {
         let reading = Reading::take(source);
         let start_times = Mutex::new(StartTimes::new(reading.wall_ms()));
         Clock { source, start: reading.monotonic, start_times: Box::leak(Box::new(start_times)) }
     }
 
-    /// A point of the monotonic clock on this one.
+    /// Converts a time of the monotonic clock; 0 if it is before the start.
     pub fn at(&self, instant: Instant) -> Seconds {
         instant.saturating_duration_since(self.start).as_secs_f64()
     }
@@ -59,13 +59,13 @@
 }
 
 impl ListReading {
-    /// When a server started, on the node's clock, by its start in milliseconds of Unix time; never later than now. The
-    /// same start of a server always converts alike, so a step of the wall clock does not look like a restart.
+    /// Converts a server's start from milliseconds of Unix time to the node's clock; never later than now. The same
+    /// start of a server always converts to the same time, so a step of the wall clock does not look like a restart.
     pub fn started(&mut self, server: &ServerId, up_since_ms: f64) -> Seconds {
         self.start_times.convert(self.now, server, up_since_ms)
     }
 
-    /// The list was complete and names these servers.
+    /// Ends the reading of a complete list, which names these servers; others may be forgotten.
     pub fn complete<'a>(&mut self, listed: impl Iterator<Item = &'a ServerId>) {
         self.start_times.forget_unlisted(listed);
     }
--- a/crates/node/src/clock/source.rs
+++ b/crates/node/src/clock/source.rs
@@ -1,4 +1,4 @@
-//! Where the node reads time: the wall clock and the monotonic clock behind one trait, so that a test can step either.
+//! Source of time: the wall clock and the monotonic clock behind one trait, so that a test can step either.
 
 use std::fmt::Debug;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -10,7 +10,7 @@
     /// The time since the Unix epoch by the wall clock, which may be stepped at any moment, forward or back.
     fn wall(&self) -> Duration;
 
-    /// The monotonic clock, which only runs on.
+    /// The monotonic clock, which is never stepped.
     fn monotonic(&self) -> Instant;
 
     /// Milliseconds of Unix time by the wall clock.
@@ -33,26 +33,26 @@
     }
 }
 
-/// The wall clock, read between two readings of the monotonic clock.
+/// A reading of the wall clock between two readings of the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Reading {
     wall: Duration,
-    /// Just before the wall clock was read.
+    /// Time just before the wall clock was read.
     pub monotonic: Instant,
-    /// How much later the wall clock may have been read.
+    /// Upper bound of the time from `monotonic` to the reading of the wall clock.
     spread: Duration,
 }
 
 impl Reading {
-    /// A process that is paused between two readings reads again, so often at most.
-    const ATTEMPTS: u32 = 4;
-    /// Two readings that lie so close together count as one moment.
-    const EXACT: Duration = Duration::from_millis(5);
+    /// Most readings that are tried, as a process may be paused between reading the two clocks.
+    const MAX_READINGS: u32 = 4;
+    /// Longest spread at which both clocks count as read at the same time.
+    const MAX_EXACT_SPREAD: Duration = Duration::from_millis(5);
 
-    /// Reads both clocks at one moment, as nearly as it can be had.
+    /// Reads both clocks as close together as possible.
     pub fn take(source: &dyn TimeSource) -> Self {
         let mut best = Self::once(source);
-        for _ in 1..Self::ATTEMPTS {
+        for _ in 1..Self::MAX_READINGS {
             if best.is_exact() {
                 break;
             }
@@ -71,12 +71,12 @@
         Reading { wall, monotonic, spread }
     }
 
-    /// Whether both clocks were read at one moment.
+    /// Whether both clocks were read at practically the same time.
     pub fn is_exact(&self) -> bool {
-        self.spread <= Self::EXACT
+        self.spread <= Self::MAX_EXACT_SPREAD
     }
 
-    /// The wall clock's milliseconds since the Unix epoch.
+    /// The wall clock, in milliseconds of Unix time.
     pub fn wall_ms(&self) -> f64 {
         self.wall.as_secs_f64() * 1e3
     }
--- a/crates/node/src/clock/start_times.rs
+++ b/crates/node/src/clock/start_times.rs
@@ -1,30 +1,32 @@
-//! Converts the start times of servers, which lists name by the wall clock, to the node's monotonic clock.
+//! Converts the start times of servers from the wall clock, by which lists name them, to the node's monotonic clock.
 //!
 //! The wall clock may be stepped while the node runs, on this machine alone or on all of them. It is trusted as long as
-//! its difference to the monotonic clock has always been what it was at the process start, within [`TOLERANCE_MS`].
-//! Then a start converts by that difference, as if the wall clock were read once. After a step nobody knows by which
-//! difference a start was stamped, so one that is new takes the latest moment that any of them gives: a server is
-//! rather warmed up too long than sent its full load cold.
+//! its offset from the monotonic clock has stayed within [`TOLERANCE_MS`] of the offset at the process start. Then a
+//! start converts by that offset, as if the wall clock were read once. After a step it is unknown which offset applied
+//! when a start was stamped, so a new start converts to the latest time that any observed offset gives: warming a
+//! server up for too long is better than sending it full load while it is cold.
 //!
-//! A start never lies in the future, and keeps what it was first converted to.
+//! A converted start is never in the future, and the same start always converts to the same time.
 
 use std::collections::{BTreeSet, HashMap};
 
 use hallpin_balancer::{Seconds, ServerId};
 
-/// By how much the wall clock may differ from the monotonic one and still be trusted. Both are slewed together, so they
-/// come apart by steps only; this is above what reading both takes, and below a step that matters to a slow start.
+/// Change of the wall clock's offset, in milliseconds, up to which the wall clock is trusted. Both clocks are slewed
+/// together, so only steps change the offset. The value is above the time that reading both takes, and below a step
+/// that matters to slow start.
 pub const TOLERANCE_MS: f64 = 250.0;
 
-/// Starts of servers that left the list are forgotten beyond this number: they convert anew if they are listed again.
+/// Number of remembered servers beyond which those that left the list are forgotten. Their starts are converted again
+/// if they return.
 const MAX_REMEMBERED: usize = 8192;
 
 /// One start of a server.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// As the list names it.
+    /// As listed, in milliseconds of Unix time.
     up_since_ms: f64,
-    /// On the node's clock.
+    /// Converted to the node's clock.
     started: Seconds,
 }
 
@@ -32,23 +34,24 @@
 #[derive(Clone, Copy, Debug)]
 struct ServerStarts {
     latest: Start,
-    /// The one before: a list that is a little older may name it once more.
+    /// The start before the latest: a slightly older list may name it again.
     earlier: Option<Start>,
 }
 
-/// What is known of the wall clock and of the servers' starts.
+/// Observed offsets of the wall clock, and the converted starts of servers.
 #[derive(Debug)]
 pub struct StartTimes {
-    /// The wall clock less the monotonic clock, in milliseconds: at the process start, and the least so far.
+    /// Offset of the wall clock from the monotonic clock at the process start.
     offset_at_start_ms: f64,
+    /// Smallest offset so far.
     least_offset_ms: f64,
-    /// Whether the difference has ever been another than at the process start.
+    /// Whether the offset has ever differed from that at the process start by more than the tolerance.
     stepped: bool,
     servers: HashMap<ServerId, ServerStarts>,
 }
 
 impl StartTimes {
-    /// At the start of the monotonic clock the wall clock says `wall_ms`.
+    /// Creates the state at the start of the node's clock, when the wall clock reads `wall_ms`.
     pub fn new(wall_ms: f64) -> Self {
         StartTimes {
             offset_at_start_ms: wall_ms,
@@ -58,7 +61,7 @@
         }
     }
 
-    /// The wall clock says `wall_ms` now.
+    /// Records that the wall clock reads `wall_ms` now.
     pub fn observe(&mut self, now: Seconds, wall_ms: f64) {
         let offset = wall_ms - now * 1e3;
         if (offset - self.offset_at_start_ms).abs() > TOLERANCE_MS {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// When a server started, on the node's clock.
+    /// Converts a server's start to the node's clock.
     pub fn convert(&mut self, now: Seconds, server: &ServerId, up_since_ms: f64) -> Seconds {
         let known = self.servers.get(server).copied();
         if let Some(started) = known.and_then(|known| known.get(up_since_ms)) {
@@ -80,7 +83,7 @@
         started
     }
 
-    /// Forgets servers that a complete list does not name, once there are too many.
+    /// Forgets servers that a complete list does not name if more than [`MAX_REMEMBERED`] are known.
     pub fn forget_unlisted<'a>(&mut self, listed: impl Iterator<Item = &'a ServerId>) {
         if self.servers.len() > MAX_REMEMBERED {
             let listed: BTreeSet<&ServerId> = listed.collect();
@@ -93,11 +96,11 @@
         self.servers.len()
     }
 
-    /// A start that was not named before.
+    /// Converts a start that was not listed before.
     fn convert_new(&self, now: Seconds, known: Option<Start>, up_since_ms: f64) -> Seconds {
         let started = (up_since_ms - self.least_offset_ms) / 1e3;
         match known {
-            // Another process than the one known, so a later one, whatever the wall clock makes of it.
+            // A new start of a known server is later than its last one, even if the wall clock says otherwise.
             Some(known) if self.stepped && started <= known.started => now,
             _ => started.min(now),
         }
@@ -105,7 +108,7 @@
 }
 
 impl ServerStarts {
-    /// What a start was converted to, if it was named before.
+    /// The converted time of a start, if it was listed before.
     fn get(&self, up_since_ms: f64) -> Option<Seconds> {
         let starts = [Some(self.latest), self.earlier];
         let named = starts.into_iter().flatten().find(|start| start.up_since_ms == up_since_ms);
--- a/crates/node/src/clock/tests.rs
+++ b/crates/node/src/clock/tests.rs
@@ -1,4 +1,5 @@
-//! Start times of servers while the wall clock is stepped, by seconds or an hour, on this machine or on all of them.
+//! Conversion of start times while the wall clock is stepped, by seconds or an hour, on this machine or on all
+//! machines.
 
 use std::sync::Mutex;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -21,7 +22,7 @@
     wall_ms: f64,
 }
 
-/// A machine whose wall clock is stepped.
+/// Clocks of a machine whose wall clock can be stepped.
 #[derive(Debug)]
 struct SteppedClock(Mutex<Times>);
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// A node's machine, and the wall clock that servers stamp their starts by.
+/// The clocks of the node's machine, and the wall clock by which servers stamp their starts.
 struct Machines {
     node: &'static SteppedClock,
     clock: Clock,
@@ -49,7 +50,7 @@
         Machines { node, clock: Clock::of(node), server_wall_ms: EPOCH_MS }
     }
 
-    /// Time passes.
+    /// Advances all clocks.
     fn run(&mut self, seconds: f64) {
         let mut times = self.node.0.lock().unwrap();
         times.monotonic += Duration::from_secs_f64(seconds);
@@ -70,7 +71,7 @@
         self.clock.at(self.node.monotonic())
     }
 
-    /// When each server started, as the balancer hears it of a list.
+    /// Converts the starts of servers through a list, as the balancer receives them.
     fn list(&self, starts_ms: &[f64]) -> Vec<Seconds> {
         let member = |(n, since): (usize, &f64)| {
             format!(r#"{{"id":"s-{n}","host_port":"127.0.0.1:9","phase":"ready","up_since_ms":{since}}}"#)
@@ -81,14 +82,14 @@
         roster.members.into_iter().map(|member| member.entry.started.unwrap()).collect()
     }
 
-    /// One server that started at a time of the servers' wall clock.
+    /// Converts the start of one server.
     fn started(&self, up_since_ms: f64) -> Seconds {
         self.list(&[up_since_ms])[0]
     }
 }
 
 #[test]
-fn one_start_time_always_converts_alike() {
+fn the_same_start_always_converts_to_the_same_time() {
     let clock = Clock::start();
     let server = ServerId("s".into());
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1e3;
@@ -99,7 +100,7 @@
 
 #[test]
 fn without_a_step_starts_convert_by_the_wall_clock_of_the_process_start() {
-    // Slewed within the tolerance, the wall clock changes nothing.
+    // Changes of the wall clock within the tolerance have no effect.
     for slewed_ms in [0.0, TOLERANCE_MS - 1.0, 1.0 - TOLERANCE_MS] {
         let mut machines = Machines::new();
         machines.run(100.0);
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn an_earlier_start_that_comes_back_with_an_older_list_is_no_new_one() {
+fn an_earlier_start_named_again_by_an_older_list_is_not_a_new_one() {
     let mut machines = Machines::new();
     let first = machines.started(EPOCH_MS - 60_000.0);
     machines.run(10.0);
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_server_that_starts_after_a_step_of_all_clocks_is_as_old_as_it_is() {
+fn a_start_after_a_step_of_all_clocks_converts_correctly() {
     for step_s in STEPS_S {
         for known in [true, false] {
             let mut machines = Machines::new();
@@ -141,13 +142,13 @@
             let started = machines.started(up_since_ms);
             assert!(started >= started_at - 1e-6 && started <= machines.now(), "{step_s}: {started}");
             machines.run(3600.0);
-            assert_eq!(machines.started(up_since_ms), started, "{step_s}: it warms up once");
+            assert_eq!(machines.started(up_since_ms), started, "{step_s}: the server warms up once");
         }
     }
 }
 
 #[test]
-fn a_server_that_starts_after_a_step_of_this_machine_s_clock_is_as_old_as_it_is() {
+fn a_start_after_a_step_of_this_machines_clock_converts_correctly() {
     for step_s in STEPS_S {
         let mut machines = Machines::new();
         machines.run(100.0);
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn a_step_looks_like_a_restart_of_no_server() {
+fn a_step_does_not_look_like_a_restart() {
     let ages_s = [0.2, 1.0, 10.0, 1800.0, 86_400.0];
     for step_s in STEPS_S {
         let mut machines = Machines::new();
@@ -178,11 +179,11 @@
 }
 
 #[test]
-fn a_restart_after_a_step_back_is_later_than_the_start_before() {
+fn a_restart_after_a_step_back_is_later_than_the_earlier_start() {
     let mut machines = Machines::new();
     machines.run(100.0);
     let first = machines.started(machines.server_wall_ms - 50.0);
-    // Only the servers' clocks go back as far; this machine's by another amount.
+    // The servers' clocks and this machine's are stepped back by different amounts.
     machines.server_wall_ms -= 3_600_000.0;
     machines.step_node(-2.0);
     machines.run(20.0);
@@ -191,15 +192,15 @@
 }
 
 #[test]
-fn by_the_first_list_servers_long_up_are_warm_and_none_is_of_the_future() {
-    // The wall clock has been stepped before the process started: what lists say may lie ahead of it.
+fn in_the_first_list_old_servers_are_warm_and_no_start_is_in_the_future() {
+    // The wall clock was stepped before the process started, so listed starts may be ahead of it.
     let machines = Machines::new();
     let starts = [-86_400.0, -600.0, -8.0, 0.0, 5.0, 3600.0].map(|at_s| EPOCH_MS + at_s * 1e3);
     assert_eq!(machines.list(&starts), [-86_400.0, -600.0, -8.0, 0.0, 0.0, 0.0]);
 }
 
 #[test]
-fn servers_listed_first_after_a_step_and_long_up_are_warm() {
+fn old_servers_first_listed_after_a_step_are_warm() {
     let mut machines = Machines::new();
     machines.run(10.0);
     machines.step_all(-60.0);
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn starts_of_servers_that_left_are_forgotten_beyond_a_bound() {
+fn starts_of_servers_that_left_are_forgotten_beyond_a_limit() {
     let mut machines = Machines::new();
     for round in 0..3 {
         let ids: Vec<ServerId> = (0..5000).map(|n| ServerId(format!("{round}-{n}").into())).collect();
@@ -224,7 +225,7 @@
     assert_eq!(machines.clock.start_times.lock().unwrap().remembered(), 5000);
 }
 
-/// Numbers that one seed always gives alike (splitmix64).
+/// Reproducible pseudo-random numbers (splitmix64).
 struct Random(u64);
 
 impl Random {
@@ -242,36 +243,39 @@
     }
 }
 
-/// With a list after each event: no server is taken to be older than it is, none to be of the future, and each start
-/// is converted once.
+/// After random events, with a list after each: no server appears older than it is, no start is in the future, and each
+/// start is converted once.
 #[test]
-fn no_server_is_taken_to_be_older_than_it_is() {
+fn no_server_appears_older_than_it_is() {
     const SERVERS: usize = 3;
     for seed in 0..2000 {
         let mut random = Random(seed);
         let mut machines = Machines::new();
         let mut starts = [EPOCH_MS - 5_000.0; SERVERS];
-        let mut truth = [-5.0; SERVERS];
+        let mut actual_starts = [-5.0; SERVERS];
         let mut listed = machines.list(&starts);
         for _ in 0..30 {
             let mut restarted = None;
             match random.below(3) {
                 0 => machines.run(random.below(20_000) as f64 / 1e3),
-                // All machines are stepped together, or this one alone.
+                // Even seeds step all machines together, odd ones only the node's.
                 1 if seed % 2 == 0 => machines.step_all(random.step_s()),
                 1 => machines.step_node(random.step_s()),
                 _ => {
                     let server = random.below(SERVERS as u64) as usize;
                     machines.run(0.3);
                     starts[server] = machines.server_wall_ms;
-                    truth[server] = machines.now();
+                    actual_starts[server] = machines.now();
                     restarted = Some(server);
                 }
             }
             let list = machines.list(&starts);
             for server in 0..SERVERS {
-                let what = format!("seed {seed}, server {server}: {} of {}", list[server], truth[server]);
-                assert!(list[server] >= truth[server] - 1e-3, "{what}");
+                let what = format!(
+                    "seed {seed}, server {server}: {}, actual {}",
+                    list[server], actual_starts[server]
+                );
+                assert!(list[server] >= actual_starts[server] - 1e-3, "{what}");
                 assert!(list[server] <= machines.now(), "{what}");
                 assert!(restarted == Some(server) || list[server] == listed[server], "{what}");
             }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: read from the file that `RELAY_CONFIG` names, and checked before anything starts.
+//! The node's configuration, read from the file that the command line or `RELAY_CONFIG` names, and checked before
+//! anything starts.
 
 #[cfg(test)]
 mod tests;
@@ -14,35 +15,44 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-/// Descriptors for everything but clients and cache servers: those of the operators' callers, the listeners, the
-/// calls to discovery, a takeover, the plane between nodes, and the runtime's own.
+/// Descriptors reserved for everything but clients and cache servers: connections of operators, listeners, calls to
+/// discovery, a takeover, the control plane between nodes, and the runtime.
 pub const RESERVED: usize = 32;
 
+/// The node's configuration file.
 #[derive(Deserialize)]
 pub struct Config {
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where operators call; without it nowhere.
+    /// Address for operators; `RELAY_OPERATOR` is used without it.
     operator: Option<SocketAddr>,
+    /// Address of service discovery.
     pub discovery: SocketAddr,
+    /// Seed of the node's random numbers, in hexadecimal.
     seed: String,
     #[serde(default)]
     pub limits: Limits,
+    /// The last list of cache servers that was known, in discovery's form.
     pub known: Option<Box<RawValue>>,
-    /// Where datagrams of other nodes come in, and where each is; looked at only where a plane is on.
+    /// Address for datagrams from other nodes, and the addresses of the other nodes; used only with a control plane.
     #[serde(default)]
     pub peer_listen: Value,
     #[serde(default)]
     pub peers: Value,
+    /// Settings of the balancer.
     pub settings: Value,
-    /// The file, for what is said of it.
+    /// Description of the file in error messages.
     #[serde(skip)]
-    named: String,
+    source: String,
 }
 
+/// Resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Limits {
+    /// Memory for commands and answers, in MB.
     pub memory_mb: usize,
+    /// Number of descriptors.
     pub sockets: usize,
 }
 
@@ -53,42 +63,47 @@
 }
 
 impl Limits {
-    /// These, or what the system allows this process where that is less.
+    /// These limits, with `sockets` capped by the process's limit on open files (RLIMIT_NOFILE).
     pub fn allowed(&self) -> Self {
         let allowed = getrlimit(Resource::Nofile).current.and_then(|allowed| usize::try_from(allowed).ok());
         Limits { sockets: allowed.unwrap_or(usize::MAX).min(self.sockets), ..*self }
     }
 }
 
-/// One line that names what is wrong with what the node was given.
+/// An error in the options or the configuration, as one line that names the place.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct Wrong(pub String);
 
-pub fn wrong<E: std::fmt::Display>(what: &str) -> impl FnOnce(E) -> Wrong + '_ {
-    move |error| Wrong(format!("{what}: {error}"))
+/// Converts an error into a configuration error about `subject`.
+pub fn wrong<E: std::fmt::Display>(subject: &str) -> impl FnOnce(E) -> Wrong + '_ {
+    move |error| Wrong(format!("{subject}: {error}"))
 }
 
 impl Config {
-    /// Where the file is: as the command line has it, or else as `RELAY_CONFIG` has it.
-    pub fn path(told: Option<PathBuf>) -> Result<PathBuf, Wrong> {
-        told.map_or_else(|| std::env::var("RELAY_CONFIG").map(Into::into).map_err(wrong("RELAY_CONFIG")), Ok)
+    /// Path of the file: the command line's option, or else `RELAY_CONFIG`.
+    pub fn path(option: Option<PathBuf>) -> Result<PathBuf, Wrong> {
+        option
+            .map_or_else(|| std::env::var("RELAY_CONFIG").map(Into::into).map_err(wrong("RELAY_CONFIG")), Ok)
     }
 
-    /// Reads the file anew.
+    /// Reads and checks the file. The settings are checked separately by [`Config::settings`].
     pub fn read(path: &Path) -> Result<Self, Wrong> {
-        let named = format!("configuration {}", path.display());
-        let text = std::fs::read(path).map_err(wrong(&named))?;
-        let config = Self::parse(&text).map_err(wrong(&named))?;
-        Ok(Config { named, ..config })
+        let source = format!("configuration {}", path.display());
+        let text = std::fs::read(path).map_err(wrong(&source))?;
+        let config = Self::parse(&text).map_err(wrong(&source))?;
+        Ok(Config { source, ..config })
     }
 
-    /// Names the file and the field of what is wrong.
+    /// Converts an error into a configuration error about a field of this file.
     pub fn wrong<'a, E: std::fmt::Display>(&'a self, field: &'a str) -> impl FnOnce(E) -> Wrong + 'a {
-        move |error| Wrong(format!("{}: {field}: {error}", self.named))
+        move |error| Wrong(format!("{}: {field}: {error}", self.source))
     }
 
-    /// A time of the settings, which may be longer than any clock can tell.
+    /// Converts a time of the settings.
+    ///
+    /// # Errors
+    /// If the time is negative, not finite or too long for a [`Duration`].
     pub fn seconds(&self, name: &str, value: f64) -> Result<Duration, Wrong> {
         Duration::try_from_secs_f64(value).map_err(self.wrong(&format!("settings: {name}")))
     }
@@ -106,19 +121,21 @@
         Ok(config)
     }
 
+    /// Reads and checks the balancer's settings.
     pub fn settings(&self) -> Result<Settings, Wrong> {
         let settings = Settings::from_json(&self.settings).map_err(self.wrong("settings"))?;
         settings.validate().map_err(self.wrong("settings"))?;
-        usable(&settings).map_err(self.wrong("settings"))?;
+        check_usable(&settings).map_err(self.wrong("settings"))?;
         Ok(settings)
     }
 
+    /// Reads the seed.
     pub fn seed(&self) -> Result<u64, Wrong> {
-        let wrong = |_| format!("up to 16 hexadecimal digits expected, got {:?}", self.seed);
-        u64::from_str_radix(&self.seed, 16).map_err(wrong).map_err(self.wrong("seed"))
+        let invalid = |_| format!("up to 16 hexadecimal digits expected, got {:?}", self.seed);
+        u64::from_str_radix(&self.seed, 16).map_err(invalid).map_err(self.wrong("seed"))
     }
 
-    /// Where operators call: as the file has it, or else as `RELAY_OPERATOR` has it.
+    /// Address for operators: from the file, or else from `RELAY_OPERATOR`; `None` if neither has it.
     pub fn operator(&self) -> Result<Option<SocketAddr>, Wrong> {
         match (self.operator, std::env::var("RELAY_OPERATOR")) {
             (Some(address), _) => Ok(Some(address)),
@@ -128,7 +145,8 @@
         }
     }
 
-    /// For how long cache servers keep an idle connection, which only the node needs of the settings.
+    /// Time after which cache servers close an idle connection. The balancer does not use this setting, so it is read
+    /// here.
     pub fn idle_close(&self) -> Result<Duration, Wrong> {
         const NAME: &str = "limits.idle-close-s";
         let number = |value: &Value| value.as_f64().ok_or_else(|| format!("a number expected, got {value}"));
@@ -140,8 +158,8 @@
     }
 }
 
-/// Finds what makes sense on its own but leaves a real node nothing that it could do.
-fn usable(settings: &Settings) -> Result<(), String> {
+/// Checks for settings that are valid for the balancer but with which a node could serve nothing.
+fn check_usable(settings: &Settings) -> Result<(), String> {
     let limits = &settings.limits;
     if limits.connect_timeout <= 0.0 {
         let got = limits.connect_timeout;
@@ -150,12 +168,12 @@
     if limits.max_attempts == 0 {
         return Err("setting limits.max-attempts: at least 1 expected, got 0".into());
     }
-    once("grades", settings.classes.iter().map(|class| &*class.name))?;
-    once("tenants", settings.tenants.iter().map(|tenant| &*tenant.name))
+    check_unique("grades", settings.classes.iter().map(|class| &*class.name))?;
+    check_unique("tenants", settings.tenants.iter().map(|tenant| &*tenant.name))
 }
 
-/// Of two of one name only one could be meant.
-fn once<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), String> {
+/// Checks that no name occurs twice, as names are used to look entries up.
+fn check_unique<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), String> {
     let mut seen = HashSet::new();
     for name in names {
         if !seen.insert(name) {
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -1,9 +1,9 @@
-//! What is wrong in a configuration is named.
+//! Errors in a configuration name the field.
 
 use super::*;
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_the_field() {
     let good = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{},
         "limits":{"memory_mb":48,"sockets":384},"operator":"127.0.0.1:2"}"#;
     assert!(Config::parse(good.as_bytes()).is_ok());
--- a/crates/node/src/system_error.rs
+++ b/crates/node/src/system_error.rs
@@ -1,8 +1,8 @@
-//! What the error of a failed system call means and what follows from it: to call again at once, to free something
-//! of this machine's own first, to blame the peer, or to give up.
+//! Classifies errors of system calls: whether to retry at once, to free local resources first, to blame the peer, or to
+//! give up.
 //!
-//! The same errno means one thing at `accept(2)` and another at `connect(2)`, so each [`SystemCall`] has a table of
-//! its own. Every failure is counted, and one line a second at most is logged for each [`Operation`].
+//! The same errno means different things for `accept(2)` and `connect(2)`, so each [`SystemCall`] has its own table.
+//! Every failure is counted, and at most one line a second is logged for each [`Operation`].
 
 #[cfg(test)]
 mod tests;
@@ -20,41 +20,42 @@
 
 use crate::figures::{escape, line};
 
-/// Wait before accepting again after a failure that a call right away would meet again.
+/// Delay before accepting again after a failure that would recur at once.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// So many failures of accepting in a row are followed by another call at once. After them comes a pause: a call
-/// that always fails must not take the whole of the node's one core.
-const MAX_ACCEPTS_AT_ONCE: u32 = 16;
-/// One line of an operation is logged in this time.
+/// Failures of accepting in a row that are retried at once. Then follows a pause, as a call that always fails must not
+/// use up the node's single core.
+const MAX_IMMEDIATE_RETRIES: u32 = 16;
+/// Shortest time between two log lines of one operation.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The system call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
-    /// `socket(2)`, `bind(2)` and `listen(2)`, up to a socket to which others may come.
+    /// `socket(2)`, `bind(2)` and `listen(2)`, up to a listening socket.
     Listen,
-    /// `accept(2)`, and making the accepted socket known to the runtime.
+    /// `accept(2)`, and registering the accepted socket with the runtime.
     Accept,
     /// `socket(2)` and `connect(2)`, up to a connection to a peer.
     Connect,
-    /// `send(2)` and `recv(2)`, with their variants, on a socket that is open.
+    /// `send(2)` and `recv(2)`, with their variants, on an open socket.
     Transfer,
 }
 
-/// What the error of a system call means.
+/// Meaning of a system call's error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// The call, made again at once, may succeed.
+    /// The call may succeed if it is retried at once.
     RetryNow,
-    /// This machine lacks something for now: descriptors, memory, ports or a route. It says nothing of the peer.
+    /// This machine is temporarily short of descriptors, memory, ports or a route. The error says nothing about the
+    /// peer.
     OwnShortage,
-    /// The peer, or the way to it, is at fault.
+    /// The peer, or the network path to it, is at fault.
     PeerFault,
-    /// The call cannot succeed on this socket, or with these arguments.
+    /// The call cannot succeed on this socket or with these arguments.
     Fatal,
 }
 
-/// What the error of this call means. An error that carries no errno is no word of the system.
+/// Classifies an error of this call. An error without an errno does not come from the system.
 pub fn classify(call: SystemCall, error: &io::Error) -> ErrorClass {
     let errno = Errno::from_io_error(error);
     match call {
@@ -65,13 +66,13 @@
     }
 }
 
-/// Descriptors, memory, or the room of the runtime's `epoll` for one more socket (ENOSPC).
+/// Whether descriptors or memory are short, or the limit of `epoll` watches is reached (ENOSPC).
 fn is_out_of_resources(errno: Errno) -> bool {
     matches!(errno, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::NOSPC)
 }
 
-/// By socket(2), bind(2) and listen(2). An address that another process holds (EADDRINUSE) is free once that has
-/// ended; one that this machine does not have (EADDRNOTAVAIL) is a mistake of whoever configured it.
+/// By socket(2), bind(2) and listen(2). An address that another process holds (EADDRINUSE) becomes free when that
+/// process ends; an address that this machine does not have (EADDRNOTAVAIL) is a configuration error.
 fn classify_listen(errno: Errno) -> ErrorClass {
     match errno {
         Errno::INTR => ErrorClass::RetryNow,
@@ -81,9 +82,9 @@
     }
 }
 
-/// By accept(2): besides its own errors Linux passes on whatever error is pending on the new connection
+/// By accept(2). Besides its own errors Linux returns any error that is pending on the new connection
 /// (ECONNABORTED, ENETDOWN, EPROTO, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH, ETIMEDOUT
-/// and others), or that a firewall forbids it (EPERM). That connection is gone; the next one may be good.
+/// and others), or that a firewall forbids it (EPERM). That connection is lost; the next one may be good.
 fn classify_accept(errno: Errno) -> ErrorClass {
     match errno {
         Errno::BADF | Errno::INVAL | Errno::NOTSOCK | Errno::FAULT => ErrorClass::Fatal,
@@ -92,9 +93,9 @@
     }
 }
 
-/// By socket(2) and connect(2). ENETUNREACH and ENETDOWN come at once, from this machine's own routes and interfaces,
-/// as EADDRNOTAVAIL, EADDRINUSE and EAGAIN do from its ports and queues. EHOSTUNREACH comes where nobody answers at the
-/// peer's address.
+/// By socket(2) and connect(2). ENETUNREACH and ENETDOWN result from this machine's own routes and interfaces, and come
+/// at once, as EADDRNOTAVAIL, EADDRINUSE and EAGAIN do from its ports and queues. EHOSTUNREACH means that nobody
+/// answers at the peer's address.
 fn classify_connect(errno: Errno) -> ErrorClass {
     match errno {
         Errno::INTR => ErrorClass::RetryNow,
@@ -118,8 +119,8 @@
     }
 }
 
-/// Names of the errnos that the tables tell apart, and of others that are usual.
-const NAMES: [(Errno, &str); 37] = [
+/// Names of the errnos that the tables distinguish, and of other common ones.
+const ERRNO_NAMES: [(Errno, &str); 37] = [
     (Errno::ACCESS, "EACCES"),
     (Errno::ADDRINUSE, "EADDRINUSE"),
     (Errno::ADDRNOTAVAIL, "EADDRNOTAVAIL"),
@@ -159,16 +160,16 @@
     (Errno::TOOMANYREFS, "ETOOMANYREFS"),
 ];
 
-/// The name of the errno as the manual pages have it, or its number where it is a rare one.
+/// Name of the errno as in the manual pages, or its number if it is not in the table.
 fn errno_name(error: &io::Error) -> Cow<'static, str> {
     let Some(errno) = Errno::from_io_error(error) else { return "none".into() };
-    match NAMES.iter().find(|(named, _)| *named == errno) {
+    match ERRNO_NAMES.iter().find(|(named, _)| *named == errno) {
         Some((_, name)) => (*name).into(),
         None => errno.raw_os_error().to_string().into(),
     }
 }
 
-/// What the node was doing when a system call failed.
+/// Operation of the node in which a system call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Operation {
     AcceptClient,
@@ -186,7 +187,7 @@
 }
 
 impl Operation {
-    /// As the log and the metrics name it.
+    /// Name in the log and the metrics.
     fn name(self) -> &'static str {
         match self {
             Operation::AcceptClient => "accept_client",
@@ -202,10 +203,11 @@
     }
 }
 
-/// How often one operation was logged.
+/// The last log line of an operation.
 #[derive(Clone, Copy, Debug)]
 struct LastLine {
     at: Instant,
+    /// Lines suppressed since then.
     suppressed: u64,
 }
 
@@ -217,19 +219,20 @@
 }
 
 thread_local! {
-    /// Where this thread's failures are counted. Sockets fail in places that know of no registry.
+    /// Counters of this thread's failures. They are thread-local because sockets fail in code without access to the
+    /// metrics registry.
     static CURRENT: RefCell<Rc<FailedCalls>> = RefCell::default();
 }
 
 impl FailedCalls {
-    /// Begins at 0; what fails on this thread from now on is counted here.
+    /// Creates counters at 0 and installs them for all later failures on this thread.
     pub fn install() -> Rc<Self> {
         let installed = Rc::new(FailedCalls::default());
         CURRENT.set(installed.clone());
         installed
     }
 
-    /// One line for each operation and errno that has occurred, in the text form that Prometheus reads.
+    /// Appends one line for each operation and errno that has occurred, in the Prometheus text format.
     pub fn render(&self, out: &mut String) {
         for ((operation, errno), count) in &*self.counts.borrow() {
             let (operation, errno) = (operation.name(), escape(errno));
@@ -242,7 +245,7 @@
         *self.counts.borrow_mut().entry((operation, errno)).or_default() += 1;
     }
 
-    /// How many lines were suppressed since the last one of this operation, if one may be logged now.
+    /// Number of lines suppressed since the last one of this operation; `None` if none may be logged now.
     fn may_log(&self, operation: Operation, now: Instant) -> Option<u64> {
         let mut logged = self.logged.borrow_mut();
         if let Some(last) = logged.get_mut(&operation).filter(|last| now < last.at + LOG_INTERVAL) {
@@ -254,7 +257,7 @@
     }
 }
 
-/// Counts a failure after which the node goes on, and logs what it was and what follows; whether it was logged.
+/// Counts a failure from which the node recovers, and logs it with its effect. Returns whether it was logged.
 pub fn report(operation: Operation, error: &io::Error, effect: &'static str) -> bool {
     let current = CURRENT.with_borrow(Rc::clone);
     let errno = errno_name(error);
@@ -264,58 +267,59 @@
     true
 }
 
-/// Counts and logs a failure that ends a listener. It is never suppressed: no other follows.
+/// Counts and logs a failure that ends a listener. The line is never suppressed, as no other follows.
 fn report_fatal(operation: Operation, error: &io::Error, effect: &'static str) {
     let errno = errno_name(error);
     CURRENT.with_borrow(|current| current.count(operation, errno.clone()));
     error!(operation = operation.name(), errno = %errno, effect, %error, "a system call failed");
 }
 
-/// What to do after accepting failed.
+/// Reaction to a failure of accepting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAccept {
     /// Accept again at once.
     AtOnce,
     /// Accept again after [`ACCEPT_PAUSE`].
     AfterPause,
-    /// The same, and free a descriptor before where one may be freed.
+    /// Free a descriptor if possible, then accept again after [`ACCEPT_PAUSE`].
     AfterMakingRoom,
-    /// The listener accepts nothing any more.
+    /// The listener has failed for good.
     Never,
 }
 
 impl NextAccept {
     fn effect(self) -> &'static str {
         match self {
-            NextAccept::AtOnce => "accepting again at once",
-            NextAccept::AfterPause => "accepting again after a pause",
+            NextAccept::AtOnce => "retrying accept at once",
+            NextAccept::AfterPause => "retrying accept after a pause",
             NextAccept::AfterMakingRoom => {
-                "accepting again after a pause, with room made where there is any to make"
+                "retrying accept after a pause, with descriptors freed where possible"
             }
-            NextAccept::Never => "the listener is given up",
+            NextAccept::Never => "accepting no more on this listener",
         }
     }
 }
 
-/// Decides after each failure of one listener when it accepts again.
+/// Decides after each failure of a listener when it accepts again.
 #[derive(Debug)]
 pub struct AcceptRetry {
     operation: Operation,
     /// Failures since the last connection or pause.
-    at_once: u32,
+    immediate_retries: u32,
 }
 
 impl AcceptRetry {
+    /// State of a listener for this operation.
     pub fn new(operation: Operation) -> Self {
-        AcceptRetry { operation, at_once: 0 }
+        AcceptRetry { operation, immediate_retries: 0 }
     }
 
-    /// A connection has come.
+    /// Records that a connection was accepted.
     pub fn accepted(&mut self) {
-        self.at_once = 0;
+        self.immediate_retries = 0;
     }
 
-    /// Accepting failed: reports it, and tells what to do.
+    /// Reports a failure of accepting and returns what to do next.
     pub fn failed(&mut self, error: &io::Error) -> NextAccept {
         let next = self.next(classify(SystemCall::Accept, error));
         match next {
@@ -333,11 +337,11 @@
             ErrorClass::OwnShortage => return NextAccept::AfterMakingRoom,
             ErrorClass::RetryNow | ErrorClass::PeerFault => {}
         }
-        if self.at_once < MAX_ACCEPTS_AT_ONCE {
-            self.at_once += 1;
+        if self.immediate_retries < MAX_IMMEDIATE_RETRIES {
+            self.immediate_retries += 1;
             return NextAccept::AtOnce;
         }
-        self.at_once = 0;
+        self.immediate_retries = 0;
         NextAccept::AfterPause
     }
 }
--- a/crates/node/src/system_error/tests.rs
+++ b/crates/node/src/system_error/tests.rs
@@ -1,4 +1,4 @@
-//! What each errno means at each call, and what is counted and logged.
+//! Classification of errnos for each call, and counting and logging of failures.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn accept_passes_over_errors_of_one_connection_and_knows_those_of_the_listener() {
+fn accept_distinguishes_errors_of_a_connection_from_those_of_the_listener() {
     let pending = [
         Errno::CONNABORTED,
         Errno::INTR,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn connect_tells_the_machine_from_the_peer() {
+fn connect_distinguishes_local_errors_from_the_peers() {
     expect(SystemCall::Connect, ErrorClass::RetryNow, &[Errno::INTR]);
     expect(SystemCall::Connect, ErrorClass::OwnShortage, &SHORTAGES);
     let own = [Errno::ADDRNOTAVAIL, Errno::ADDRINUSE, Errno::AGAIN, Errno::NETUNREACH, Errno::NETDOWN];
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn listen_waits_for_what_passes_and_for_nothing_else() {
+fn listen_retries_only_temporary_errors() {
     expect(SystemCall::Listen, ErrorClass::RetryNow, &[Errno::INTR]);
     expect(SystemCall::Listen, ErrorClass::OwnShortage, &SHORTAGES);
     expect(SystemCall::Listen, ErrorClass::OwnShortage, &[Errno::ADDRINUSE]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_transfer_tells_the_machine_from_the_peer() {
+fn transfer_distinguishes_local_errors_from_the_peers() {
     expect(SystemCall::Transfer, ErrorClass::RetryNow, &[Errno::INTR]);
     expect(SystemCall::Transfer, ErrorClass::OwnShortage, &SHORTAGES);
     expect(SystemCall::Transfer, ErrorClass::OwnShortage, &[Errno::NETUNREACH, Errno::TOOMANYREFS]);
@@ -63,20 +63,20 @@
     expect(SystemCall::Transfer, ErrorClass::Fatal, &[Errno::BADF, Errno::NOTSOCK]);
 }
 
-/// Each error of the tables has the name that the manual pages give it.
+/// Each errno of the table has one name, and each name one errno.
 #[test]
-fn an_errno_is_named_once() {
-    for (n, (errno, name)) in NAMES.iter().enumerate() {
+fn errno_names_are_unique() {
+    for (n, (errno, name)) in ERRNO_NAMES.iter().enumerate() {
         assert_eq!(errno_name(&(*errno).into()), *name);
-        assert!(NAMES[..n].iter().all(|(before, named)| before != errno && named != name), "{name}");
+        assert!(ERRNO_NAMES[..n].iter().all(|(before, named)| before != errno && named != name), "{name}");
     }
     assert_eq!(errno_name(&io::Error::from_raw_os_error(4000)), "4000");
     assert_eq!(errno_name(&io::Error::other("the runtime ends")), "none");
 }
 
-/// One line a second for each operation, however often it fails; each failure is counted.
+/// At most one line a second is logged for each operation, and every failure is counted.
 #[tokio::test(start_paused = true)]
-async fn failures_are_all_counted_and_seldom_logged() {
+async fn all_failures_are_counted_and_log_lines_are_limited() {
     let calls = FailedCalls::install();
     let fails = |operation, errno: Errno| report(operation, &errno.into(), "trying again");
     let logged = (0..100).filter(|_| fails(Operation::AcceptClient, Errno::MFILE)).count();
@@ -94,7 +94,7 @@
     assert_eq!(out, want);
 }
 
-/// What fails on this thread is among the figures that operators read, from 0 for each registry.
+/// Failures on this thread appear in the metrics for operators, starting at 0 for each registry.
 #[test]
 fn failures_are_shown_to_operators() {
     let shown = |figures: &crate::figures::Figures| figures.render(Default::default());
@@ -105,15 +105,15 @@
 }
 
 #[test]
-fn a_failure_that_never_ends_is_met_with_pauses() {
+fn a_persistent_failure_leads_to_pauses() {
     let mut retry = AcceptRetry::new(Operation::AcceptClient);
     let mut steps = |count| (0..count).map(|_| retry.failed(&Errno::CONNABORTED.into())).collect::<Vec<_>>();
-    let at_once = vec![NextAccept::AtOnce; MAX_ACCEPTS_AT_ONCE as usize];
+    let at_once = vec![NextAccept::AtOnce; MAX_IMMEDIATE_RETRIES as usize];
     for _ in 0..3 {
-        assert_eq!(steps(MAX_ACCEPTS_AT_ONCE), at_once);
+        assert_eq!(steps(MAX_IMMEDIATE_RETRIES), at_once);
         assert_eq!(steps(1), [NextAccept::AfterPause]);
     }
-    assert_eq!(steps(MAX_ACCEPTS_AT_ONCE), at_once);
+    assert_eq!(steps(MAX_IMMEDIATE_RETRIES), at_once);
     retry.accepted();
     assert_eq!(retry.failed(&Errno::CONNABORTED.into()), NextAccept::AtOnce, "a connection came between");
     assert_eq!(retry.failed(&Errno::MFILE.into()), NextAccept::AfterMakingRoom);
