--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! The list of cache servers: read once, then watched on a kept connection.
+//! Client of service discovery: reads the complete list of cache servers once, then watches it (long polling) on a
+//! persistent connection.
 
-mod manner;
 #[cfg(test)]
 mod tests;
+mod timeouts;
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -24,40 +25,42 @@
 use crate::clock::Clock;
 use crate::message::Message;
 use crate::roster::Roster;
-use manner::Manner;
+use timeouts::CallTimeouts;
 
-/// Longest list that is read.
-const MAX_BODY: usize = 4 << 20;
-/// Most servers that are held: over the largest fleet that was measured (10,000), and far under what memory bears. A
-/// discovery that names new ones for ever, and none gone, is refused from here on.
+/// Size limit of a list, in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Limit on the number of listed servers: above the largest measured fleet (10,000) and far below what memory allows.
+/// It bounds a discovery that adds servers forever and removes none.
 const MAX_SERVERS: usize = 1 << 14;
-/// Least time between two watches; a watch goes on if the next call comes within 200 ms.
-const PACE: Duration = Duration::from_millis(20);
+/// Shortest time between the starts of two watches. Discovery counts a watch as continued if the next call comes within
+/// 200 ms.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 
+/// Follows the list of cache servers and sends each update to the driver.
 pub struct Discovery {
-    /// Where discovery is; it may move while the node runs.
+    /// Address of discovery; a reload of the configuration may change it.
     address: watch::Receiver<SocketAddr>,
     membership: Membership,
-    manner: Manner,
+    timeouts: CallTimeouts,
     clock: Clock,
-    news: UnboundedSender<Message>,
-    /// What calls fail with now; empty while they succeed. Said once, not with each call.
-    trouble: RefCell<String>,
-    /// The servers that the list handed on names.
+    messages: UnboundedSender<Message>,
+    /// Error of the last call, empty after a success; used to log repeated errors once.
+    last_failure: RefCell<String>,
+    /// Servers that the list names, as passed on so far.
     listed: RefCell<HashSet<ServerId>>,
 }
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// Says which bound a list went over, where the body's reader only says that one was.
-fn too_long(error: Failure) -> Failure {
+/// Adds the limit to the body reader's error about a list over its size limit.
+fn describe_body_error(error: Failure) -> Failure {
     match error.downcast::<LengthLimitError>() {
-        Ok(_) => format!("the list is longer than {MAX_BODY} bytes").into(),
+        Ok(_) => format!("the list is longer than {MAX_LIST_BYTES} bytes").into(),
         Err(error) => error,
     }
 }
 
-fn silent(_: tokio::time::error::Elapsed) -> Failure {
+fn timed_out(_: tokio::time::error::Elapsed) -> Failure {
     "no answer in time".into()
 }
 
@@ -66,82 +69,87 @@
         address: watch::Receiver<SocketAddr>,
         settings: &Settings,
         clock: Clock,
-        news: UnboundedSender<Message>,
+        messages: UnboundedSender<Message>,
     ) -> Self {
         Discovery {
             address,
             membership: settings.membership,
-            manner: Manner::of(settings),
+            timeouts: CallTimeouts::of(settings),
             clock,
-            news,
-            trouble: RefCell::default(),
+            messages,
+            last_failure: RefCell::default(),
             listed: RefCell::default(),
         }
     }
 
-    /// Follows the list for ever. Whatever discovery does, the list held meanwhile stands.
-    pub async fn run(mut self, mut calls: Receiver<()>) {
-        let mut at_once = self.membership == Membership::Pushed;
+    /// Follows the list until the driver ends. While discovery fails, the last list stays in force.
+    pub async fn run(mut self, mut poll_requests: Receiver<()>) {
+        let mut connect_now = self.membership == Membership::Pushed;
         loop {
             let address = *self.address.borrow_and_update();
-            let mut moved = self.address.clone();
+            let mut address_changes = self.address.clone();
             tokio::select! {
                 biased;
-                // The old watch is dropped whatever it waits for, and the whole list read at the new address.
-                Ok(()) = moved.changed() => {
+                // The watch at the old address is dropped, and the complete list is read at the new one.
+                Ok(()) = address_changes.changed() => {
                     info!(from = %address, "moved");
-                    at_once = true;
+                    connect_now = true;
                 }
-                () = self.keep_following(address, at_once, &mut calls) => return,
+                () = self.follow_with_retries(address, connect_now, &mut poll_requests) => return,
             }
         }
     }
 
-    /// Follows the list at one address, until nobody asks any more.
-    async fn keep_following(&self, address: SocketAddr, mut at_once: bool, calls: &mut Receiver<()>) {
-        let asked = self.membership == Membership::OnRequest;
-        let manner = self.manner;
-        let mut backoff = manner.backoff;
+    /// Follows the list at one address and reconnects after failures, until no more polls can be requested.
+    async fn follow_with_retries(
+        &self,
+        address: SocketAddr,
+        mut connect_now: bool,
+        poll_requests: &mut Receiver<()>,
+    ) {
+        let on_request = self.membership == Membership::OnRequest;
+        let timeouts = self.timeouts;
+        let mut backoff = timeouts.backoff;
         loop {
-            if !at_once && calls.recv().await.is_none() {
+            if !connect_now && poll_requests.recv().await.is_none() {
                 return;
             }
-            at_once &= !asked;
+            connect_now &= !on_request;
             let Err(failure) = self.follow(address).await;
             let failure = failure.to_string();
-            if *self.trouble.borrow() == failure {
-                backoff = (backoff * 2).min(manner.max_backoff);
+            if *self.last_failure.borrow() == failure {
+                backoff = (backoff * 2).min(timeouts.max_backoff);
             } else {
                 warn!("{failure}; the list held stands");
-                backoff = manner.backoff;
-                *self.trouble.borrow_mut() = failure;
+                backoff = timeouts.backoff;
+                *self.last_failure.borrow_mut() = failure;
             }
-            if asked {
-                // A call from before: the balancer asks again in its time. Made at once, it would come together with
-                // those of all nodes whose watch failed now.
-                while calls.try_recv().is_ok() {}
-                let _ = self.news.send(Message::RosterFailed);
+            if on_request {
+                // Drops poll requests made before the failure: the balancer requests another after its backoff. Polling
+                // at once would synchronise this node with all others whose watch failed now.
+                while poll_requests.try_recv().is_ok() {}
+                let _ = self.messages.send(Message::RosterFailed);
             }
             sleep(backoff).await;
         }
     }
 
-    /// Follows the list on one connection until that fails.
+    /// Follows the list on one connection until a call fails.
     async fn follow(&self, address: SocketAddr) -> Result<Infallible, Failure> {
-        let Manner { whole, wait, late, .. } = self.manner;
+        let CallTimeouts { full_list, watch_wait, watch_grace, .. } = self.timeouts;
         let (mut sender, _connection, mut revision) =
-            timeout(whole, self.open(address)).await.map_err(silent)??;
+            timeout(full_list, self.open(address)).await.map_err(timed_out)??;
         loop {
-            let asked = Instant::now();
-            let path = format!("/discovery/hosts?index={revision}&wait={}", wait.as_millis());
-            let news = self.call(&mut sender, &path, Some(revision));
-            revision = timeout(wait + late, news).await.map_err(silent)??;
-            // A peer that answers at once whether it has news or not must not be asked without pause.
-            sleep(PACE.saturating_sub(asked.elapsed())).await;
+            let call_start = Instant::now();
+            let path = format!("/discovery/hosts?index={revision}&wait={}", watch_wait.as_millis());
+            let answer = self.call(&mut sender, &path, Some(revision));
+            revision = timeout(watch_wait + watch_grace, answer).await.map_err(timed_out)??;
+            // A discovery that answers at once without changes must not be polled in a busy loop.
+            sleep(MIN_WATCH_INTERVAL.saturating_sub(call_start.elapsed())).await;
         }
     }
 
-    /// Connects and reads the whole list; the list's revision comes with it.
+    /// Connects and reads the complete list; returns the connection and the list's revision.
     async fn open(
         &self,
         address: SocketAddr,
@@ -149,14 +157,17 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        // Ends with the sender, and its faults come out of the sender's calls.
+        // The task ends with the sender, and its errors are returned by the sender's calls.
         let connection = AbortOnDrop(tokio::task::spawn_local(connection).abort_handle());
         let revision = self.call(&mut sender, "/discovery/hosts", None).await?;
         Ok((sender, connection, revision))
     }
 
-    /// One call, for the whole list or for what came after a revision; hands on what it brought and returns the list's
-    /// revision. Of an answer that is no good nothing is handed on.
+    /// Makes one call, for the complete list or for changes after a revision. Passes the list on to the driver and
+    /// returns its revision.
+    ///
+    /// # Errors
+    /// If the call fails or the answer is invalid; then nothing is passed on.
     async fn call(
         &self,
         sender: &mut SendRequest<Empty<Bytes>>,
@@ -169,52 +180,61 @@
         sender.ready().await?;
         let response = sender.send_request(request).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_BODY).collect().await.map_err(too_long)?.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
+            .collect()
+            .await
+            .map_err(describe_body_error)?
+            .to_bytes();
         if !status.is_success() {
             return Err(format!("status {}", status.as_u16()).into());
         }
-        let roster = Roster::from_json(&body, &self.clock).map_err(|e| format!("unreadable list: {e}"))?;
+        let roster =
+            Roster::from_json(&body, &self.clock).map_err(|error| format!("unreadable list: {error}"))?;
         if after.is_none() && !roster.complete {
-            return Err("part of a list in place of the whole".into());
+            return Err("partial list in answer to a call for the complete list".into());
         }
-        // Discovery has begun anew: what it says does not follow from the list held.
+        // Discovery has restarted: its changes do not apply to the current list.
         if after.is_some_and(|after| roster.revision < after) {
-            return Err("the list's revision fell".into());
+            return Err("the list's revision decreased".into());
         }
-        self.count(&roster)?;
-        if !self.trouble.borrow_mut().split_off(0).is_empty() {
-            info!("answers again");
+        self.update_listed(&roster)?;
+        if !self.last_failure.borrow_mut().split_off(0).is_empty() {
+            info!("discovery answers again");
         }
         let revision = roster.revision;
         if roster.complete || !roster.members.is_empty() {
-            let _ = self.news.send(Message::Roster(roster));
+            let _ = self.messages.send(Message::Roster(roster));
         }
         Ok(revision)
     }
 }
 
 impl Discovery {
-    /// Counts the servers that the list will name, unless they are too many.
-    fn count(&self, roster: &Roster) -> Result<(), Failure> {
+    /// Updates the set of listed servers.
+    ///
+    /// # Errors
+    /// If the list would name more than [`MAX_SERVERS`]; then the set stays as it was.
+    fn update_listed(&self, roster: &Roster) -> Result<(), Failure> {
         let mut listed = self.listed.borrow_mut();
-        let ids = || roster.members.iter().map(|m| &m.entry);
-        let gone = |state| state == ServerState::Gone;
-        let named = ids().filter(|e| !gone(e.state)).map(|e| &e.server);
-        let now = if roster.complete {
+        let entries = || roster.members.iter().map(|member| &member.entry);
+        let is_gone = |state| state == ServerState::Gone;
+        let named = entries().filter(|entry| !is_gone(entry.state)).map(|entry| &entry.server);
+        let count = if roster.complete {
             named.collect::<HashSet<_>>().len()
         } else {
-            let left = ids().filter(|e| gone(e.state) && listed.contains(&e.server)).count();
-            let new = named.filter(|id| !listed.contains(*id)).collect::<HashSet<_>>().len();
-            listed.len() + new - left.min(listed.len())
+            let removed =
+                entries().filter(|entry| is_gone(entry.state) && listed.contains(&entry.server)).count();
+            let added = named.filter(|id| !listed.contains(*id)).collect::<HashSet<_>>().len();
+            listed.len() + added - removed.min(listed.len())
         };
-        if now > MAX_SERVERS {
-            return Err(format!("the list names {now} servers, at most {MAX_SERVERS} are held").into());
+        if count > MAX_SERVERS {
+            return Err(format!("the list names {count} servers, at most {MAX_SERVERS} are allowed").into());
         }
         if roster.complete {
             listed.clear();
         }
-        for entry in ids() {
-            if gone(entry.state) {
+        for entry in entries() {
+            if is_gone(entry.state) {
                 listed.remove(&entry.server);
             } else {
                 listed.insert(entry.server.clone());
@@ -224,6 +244,7 @@
     }
 }
 
+/// Aborts a task when it is dropped.
 struct AbortOnDrop(tokio::task::AbortHandle);
 
 impl Drop for AbortOnDrop {
--- a/crates/node/src/discovery/tests/endings.rs
+++ b/crates/node/src/discovery/tests/endings.rs
@@ -1,10 +1,10 @@
-//! How an answer may come and end: what is a list, and what is none.
+//! Framing of responses: which ones are accepted as complete, and which are not.
 
 use tokio::task::LocalSet;
 
 use super::*;
 
-/// What becomes of the connection behind an answer.
+/// State of the connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
     Open,
@@ -12,10 +12,11 @@
     Reset,
 }
 
-/// Whether the list is handed on that comes in these bytes, and what the node asks for next, if it goes on there.
-async fn taken(bytes: &str, end: End) -> (bool, Option<String>) {
+/// Answers with these bytes. Returns whether the list was passed on, and the next call if it came on the same
+/// connection.
+async fn answer_with(bytes: &str, end: End) -> (bool, Option<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let mut node = Following::start(pushed(0.5), 1, listener.local_addr().expect("an address"));
+    let mut node = FollowingNode::start(pushed(0.5), 1, listener.local_addr().expect("an address"));
     let (mut stream, _) = listener.accept().await.expect("a call");
     call(&mut stream).await.expect("a call");
     stream.write_all(bytes.as_bytes()).await.expect("an answer");
@@ -25,9 +26,9 @@
         End::Closed => drop(stream),
         End::Reset => reset(stream),
     }
-    // It calls again once it is through with what came.
+    // The node connects again once it has processed the response.
     if next.is_none() {
-        listener.accept().await.expect("it is asked anew");
+        listener.accept().await.expect("the node polls again");
     }
     (node.lists.try_recv().is_ok(), next)
 }
@@ -36,7 +37,7 @@
     listed(7, "draining")
 }
 
-/// Without a length the close ends the body, and only a close does.
+/// A response without a length: the body ends with a close of the connection, and not with a reset.
 fn without_length(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\r\n{body}")
 }
@@ -48,46 +49,46 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whole_answers_are_taken_in_any_form_and_the_connection_is_kept_where_it_can_be() {
+async fn complete_answers_are_accepted_in_any_form_and_the_connection_is_reused_if_possible() {
     let indented = body().replace(',', ",\r\n\t  ").replace('{', "{\n  ").replace("\":", "\" : ");
     for (bytes, end) in [
         (answer(&indented), End::Open),
         (chunked(&body(), "0\r\n\r\n"), End::Open),
         (without_length(&body()), End::Closed),
     ] {
-        let (taken, next) = LocalSet::new().run_until(taken(&bytes, end)).await;
-        assert!(taken, "{bytes}");
+        let (accepted, next) = LocalSet::new().run_until(answer_with(&bytes, end)).await;
+        assert!(accepted, "{bytes}");
         let watch = next.is_some_and(|line| line.starts_with("GET /discovery/hosts?index=7&wait="));
         assert_eq!(watch, end == End::Open, "{bytes}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_an_answer_that_does_not_end_as_it_should_nothing_is_taken() {
-    let whole = answer(&body());
-    let cut = &whole[..whole.len() - 1];
+async fn an_answer_that_ends_incorrectly_is_not_accepted() {
+    let complete = answer(&body());
+    let cut = &complete[..complete.len() - 1];
     for (bytes, end) in [
-        // All of the list is there: without a length nothing tells so.
+        // The list is complete, but without a length a reset does not show that.
         (without_length(&body()), End::Reset),
         (without_length(&body()[..body().len() - 1]), End::Closed),
         (cut.to_string(), End::Closed),
         (cut.to_string(), End::Reset),
         (chunked(&body(), ""), End::Closed),
         (chunked(&body(), "0\r\n"), End::Reset),
-        (whole.replacen("200 OK", "503 Busy", 1), End::Closed),
+        (complete.replacen("200 OK", "503 Busy", 1), End::Closed),
         (String::new(), End::Closed),
     ] {
-        let (taken, _) = LocalSet::new().run_until(taken(&bytes, end)).await;
-        assert!(!taken, "{end:?} after {bytes}");
+        let (accepted, _) = LocalSet::new().run_until(answer_with(&bytes, end)).await;
+        assert!(!accepted, "{end:?} after {bytes}");
     }
 }
 
-/// Answers of the same revision, with and without entries, and a connection that is closed between two calls.
+/// Answers with an unchanged revision, with and without entries, and a connection that is closed between two calls.
 #[tokio::test(start_paused = true)]
-async fn a_watch_without_news_goes_on_and_one_closed_between_calls_is_opened_anew() {
+async fn a_watch_without_changes_continues_and_one_closed_between_calls_is_reopened() {
     let watched = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let mut node = Following::start(pushed(0.5), 1, listener.local_addr().expect("an address"));
+        let mut node = FollowingNode::start(pushed(0.5), 1, listener.local_addr().expect("an address"));
         let (mut stream, _) = listener.accept().await.expect("a call");
         call(&mut stream).await.expect("a call");
         let same = [listed(7, "ready"), list(7, false, &[]), list(7, false, &[member(2, "ready")])];
@@ -96,13 +97,13 @@
             let watch = call(&mut stream).await.expect("a watch");
             assert!(watch.contains("?index=7&"), "{watch}");
         }
-        // The answer and the close come together: the next call finds a connection that is gone.
+        // The answer and the close arrive together, so the next call finds the connection closed.
         stream.write_all(answer(&list(8, false, &[])).as_bytes()).await.expect("an answer");
         drop(stream);
-        let (mut stream, _) = listener.accept().await.expect("it is asked anew");
-        let whole = call(&mut stream).await.expect("the whole list");
-        assert!(whole.starts_with("GET /discovery/hosts "), "{whole}");
-        // A discovery that has begun anew: its lower revision is good in a whole list.
+        let (mut stream, _) = listener.accept().await.expect("the node polls again");
+        let full_list = call(&mut stream).await.expect("a call for the complete list");
+        assert!(full_list.starts_with("GET /discovery/hosts "), "{full_list}");
+        // Discovery has restarted: a lower revision is valid in a complete list.
         stream.write_all(answer(&listed(3, "draining")).as_bytes()).await.expect("an answer");
         node.until_draining().await;
     };
--- a/crates/node/src/discovery/tests/mod.rs
+++ b/crates/node/src/discovery/tests/mod.rs
@@ -1,12 +1,12 @@
-//! A discovery that answers as it is told, the balancer that says when it is asked again, and what is made of it.
+//! Tests of the discovery client against a fake discovery, with the real balancer deciding when to poll again.
 
 mod endings;
 mod lists;
-mod manner;
 mod moves;
 mod outages;
 mod silence;
 mod slowness;
+mod timeouts;
 
 use std::time::Duration;
 
@@ -32,28 +32,28 @@
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
 }
 
-/// The whole list, of one server in this phase.
+/// A complete list of one server in this phase.
 fn listed(revision: u64, phase: &str) -> String {
     list(revision, true, &[member(1, phase)])
 }
 
-/// Takes one call and returns its first line.
+/// Reads one call and returns its request line.
 async fn call(stream: &mut TcpStream) -> std::io::Result<String> {
-    let mut read = Vec::new();
-    while !read.ends_with(b"\r\n\r\n") {
-        read.push(stream.read_u8().await?);
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await?);
     }
-    let text = String::from_utf8(read).expect("a call in text");
+    let text = String::from_utf8(head).expect("a call in text");
     Ok(text.lines().next().expect("a line").to_string())
 }
 
-/// How long a call says that it waits for news.
+/// The `wait` parameter of a call; zero if it has none.
 fn wait_of(call: &str) -> Duration {
-    let wait = call.split("wait=").nth(1).and_then(|rest| rest.split(' ').next());
+    let wait = call.split("wait=").nth(1).and_then(|value| value.split(' ').next());
     wait.map_or(Duration::ZERO, |ms| Duration::from_millis(ms.parse().expect("a number")))
 }
 
-/// An answer with this body, head first.
+/// An HTTP response with this body.
 fn answer(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
@@ -72,7 +72,7 @@
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("no lingering");
 }
 
-/// Settings of a deployment whose lists come so, in which a drain leaves this time and lists are asked for this often.
+/// Settings of a deployment with this membership mode, drain grace and poll interval, both in seconds.
 fn settings(membership: Membership, drain_grace: f64, ask_every: f64) -> Settings {
     let read = Class {
         name: "read".into(),
@@ -98,70 +98,72 @@
     settings(Membership::Pushed, drain_grace, 10.0)
 }
 
-fn asked(ask_every: f64) -> Settings {
+fn polled(ask_every: f64) -> Settings {
     settings(Membership::OnRequest, 1.0, ask_every)
 }
 
-/// A node that follows its list.
-struct Following {
+/// A running discovery client with the real balancer.
+struct FollowingNode {
+    /// Lists that the client has passed on.
     lists: UnboundedReceiver<Roster>,
-    /// Where discovery is; SIGHUP moves it.
-    moves: watch::Sender<std::net::SocketAddr>,
+    /// Changes the address of discovery, as SIGHUP does.
+    address_sender: watch::Sender<std::net::SocketAddr>,
 }
 
-impl Following {
-    /// The balancer is the real one: it says when a discovery that must be asked is asked again.
+impl FollowingNode {
+    /// Starts the client. The real balancer decides when a discovery that must be polled is polled again.
     fn start(settings: Settings, seed: u64, address: std::net::SocketAddr) -> Self {
-        let (news, told) = unbounded_channel();
-        let (moves, at) = watch::channel(address);
-        let (calls, called) = channel(1);
-        let (read, lists) = unbounded_channel();
-        let discovery = Discovery::new(at, &settings, Clock::start(), news);
-        tokio::task::spawn_local(discovery.run(called));
+        let (message_sender, messages) = unbounded_channel();
+        let (address_sender, address_receiver) = watch::channel(address);
+        let (poll_requests, poll_receiver) = channel(1);
+        let (list_sender, lists) = unbounded_channel();
+        let discovery = Discovery::new(address_receiver, &settings, Clock::start(), message_sender);
+        tokio::task::spawn_local(discovery.run(poll_receiver));
         let balancer = Balancer::new(settings, seed).expect("good settings");
-        tokio::task::spawn_local(ask(balancer, told, calls, read));
-        Following { lists, moves }
+        tokio::task::spawn_local(drive_balancer(balancer, messages, poll_requests, list_sender));
+        FollowingNode { lists, address_sender }
     }
 
     async fn until_draining(&mut self) {
-        let drains = |roster: &Roster| roster.members.iter().any(|m| m.entry.state == ServerState::Draining);
+        let drains =
+            |roster: &Roster| roster.members.iter().any(|member| member.entry.state == ServerState::Draining);
         while !drains(&self.lists.recv().await.expect("a list")) {}
     }
 }
 
-/// Calls for the list when the balancer wants it, and tells it what came of that.
-async fn ask(
+/// Runs the balancer: requests a poll when it subscribes, and reports lists and failures to it.
+async fn drive_balancer(
     mut balancer: Balancer,
-    mut told: UnboundedReceiver<Message>,
-    calls: Sender<()>,
-    read: UnboundedSender<Roster>,
+    mut messages: UnboundedReceiver<Message>,
+    poll_requests: Sender<()>,
+    list_sender: UnboundedSender<Roster>,
 ) {
     let start = Instant::now();
-    let (mut actions, mut tick) = (Vec::new(), (start, TimerToken(0)));
+    let (mut actions, mut timer) = (Vec::new(), (start, TimerToken(0)));
     let mut event = Event::Roster(RosterNews::Cached(Vec::new()));
     loop {
         balancer.handle(start.elapsed().as_secs_f64(), event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Subscribe => drop(calls.try_send(())),
+                Action::Subscribe => drop(poll_requests.try_send(())),
                 Action::SetTimer { token, after } => {
-                    tick = (Instant::now() + Duration::from_secs_f64(after), token);
+                    timer = (Instant::now() + Duration::from_secs_f64(after), token);
                 }
                 _ => {}
             }
         }
         event = tokio::select! {
             biased;
-            message = told.recv() => match message {
+            message = messages.recv() => match message {
                 Some(Message::Roster(roster)) => {
-                    let news = if roster.complete { RosterNews::Full } else { RosterNews::Delta };
-                    let _ = read.send(roster);
-                    Event::Roster(news(Vec::new()))
+                    let update = if roster.complete { RosterNews::Full } else { RosterNews::Delta };
+                    let _ = list_sender.send(roster);
+                    Event::Roster(update(Vec::new()))
                 }
                 Some(_) => Event::Roster(RosterNews::Failed),
                 None => return,
             },
-            () = sleep_until(tick.0) => Event::Timer(tick.1),
+            () = sleep_until(timer.0) => Event::Timer(timer.1),
         };
     }
 }
--- a/crates/node/src/discovery/tests/slowness.rs
+++ b/crates/node/src/discovery/tests/slowness.rs
@@ -1,11 +1,11 @@
-//! A discovery that takes its time for each answer, for good.
+//! A discovery that is permanently slow to answer.
 
 use tokio::task::LocalSet;
 
 use super::*;
 
-/// Answers each call so much later than it should. A change that comes while an answer is on its way is not in it.
-async fn converse(mut stream: TcpStream, takes: Duration, changes: Instant) -> std::io::Result<()> {
+/// Answers each call later by `takes`. A change during the delay is not part of the answer.
+async fn serve_calls(mut stream: TcpStream, takes: Duration, changes: Instant) -> std::io::Result<()> {
     loop {
         let line = call(&mut stream).await?;
         let wait = wait_of(&line);
@@ -22,15 +22,16 @@
     }
 }
 
-async fn in_hand_after(takes: Duration, change: Duration) -> Duration {
+/// Time from a change until the node has it, if answers are later by `takes` and the change comes after `change`.
+async fn time_to_list(takes: Duration, change: Duration) -> Duration {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let mut node = Following::start(asked(10.0), change.as_millis() as u64, address);
+    let mut node = FollowingNode::start(polled(10.0), change.as_millis() as u64, address);
     let changes = Instant::now() + change;
     tokio::task::spawn_local(async move {
         loop {
             let (stream, _) = listener.accept().await.expect("a connection");
-            tokio::task::spawn_local(converse(stream, takes, changes));
+            tokio::task::spawn_local(serve_calls(stream, takes, changes));
         }
     });
     node.until_draining().await;
@@ -38,11 +39,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_at_a_slow_discovery_is_in_hand_within_six_seconds() {
+async fn a_change_at_a_slow_discovery_arrives_within_six_seconds() {
     for takes in [Duration::from_millis(300), SECOND, 2 * SECOND] {
         for step in 0..40 {
             let change = step * Duration::from_millis(370);
-            let after = LocalSet::new().run_until(in_hand_after(takes, change)).await;
+            let after = LocalSet::new().run_until(time_to_list(takes, change)).await;
             assert!(after < 6 * SECOND, "answers take {takes:?}, change after {change:?}: {after:?} later");
         }
     }
