--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,5 +1,5 @@
-//! The one owner of the balancer: its clock, its timers, its requests and their attempts. Events go in one by
-//! one and the actions they give are carried out at once.
+//! Drives the balancer: owns its timers, its requests and their attempts. Events are handed to the balancer one at a
+//! time, and the actions that it returns are executed at once.
 
 mod attempts;
 mod requests;
@@ -24,177 +24,181 @@
 use crate::roster::Roster;
 use state::Timer;
 pub use state::{Around, Driver};
-use timers::{duration, Stalls};
+use timers::{duration, SchedulingDelays};
 
 impl Driver {
     pub fn new(settings: &Settings, seed: u64, around: Around) -> Result<Self, SettingsError> {
         let Around { clock, upstream, messages, calls, lifecycle, figures, fleet } = around;
-        let round = Duration::from_secs_f64(settings.round);
-        upstream.rounds(round);
+        let quantum = Duration::from_secs_f64(settings.round);
+        upstream.rounds(quantum);
         Ok(Driver {
             balancer: Balancer::new(settings.clone(), seed)?,
             clock,
             names: Names::of(settings),
             max_attempts: settings.limits.max_attempts as usize,
-            repeats: attempts::repeats(settings),
-            retry_after: settings.limits.retry_after,
-            round,
-            longest: duration(settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)),
+            retry_windows: attempts::retry_windows(settings),
+            sends_retry_after: settings.limits.retry_after,
+            quantum,
+            max_deadline: duration(settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)),
             upstream,
             timers: BinaryHeap::new(),
             requests: HashMap::new(),
-            open: HashSet::new(),
+            open_opaques: HashSet::new(),
             events: VecDeque::new(),
-            now: Instant::now(),
-            stalls: Stalls::default(),
-            overdue: Throttle::default(),
-            said: Throttle::default(),
+            event_time: Instant::now(),
+            scheduling_delays: SchedulingDelays::default(),
+            overdue_log: Throttle::default(),
+            balancer_log: Throttle::default(),
             messages,
-            calls,
+            poll_requests: calls,
             lifecycle,
-            figures,
+            metrics: figures,
             fleet,
         })
     }
 
-    /// The list as the node last had it; to be given before any request.
+    /// Applies the last list that the node cached; called before any request.
     pub fn known(&mut self, roster: Roster) {
-        self.roster(roster, RosterNews::Cached);
+        self.apply_roster(roster, RosterNews::Cached);
     }
 
-    /// Takes messages for ever. What discovery tells goes ahead of all others: it counts from when it came, and what
-    /// waits its turn would still be sent to servers that drain.
+    /// Processes messages until the inbox closes. Lists from discovery go ahead of all other messages: a list is in
+    /// force from its arrival, and requests queued before it would still be sent to servers that drain.
     pub async fn run(mut self, mut inbox: UnboundedReceiver<Message>, mut lists: UnboundedReceiver<Message>) {
         let mut phases = self.lifecycle.follow();
         loop {
             let next = self.timers.peek().map(|Reverse((at, _))| *at);
             tokio::select! {
                 biased;
-                Some(list) = lists.recv() => self.take(list),
-                // The lifecycle lives as long as the driver that holds it.
+                Some(list) = lists.recv() => self.handle_message(list),
+                // Never fails: the driver holds the lifecycle that sends.
                 Ok(()) = phases.changed() => {
                     let process_ends = phases.borrow_and_update().ends;
-                    self.bound_deadlines(process_ends);
+                    self.limit_deadlines(process_ends);
                 }
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {}
             }
-            // Looked at after each message: a flood of them must not keep timers from firing.
+            // Checked after each message, so that a flood of messages cannot keep timers from firing.
             let first = self.timers.peek().map(|Reverse((at, _))| *at);
             if let Some(due) = first.filter(|at| *at <= Instant::now()) {
-                // A node that was kept from running finds timers due and answers unread: those first, or
-                // an attempt would be given up whose answer is there.
+                // After a scheduling delay timers are due while answers are still unread. Messages are processed
+                // first, or an attempt would time out although its answer has arrived.
                 tokio::task::yield_now().await;
                 for _ in 0..lists.len() + inbox.len() {
                     if let Ok(message) = lists.try_recv().or_else(|_| inbox.try_recv()) {
-                        self.take(message);
+                        self.handle_message(message);
                     }
                 }
-                self.ring();
-                self.stalls.note(due, Instant::now());
+                self.fire_due_timers();
+                self.scheduling_delays.record(due, Instant::now());
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
-        self.now = Instant::now();
+    fn handle_message(&mut self, message: Message) {
+        self.event_time = Instant::now();
         match message {
-            // It had gone before its turn came: nothing is sent for it.
+            // The client disconnected while the request was queued: nothing is sent.
             Message::Request { id, command, at, gone, .. } if gone.is_told() => {
-                let left = self.deadline(&command, at).saturating_duration_since(self.now);
+                let left = self.deadline(&command, at).saturating_duration_since(self.event_time);
                 requests::log_withdrawn(id, &command, left);
             }
-            Message::Request { id, command, at, reply, gone } => self.request(id, command, at, reply, gone),
+            Message::Request { id, command, at, reply, gone } => {
+                self.start_request(id, command, at, reply, gone)
+            }
             Message::Withdrawn(id) => {
-                if self.close(id).is_some() {
-                    if let Some(live) = self.requests.get(&id) {
-                        let left = live.deadline.saturating_duration_since(self.now);
-                        requests::log_withdrawn(id, &live.command, left);
+                if self.take_reply(id).is_some() {
+                    if let Some(active) = self.requests.get(&id) {
+                        let left = active.deadline.saturating_duration_since(self.event_time);
+                        requests::log_withdrawn(id, &active.command, left);
                     }
-                    self.handle(Event::Withdrawn(id));
-                    self.settle(id);
+                    self.handle_event(Event::Withdrawn(id));
+                    self.clean_up(id);
                 }
             }
             Message::Ended { request, attempt, ended } => {
-                self.end(request, attempt, ended);
-                self.drain();
+                self.complete_attempt(request, attempt, ended);
+                self.process_events();
             }
-            Message::Probed { server, status } => self.handle(Event::Probed { server, status }),
+            Message::Probed { server, status } => self.handle_event(Event::Probed { server, status }),
             Message::Roster(roster) => {
-                let news = if roster.complete { RosterNews::Full } else { RosterNews::Delta };
-                self.roster(roster, news);
+                let update = if roster.complete { RosterNews::Full } else { RosterNews::Delta };
+                self.apply_roster(roster, update);
             }
             Message::Members(reply) => {
                 let (listed, unavailable) = self.balancer.members();
-                // An operator that does not wait any more needs no answer.
+                // Fails only if the operator's connection is closed, and then no answer is needed.
                 let _ = reply.send(Members { listed, unavailable });
             }
-            Message::Fleet(news) => self.handle(Event::Fleet(news)),
-            Message::RosterFailed => self.handle(Event::Roster(RosterNews::Failed)),
+            Message::Fleet(news) => self.handle_event(Event::Fleet(news)),
+            Message::RosterFailed => self.handle_event(Event::Roster(RosterNews::Failed)),
         }
     }
 
-    fn roster(&mut self, roster: Roster, news: fn(Vec<RosterEntry>) -> RosterNews) {
+    fn apply_roster(&mut self, roster: Roster, update: fn(Vec<RosterEntry>) -> RosterNews) {
         if let Some(fleet) = &self.fleet {
             fleet.learn(&roster);
         }
-        // What the balancer holds against a server, and the cap it has learnt, ends with the process.
-        let gone = |server| RosterEntry { server, state: ServerState::Gone, ..RosterEntry::default() };
-        let moved: Vec<RosterEntry> = self.upstream.learn(&roster).into_iter().map(gone).collect();
-        if !moved.is_empty() {
-            self.handle(Event::Roster(RosterNews::Delta(moved)));
+        // A server at a new address is a new process: the balancer drops the faults and the limit that it learnt for
+        // the old one.
+        let gone_entry = |server| RosterEntry { server, state: ServerState::Gone, ..RosterEntry::default() };
+        let moved_servers: Vec<RosterEntry> =
+            self.upstream.learn(&roster).into_iter().map(gone_entry).collect();
+        if !moved_servers.is_empty() {
+            self.handle_event(Event::Roster(RosterNews::Delta(moved_servers)));
         }
-        let entries: Vec<RosterEntry> = roster.members.into_iter().map(|m| m.entry).collect();
-        if entries.iter().any(|e| e.state == ServerState::Ready) {
-            self.lifecycle.can_serve();
+        let entries: Vec<RosterEntry> = roster.members.into_iter().map(|member| member.entry).collect();
+        if entries.iter().any(|entry| entry.state == ServerState::Ready) {
+            self.lifecycle.mark_servers_known();
         }
-        self.handle(Event::Roster(news(entries)));
+        self.handle_event(Event::Roster(update(entries)));
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.events.push_back(event);
-        self.drain();
+        self.process_events();
     }
 
-    /// Hands over the events in their order; actions may bring more of them.
-    fn drain(&mut self) {
+    /// Hands queued events to the balancer in order; executing actions may queue more of them.
+    fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
-            self.balancer.handle(self.clock.at(self.now), event, &mut actions);
+            self.balancer.handle(self.clock.at(self.event_time), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, timeout } => self.send(request, server, timeout),
-            Action::Cancel { request, attempt } => self.give_up(request, attempt, Status::Cancelled),
+            Action::Send { request, server, timeout } => self.send_attempt(request, server, timeout),
+            Action::Cancel { request, attempt } => self.abandon_attempt(request, attempt, Status::Cancelled),
             Action::Refuse { request, retry_after } => {
-                let advice = retry_after.filter(|_| self.retry_after).map(duration);
+                let advice = retry_after.filter(|_| self.sends_retry_after).map(duration);
                 self.answer(request, protocol::busy(advice).into(), End::Rejected);
-                self.settle(request);
+                self.clean_up(request);
             }
             Action::Fail(request) => {
                 self.answer(request, protocol::FAILED.into(), End::Failed);
-                self.settle(request);
+                self.clean_up(request);
             }
             Action::SetTimer { token, after } => {
-                self.timers.push(Reverse((self.now + duration(after), Timer::Balancer(token.0))));
+                self.timers.push(Reverse((self.event_time + duration(after), Timer::Balancer(token.0))));
             }
-            // A full queue means that a call is on its way.
-            Action::Subscribe => drop(self.calls.try_send(())),
+            // A full queue means that a poll is already pending.
+            Action::Subscribe => drop(self.poll_requests.try_send(())),
             Action::Log(text) => {
-                if let Some(suppressed) = self.said.pass(self.now) {
+                if let Some(suppressed) = self.balancer_log.pass(self.event_time) {
                     info!(target: "hallpin_node::balancer", suppressed, "{text}");
                 }
             }
-            Action::Probe(server) => self.probe(server),
-            // The nodes of this deployment have no wire between them, and the balancer sends nothing on it.
+            Action::Probe(server) => self.check_health(server),
+            // Nodes have no channel between balancers here, and the balancer sends nothing on it.
             Action::Tell(_) => {}
         }
     }
--- a/crates/node/src/driver/state.rs
+++ b/crates/node/src/driver/state.rs
@@ -1,4 +1,4 @@
-//! What the driver holds: requests in hand, attempts out, and what is due.
+//! State of the driver: active requests, their attempts and pending timers.
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -14,7 +14,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::timers::Stalls;
+use super::timers::SchedulingDelays;
 use crate::answer::Answer;
 use crate::clock::Clock;
 use crate::figures::{Figures, Ticket};
@@ -25,75 +25,91 @@
 use crate::upstream::{Runs, Upstream};
 
 pub(super) struct Attempt {
-    pub(super) since: Instant,
+    pub(super) started_at: Instant,
+    /// Whether the command has been written completely, and so may have run.
     pub(super) written: Rc<Cell<bool>>,
-    /// Of all attempts of the request.
-    pub(super) runs: Rc<Runs>,
+    /// Which attempts may have run; shared by all attempts of the request.
+    pub(super) executions: Rc<Runs>,
+    /// Task that performs the attempt; `None` once the attempt has its outcome.
     pub(super) task: Option<AbortHandle>,
-    /// What the plane, where there is one, is told with the outcome.
-    pub(super) sent: Option<Sent>,
-    /// The part of a budget that it uses, where there are budgets.
-    pub(super) used: Option<Use>,
+    /// Handle by which the outcome is reported to the control plane, if it is enabled.
+    pub(super) sent_attempt: Option<Sent>,
+    /// Quota that the attempt holds, if quotas are enabled.
+    pub(super) quota_use: Option<Use>,
 }
 
-pub(super) struct Live {
+/// A request from its arrival until its answer is given and its last attempt has ended.
+pub(super) struct ActiveRequest {
     pub(super) command: Rc<Command>,
     /// When the client stops waiting.
     pub(super) deadline: Instant,
-    /// Taken when the final answer is given.
+    /// Taken when the final answer is given or the client disconnects.
     pub(super) reply: Option<(oneshot::Sender<Answer>, Ticket)>,
     pub(super) attempts: Vec<Attempt>,
+    /// Set once the client has disconnected.
     pub(super) gone: Gone,
 }
 
+/// Action of a timer, with the ids of its request and attempt or its token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
+    /// Fails the request if the balancer has not ended it shortly before its deadline.
     Backstop(u64),
-    GiveUp(u64, u32),
+    /// Times out an attempt of a request.
+    AttemptTimeout(u64, u32),
+    /// A timer that the balancer has set, by its token.
     Balancer(u64),
 }
 
+/// Connects the balancer with clients, cache servers, timers and discovery.
 pub struct Driver {
     pub(super) balancer: Balancer,
     pub(super) clock: Clock,
     pub(super) names: Names,
     pub(super) max_attempts: usize,
-    /// Of each class: for how long after the first attempt that may have run another may go out.
-    pub(super) repeats: Vec<Option<Duration>>,
-    pub(super) retry_after: bool,
-    pub(super) round: Duration,
-    /// No request is held longer than any class allows, whatever its client says: timers of ended ones stay in
+    /// Retry window of each class: time after the first attempt that may have run within which another may be sent;
+    /// `None` if unlimited.
+    pub(super) retry_windows: Vec<Option<Duration>>,
+    /// Whether rejections tell clients when to retry.
+    pub(super) sends_retry_after: bool,
+    /// Processing quantum of the balancer, also reserved for the time that written bytes take to arrive.
+    pub(super) quantum: Duration,
+    /// Longest deadline of all classes; caps the wait that a client asks for, as timers of finished requests stay in
     /// memory until due.
-    pub(super) longest: Duration,
+    pub(super) max_deadline: Duration,
     pub(super) upstream: Rc<Upstream>,
     pub(super) timers: BinaryHeap<Reverse<(Instant, Timer)>>,
-    pub(super) requests: HashMap<RequestId, Live>,
-    /// What clients call the requests that have no answer yet.
-    pub(super) open: HashSet<Bytes>,
+    pub(super) requests: HashMap<RequestId, ActiveRequest>,
+    /// Opaque ids, chosen by clients, of the requests that have no answer yet.
+    pub(super) open_opaques: HashSet<Bytes>,
+    /// Events not yet handed to the balancer.
     pub(super) events: VecDeque<Event>,
-    /// The time of the event in hand: what follows from it counts from here, however late it is carried out.
-    pub(super) now: Instant,
-    /// When the node did not run for a while.
-    pub(super) stalls: Stalls,
-    /// What may be said often is said seldom: requests that ran out of time, and the balancer's own lines.
-    pub(super) overdue: Throttle,
-    pub(super) said: Throttle,
+    /// Time of the current event. Actions count from this time, however late they are executed.
+    pub(super) event_time: Instant,
+    /// Recent times at which the node did not run.
+    pub(super) scheduling_delays: SchedulingDelays,
+    /// Limits log lines about requests without an answer near their deadline.
+    pub(super) overdue_log: Throttle,
+    /// Limits the balancer's own log lines.
+    pub(super) balancer_log: Throttle,
     pub(super) messages: UnboundedSender<Message>,
-    pub(super) calls: Sender<()>,
+    /// Asks discovery to poll the list.
+    pub(super) poll_requests: Sender<()>,
     pub(super) lifecycle: Rc<Lifecycle>,
-    pub(super) figures: Rc<Figures>,
+    pub(super) metrics: Rc<Figures>,
     pub(super) fleet: Option<Rc<Fleet>>,
 }
 
-/// What the driver works with and does not own.
+/// Components that the driver uses and shares with the rest of the node.
 pub struct Around {
     pub clock: Clock,
     pub upstream: Rc<Upstream>,
     pub messages: UnboundedSender<Message>,
+    /// Asks discovery to poll the list.
     pub calls: Sender<()>,
-    /// Told once a server is known.
+    /// Becomes ready once a server is known.
     pub lifecycle: Rc<Lifecycle>,
     pub figures: Rc<Figures>,
-    /// The plane between nodes, where it is on.
+    /// The control plane between nodes, if it is enabled.
     pub fleet: Option<Rc<Fleet>>,
 }
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! What the driver lets go out and keeps, whatever the balancer asks for.
+//! Limits that the driver enforces on attempts, timers and memory, whatever the balancer requests.
 
 mod lists;
 mod timing;
@@ -64,29 +64,29 @@
     (driver, inbox, ServerId("s".into()))
 }
 
-/// Hands over a request; its task is not run, so its first attempt stays unsent.
+/// Starts a request. Its attempt's task does not run, so the first attempt stays unsent.
 fn request(driver: &mut Driver, id: RequestId) -> oneshot::Receiver<Answer> {
     request_of(driver, id, Gone::default())
 }
 
 fn request_of(driver: &mut Driver, id: RequestId, gone: Gone) -> oneshot::Receiver<Answer> {
     let _inside = tokio::task::LocalSet::new().enter();
-    let (message, answer) = asked(id, "a", gone);
-    driver.take(message);
+    let (message, answer) = request_message(id, "a", gone);
+    driver.handle_message(message);
     answer
 }
 
-fn asked(id: RequestId, opaque: &str, gone: Gone) -> (Message, oneshot::Receiver<Answer>) {
+fn request_message(id: RequestId, opaque: &str, gone: Gone) -> (Message, oneshot::Receiver<Answer>) {
     let mut text = bytes::BytesMut::from(&format!("mg k v O{opaque} Pc=read,d=60000\r\n")[..]);
     let Some(Input::Command(command)) = next_input(&mut text) else { panic!("a command") };
     let (reply, answer) = oneshot::channel();
     (Message::Request { id, command: *command, at: Instant::now(), reply, gone }, answer)
 }
 
-/// A client that leaves while other messages wait ahead of that one is sent nothing more for, and what comes of it
-/// then is not taken at all.
+/// A client disconnects while its withdrawal waits in the queue behind other messages: no attempt is sent for its
+/// request, and later requests of the client are not accepted.
 #[tokio::test]
-async fn a_client_that_has_gone_is_seen_ahead_of_the_queue() {
+async fn a_disconnect_takes_effect_ahead_of_the_queue() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (mut driver, _inbox, server) = driver(&settings(), listener.local_addr().unwrap());
     let (gone, id) = (Gone::default(), RequestId(1));
@@ -94,14 +94,14 @@
     let local = tokio::task::LocalSet::new();
     let _inside = local.enter();
     gone.tell();
-    driver.send(id, server, None);
+    driver.send_attempt(id, server, None);
     let last = driver.events.back();
     assert!(matches!(last, Some(Event::Outcome(o)) if o.status == Status::Void), "{last:?}");
     let mut late = request_of(&mut driver, RequestId(2), gone);
-    assert!(late.try_recv().is_err(), "the second is not taken, and so not answered");
+    assert!(late.try_recv().is_err(), "the second request is not accepted, and so not answered");
 }
 
-/// Whatever the balancer asks for, no attempt goes out beyond the limit or behind the final answer.
+/// Whatever the balancer requests, no attempt is sent beyond the limit or after the final answer.
 #[tokio::test]
 async fn sends_over_the_limit_or_after_the_answer_are_void() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -118,80 +118,80 @@
         driver.events.drain(..).map(status).collect()
     };
     assert_eq!(driver.requests[&id].attempts.len(), 1, "the balancer's own attempt");
-    driver.send(id, server.clone(), None);
+    driver.send_attempt(id, server.clone(), None);
     assert_eq!(statuses(&mut driver), []);
-    driver.send(id, server.clone(), None);
+    driver.send_attempt(id, server.clone(), None);
     assert_eq!(statuses(&mut driver), [Status::Void], "over the limit");
-    // One of the two is with its server, so the request stays until that ends.
+    // One of the two has been sent to its server, so the request stays until that attempt ends.
     driver.requests.get_mut(&id).unwrap().attempts[0].written.set(true);
-    driver.carry_out(Action::Fail(id));
-    driver.carry_out(Action::Refuse { request: id, retry_after: None });
+    driver.execute(Action::Fail(id));
+    driver.execute(Action::Refuse { request: id, retry_after: None });
     assert_eq!(answer.try_recv().unwrap().text, protocol::FAILED);
     assert_eq!(statuses(&mut driver), [Status::Cancelled]);
     driver.requests.get_mut(&id).unwrap().attempts.truncate(1);
-    driver.send(id, server, None);
-    assert_eq!(statuses(&mut driver), [Status::Void], "behind the final answer");
+    driver.send_attempt(id, server, None);
+    assert_eq!(statuses(&mut driver), [Status::Void], "after the final answer");
     assert!(inbox.try_recv().is_err());
 }
 
-/// Timers of ended requests stay until they ring: two a request at most, and none later than the longest deadline,
-/// whatever the client says. Nothing else of the requests stays.
+/// Timers of finished requests stay until they fire: two for each request at most, and none later than the longest
+/// deadline, whatever the client asks for. Nothing else of the requests stays.
 #[tokio::test]
-async fn ended_requests_leave_two_timers_each_that_ring_by_the_longest_deadline() {
+async fn finished_requests_leave_two_timers_each_that_fire_by_the_longest_deadline() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (mut driver, _inbox, _) = driver(&settings(), listener.local_addr().unwrap());
     let before = driver.timers.len();
     for n in 1..=100 {
         drop(request(&mut driver, RequestId(n)));
-        driver.carry_out(Action::Fail(RequestId(n)));
-        driver.drain();
+        driver.execute(Action::Fail(RequestId(n)));
+        driver.process_events();
     }
-    assert!(driver.requests.is_empty() && driver.open.is_empty() && driver.events.is_empty());
-    // Beside them the balancer's own.
+    assert!(driver.requests.is_empty() && driver.open_opaques.is_empty() && driver.events.is_empty());
+    // The balancer's own timers come on top of these.
     let of_requests = |t: &&Reverse<(Instant, Timer)>| !matches!(t.0 .1, Timer::Balancer(_));
     assert!(driver.timers.iter().filter(of_requests).count() <= 200);
     assert!(driver.timers.len() - before <= 210, "{} timers", driver.timers.len());
-    let last = Instant::now() + driver.longest;
+    let last = Instant::now() + driver.max_deadline;
     assert!(driver.timers.iter().all(|Reverse((at, _))| *at <= last));
 }
 
-/// What is taken while the process ends is given up before the kill, however long its client would wait.
+/// A request accepted while the process shuts down is answered before the kill, however long its client would wait.
 #[tokio::test]
-async fn what_is_taken_during_a_stop_is_answered_before_the_end() {
+async fn requests_accepted_during_shutdown_are_answered_before_the_end() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (mut driver, _inbox, _) = driver(&settings(), listener.local_addr().unwrap());
     drop(request(&mut driver, RequestId(1)));
-    let whole = driver.requests[&RequestId(1)].deadline;
-    driver.carry_out(Action::Fail(RequestId(1)));
+    let full_deadline = driver.requests[&RequestId(1)].deadline;
+    driver.execute(Action::Fail(RequestId(1)));
     let times = Stop { part_after: Duration::ZERO, end_after: Duration::from_millis(500) };
     driver.lifecycle.stop(false, times);
     let ends = driver.lifecycle.phase().ends.unwrap();
     drop(request(&mut driver, RequestId(2)));
-    assert!(whole > ends, "a client that waits for longer than the node is there");
+    assert!(full_deadline > ends, "the client would wait for longer than the node runs");
     assert_eq!(driver.requests[&RequestId(2)].deadline, ends);
     let by = |t: &Reverse<(Instant, Timer)>| matches!(t.0 .1, Timer::Backstop(2)) && t.0 .0 <= ends;
-    assert!(driver.timers.iter().any(by), "failed by then if the balancer does not end it");
+    assert!(driver.timers.iter().any(by), "the backstop fails the request by then");
 }
 
-/// The final answer ends attempts that still wait for a connection, where cancels are not allowed too.
+/// The final answer ends attempts that still wait for a connection, even if cancelling is not allowed.
 #[tokio::test]
-async fn nothing_is_sent_behind_the_final_answer() {
+async fn nothing_is_sent_after_the_final_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut settings = settings();
     settings.limits.cancel = false;
     let (mut driver, _inbox, _) = driver(&settings, listener.local_addr().unwrap());
     let (id, _answer) = (RequestId(1), request(&mut driver, RequestId(1)));
     assert_eq!(driver.requests[&id].attempts.len(), 1);
-    driver.carry_out(Action::Fail(id));
-    assert!(driver.requests.is_empty(), "the attempt is over, and with it the request");
+    driver.execute(Action::Fail(id));
+    assert!(driver.requests.is_empty(), "the attempt has ended, and so has the request");
     assert!(
         matches!(driver.events.make_contiguous(), [Event::Outcome(o)] if o.status == Status::Cancelled && o.finished)
     );
 }
 
-/// A server's grace is held to at its arrival there: a round of it is left.
+/// A server's drain grace must hold when bytes arrive there, so one quantum of it is left unused.
 #[tokio::test]
-async fn the_driver_leaves_a_round_of_a_servers_grace() {
+async fn the_driver_leaves_one_quantum_of_a_servers_grace() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (mut driver, _inbox, server) = driver(&Settings { round: 1.0, ..settings() }, address);
@@ -202,7 +202,7 @@
     let ended = tokio::select! {
         biased;
         ended = driver.upstream.attempt(&server, &errand) => ended.status,
-        _ = listener.accept() => panic!("the whole grace is used"),
+        _ = listener.accept() => panic!("all of the grace is used"),
     };
     assert_eq!(ended, Status::Unreachable);
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,5 @@
-//! One real node: clients on one side, cache servers on the other, the balancer between them.
+//! The balancer node: accepts client connections, routes requests to cache servers and runs the balancer on real
+//! sockets and clocks.
 
 #![forbid(unsafe_code)]
 
@@ -33,70 +34,71 @@
 
 use config::Wrong;
 
-/// What the command line of a node tells it.
+/// Command line options of a node.
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct Options {
-    /// Configuration file; without it the one that RELAY_CONFIG names
+    /// Configuration file; defaults to the path in RELAY_CONFIG
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The operators' file that switches the plane between nodes on; without it the node is on its own
+    /// Fleet configuration file; it enables the control plane between nodes, without it the node runs standalone
     #[arg(long, value_name = "FILE")]
     pub fleet: Option<PathBuf>,
-    /// How the lines of the log look, on standard error; HALLPIN_LOG filters them
+    /// Format of log lines on standard error; HALLPIN_LOG filters them
     #[arg(long, value_name = "FORMAT", default_value = "human")]
     pub log: log::Format,
-    /// End at once when standard input closes, for whoever starts nodes and must not leave them behind
+    /// Exit at once when standard input closes, so that a parent process leaves no nodes behind
     #[arg(long)]
     pub end_with_input: bool,
 }
 
-/// Why a node ended otherwise than by being told to.
+/// Why a node ended without a request to stop.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error(transparent)]
-    Wrong(#[from] Wrong),
+    Config(#[from] Wrong),
     #[error("runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    #[error("driver: ended")]
+    #[error("driver: its task ended unexpectedly")]
     DriverEnded,
 }
 
 impl Failure {
-    /// 2 where what it was given is at fault, 1 for what happened on the way.
-    fn code(&self) -> u8 {
+    /// Exit code: 2 for invalid options or configuration, 1 for a failure at run time.
+    fn exit_code(&self) -> u8 {
         match self {
-            Failure::Wrong(_) => 2,
+            Failure::Config(_) => 2,
             Failure::Runtime(_) | Failure::DriverEnded => 1,
         }
     }
 }
 
-/// Ends the process when standard input does: whoever held the other end is gone, and so is all that waited for answers.
-fn end_with_input() {
+/// Exits when standard input closes: the process that held its other end is gone, and with it whoever waited for
+/// answers.
+fn exit_when_input_closes() {
     let read = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
-    info!(?read, "standard input has ended");
+    info!(?read, "standard input closed; exiting");
     std::process::exit(1);
 }
 
 fn block_on(options: Options) -> Result<(), Failure> {
     log::start(options.log)?;
     if options.end_with_input {
-        std::thread::spawn(end_with_input);
+        std::thread::spawn(exit_when_input_closes);
     }
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Failure::Runtime)?;
     LocalSet::new().block_on(&runtime, process::run(options))
 }
 
-/// Runs a node until it is told to stop; what is wrong goes to the log. The exit code is 0, or 1 where the node
-/// failed, or 2 where what it was given is at fault.
+/// Runs a node until it is asked to stop and logs a failure. The exit code is 0 after a requested stop, 1 if the node
+/// failed at run time, 2 if its options or configuration are invalid.
 pub fn main(options: Options) -> ExitCode {
     let Err(failure) = block_on(options) else { return ExitCode::SUCCESS };
-    // Without a filter that can be read there is no log yet.
+    // Logging has not started if HALLPIN_LOG is not a valid filter.
     if tracing::enabled!(tracing::Level::ERROR) {
         error!("{failure}");
     } else {
         eprintln!("hallpin-node: {failure}");
     }
-    ExitCode::from(failure.code())
+    ExitCode::from(failure.exit_code())
 }
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The one state that says whether this node wants clients. The front's `mn`, the operators' calls, signals and
-//! accepting all read it here.
+//! The lifecycle state of the node: whether it accepts clients. Readiness answers to clients (`mn`), operators' calls,
+//! signal handling and the accept loop all use this one state.
 
 #[cfg(test)]
 mod tests;
@@ -12,22 +12,25 @@
 
 use crate::stop::Stop;
 
-/// From when an operator or a takeover sends clients away, kept connections go on for so long: clients use them until
-/// the front has moved them, and may find no other meanwhile.
-const DRAIN_PARTS_AFTER: Duration = Duration::from_millis(1500);
+/// Time from the start of a drain by an operator or a takeover until idle client connections are closed. Until the
+/// platform has moved clients to another node they go on using these connections, and may find no other.
+const DRAIN_CLOSE_AFTER: Duration = Duration::from_millis(1500);
 
+/// Lifecycle state of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// No cache server is known yet.
     Starting,
+    /// At least one cache server has been known, and clients are accepted.
     Ready,
-    /// Clients are sent away until an operator calls the node back.
+    /// Clients are asked to leave until an operator resumes the node.
     Draining,
-    /// Clients are sent away and the process ends.
+    /// Clients are asked to leave and the process ends.
     Stopping,
 }
 
 impl State {
+    /// Name of the state in answers to operators.
     pub fn name(self) -> &'static str {
         match self {
             State::Starting => "starting",
@@ -38,37 +41,38 @@
     }
 }
 
-/// A state and since when it has been in force.
+/// A state, when it was entered, and the times that follow from it.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
     pub state: State,
     pub since: Instant,
-    /// Whether a cache server was ever known: where a drain that is undone leads back to.
-    can_serve: bool,
-    /// Whether another process accepts at this address, so that clients sent away come back to it at once.
+    /// Whether a cache server was ever known. It decides which state a resumed node returns to.
+    servers_known: bool,
+    /// Whether another process accepts at this address, so that clients that leave reach it when they reconnect.
     pub relieved: bool,
-    /// Where clients are sent away: how much later connections between requests are closed.
-    part_after: Duration,
-    /// By when the last answer must be given, where the process ends.
+    /// Time from the start of draining or stopping until idle connections are closed.
+    close_idle_after: Duration,
+    /// Time by which the last answer must be given, if the process ends.
     pub ends: Option<Instant>,
 }
 
 impl Phase {
-    /// Since when clients have been sent away, if they are.
+    /// Time since which clients have been asked to leave, if they are.
     pub fn sent_away(&self) -> Option<Instant> {
         matches!(self.state, State::Draining | State::Stopping).then_some(self.since)
     }
 
-    /// From when on connections are closed between requests, where clients are sent away.
+    /// Time from which idle connections are closed, if clients are asked to leave.
     pub fn parts(&self) -> Option<Instant> {
-        self.sent_away().map(|since| since + self.part_after)
+        self.sent_away().map(|since| since + self.close_idle_after)
     }
 }
 
-/// A stop cannot be undone.
+/// The state cannot change any more, as the node is stopping.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AlreadyStopping;
 
+/// Holds the current phase and notifies subscribers of changes.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
 }
@@ -78,9 +82,9 @@
         let phase = Phase {
             state: State::Starting,
             since: Instant::now(),
-            can_serve: false,
+            servers_known: false,
             relieved: false,
-            part_after: DRAIN_PARTS_AFTER,
+            close_idle_after: DRAIN_CLOSE_AFTER,
             ends: None,
         };
         Rc::new(Lifecycle { phase: watch::Sender::new(phase) })
@@ -94,15 +98,15 @@
         self.phase().state
     }
 
-    /// Tells of each change from now on.
+    /// Subscribes to changes of the phase from now on.
     pub fn follow(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// A cache server is known.
-    pub fn can_serve(&self) {
+    /// Records that a cache server is known: a starting node becomes ready.
+    pub fn mark_servers_known(&self) {
         self.phase.send_if_modified(|phase| {
-            phase.can_serve = true;
+            phase.servers_known = true;
             let ready = phase.state == State::Starting;
             if ready {
                 (phase.state, phase.since) = (State::Ready, Instant::now());
@@ -111,33 +115,34 @@
         });
     }
 
+    /// Asks clients to leave until the node is resumed.
     pub fn drain(&self) -> Result<(), AlreadyStopping> {
-        self.turn(|_| State::Draining)
+        self.transition(|_| State::Draining)
     }
 
-    /// Back to what the node would be had it never been drained.
+    /// Undoes a drain: the node becomes ready, or starting if no cache server has been known yet.
     pub fn resume(&self) -> Result<(), AlreadyStopping> {
-        self.turn(|phase| if phase.can_serve { State::Ready } else { State::Starting })
+        self.transition(|phase| if phase.servers_known { State::Ready } else { State::Starting })
     }
 
-    /// The process ends by `times`; `relieved` where another one accepts at its address.
+    /// Starts the shutdown by `times`. `relieved` says whether another process accepts at this address.
     pub fn stop(&self, relieved: bool, times: Stop) {
-        // Stopping already is what was asked for.
-        if self.turn(|_| State::Stopping).is_ok() {
+        // A second stop has no effect.
+        if self.transition(|_| State::Stopping).is_ok() {
             self.phase.send_modify(|phase| {
-                let part_after = if relieved {
-                    DRAIN_PARTS_AFTER.min(times.relieved_part_after())
+                let close_idle_after = if relieved {
+                    DRAIN_CLOSE_AFTER.min(times.close_after_with_successor())
                 } else {
                     times.part_after
                 };
                 let ends = Some(phase.since + times.end_after);
-                *phase = Phase { relieved, part_after, ends, ..*phase };
+                *phase = Phase { relieved, close_idle_after, ends, ..*phase };
             });
         }
     }
 
-    /// A call that changes nothing leaves the time of the last change as it is.
-    fn turn(&self, to: impl FnOnce(&Phase) -> State) -> Result<(), AlreadyStopping> {
+    /// Changes the state. If it stays the same, so does the time since which it has been in force.
+    fn transition(&self, to: impl FnOnce(&Phase) -> State) -> Result<(), AlreadyStopping> {
         let phase = self.phase();
         if phase.state == State::Stopping {
             return Err(AlreadyStopping);
--- a/crates/node/src/lifecycle/tests.rs
+++ b/crates/node/src/lifecycle/tests.rs
@@ -1,72 +1,72 @@
-//! What turns the state, and when connections part.
+//! Transitions of the lifecycle state, and when idle connections are closed.
 
 use super::*;
 
 #[test]
-fn a_drain_is_undone_wholly_and_repetitions_change_nothing() {
-    let life = Lifecycle::new();
-    assert_eq!(life.state(), State::Starting);
-    life.drain().unwrap();
-    let since = life.phase().since;
-    life.drain().unwrap();
-    assert_eq!((life.state(), life.phase().since), (State::Draining, since));
-    assert_eq!(life.phase().sent_away(), Some(since));
-    life.resume().unwrap();
-    assert_eq!(life.state(), State::Starting, "nothing was known before the drain");
-    life.drain().unwrap();
-    life.can_serve();
-    assert_eq!(life.state(), State::Draining, "a server that becomes known ends no drain");
-    life.resume().unwrap();
-    life.resume().unwrap();
-    assert_eq!((life.state(), life.phase().sent_away()), (State::Ready, None));
+fn a_resume_undoes_a_drain_and_repeated_calls_change_nothing() {
+    let lifecycle = Lifecycle::new();
+    assert_eq!(lifecycle.state(), State::Starting);
+    lifecycle.drain().unwrap();
+    let since = lifecycle.phase().since;
+    lifecycle.drain().unwrap();
+    assert_eq!((lifecycle.state(), lifecycle.phase().since), (State::Draining, since));
+    assert_eq!(lifecycle.phase().sent_away(), Some(since));
+    lifecycle.resume().unwrap();
+    assert_eq!(lifecycle.state(), State::Starting, "no server was known before the drain");
+    lifecycle.drain().unwrap();
+    lifecycle.mark_servers_known();
+    assert_eq!(lifecycle.state(), State::Draining, "a server that becomes known ends no drain");
+    lifecycle.resume().unwrap();
+    lifecycle.resume().unwrap();
+    assert_eq!((lifecycle.state(), lifecycle.phase().sent_away()), (State::Ready, None));
 }
 
 #[test]
 fn a_stop_is_final() {
-    let life = Lifecycle::new();
-    life.can_serve();
+    let lifecycle = Lifecycle::new();
+    lifecycle.mark_servers_known();
     let times = Stop::of(Duration::from_secs(2));
-    life.stop(false, times);
-    let since = life.phase().since;
-    life.stop(true, times);
-    assert_eq!((life.drain(), life.resume()), (Err(AlreadyStopping), Err(AlreadyStopping)));
-    life.can_serve();
-    assert_eq!((life.state(), life.phase().since), (State::Stopping, since));
-    assert!(!life.phase().relieved);
+    lifecycle.stop(false, times);
+    let since = lifecycle.phase().since;
+    lifecycle.stop(true, times);
+    assert_eq!((lifecycle.drain(), lifecycle.resume()), (Err(AlreadyStopping), Err(AlreadyStopping)));
+    lifecycle.mark_servers_known();
+    assert_eq!((lifecycle.state(), lifecycle.phase().since), (State::Stopping, since));
+    assert!(!lifecycle.phase().relieved);
 }
 
-/// A drain and a takeover keep their time; a stop ends in the time that the platform leaves.
+/// A drain and a takeover use the drain's delay; a stop uses the time that the platform leaves before the kill.
 #[test]
-fn connections_part_by_what_sends_their_clients_away() {
+fn the_delay_before_closing_depends_on_drain_stop_or_takeover() {
     let times = Stop::of(Duration::from_secs(2));
-    let after = |life: &Lifecycle| life.phase().parts().unwrap() - life.phase().since;
-    let life = Lifecycle::new();
-    assert_eq!(life.phase().parts(), None);
-    life.drain().unwrap();
-    assert_eq!((after(&life), life.phase().ends), (DRAIN_PARTS_AFTER, None));
-    life.stop(false, times);
-    assert_eq!(after(&life), times.part_after);
-    assert_eq!(life.phase().ends, Some(life.phase().since + times.end_after));
-    let life = Lifecycle::new();
-    life.stop(true, times);
-    assert_eq!(after(&life), DRAIN_PARTS_AFTER);
-    assert_eq!(life.phase().ends, Some(life.phase().since + times.end_after));
+    let after = |lifecycle: &Lifecycle| lifecycle.phase().parts().unwrap() - lifecycle.phase().since;
+    let lifecycle = Lifecycle::new();
+    assert_eq!(lifecycle.phase().parts(), None);
+    lifecycle.drain().unwrap();
+    assert_eq!((after(&lifecycle), lifecycle.phase().ends), (DRAIN_CLOSE_AFTER, None));
+    lifecycle.stop(false, times);
+    assert_eq!(after(&lifecycle), times.part_after);
+    assert_eq!(lifecycle.phase().ends, Some(lifecycle.phase().since + times.end_after));
+    let lifecycle = Lifecycle::new();
+    lifecycle.stop(true, times);
+    assert_eq!(after(&lifecycle), DRAIN_CLOSE_AFTER);
+    assert_eq!(lifecycle.phase().ends, Some(lifecycle.phase().since + times.end_after));
 }
 
-/// Where a successor serves, kept connections part later, but never so late that the kill comes first: a client that
-/// rests until then would be cut off, and what it asked with it.
+/// With a successor serving, idle connections are closed later, but well before the kill: a client that sends its next
+/// request only then must not lose its connection and the request.
 #[test]
-fn a_relieved_process_parts_from_its_clients_before_the_kill() {
+fn a_process_with_a_successor_closes_idle_connections_before_the_kill() {
     let ms = Duration::from_millis;
     for longest in [100, 250, 480, 1000, 3000, 9000] {
-        let (life, times) = (Lifecycle::new(), Stop::of(ms(longest)));
-        life.stop(true, times);
-        let after = life.phase().parts().unwrap() - life.phase().since;
+        let (lifecycle, times) = (Lifecycle::new(), Stop::of(ms(longest)));
+        lifecycle.stop(true, times);
+        let after = lifecycle.phase().parts().unwrap() - lifecycle.phase().since;
         let kill = ms(longest.min(3000) + 700);
         assert!(
             after + ms(longest.min(3000) / 2) < kill,
-            "{longest} ms: parts after {after:?}, kill {kill:?}"
+            "{longest} ms: closes after {after:?}, kill {kill:?}"
         );
-        assert!((times.part_after..=DRAIN_PARTS_AFTER).contains(&after), "{longest} ms: {after:?}");
+        assert!((times.part_after..=DRAIN_CLOSE_AFTER).contains(&after), "{longest} ms: {after:?}");
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,10 +1,10 @@
-//! The thin binary of the node: everything is in the library.
+//! Entry point of the node's binary; the implementation is in the library.
 
 use std::process::ExitCode;
 
 use clap::Parser;
 
-/// One real node, between clients and cache servers, as the platform starts it.
+/// Balancer node between clients and cache servers
 #[derive(Parser)]
 #[command(name = "hallpin-node", version)]
 struct Cli {
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -1,5 +1,5 @@
-//! Addresses that the node listens at, and what it does while one cannot be had: an earlier process still holds it,
-//! or the machine is short of descriptors or memory.
+//! Binds the addresses that the node listens on, with retries while an earlier process still holds an address or the
+//! machine is short of descriptors or memory.
 
 #[cfg(test)]
 pub(crate) mod tests;
@@ -15,15 +15,15 @@
 
 use crate::system_error::{classify, report, ErrorClass, Operation, SystemCall};
 
-/// Connections that may wait to be accepted.
+/// Length of the accept queue, in connections.
 pub const BACKLOG: u32 = 1024;
-/// A process that ends holds what it has until the kill at the longest, under 4 s after it was told to. What is held
-/// for longer is held by one that stays; by then this start has come too late in any case.
-const HELD: Duration = Duration::from_secs(10);
-/// Wait before trying again.
-const AGAIN: Duration = Duration::from_millis(50);
+/// How long binding is retried. A process that shuts down is killed less than 4 s after it was asked to stop, so an
+/// address held for longer belongs to a process that stays; by then this start is too late in any case.
+const BIND_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay before binding is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A listener at this address, where others may listen too if it is shared.
+/// Binds a listener to the address. If `shared`, other processes may bind it too (SO_REUSEPORT).
 pub fn bind(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -37,7 +37,11 @@
     socket.listen(BACKLOG)
 }
 
-/// The same as soon as no other process holds the address and the machine has what a socket takes, or why it failed.
+/// Binds a listener as [`bind`] does, and retries while another process holds the address or the machine lacks
+/// descriptors or memory.
+///
+/// # Errors
+/// The last error if retrying is of no use or has taken too long.
 pub async fn bind_when_free(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     retry_bind(address, || bind(address, shared)).await
 }
@@ -47,23 +51,23 @@
     mut bind: impl FnMut() -> io::Result<TcpListener>,
 ) -> io::Result<TcpListener> {
     let since = Instant::now();
-    let mut said = false;
+    let mut logged = false;
     loop {
         match bind() {
-            Err(error) if may_be_had_later(&error) && since.elapsed() < HELD => {
+            Err(error) if may_be_had_later(&error) && since.elapsed() < BIND_TIMEOUT => {
                 if error.kind() != ErrorKind::AddrInUse {
                     report(Operation::Listen, &error, "trying again");
-                } else if !std::mem::replace(&mut said, true) {
-                    warn!("{address} is held by another process; waiting for that to end");
+                } else if !std::mem::replace(&mut logged, true) {
+                    warn!("{address} is held by another process; waiting until it is released");
                 }
-                sleep(AGAIN).await;
+                sleep(RETRY_DELAY).await;
             }
             bound => return bound,
         }
     }
 }
 
-/// Whether an address that could not be had now may be had in a while.
+/// Whether binding an address that failed with this error may succeed later.
 pub fn may_be_had_later(error: &io::Error) -> bool {
     match classify(SystemCall::Listen, error) {
         ErrorClass::RetryNow | ErrorClass::OwnShortage => true,
@@ -71,11 +75,11 @@
     }
 }
 
-/// Where connections come from. Tests force the failures of the system call through it.
+/// A source of incoming connections. Tests implement it to inject failures of `accept`.
 pub trait Accept {
     type Stream;
 
-    /// The next connection.
+    /// Accepts the next connection.
     async fn accept(&self) -> io::Result<Self::Stream>;
 }
 
--- a/crates/node/src/port/tests.rs
+++ b/crates/node/src/port/tests.rs
@@ -1,4 +1,4 @@
-//! Addresses that cannot be had at first, and a listener that fails as it is told to.
+//! Binding with retries, and a fake listener that fails with given errors.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,28 +7,28 @@
 
 use super::*;
 
-/// A listener whose calls fail before those that reach the listener behind it.
+/// A fake listener whose first calls fail; later ones are passed to an inner listener.
 pub(crate) struct FailingListener<L> {
     failures: RefCell<VecDeque<Errno>>,
-    /// The failure of all calls behind these.
-    then: Option<Errno>,
-    behind: L,
+    /// Error of all calls after these; `None` passes them on.
+    default_failure: Option<Errno>,
+    inner: L,
     calls: Cell<usize>,
 }
 
 impl<L> FailingListener<L> {
-    /// Fails with each of these once.
-    pub(crate) fn once_each(failures: impl IntoIterator<Item = Errno>, behind: L) -> Self {
+    /// Fails with each of these errors once.
+    pub(crate) fn once_each(failures: impl IntoIterator<Item = Errno>, inner: L) -> Self {
         let failures = RefCell::new(failures.into_iter().collect());
-        FailingListener { failures, then: None, behind, calls: Cell::new(0) }
+        FailingListener { failures, default_failure: None, inner, calls: Cell::new(0) }
     }
 
-    /// Fails so for ever.
-    pub(crate) fn always(errno: Errno, behind: L) -> Self {
-        FailingListener { then: Some(errno), ..Self::once_each([], behind) }
+    /// Fails with this error forever.
+    pub(crate) fn always(errno: Errno, inner: L) -> Self {
+        FailingListener { default_failure: Some(errno), ..Self::once_each([], inner) }
     }
 
-    /// Calls so far.
+    /// Number of calls that have returned.
     pub(crate) fn calls(&self) -> usize {
         self.calls.get()
     }
@@ -38,18 +38,18 @@
     type Stream = L::Stream;
 
     async fn accept(&self) -> io::Result<L::Stream> {
-        let failure = self.failures.borrow_mut().pop_front().or(self.then);
+        let failure = self.failures.borrow_mut().pop_front().or(self.default_failure);
         if let Some(errno) = failure {
             self.calls.set(self.calls.get() + 1);
             return Err(errno.into());
         }
-        let accepted = self.behind.accept().await;
+        let accepted = self.inner.accept().await;
         self.calls.set(self.calls.get() + 1);
         accepted
     }
 }
 
-/// Binds after these failures; in which time, and with which outcome.
+/// Binds with these failures first; returns the time that it took and the result.
 async fn bind_after(failures: &[Errno]) -> (Duration, io::Result<TcpListener>) {
     let (since, mut failures) = (Instant::now(), failures.iter());
     let address = "127.0.0.1:0".parse().unwrap();
@@ -61,23 +61,23 @@
     (since.elapsed(), bound)
 }
 
-/// A node that starts while the machine is short of something serves once that is over.
+/// A node that starts during a shortage of resources binds its address once the shortage is over.
 #[tokio::test(start_paused = true)]
-async fn an_address_is_had_once_the_machine_has_what_a_socket_takes() {
+async fn binding_is_retried_until_a_shortage_is_over() {
     for errno in
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::NOSPC, Errno::ADDRINUSE, Errno::INTR]
     {
         let (took, bound) = bind_after(&[errno; 3]).await;
         assert!(bound.is_ok(), "{errno:?}: {bound:?}");
-        assert!((AGAIN * 3..AGAIN * 4).contains(&took), "{errno:?}: {took:?}");
+        assert!((RETRY_DELAY * 3..RETRY_DELAY * 4).contains(&took), "{errno:?}: {took:?}");
     }
 }
 
-/// Neither a shortage that stays nor a configuration that cannot work holds a start up for ever.
+/// Neither a lasting shortage nor an invalid address delays a start forever.
 #[tokio::test(start_paused = true)]
-async fn an_address_that_cannot_be_had_fails_the_start_in_time() {
+async fn an_address_that_cannot_be_bound_fails_the_start_in_time() {
     let (took, bound) = bind_after(&[Errno::MFILE; 1000]).await;
-    assert!(bound.is_err() && (HELD..HELD + AGAIN * 2).contains(&took), "{took:?}");
+    assert!(bound.is_err() && (BIND_TIMEOUT..BIND_TIMEOUT + RETRY_DELAY * 2).contains(&took), "{took:?}");
     for errno in [Errno::ADDRNOTAVAIL, Errno::ACCESS, Errno::AFNOSUPPORT, Errno::INVAL] {
         let (took, bound) = bind_after(&[errno]).await;
         assert!(bound.is_err() && took.is_zero(), "{errno:?}");
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of the process: it is configured, its parts are wired, it serves, and it shuts down.
+//! Runs the node's process: reads the configuration, creates and connects the components, serves, and shuts down.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -29,56 +29,56 @@
 use crate::reload::reload;
 use crate::roster::Roster;
 use crate::stop::Stop;
-use crate::succession::{accept, listen, succeed};
+use crate::succession::{accept, listen, wait_for_turn};
 use crate::takeover::{self, Offer, Predecessor, Successor};
 use crate::upstream::{Bounds, Upstream};
 use crate::{Failure, Options};
 
-/// Where operators look for the lines of a process's life.
+/// Log target of the lines about the start and the end of the process.
 const LOG_TARGET: &str = "hallpin_node";
-/// For how long connections are still accepted after SIGTERM; the platform sends them for 0.4 s.
+/// Time after SIGTERM during which connections are still accepted; the platform goes on sending them for 0.4 s.
 const ACCEPT_AFTER_TERMINATE: Duration = Duration::from_millis(500);
 
-/// Runs a node until it is told to stop.
+/// Runs a node until it is asked to stop.
 pub(crate) async fn run(options: Options) -> Result<(), Failure> {
-    // First of all: until then either of them ends the process.
+    // Installed first: until then either signal kills the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(wrong("SIGTERM"))?;
     let hangup = signal(SignalKind::hangup()).map_err(wrong("SIGHUP"))?;
     let configuration = Configuration::read(options)?;
-    let (node, inboxes) = Node::wire(&configuration)?;
-    // The operators' listener takes nobody's requests: what is wrong with it is found before clients come.
+    let (node, inboxes) = Node::build(&configuration)?;
+    // The operators' listener takes no client requests. It is bound first, so that its errors show before clients come.
     let operator = configuration.bind_operator()?;
     let (listener, predecessor) = tokio::select! {
-        listening = listen(configuration.config.listen) => listening?,
-        // A predecessor that is slow to hand over may be waited for.
+        listened = listen(configuration.config.listen) => listened?,
+        // Taking over from a slow predecessor may take a while.
         _ = terminate.recv() => {
-            info!(target: LOG_TARGET, "stopping, before listening");
+            info!(target: LOG_TARGET, "stopping before listening");
             return Ok(());
         }
     };
-    let listening = Listening::on(listener, predecessor)?;
+    let client_listener = ClientListener::on(listener, predecessor)?;
     node.start_operator(operator);
-    let times = configuration.times;
+    let shutdown_times = configuration.shutdown_times;
     let mut driver = node.start_tasks(configuration, inboxes, hangup);
     tokio::select! {
-        () = node.serve(&listening) => {}
-        // Without it nobody is answered: better to end and be started again.
+        () = node.serve(&client_listener) => {}
+        // No request is answered without the driver, so the process exits in order to be restarted.
         _ = &mut driver => return Err(Failure::DriverEnded),
         _ = terminate.recv() => {}
     }
-    node.shut_down(listening, driver, times).await
+    node.shut_down(client_listener, driver, shutdown_times).await
 }
 
-/// What the node was given, read and checked before anything starts.
+/// Options and configuration, read and checked before anything starts.
 struct Configuration {
     path: PathBuf,
     config: Config,
     seed: u64,
     settings: Settings,
-    operator_at: Option<SocketAddr>,
+    operator_address: Option<SocketAddr>,
     fleet: Option<Setup>,
     clock: Clock,
-    times: Stop,
+    shutdown_times: Stop,
     error_delay: Duration,
 }
 
@@ -86,15 +86,25 @@
     fn read(options: Options) -> Result<Self, Failure> {
         let path = Config::path(options.config)?;
         let config = Config::read(&path)?;
-        let (seed, settings, operator_at) = (config.seed()?, config.settings()?, config.operator()?);
+        let (seed, settings, operator_address) = (config.seed()?, config.settings()?, config.operator()?);
         let fleet = options.fleet.as_deref().map(|file| Setup::read(file, &config)).transpose()?;
         let clock = Clock::start();
         let deadlines = settings.classes.iter().map(|class| class.deadline);
         let longest = deadlines.clone().fold(0.0, f64::max);
         let shortest = deadlines.fold(longest, f64::min);
-        let times = Stop::of(config.seconds("hard-limit-s", longest)?);
+        let shutdown_times = Stop::of(config.seconds("hard-limit-s", longest)?);
         let error_delay = frontend::penance(config.seconds("hard-limit-s", shortest)?);
-        Ok(Configuration { path, config, seed, settings, operator_at, fleet, clock, times, error_delay })
+        Ok(Configuration {
+            path,
+            config,
+            seed,
+            settings,
+            operator_address,
+            fleet,
+            clock,
+            shutdown_times,
+            error_delay,
+        })
     }
 
     fn upstream_bounds(&self) -> Result<Bounds, Failure> {
@@ -107,25 +117,25 @@
     }
 
     fn bind_operator(&self) -> Result<Option<BoundOperator>, Failure> {
-        let Some(address) = self.operator_at else { return Ok(None) };
+        let Some(address) = self.operator_address else { return Ok(None) };
         Ok(Some(BoundOperator { address, listener: Operator::bind(address)? }))
     }
 }
 
-/// The operators' address; where another process still holds it, it is bound later.
+/// The operators' address and its listener; `None` if another process still holds it, to be bound later.
 struct BoundOperator {
     address: SocketAddr,
     listener: Option<TcpListener>,
 }
 
-/// What the driver and discovery are told, by the other parts.
+/// The driver, and the receivers of messages to the driver and of poll requests to discovery.
 struct Inboxes {
     driver: Driver,
     messages: UnboundedReceiver<Message>,
     calls: Receiver<()>,
 }
 
-/// The parts of the node that others hold too.
+/// Shared components of the node.
 struct Node {
     lifecycle: Rc<Lifecycle>,
     figures: Rc<Figures>,
@@ -136,37 +146,37 @@
     messages: UnboundedSender<Message>,
 }
 
-/// The clients' listening socket, and who else has it.
-struct Listening {
+/// The clients' listening socket, and the processes that share it.
+struct ClientListener {
     listener: Rc<TcpListener>,
     address: SocketAddr,
     predecessor: Cell<Option<Predecessor>>,
     successor: Cell<Option<watch::Sender<Successor>>>,
-    succeeded: watch::Receiver<Successor>,
-    /// Whether this process takes connections: one that takes over leaves them to its predecessor at first.
+    successor_updates: watch::Receiver<Successor>,
+    /// Whether this process accepts: after a takeover it leaves connections to its predecessor at first.
     accepts: Cell<bool>,
     closed: Rc<Notify>,
 }
 
-impl Listening {
+impl ClientListener {
     fn on(listener: TcpListener, predecessor: Option<Predecessor>) -> Result<Self, Failure> {
         let address = listener.local_addr().map_err(wrong("listen"))?;
         info!(target: LOG_TARGET, "listening on {address}");
-        let (successor, succeeded) = watch::channel(Successor::None);
-        Ok(Listening {
+        let (successor, successor_updates) = watch::channel(Successor::None);
+        Ok(ClientListener {
             listener: Rc::new(listener),
             address,
             predecessor: Cell::new(predecessor),
             successor: Cell::new(Some(successor)),
-            succeeded,
+            successor_updates,
             accepts: Cell::new(false),
             closed: Rc::new(Notify::new()),
         })
     }
 
-    /// Offers the socket to a process that is started beside this one.
+    /// Offers the socket to a process that is started to replace this one.
     fn offer(&self, budget: Rc<Budget>) {
-        let Some(path) = takeover::name(self.address) else { return };
+        let Some(path) = takeover::socket_path(self.address) else { return };
         let Some(successor) = self.successor.take() else { return };
         let socket = Rc::downgrade(&self.listener);
         let offer = Offer { path, socket, budget, successor, closed: self.closed.clone() };
@@ -175,8 +185,8 @@
 }
 
 impl Node {
-    /// Makes the parts and tells them of each other. Nothing runs yet.
-    fn wire(configuration: &Configuration) -> Result<(Self, Inboxes), Failure> {
+    /// Creates and connects the components. Nothing runs yet.
+    fn build(configuration: &Configuration) -> Result<(Self, Inboxes), Failure> {
         let Configuration { config, settings, seed, clock, .. } = configuration;
         let lifecycle = Lifecycle::new();
         let figures = Figures::new(settings.classes.iter().map(|class| class.name.as_str()));
@@ -222,59 +232,61 @@
         tokio::task::spawn_local(operator.run(address, listener));
     }
 
-    /// Starts what runs beside the clients' connections; returns the driver's task.
+    /// Starts the background tasks; returns the driver's.
     fn start_tasks(&self, configuration: Configuration, inboxes: Inboxes, hangup: Signal) -> JoinHandle<()> {
         let Configuration { path, config, settings, clock, .. } = configuration;
-        let (moved, discovery_at) = watch::channel(config.discovery);
-        tokio::task::spawn_local(reload(path, hangup, moved, self.fleet.clone()));
-        let (news, lists) = mpsc::unbounded_channel();
-        let discovery = Discovery::new(discovery_at, &settings, clock, news);
+        let (address_sender, discovery_address) = watch::channel(config.discovery);
+        tokio::task::spawn_local(reload(path, hangup, address_sender, self.fleet.clone()));
+        let (list_sender, lists) = mpsc::unbounded_channel();
+        let discovery = Discovery::new(discovery_address, &settings, clock, list_sender);
         tokio::task::spawn_local(discovery.run(inboxes.calls));
         let driver = tokio::task::spawn_local(inboxes.driver.run(inboxes.messages, lists));
-        tokio::task::spawn_local(sweep(self.upstream.clone(), self.frontend.clone()));
+        tokio::task::spawn_local(close_excess_connections(self.upstream.clone(), self.frontend.clone()));
         if let Some(fleet) = self.fleet.clone() {
             tokio::task::spawn_local(fleet.run());
         }
         driver
     }
 
-    /// Accepts clients for as long as this process is to.
-    async fn serve(&self, listening: &Listening) {
-        if let Some(predecessor) = listening.predecessor.take() {
-            succeed(predecessor, &self.lifecycle, self.budget.clone()).await;
+    /// Accepts clients, after a takeover as soon as it is this process's turn.
+    async fn serve(&self, client_listener: &ClientListener) {
+        if let Some(predecessor) = client_listener.predecessor.take() {
+            wait_for_turn(predecessor, &self.lifecycle, self.budget.clone()).await;
         }
-        listening.accepts.set(true);
-        listening.offer(self.budget.clone());
-        accept(&self.frontend, &listening.listener, listening.succeeded.clone(), None).await;
+        client_listener.accepts.set(true);
+        client_listener.offer(self.budget.clone());
+        accept(&self.frontend, &client_listener.listener, client_listener.successor_updates.clone(), None)
+            .await;
     }
 
-    /// Takes what still comes, answers all that was taken, and ends.
+    /// Accepts what still arrives, answers all accepted requests, and ends.
     async fn shut_down(
         self,
-        listening: Listening,
+        client_listener: ClientListener,
         driver: JoinHandle<()>,
         times: Stop,
     ) -> Result<(), Failure> {
         info!(target: LOG_TARGET, "stopping");
-        let relieved = *listening.succeeded.borrow() == Successor::Serving;
+        let relieved = *client_listener.successor_updates.borrow() == Successor::Serving;
         self.lifecycle.stop(relieved, times);
         let finish = async {
-            // What waits in the queue of a predecessor is served by that.
-            if listening.accepts.get() {
+            // Connections in the queue shared with a predecessor are served by the predecessor.
+            if client_listener.accepts.get() {
                 let until = Some(Instant::now() + ACCEPT_AFTER_TERMINATE);
-                accept(&self.frontend, &listening.listener, listening.succeeded, until).await;
+                accept(&self.frontend, &client_listener.listener, client_listener.successor_updates, until)
+                    .await;
             }
-            drop(listening.listener);
-            listening.closed.notify_one();
+            drop(client_listener.listener);
+            client_listener.closed.notify_one();
             self.frontend.finish().await;
         };
         tokio::select! {
             () = finish => {}
-            // Slow clients may take longer than the platform waits, but what is cut off here would be lost.
-            () = sleep(times.end_after + frontend::STALLED) => warn!(target: LOG_TARGET, "left with clients still connected"),
+            // Slow clients may take longer than the platform waits, but answers cut off here would be lost.
+            () = sleep(times.end_after + frontend::STALLED) => warn!(target: LOG_TARGET, "exiting with clients still connected"),
             _ = driver => return Err(Failure::DriverEnded),
         }
-        // Not before: until the last answer it goes on by the leases that it has.
+        // Left only after the last answer: until then the node uses the leases that it holds.
         if let Some(fleet) = self.fleet {
             fleet.leave();
         }
@@ -282,8 +294,8 @@
     }
 }
 
-/// Closes, again and again, what has been idle for too long or is above the budget.
-async fn sweep(upstream: Rc<Upstream>, frontend: Rc<Frontend>) {
+/// Periodically closes connections that have been idle for too long or exceed the budget.
+async fn close_excess_connections(upstream: Rc<Upstream>, frontend: Rc<Frontend>) {
     loop {
         sleep(upstream.sweep_after()).await;
         upstream.sweep();
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration while the node runs: where discovery is, and the contracts.
+//! Reloading the configuration while the node runs: the address of discovery, and the contracts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,7 +11,8 @@
 use crate::config::{Config, Wrong};
 use crate::plane::Fleet;
 
-/// Reads the configuration anew at each SIGHUP, for where discovery is now, and contracts; all else needs a new start.
+/// Reads the configuration again at each SIGHUP and applies the address of discovery and the contracts. Everything else
+/// needs a restart.
 pub async fn reload(
     path: PathBuf,
     mut hangup: Signal,
@@ -21,7 +22,7 @@
     while hangup.recv().await.is_some() {
         match Config::read(&path).and_then(|config| config.settings().map(|_| config.discovery)) {
             Ok(address) => {
-                discovery.send_if_modified(|at| std::mem::replace(at, address) != address);
+                discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
             }
             Err(Wrong(what)) => warn!("{what}; the old configuration stands"),
         }
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -1,4 +1,4 @@
-//! The list of cache servers in discovery's form, read into the balancer's.
+//! Parses discovery's JSON list of cache servers into the balancer's types.
 
 use std::net::SocketAddr;
 
@@ -7,19 +7,21 @@
 
 use crate::clock::{Clock, ListReading};
 
-/// A list of servers, or the entries that changed.
+/// A complete list of servers, or only the entries that changed.
 #[derive(Debug)]
 pub struct Roster {
     pub revision: u64,
+    /// Whether the list names all servers; otherwise it names those that changed.
     pub complete: bool,
     pub members: Vec<Member>,
 }
 
+/// A cache server in a list.
 #[derive(Debug)]
 pub struct Member {
     pub entry: RosterEntry,
     pub address: SocketAddr,
-    /// When it last started, as the list has it; 0 where it does not say.
+    /// Last start of the server in milliseconds of Unix time, as listed; 0 if the list does not name it.
     pub started_unix_ms: u64,
 }
 
@@ -41,18 +43,21 @@
     flavor: String,
     #[serde(default)]
     cell: u64,
-    #[serde(default = "one")]
+    #[serde(default = "default_size")]
     size: f64,
     #[serde(default)]
     up_since_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
 impl Roster {
-    /// Reads discovery's form.
+    /// Parses a list in discovery's JSON form; `clock` converts start times.
+    ///
+    /// # Errors
+    /// If the text is not such a list.
     pub fn from_json(text: &[u8], clock: &Clock) -> Result<Self, serde_json::Error> {
         let list: List = serde_json::from_slice(text)?;
         let mut reading = clock.read_list();
@@ -67,7 +72,7 @@
 
 impl ListEntry {
     fn into_member(self, reading: &mut ListReading) -> Member {
-        // The id is equal at every node, which the address need not be; it places the slots.
+        // Servers are placed on the hash ring by id: it is the same at all nodes, which the address may not be.
         let server = ServerId(self.id.into());
         let started = (self.up_since_ms > 0.0).then(|| reading.started(&server, self.up_since_ms));
         let state = match self.phase.as_str() {
@@ -77,7 +82,7 @@
         };
         Member {
             address: self.host_port,
-            // A cast of a float ends at the bounds.
+            // A cast from a float saturates at the bounds of the integer.
             started_unix_ms: self.up_since_ms as u64,
             entry: RosterEntry {
                 server,
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,37 +1,42 @@
-//! The times of a planned stop: what the platform leaves a node between SIGTERM and the kill, and how it is spent.
+//! Timing of a planned shutdown: how long the platform waits between SIGTERM and the kill, and how the node uses that
+//! time.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// The kill comes no sooner after SIGTERM than the longest deadline, this at most, and [`GRACE`] more.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-/// What comes within this after SIGTERM has its whole deadline before the kill; what the kill finds unanswered of
-/// later requests is lost.
-const GRACE: Duration = Duration::from_millis(700);
-/// The node is done a little ahead of the kill.
-const AHEAD: Duration = Duration::from_millis(100);
+/// Cap on the longest deadline in the platform's kill timer: the kill comes no sooner after SIGTERM than the longest
+/// deadline, limited to this, plus [`KILL_GRACE`].
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Requests that arrive within this time after SIGTERM have their full deadline before the kill. Later requests that
+/// are still unanswered at the kill are lost.
+const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Safety margin by which the node finishes ahead of the kill.
+const KILL_MARGIN: Duration = Duration::from_millis(100);
 
-/// When, counted from SIGTERM, kept connections are closed between requests, and the last answer is given.
+/// Times of a shutdown, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stop {
+    /// Time until idle client connections are closed.
     pub part_after: Duration,
+    /// Time until the last answer must be given.
     pub end_after: Duration,
 }
 
 impl Stop {
-    /// For a node whose clients wait for up to `longest`.
+    /// Times for a node whose longest request deadline is `longest`.
     pub fn of(longest: Duration) -> Self {
-        let counted = longest.min(LONGEST_COUNTED);
-        // Clients send on what they hold for as long as it is open: it closes while a request that has just come
-        // still has its whole deadline, as far as the platform counts that.
-        Stop { part_after: GRACE - AHEAD, end_after: counted + GRACE - AHEAD }
+        let counted = longest.min(MAX_COUNTED_DEADLINE);
+        // Clients go on using an open connection. It is closed while a request that arrives last still has its full
+        // deadline, limited to what the platform counts.
+        Stop { part_after: KILL_GRACE - KILL_MARGIN, end_after: counted + KILL_GRACE - KILL_MARGIN }
     }
 
-    /// By when kept connections are closed where another process accepts at this address: behind an answer no close
-    /// crosses with a request, so a client that rests is waited for, and what it then asks has half of that time.
-    pub fn relieved_part_after(&self) -> Duration {
+    /// Time until idle connections are closed if another process accepts at this address. A connection closed right
+    /// after an answer cannot cross with a request, so the node waits for idle clients to send once more, until half
+    /// of the remaining time is left for that request.
+    pub fn close_after_with_successor(&self) -> Duration {
         (self.part_after + self.end_after) / 2
     }
 }
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is to accept, where an old and a new process serve at one address.
+//! Decides which process accepts connections while an old and a new process share one address.
 
 #[cfg(test)]
 mod tests;
@@ -18,38 +18,42 @@
 use crate::port::{bind_when_free, Accept};
 use crate::takeover::{self, Predecessor, Successor};
 
-/// The socket of a process that serves there already, or one of this process's own.
+/// Takes the listening socket over from a process that serves at the address, or binds a new one.
+///
+/// # Errors
+/// If there is no takeover and the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> Result<(TcpListener, Option<Predecessor>), Wrong> {
-    let path = takeover::name(address).filter(|path| path.symlink_metadata().is_ok());
+    let path = takeover::socket_path(address).filter(|path| path.symlink_metadata().is_ok());
     if let Some(path) = path {
         match takeover::claim(&path, address).await {
             Ok((listener, predecessor)) => return Ok((listener, Some(predecessor))),
             Err(error) => warn!(path = %path.display(), %error, "no takeover; listening anew"),
         }
     }
-    // Others may listen there too: where a takeover fails, this process serves all the same.
+    // The address is shared (SO_REUSEPORT): if a takeover fails, this process serves beside the running one.
     let listener = bind_when_free(address, true).await.map_err(wrong(&format!("listen {address}")))?;
     Ok((listener, None))
 }
 
-/// Leaves accepting to the predecessor until this process can serve or that one accepts no more, and shares the limits with it while it runs.
-pub async fn succeed(mut predecessor: Predecessor, lifecycle: &Lifecycle, budget: Rc<Budget>) {
+/// Waits until this process is ready, and notifies the predecessor, or until the predecessor accepts no more. The two
+/// processes share the limits until the predecessor has exited.
+pub async fn wait_for_turn(mut predecessor: Predecessor, lifecycle: &Lifecycle, budget: Rc<Budget>) {
     budget.join();
     let mut phases = lifecycle.follow();
     tokio::select! {
-        // The lifecycle outlives this.
-        _ = phases.wait_for(|phase| phase.state == State::Ready) => predecessor.relieve().await,
-        () = predecessor.closed() => info!("the predecessor accepts no more"),
+        // Never fails, as the lifecycle outlives this call.
+        _ = phases.wait_for(|phase| phase.state == State::Ready) => predecessor.notify_serving().await,
+        () = predecessor.wait_until_closed() => info!("the predecessor accepts no more"),
     }
     tokio::task::spawn_local(async move {
-        predecessor.gone().await;
+        predecessor.wait_for_exit().await;
         info!("the predecessor is gone");
         budget.leave();
     });
 }
 
-/// Accepts, but for the time in which a successor does; until then and what has come by then, or for ever. It ends
-/// before where the listener is of no use any more.
+/// Accepts clients except while a successor does, until `until` and including what is queued by then, or forever. Ends
+/// earlier if the listener fails for good.
 pub async fn accept(
     frontend: &Rc<Frontend>,
     listener: &impl Accept<Stream = TcpStream>,
@@ -59,18 +63,23 @@
     loop {
         let serving = *successor.borrow_and_update() == Successor::Serving;
         tokio::select! {
-            () = take(frontend, listener, until), if !serving => return,
-            // What waits in the queue is the successor's.
+            () = accept_clients(frontend, listener, until), if !serving => return,
+            // Connections in the accept queue are left to the successor.
             () = sleep_until(until.unwrap_or_else(Instant::now)), if serving && until.is_some() => return,
             changed = successor.changed() => if changed.is_err() {
-                // Nothing is offered, so nobody succeeds.
-                return take(frontend, listener, until).await;
+                // The socket is not offered any more, so no successor can come.
+                return accept_clients(frontend, listener, until).await;
             }
         }
     }
 }
 
-async fn take(frontend: &Rc<Frontend>, listener: &impl Accept<Stream = TcpStream>, until: Option<Instant>) {
+/// Accepts until the listener fails for good, or until `until`.
+async fn accept_clients(
+    frontend: &Rc<Frontend>,
+    listener: &impl Accept<Stream = TcpStream>,
+    until: Option<Instant>,
+) {
     match until {
         None => frontend.clone().accept(listener).await,
         Some(_) => frontend.clone().accept_until(listener, until).await,
--- a/crates/node/src/succession/tests.rs
+++ b/crates/node/src/succession/tests.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is to accept, and when accepting ends.
+//! Which process accepts during a takeover, and when accepting ends.
 
 use std::time::Duration;
 
@@ -22,69 +22,71 @@
     Frontend::new(unbounded_channel().0, upstream, Lifecycle::new(), budget, second)
 }
 
-/// Accepts for no time at all, beside this state of a successor.
-async fn accept_what_waits(listener: &TcpListener, successor: Successor) {
-    let (_told, successor) = watch::channel(successor);
+/// Accepts only what is queued now, with a successor in this state.
+async fn accept_queued(listener: &TcpListener, successor: Successor) {
+    let (_sender, successor) = watch::channel(successor);
     let frontend = frontend();
     LocalSet::new().run_until(accept(&frontend, listener, successor, Some(Instant::now()))).await;
 }
 
-/// Connections that never stop coming must not keep a process that ends from closing its listener.
+/// A process that shuts down closes its listener even if new connections never stop coming.
 #[tokio::test]
-async fn a_flood_does_not_put_off_the_end_of_accepting() {
+async fn a_flood_of_connections_does_not_delay_the_end_of_accepting() {
     let listener = port::bind("127.0.0.1:0".parse().unwrap(), false).unwrap();
     let address = listener.local_addr().unwrap();
     let connect = move || drop(std::net::TcpStream::connect(address).unwrap());
     (0..5).for_each(|_| connect());
     let all = async {
-        // As many come in each turn as are taken.
+        // One new connection comes for each turn of the accept loop.
         tokio::task::spawn_local(async move {
             loop {
                 connect();
                 tokio::task::yield_now().await;
             }
         });
-        let (_told, successor) = watch::channel(Successor::None);
+        let (_sender, successor) = watch::channel(Successor::None);
         accept(&frontend(), &listener, successor, Some(Instant::now())).await;
     };
     let ended = timeout(Duration::from_secs(20), LocalSet::new().run_until(all)).await;
     assert!(ended.is_ok(), "accepting ends");
 }
 
-/// What waits in the queue is the successor's once that serves, and this process's until then.
+/// Connections in the accept queue are left to a successor that serves; until then this process accepts them.
 #[tokio::test]
-async fn what_waits_is_left_to_a_successor_that_serves() {
+async fn queued_connections_are_left_to_a_successor_that_serves() {
     let listener = port::bind("127.0.0.1:0".parse().unwrap(), false).unwrap();
     let address = listener.local_addr().unwrap();
-    for (successor, left) in
+    for (successor, is_left) in
         [(Successor::Serving, true), (Successor::Starting, false), (Successor::None, false)]
     {
         let _waiting = std::net::TcpStream::connect(address).unwrap();
-        accept_what_waits(&listener, successor).await;
+        accept_queued(&listener, successor).await;
         let accepted = timeout(Duration::from_millis(200), listener.accept()).await;
-        assert_eq!(accepted.is_ok(), left, "{successor:?}");
+        assert_eq!(accepted.is_ok(), is_left, "{successor:?}");
     }
 }
 
-/// In a takeover a failure of accepting changes nothing in whose turn it is, and a listener that is of no use any more
-/// ends accepting beside a successor that does not serve.
+/// Failures of `accept` do not change which process accepts during a takeover. A listener that fails for good ends
+/// accepting even if the successor does not serve yet.
 #[tokio::test]
-async fn errors_in_a_takeover_leave_each_process_its_turn() {
+async fn accept_errors_do_not_change_which_process_accepts() {
     let listener = Rc::new(port::bind("127.0.0.1:0".parse().unwrap(), false).unwrap());
     let address = listener.local_addr().unwrap();
-    for (successor, left) in [(Successor::Serving, true), (Successor::Starting, false)] {
+    for (successor, is_left) in [(Successor::Serving, true), (Successor::Starting, false)] {
         let _waiting = std::net::TcpStream::connect(address).unwrap();
         let failures = [Errno::CONNABORTED, Errno::MFILE, Errno::NOMEM];
         let failing = FailingListener::once_each(failures, listener.clone());
-        let (_told, told) = watch::channel(successor);
-        LocalSet::new().run_until(accept(&frontend(), &failing, told, Some(Instant::now()))).await;
+        let (_sender, successor_updates) = watch::channel(successor);
+        LocalSet::new()
+            .run_until(accept(&frontend(), &failing, successor_updates, Some(Instant::now())))
+            .await;
         let accepted = timeout(Duration::from_millis(200), listener.accept()).await;
-        assert_eq!(accepted.is_ok(), left, "{successor:?}");
-        assert_eq!(failing.calls() == 0, left, "{successor:?}");
+        assert_eq!(accepted.is_ok(), is_left, "{successor:?}");
+        assert_eq!(failing.calls() == 0, is_left, "{successor:?}");
     }
-    let (_told, told) = watch::channel(Successor::Starting);
-    let useless = FailingListener::always(Errno::INVAL, listener);
+    let (_sender, successor_updates) = watch::channel(Successor::Starting);
+    let failed_listener = FailingListener::always(Errno::INVAL, listener);
     let frontend = frontend();
-    let ends = timeout(Duration::from_secs(20), accept(&frontend, &useless, told, None));
-    assert!(ends.await.is_ok() && useless.calls() == 1);
+    let ends = timeout(Duration::from_secs(20), accept(&frontend, &failed_listener, successor_updates, None));
+    assert!(ends.await.is_ok() && failed_listener.calls() == 1);
 }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -1,8 +1,9 @@
-//! A new process beside a running one, at the same address: the running one hands over its listening socket, so
-//! that both take connections from one queue and none is lost with the process that closes its end first.
+//! Takeover of the listening socket by a new process from the one that serves at the same address. Both processes then
+//! accept from one queue, so no connection is lost when the old one closes the socket.
 //!
-//! The running process offers the socket at a name in `$TMPDIR`. The connection over which it went stays open:
-//! each process learns from its end that the other has gone, and the new one says on it when it serves.
+//! The running process offers the socket (SCM_RIGHTS) at a Unix socket in `$TMPDIR`. The connection over which it is
+//! passed stays open: each process detects by its end that the other has exited, and the new process reports on it that
+//! it serves.
 
 #[cfg(test)]
 mod tests;
@@ -34,32 +35,34 @@
     classify, report, AcceptRetry, ErrorClass, NextAccept, Operation, SystemCall, ACCEPT_PAUSE,
 };
 
-/// What comes along with the socket.
+/// Message that carries the socket.
 const GREETING: &[u8] = b"hallpin takeover 1\n";
-/// What the new process says once it serves.
+/// Byte that the new process sends once it serves.
 const SERVING: u8 = b's';
-/// What the old process says once it accepts no more.
+/// Byte that the old process sends once it accepts no more.
 const CLOSED: u8 = b'c';
-/// Whoever is at the name hands the socket over at once, or there is nobody.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Wait before looking for a successor again after a failure.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Wait before trying again what failed for want of something of this machine's own.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
-/// How often the greeting is sent again after such a failure: the new process waits for `PATIENCE` in all.
+/// Longest time for a claim. A running process hands the socket over at once.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before the socket is offered again after a failure.
+const OFFER_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before a call is retried that failed for a shortage on this machine.
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Most retries of sending the greeting after such failures: the new process waits for [`CLAIM_TIMEOUT`] in all.
 const MAX_SEND_RETRIES: u32 = 10;
 
-/// The process that takes over from this one, if any.
+/// State of the process that takes over from this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Successor {
+    /// There is no successor.
     None,
+    /// The successor has the socket and does not accept yet.
     Starting,
-    /// It accepts, and this process need not.
+    /// The successor accepts, so this process need not.
     Serving,
 }
 
-/// Where a socket for this address is offered: in the node's own folder, or nowhere.
-pub fn name(address: SocketAddr) -> Option<PathBuf> {
+/// Path of the Unix socket at which the listener of this address is offered; `None` if `TMPDIR` is not set.
+pub fn socket_path(address: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(Path::new(&folder).join(format!("hallpin-{address}.takeover")))
 }
@@ -70,63 +73,65 @@
 }
 
 impl Predecessor {
-    /// Tells it that this process accepts.
-    pub async fn relieve(&mut self) {
-        // One that is gone needs no word.
+    /// Notifies the predecessor that this process accepts.
+    pub async fn notify_serving(&mut self) {
+        // Fails only if the predecessor has exited, and then it needs no notification.
         let _ = self.stream.write_all(&[SERVING]).await;
     }
 
-    /// Waits until it accepts no more; its end tells that too.
-    pub async fn closed(&mut self) {
+    /// Waits until the predecessor accepts no more or has exited.
+    pub async fn wait_until_closed(&mut self) {
         let _ = self.stream.read(&mut [0]).await;
     }
 
-    /// Waits until it has ended.
-    pub async fn gone(&mut self) {
+    /// Waits until the predecessor has exited.
+    pub async fn wait_for_exit(&mut self) {
         while self.stream.read(&mut [0]).await.is_ok_and(|read| read > 0) {}
     }
 }
 
-/// Takes over the socket that a running process offers. Anything else at the name is an error, which tells why
-/// there is no takeover and must not stop a start.
+/// Takes over the listening socket that a running process offers at `path`.
+///
+/// # Errors
+/// Why there is no takeover, if anything else is at the path. It must not fail the start.
 pub async fn claim(path: &Path, address: SocketAddr) -> io::Result<(TcpListener, Predecessor)> {
     retry_claim(async || claim_once(path, address).await).await
 }
 
-/// Tries until `PATIENCE` is over, as long as it fails for want of something of this machine's own.
+/// Retries a claim that fails for a shortage on this machine, for [`CLAIM_TIMEOUT`] in all.
 async fn retry_claim<T>(mut claim: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + CLAIM_TIMEOUT;
     loop {
         let error = match timeout_at(until, claim()).await? {
             Ok(claimed) => return Ok(claimed),
             Err(error) => error,
         };
-        if !passes(SystemCall::Connect, &error) || Instant::now() + SHORTAGE_PAUSE >= until {
+        if !is_transient(SystemCall::Connect, &error) || Instant::now() + SHORTAGE_RETRY_DELAY >= until {
             return Err(error);
         }
-        report(Operation::ClaimListener, &error, "claiming the listener again");
-        sleep(SHORTAGE_PAUSE).await;
+        report(Operation::ClaimListener, &error, "retrying to claim the listening socket");
+        sleep(SHORTAGE_RETRY_DELAY).await;
     }
 }
 
-/// Whether the same call may succeed in a while, as nobody but this machine made it fail.
-fn passes(call: SystemCall, error: &io::Error) -> bool {
+/// Whether the same call may succeed soon: it was interrupted or failed for a shortage on this machine.
+fn is_transient(call: SystemCall, error: &io::Error) -> bool {
     matches!(classify(call, error), ErrorClass::RetryNow | ErrorClass::OwnShortage)
 }
 
 async fn claim_once(path: &Path, address: SocketAddr) -> io::Result<(TcpListener, Predecessor)> {
     let stream = UnixStream::connect(path).await?;
-    expect_own(&stream)?;
+    check_same_user(&stream)?;
     let socket = receive(&stream).await?;
     Ok((listener(socket, address)?, Predecessor { stream }))
 }
 
-/// Only this node's own user may give or take the socket.
-fn expect_own(stream: &UnixStream) -> io::Result<()> {
+/// Checks that the process at the other end runs as the same user: no other may give or take the socket.
+fn check_same_user(stream: &UnixStream) -> io::Result<()> {
     let own = std::fs::metadata("/proc/self")?.uid();
     match stream.peer_cred()?.uid() == own {
         true => Ok(()),
-        false => Err(io::Error::other("the other end is another user's")),
+        false => Err(io::Error::other("the process at the other end runs as another user")),
     }
 }
 
@@ -135,7 +140,7 @@
     send_greeting(stream, |part, first| send_part(stream, part, first.then_some(socket))).await
 }
 
-/// Sends all of the greeting, however much of it a call takes. The socket goes with the first part.
+/// Sends the greeting in as many writes as it takes. The socket goes with the first part.
 async fn send_greeting(
     stream: &UnixStream,
     mut send_part: impl FnMut(&[u8], bool) -> io::Result<usize>,
@@ -144,10 +149,10 @@
     while sent < GREETING.len() {
         match stream.async_io(Interest::WRITABLE, || send_part(&GREETING[sent..], sent == 0)).await {
             Ok(length) => sent += length,
-            Err(error) if retries < MAX_SEND_RETRIES && passes(SystemCall::Transfer, &error) => {
-                report(Operation::OfferListener, &error, "sending the listener again");
+            Err(error) if retries < MAX_SEND_RETRIES && is_transient(SystemCall::Transfer, &error) => {
+                report(Operation::OfferListener, &error, "retrying to send the listening socket");
                 retries += 1;
-                sleep(SHORTAGE_PAUSE).await;
+                sleep(SHORTAGE_RETRY_DELAY).await;
             }
             Err(error) => return Err(error),
         }
@@ -165,7 +170,7 @@
     Ok(sendmsg(stream, &[IoSlice::new(part)], &mut control, SendFlags::NOSIGNAL)?)
 }
 
-/// Receives the greeting, in however many parts it comes, and the socket that is with one of them.
+/// Receives the greeting, in as many parts as it comes, and the socket that comes with one of them.
 async fn receive(stream: &UnixStream) -> io::Result<OwnedFd> {
     let mut text = [0; GREETING.len()];
     let (mut received, mut socket) = (0, None);
@@ -174,62 +179,63 @@
         let length = stream.async_io(Interest::READABLE, || receive_part(stream, part, &mut socket)).await?;
         received += length;
         if length == 0 || !GREETING.starts_with(&text[..received]) {
-            return Err(io::Error::other("what came is no socket handed over"));
+            return Err(io::Error::other("unexpected data in place of the takeover greeting"));
         }
     }
-    socket.ok_or_else(|| io::Error::other("no socket came with the greeting"))
+    socket.ok_or_else(|| io::Error::other("the takeover greeting came without a socket"))
 }
 
 fn receive_part(stream: &UnixStream, part: &mut [u8], socket: &mut Option<OwnedFd>) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let into = &mut [IoSliceMut::new(part)];
-    let came = rustix::io::retry_on_intr(|| recvmsg(stream, into, &mut control, RecvFlags::CMSG_CLOEXEC))?;
+    let buffers = &mut [IoSliceMut::new(part)];
+    let received =
+        rustix::io::retry_on_intr(|| recvmsg(stream, buffers, &mut control, RecvFlags::CMSG_CLOEXEC))?;
     let sockets = control.drain().find_map(|message| match message {
         RecvAncillaryMessage::ScmRights(mut sockets) => sockets.next(),
         _ => None,
     });
-    if sockets.is_none() && came.flags.contains(ReturnFlags::CTRUNC) {
-        // The system found no descriptor for the socket and closed it.
+    if sockets.is_none() && received.flags.contains(ReturnFlags::CTRUNC) {
+        // The kernel had no free descriptor for the socket and closed it (MSG_CTRUNC).
         return Err(Errno::MFILE.into());
     }
     if sockets.is_some() {
         *socket = sockets;
     }
-    Ok(came.bytes)
+    Ok(received.bytes)
 }
 
-/// The listener, if that is what the socket is.
+/// Converts the received socket, after checking that it is a TCP listener at the address.
 fn listener(socket: OwnedFd, address: SocketAddr) -> io::Result<TcpListener> {
-    let about = SockRef::from(&socket);
-    let tcp = about.r#type()? == Type::STREAM && about.protocol()? == Some(Protocol::TCP);
-    if !tcp || !about.is_listener()? || about.local_addr()?.as_socket() != Some(address) {
-        return Err(io::Error::other("the socket handed over does not listen at this address"));
+    let socket_ref = SockRef::from(&socket);
+    let is_tcp = socket_ref.r#type()? == Type::STREAM && socket_ref.protocol()? == Some(Protocol::TCP);
+    if !is_tcp || !socket_ref.is_listener()? || socket_ref.local_addr()?.as_socket() != Some(address) {
+        return Err(io::Error::other("the received socket does not listen at the expected address"));
     }
-    about.set_nonblocking(true)?;
+    socket_ref.set_nonblocking(true)?;
     TcpListener::from_std(socket.into())
 }
 
-/// Puts a door at the name, in place of whatever was there.
+/// Binds a Unix socket at the path, in place of whatever was there.
 fn publish(path: &Path) -> io::Result<UnixListener> {
-    let fresh = path.with_extension(format!("{}.new", std::process::id()));
-    // Of an earlier process with the same id.
-    match std::fs::remove_file(&fresh) {
+    let temporary = path.with_extension(format!("{}.new", std::process::id()));
+    // An earlier process with the same id may have left the file.
+    match std::fs::remove_file(&temporary) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
     }
-    let door = UnixListener::bind(&fresh)?;
-    std::fs::set_permissions(&fresh, std::fs::Permissions::from_mode(0o600))?;
-    // The name is never without a door, and what a link there leads to is left alone.
-    std::fs::rename(&fresh, path).inspect_err(|_| drop(std::fs::remove_file(&fresh)))?;
-    Ok(door)
+    let unix_listener = UnixListener::bind(&temporary)?;
+    std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600))?;
+    // The rename is atomic, so the path always has a socket; it replaces a link and not the link's target.
+    std::fs::rename(&temporary, path).inspect_err(|_| drop(std::fs::remove_file(&temporary)))?;
+    Ok(unix_listener)
 }
 
-/// The next process that comes to the door; none where the door is of no use any more.
-async fn successor(door: &impl Accept<Stream = UnixStream>) -> Option<UnixStream> {
+/// Accepts the next process that connects; `None` if the Unix socket fails for good.
+async fn accept_successor(unix_listener: &impl Accept<Stream = UnixStream>) -> Option<UnixStream> {
     let mut retry = AcceptRetry::new(Operation::AcceptSuccessor);
     loop {
-        match door.accept().await {
+        match unix_listener.accept().await {
             Ok(stream) => return Some(stream),
             Err(error) => match retry.failed(&error) {
                 NextAccept::AtOnce => tokio::task::yield_now().await,
@@ -240,73 +246,73 @@
     }
 }
 
-/// Offers the socket to one successor after another. The socket is the caller's: once it is closed there is nothing
-/// to hand over.
+/// Offers the listening socket to one successor after another, for as long as the caller keeps it open.
 pub struct Offer {
     pub path: PathBuf,
     pub socket: Weak<TcpListener>,
     pub budget: Rc<Budget>,
     pub successor: watch::Sender<Successor>,
-    /// Told when this process accepts no more.
+    /// Notified when this process accepts no more.
     pub closed: Rc<Notify>,
 }
 
 impl Offer {
+    /// Offers the socket until it is closed.
     pub async fn run(self) {
         self.run_with(publish).await;
     }
 
     async fn run_with<D: Accept<Stream = UnixStream>>(self, mut publish: impl FnMut(&Path) -> io::Result<D>) {
         let mut gone = false;
-        // A door of a process that stops would hide that of the process that comes after it.
+        // A process that stops must not bind the path, as it would replace the socket of the process after it.
         while self.socket.strong_count() > 0 {
-            let door = match publish(&self.path) {
-                Ok(door) => door,
+            let unix_listener = match publish(&self.path) {
+                Ok(unix_listener) => unix_listener,
                 Err(error) if may_be_had_later(&error) => {
-                    report(Operation::OfferListener, &error, "offering the listener again");
-                    sleep(PAUSE).await;
+                    report(Operation::OfferListener, &error, "retrying to offer the listening socket");
+                    sleep(OFFER_RETRY_DELAY).await;
                     continue;
                 }
                 Err(error) => {
-                    return warn!(path = %self.path.display(), %error, "none is offered");
+                    return warn!(path = %self.path.display(), %error, "the listening socket is not offered");
                 }
             };
-            // Said when the next one finds this process again.
+            // Logged only now that the next successor can find this process.
             if std::mem::take(&mut gone) {
                 info!("the successor is gone");
             }
-            match successor(&door).await {
+            match accept_successor(&unix_listener).await {
                 Some(stream) => match self.hand_over(stream).await {
-                    Ok(handed) => gone = handed,
-                    Err(error) => warn!(%error, "not handed over"),
+                    Ok(handed_over) => gone = handed_over,
+                    Err(error) => warn!(%error, "handing the listening socket over failed"),
                 },
-                None => sleep(PAUSE).await,
+                None => sleep(OFFER_RETRY_DELAY).await,
             }
-            // A successor that came to nothing had put its own door at the name.
+            // The path is bound again: a successor that has exited had bound its own socket there.
         }
     }
 
-    /// Hands the socket over, if there is one left, and stays until the successor is gone.
+    /// Hands the socket over and waits until the successor has exited; `false` if the socket is closed already.
     async fn hand_over(&self, mut stream: UnixStream) -> io::Result<bool> {
-        expect_own(&stream)?;
+        check_same_user(&stream)?;
         let Some(socket) = self.socket.upgrade() else { return Ok(false) };
         send(&stream, socket.as_fd()).await?;
         drop(socket);
         info!("the socket is handed over");
         self.budget.join();
         self.successor.send_replace(Successor::Starting);
-        let mut word = [0];
+        let mut message = [0];
         loop {
             tokio::select! {
-                read = stream.read(&mut word) => match read {
-                    Ok(1) if word[0] == SERVING => {
+                read = stream.read(&mut message) => match read {
+                    Ok(1) if message[0] == SERVING => {
                         info!("the successor serves");
                         self.successor.send_replace(Successor::Serving);
                     }
                     Ok(1) => {}
                     _ => break,
                 },
-                // One that does not serve yet has to accept all the same: nobody else does.
+                // A successor that is not ready yet must accept all the same, as nobody else does now.
                 () = self.closed.notified() => drop(stream.write_all(&[CLOSED]).await),
             }
         }
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -1,4 +1,4 @@
-//! The socket that is handed over, what else may stand at its name, and who is told of what.
+//! Handing the socket over, other files at its path, and the notifications between the two processes.
 
 use std::os::unix::fs::symlink;
 
@@ -24,43 +24,43 @@
 
 fn offer(path: &Path, socket: &Rc<TcpListener>) -> (Offer, watch::Receiver<Successor>) {
     let budget = Budget::new(&Default::default());
-    let (successor, told) = watch::channel(Successor::None);
+    let (successor, successor_state) = watch::channel(Successor::None);
     let (socket, closed) = (Rc::downgrade(socket), Rc::default());
-    (Offer { path: path.into(), socket, budget, successor, closed }, told)
+    (Offer { path: path.into(), socket, budget, successor, closed }, successor_state)
 }
 
-/// A connection that waits in the queue when the old process closes its end is the new one's; the old one is
-/// told of the new one's service and of its end.
+/// A connection that is queued when the old process closes the socket is accepted by the new one. The old process is
+/// notified when the new one serves and when it exits.
 #[tokio::test]
-async fn what_waits_in_the_queue_outlives_the_process_that_listened() {
+async fn queued_connections_survive_the_end_of_the_old_process() {
     let folder = Folder::new("queue");
-    let path = folder.0.join("door");
+    let path = folder.0.join("socket");
     let socket = Rc::new(bind("127.0.0.1:0".parse().unwrap(), true).unwrap());
     let address = socket.local_addr().unwrap();
-    let (offer, mut told) = offer(&path, &socket);
+    let (offer, mut successor_state) = offer(&path, &socket);
     let claims = async {
         while !path.exists() {
             tokio::task::yield_now().await;
         }
-        let (taken, mut predecessor) = claim(&path, address).await.unwrap();
+        let (taken_over, mut predecessor) = claim(&path, address).await.unwrap();
         let mut queued = tokio::net::TcpStream::connect(address).await.unwrap();
         drop(socket);
-        predecessor.relieve().await;
-        told.wait_for(|successor| *successor == Successor::Serving).await.unwrap();
-        let (mut accepted, _) = taken.accept().await.unwrap();
+        predecessor.notify_serving().await;
+        successor_state.wait_for(|successor| *successor == Successor::Serving).await.unwrap();
+        let (mut accepted, _) = taken_over.accept().await.unwrap();
         accepted.write_all(b"!").await.unwrap();
         assert_eq!(queued.read_u8().await.unwrap(), b'!');
         drop(predecessor);
-        told.wait_for(|successor| *successor == Successor::None).await.unwrap();
+        successor_state.wait_for(|successor| *successor == Successor::None).await.unwrap();
         assert!(claim(&path, address).await.is_err(), "nothing is left to hand over");
     };
-    // An offer ends with its socket.
+    // An offer ends when its socket is closed.
     tokio::join!(offer.run(), claims);
 }
 
-/// Whatever is at the name, a claim ends soon and without a socket, and a door can be put there.
+/// Whatever file is at the path, a claim fails soon, and a new socket can be bound there.
 #[tokio::test]
-async fn leftovers_at_the_name_are_no_takeover() {
+async fn leftover_files_at_the_path_are_no_takeover() {
     let folder = Folder::new("leftovers");
     let here = "127.0.0.1:9".parse().unwrap();
     let path = |name: &str| folder.0.join(name);
@@ -72,18 +72,18 @@
         assert!(claim(&path(name), here).await.is_err(), "{name}");
         publish(&path(name)).unwrap();
     }
-    assert_eq!(std::fs::read(path("file")).ok(), None, "a door is there now");
+    assert_eq!(std::fs::read(path("file")).ok(), None, "the socket has replaced it");
     std::fs::create_dir(path("folder")).unwrap();
     assert!(claim(&path("folder"), here).await.is_err() && publish(&path("folder")).is_err());
     assert_eq!(std::fs::read_dir(path("folder")).unwrap().count(), 0);
 }
 
-/// Somebody answers at the name, but not with the socket of this address.
+/// A process answers at the path, but not with the listening socket of this address.
 #[tokio::test]
-async fn only_a_listener_at_the_address_is_taken() {
+async fn only_a_listener_at_the_address_is_taken_over() {
     let folder = Folder::new("hostile");
-    let path = folder.0.join("door");
-    let door = UnixListener::bind(&path).unwrap();
+    let path = folder.0.join("socket");
+    let unix_listener = UnixListener::bind(&path).unwrap();
     let other = bind("127.0.0.1:0".parse().unwrap(), true).unwrap();
     let address = other.local_addr().unwrap();
     let connected = std::net::TcpStream::connect(address).unwrap();
@@ -91,7 +91,7 @@
     let elsewhere = bind("127.0.0.1:0".parse().unwrap(), true).unwrap();
     for socket in [None, Some(connected.as_fd()), Some(file.as_fd()), Some(elsewhere.as_fd())] {
         let (claimed, ()) = tokio::join!(claim(&path, address), async {
-            let (mut stream, _) = door.accept().await.unwrap();
+            let (mut stream, _) = unix_listener.accept().await.unwrap();
             match socket {
                 Some(socket) => send(&stream, socket).await.unwrap(),
                 None => stream.write_all(GREETING).await.unwrap(),
@@ -99,13 +99,13 @@
         });
         assert!(claimed.is_err(), "{socket:?}");
     }
-    // Nobody answers.
+    // Nobody accepts at the path.
     assert!(claim(&path, address).await.is_err());
 }
 
-/// A new process that is short of something takes over a little later; whatever else fails is no takeover at once.
+/// A claim that fails for a shortage is retried and succeeds later; any other failure ends it at once.
 #[tokio::test(start_paused = true)]
-async fn a_shortage_puts_a_claim_off() {
+async fn a_shortage_delays_a_claim() {
     let own = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN, Errno::INTR];
     for errno in own {
         let mut failures = vec![errno; 3];
@@ -113,7 +113,7 @@
         assert!(retry_claim(claim).await.is_ok(), "{errno:?}");
         let since = Instant::now();
         let error = retry_claim::<()>(async || Err(errno.into())).await.unwrap_err();
-        assert!(since.elapsed() <= PATIENCE, "{errno:?}");
+        assert!(since.elapsed() <= CLAIM_TIMEOUT, "{errno:?}");
         assert_eq!(error.raw_os_error(), Some(errno.raw_os_error()));
     }
     for errno in [Errno::CONNREFUSED, Errno::NOENT, Errno::CONNRESET, Errno::ACCESS] {
@@ -126,15 +126,15 @@
     }
 }
 
-/// The greeting may be received in parts; the socket is with one of them.
+/// The greeting may be received in parts; the socket comes with one of them.
 #[tokio::test]
-async fn a_greeting_is_received_in_the_shortest_of_reads() {
+async fn a_greeting_is_received_byte_by_byte() {
     let (sender, receiver) = UnixStream::pair().unwrap();
     let socket = bind("127.0.0.1:0".parse().unwrap(), true).unwrap();
     let sends = async {
         for (n, byte) in GREETING.iter().enumerate() {
-            let with = (n == 0).then_some(socket.as_fd());
-            assert_eq!(send_part(&sender, &[*byte], with).unwrap(), 1);
+            let passed_socket = (n == 0).then_some(socket.as_fd());
+            assert_eq!(send_part(&sender, &[*byte], passed_socket).unwrap(), 1);
             // Each byte is read before the next one comes.
             for _ in 0..3 {
                 tokio::task::yield_now().await;
@@ -148,9 +148,9 @@
     );
 }
 
-/// What the system takes of the greeting in part, or not yet, is sent again; the socket goes once, in front.
+/// Partial and failed writes of the greeting are continued; the socket is sent once, with the first part.
 #[tokio::test(start_paused = true)]
-async fn a_greeting_is_sent_in_the_shortest_of_writes() {
+async fn a_greeting_is_sent_byte_by_byte() {
     let (sender, _receiver) = UnixStream::pair().unwrap();
     let (mut sent, mut sockets) = (Vec::new(), 0);
     let mut failures = vec![Errno::NOBUFS, Errno::INTR, Errno::TOOMANYREFS, Errno::NOMEM];
@@ -173,33 +173,34 @@
     assert_eq!(calls, MAX_SEND_RETRIES + 1);
 }
 
-/// A running process that is short of something offers its socket once that is over, and to whoever comes behind one
-/// who left before he was accepted.
+/// A running process offers its socket once a shortage is over, also to a process that connects after another one
+/// disconnected before it was accepted.
 #[tokio::test(start_paused = true)]
-async fn failures_put_off_an_offer_and_do_not_end_it() {
+async fn failures_delay_an_offer_and_do_not_end_it() {
     let folder = Folder::new("failures");
-    let path = folder.0.join("door");
+    let path = folder.0.join("socket");
     let socket = Rc::new(bind("127.0.0.1:0".parse().unwrap(), true).unwrap());
     let address = socket.local_addr().unwrap();
-    let (offer, _told) = offer(&path, &socket);
+    let (offer, _successor_state) = offer(&path, &socket);
     let mut failures = vec![Errno::NOMEM, Errno::NOSPC, Errno::NFILE, Errno::MFILE];
     let publish = |path: &Path| match failures.pop() {
         Some(errno) => Err(errno.into()),
-        None => publish(path).map(|door| {
+        None => publish(path).map(|unix_listener| {
             let failures = [Errno::CONNABORTED, Errno::INTR, Errno::MFILE, Errno::NOBUFS];
-            FailingListener::once_each(failures, door)
+            FailingListener::once_each(failures, unix_listener)
         }),
     };
     let claims = async {
         while !path.exists() {
-            sleep(SHORTAGE_PAUSE).await;
+            sleep(SHORTAGE_RETRY_DELAY).await;
         }
         let claimed = claim(&path, address).await;
         drop(socket);
         claimed.map(drop)
     };
     let both = async { tokio::join!(offer.run_with(publish), claims) };
-    let ((), claimed) =
-        tokio::time::timeout(PATIENCE * 20, both).await.expect("an offer ends with its socket");
+    let ((), claimed) = tokio::time::timeout(CLAIM_TIMEOUT * 20, both)
+        .await
+        .expect("an offer ends when its socket is closed");
     claimed.unwrap();
 }
