--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -25,11 +25,11 @@
 impl Clock {
     /// A clock based on the machine's clocks that starts at 0 now.
     pub fn start() -> Self {
-        Self::of(&SystemClock)
+        Self::with_source(&SystemClock)
     }
 
     /// A clock based on `source` that starts at 0 now.
-    pub fn of(source: &'static dyn TimeSource) -> Self {
+    pub fn with_source(source: &'static dyn TimeSource) -> Self {
         let reading = Reading::take(source);
         let start_times = Mutex::new(StartTimes::new(reading.wall_ms()));
         Clock { source, start: reading.monotonic, start_times: Box::leak(Box::new(start_times)) }
--- a/crates/node/src/clock/tests.rs
+++ b/crates/node/src/clock/tests.rs
@@ -47,7 +47,7 @@
     fn new() -> Self {
         let times = Times { monotonic: Instant::now(), wall_ms: EPOCH_MS };
         let node: &'static SteppedClock = Box::leak(Box::new(SteppedClock(Mutex::new(times))));
-        Machines { node, clock: Clock::of(node), server_wall_ms: EPOCH_MS }
+        Machines { node, clock: Clock::with_source(node), server_wall_ms: EPOCH_MS }
     }
 
     /// Advances all clocks.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -64,7 +64,7 @@
 
 impl Limits {
     /// These limits, with `sockets` capped by the process's limit on open files (RLIMIT_NOFILE).
-    pub fn allowed(&self) -> Self {
+    pub fn within_system_limits(&self) -> Self {
         let allowed = getrlimit(Resource::Nofile).current.and_then(|allowed| usize::try_from(allowed).ok());
         Limits { sockets: allowed.unwrap_or(usize::MAX).min(self.sockets), ..*self }
     }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -190,7 +190,7 @@
         let Configuration { config, settings, seed, clock, .. } = configuration;
         let lifecycle = Lifecycle::new();
         let figures = Figures::new(settings.classes.iter().map(|class| class.name.as_str()));
-        let budget = Budget::new(&config.limits.allowed());
+        let budget = Budget::new(&config.limits.within_system_limits());
         let bounds = configuration.upstream_bounds()?;
         let upstream = Rc::new(Upstream::new(bounds, budget.clone(), figures.clone()));
         let (messages, inbox) = mpsc::unbounded_channel();
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-/// Cap on the longest deadline in the platform's kill timer: the kill comes no sooner after SIGTERM than the longest
+/// Cap on the longest deadline that the platform waits for: the kill comes no sooner after SIGTERM than the longest
 /// deadline, limited to this, plus [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Requests that arrive within this time after SIGTERM have their full deadline before the kill. Later requests that
