--- a/crates/control-plane/src/counters.rs
+++ b/crates/control-plane/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the plane counts of its datagrams: every one that comes in, goes out or is dropped is in exactly one place.
+//! Datagram counters of the plane. Each datagram received, sent or dropped is counted in exactly one of them.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,37 @@
 /// Counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams that came from anybody; those not refused were taken by their machine.
+    /// Datagrams received from any sender; those not refused were handled by their state machine.
     pub received: u64,
-    /// Datagrams that were handed to the shell.
+    /// Datagrams handed over for sending.
     pub sent: u64,
-    /// Datagrams that were dropped here because more than the bound a second were to go out.
+    /// Outgoing datagrams dropped because the rate limit was reached.
     pub held_back: u64,
-    /// Payloads dropped here because no datagram holds them, or their addressee is no other node: a machine's fault.
+    /// Payloads dropped because they exceed a datagram or are not for another configured node, which is a bug in a
+    /// state machine.
     pub unsendable: u64,
     refused: BTreeMap<Refused, u64>,
 }
 
 impl Counters {
-    /// Each reason met so far and how often.
+    /// Each cause seen so far, with the number of datagrams refused for it.
     pub fn refused(&self) -> impl Iterator<Item = (Refused, u64)> + '_ {
-        self.refused.iter().map(|(why, count)| (*why, *count))
+        self.refused.iter().map(|(cause, count)| (*cause, *count))
     }
 
-    /// How often a datagram was dropped for this reason.
-    pub fn refused_for(&self, why: Refused) -> u64 {
-        self.refused.get(&why).copied().unwrap_or(0)
+    /// Number of datagrams refused for a cause.
+    pub fn refused_for(&self, cause: Refused) -> u64 {
+        self.refused.get(&cause).copied().unwrap_or(0)
     }
 
-    pub(crate) fn refuse(&mut self, why: Refused) {
-        *self.refused.entry(why).or_default() += 1;
+    pub(crate) fn record_refusal(&mut self, cause: Refused) {
+        *self.refused.entry(cause).or_default() += 1;
     }
 }
 
-/// A short name of a reason, as figures and log lines have it.
-pub fn reason(why: Refused) -> &'static str {
-    match why {
+/// The name of a cause in metrics.
+pub fn cause_name(cause: Refused) -> &'static str {
+    match cause {
         Refused::TooLong => "too_long",
         Refused::Short => "short",
         Refused::Foreign => "foreign",
--- a/crates/control-plane/src/file/sections.rs
+++ b/crates/control-plane/src/file/sections.rs
@@ -1,40 +1,41 @@
-//! The sections of the operators' file, their defaults, and within which bounds a figure makes sense.
+//! Sections of the fleet file: fields, defaults and valid ranges.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use serde::Deserialize;
 
-use super::span::Span;
+use super::duration::FileDuration;
 
-/// A field's path and what was expected of it.
-pub(super) type Wrong = (&'static str, &'static str);
+/// Path of an invalid field and what was expected.
+pub(super) type Fault = (&'static str, &'static str);
 
-fn ms(count: u64) -> Span {
-    Span(Duration::from_millis(count))
+fn ms(count: u64) -> FileDuration {
+    FileDuration(Duration::from_millis(count))
 }
 
-fn first(checks: &[(bool, &'static str, &'static str)]) -> Option<Wrong> {
-    checks.iter().find(|(kept, _, _)| !kept).map(|(_, field, what)| (*field, *what))
+fn first_failed(checks: &[(bool, &'static str, &'static str)]) -> Option<Fault> {
+    checks.iter().find(|(is_valid, _, _)| !is_valid).map(|(_, field, what)| (*field, *what))
 }
 
-/// Who is there.
+/// Membership protocol: SWIM probes and suspicion.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Membership {
-    /// One node is probed in each of these. 250ms.
-    pub probe_every: Span,
-    /// From a ping until others are asked to try. 80ms; less than half of `probe_every`.
-    pub probe_timeout: Span,
-    /// From the first accusation to the verdict with all confirmations in. 500ms.
-    pub suspicion_min: Span,
-    /// The same with none. 2s.
-    pub suspicion_max: Span,
-    /// What was seen of a box counts for so long. 2s.
-    pub recent: Span,
-    /// Datagrams that leave this node a second, of all kinds together; what is over is dropped and counted. 1000.
+    /// Probe interval, in each of which one node is probed. Default 250ms.
+    pub probe_every: FileDuration,
+    /// Time from a ping without an answer to indirect probes by other nodes; less than half of `probe_every`. Default
+    /// 80ms.
+    pub probe_timeout: FileDuration,
+    /// Suspicion timeout with all confirmations received. Default 500ms.
+    pub suspicion_min: FileDuration,
+    /// Suspicion timeout without any confirmation. Default 2s.
+    pub suspicion_max: FileDuration,
+    /// How long observations of a box count as evidence. Default 2s.
+    pub recent: FileDuration,
+    /// Most datagrams of all kinds that this node sends per second; any more are dropped and counted. Default 1000.
     pub datagrams_a_second: u32,
-    /// Datagrams at once beyond that. 500.
+    /// Datagrams that may be sent at once beyond that rate. Default 500.
     pub burst: u32,
 }
 
@@ -53,11 +54,11 @@
 }
 
 impl Membership {
-    pub(super) fn wrong(&self) -> Option<Wrong> {
-        let long = ms(60_000);
-        first(&[
+    pub(super) fn first_fault(&self) -> Option<Fault> {
+        let one_minute = ms(60_000);
+        first_failed(&[
             (
-                self.probe_every >= ms(10) && self.probe_every <= long,
+                self.probe_every >= ms(10) && self.probe_every <= one_minute,
                 "membership.probe_every",
                 "from 10ms to 1min expected",
             ),
@@ -71,9 +72,9 @@
                 "membership.suspicion_min",
                 "from 1ms to suspicion_max expected",
             ),
-            (self.suspicion_max <= long, "membership.suspicion_max", "at most 1min expected"),
+            (self.suspicion_max <= one_minute, "membership.suspicion_max", "at most 1min expected"),
             (
-                self.recent >= ms(100) && self.recent <= long,
+                self.recent >= ms(100) && self.recent <= one_minute,
                 "membership.recent",
                 "from 100ms to 1min expected",
             ),
@@ -91,8 +92,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TableSection {
-    /// For how long a node that hears nothing may still place by its table. 2s. The same at every node.
-    pub lease: Span,
+    /// How long a node without contact to other nodes may still use its table. The same at every node. Default 2s.
+    pub lease: FileDuration,
 }
 
 impl Default for TableSection {
@@ -102,32 +103,32 @@
 }
 
 impl TableSection {
-    pub(super) fn wrong(&self) -> Option<Wrong> {
-        let kept = self.lease >= ms(200) && self.lease <= ms(60_000);
-        first(&[(kept, "table.lease", "from 200ms to 1min expected")])
+    pub(super) fn first_fault(&self) -> Option<Fault> {
+        let is_valid = self.lease >= ms(200) && self.lease <= ms(60_000);
+        first_failed(&[(is_valid, "table.lease", "from 200ms to 1min expected")])
     }
 }
 
-/// Connection budgets, split among the tenants of a contract.
+/// Connection budgets, divided among the tenants of the contracts.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetsSection {
-    /// The file of contracts, beside this one unless its path is absolute.
+    /// Path of the contracts file, relative to the folder of this file unless absolute.
     pub contracts: PathBuf,
     /// Connections that a box accepts from all nodes together. The same at every node.
     pub connections_per_box: u32,
-    /// For how long a part is lent. 2s. The same at every node.
+    /// How long quota is lent out. The same at every node. Default 2s.
     #[serde(default = "lease")]
-    pub lease: Span,
+    pub lease: FileDuration,
 }
 
-fn lease() -> Span {
+fn lease() -> FileDuration {
     ms(2000)
 }
 
 impl BudgetsSection {
-    pub(super) fn wrong(&self) -> Option<Wrong> {
-        first(&[
+    pub(super) fn first_fault(&self) -> Option<Fault> {
+        first_failed(&[
             (!self.contracts.as_os_str().is_empty(), "budgets.contracts", "a path expected"),
             (
                 (1..=1_000_000).contains(&self.connections_per_box),
@@ -143,31 +144,31 @@
     }
 }
 
-/// What outlives the process.
+/// State that is stored across restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateSection {
-    /// The folder that holds it, this node's alone.
+    /// Folder of the state file; used by this node only.
     pub folder: PathBuf,
-    /// How often it is written. 1s.
-    #[serde(default = "second")]
-    pub every: Span,
-    /// What is older is set aside. 1h.
-    #[serde(default = "hour")]
-    pub max_age: Span,
+    /// Shortest time between two writes. Default 1s.
+    #[serde(default = "one_second")]
+    pub every: FileDuration,
+    /// Stored state older than this is set aside and not used. Default 1h.
+    #[serde(default = "one_hour")]
+    pub max_age: FileDuration,
 }
 
-fn second() -> Span {
+fn one_second() -> FileDuration {
     ms(1000)
 }
 
-fn hour() -> Span {
+fn one_hour() -> FileDuration {
     ms(3_600_000)
 }
 
 impl StateSection {
-    pub(super) fn wrong(&self) -> Option<Wrong> {
-        first(&[
+    pub(super) fn first_fault(&self) -> Option<Fault> {
+        first_failed(&[
             (!self.folder.as_os_str().is_empty(), "state.folder", "a path expected"),
             (self.every >= ms(100), "state.every", "at least 100ms expected"),
             (self.max_age >= ms(1000), "state.max_age", "at least 1s expected"),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,17 +1,17 @@
-//! The plane between nodes: peers, accord and budgets behind one datagram and one view, and the operators' file that
-//! switches it on.
+//! The plane between nodes: membership, placement agreement and budgets over one datagram format and one membership
+//! view, and the fleet file that configures it.
 //!
-//! Pure: no clock, socket, thread or global. Time and datagrams come in as arguments; the shell moves bytes.
+//! Pure: no clock, socket, thread or global state. Time and datagrams are arguments; the caller sends and receives.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod counters;
-pub mod door;
+pub mod datagram_filter;
 pub mod file;
-mod pace;
 pub mod plane;
+mod token_bucket;
 
 pub use counters::Counters;
-pub use door::Door;
+pub use datagram_filter::Door;
 pub use file::FleetFile;
 pub use plane::{Plane, PlaneNews, PlaneOutput, Rate};
--- a/crates/control-plane/src/plane.rs
+++ b/crates/control-plane/src/plane.rs
@@ -1,4 +1,4 @@
-//! Which machine a datagram is for, and in which order the machines are driven; nothing else is decided here.
+//! Routes datagrams to the state machines and drives the machines in a fixed order.
 
 use hallpin_membership::envelope::{Envelope, Kind, Refused};
 use hallpin_membership::machine::{Machine, Output};
@@ -7,168 +7,179 @@
 use hallpin_membership::{Peers, PeersNews};
 
 use crate::counters::Counters;
-use crate::door::Door;
-use crate::pace::Pace;
+use crate::datagram_filter::Door;
+use crate::token_bucket::TokenBucket;
 
-/// What the plane asks of its shell, in order.
+/// Outputs of the plane, to be carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlaneOutput<A, B> {
-    /// Send this from the plane's socket.
+    /// A datagram to send from the plane's socket.
     Datagram {
-        /// To whose address; never this node's own.
+        /// Receiving node; never this one.
         to: NodeId,
-        /// At most [`MAX_DATAGRAM`](hallpin_membership::envelope::MAX_DATAGRAM).
+        /// The encoded datagram, of at most [`MAX_DATAGRAM`](hallpin_membership::envelope::MAX_DATAGRAM).
         bytes: Vec<u8>,
     },
-    /// What the rest of the node is told.
+    /// An event for the rest of the node.
     News(PlaneNews<A, B>),
 }
 
-/// News of each machine: `A` is that of accord, `B` that of budgets.
+/// An event of one of the state machines; `A` is the event type of accord, `B` that of budgets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlaneNews<A, B> {
-    /// Of who is there.
+    /// Membership has changed.
     Peers(PeersNews),
-    /// Of the table in force.
+    /// The placement table, or this node's lease on it, has changed.
     Accord(A),
-    /// Of this node's parts.
+    /// This node's allotments or its role as grantor have changed.
     Budgets(B),
 }
 
-/// How many datagrams may leave, of all machines together.
+/// Rate limit for outgoing datagrams of all state machines together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
-    /// A second, over any longer time; at least 1.
+    /// Datagrams per second over any longer time; at least 1.
     pub a_second: u32,
-    /// At once; at least 1.
+    /// Datagrams at once; at least 1.
     pub burst: u32,
 }
 
-/// The machines of one node behind one datagram and one view: `A` agrees on tables, `B` divides wholes.
+/// The state machines of one node, which share a datagram format and a membership view: `A` agrees on placement tables,
+/// `B` divides capacities.
 pub struct Plane<A, B> {
-    door: Door,
-    pace: Pace,
+    filter: Door,
+    rate_limit: TokenBucket,
     counters: Counters,
     peers: Peers,
     accord: Option<A>,
     budgets: Option<B>,
-    /// The version of the view that accord and budgets were last ticked with.
-    followed: u64,
-    /// The latest time given; an earlier one counts as this.
+    /// Version of the view at the last tick of accord and budgets.
+    ticked_version: u64,
+    /// The latest time passed in; an earlier one is replaced by it.
     now: Moment,
 }
 
 impl<A: Machine, B: Machine> Plane<A, B> {
-    /// A plane with the machines that are on. A machine that is off gets no datagrams: those of its kind are refused.
+    /// A plane with the given state machines. Datagrams for a machine that is off are refused.
     pub fn new(
-        door: Door,
+        filter: Door,
         rate: Rate,
         now: Moment,
         peers: Peers,
         accord: Option<A>,
         budgets: Option<B>,
     ) -> Self {
-        let pace = Pace::new(rate.a_second, rate.burst, now);
-        let followed = peers.view().version;
-        Plane { door, pace, counters: Counters::default(), peers, accord, budgets, followed, now }
+        let rate_limit = TokenBucket::new(rate.a_second, rate.burst, now);
+        let ticked_version = peers.view().version;
+        Plane {
+            filter,
+            rate_limit,
+            counters: Counters::default(),
+            peers,
+            accord,
+            budgets,
+            ticked_version,
+            now,
+        }
     }
 
-    /// Takes a datagram. `by` is the node whose configured address it came from.
+    /// Handles a received datagram. `sender` is the node whose configured address it came from.
     ///
     /// # Errors
-    /// Says why it was dropped, which has been counted; then nothing else has changed.
-    pub fn receive(&mut self, now: Moment, by: Option<NodeId>, datagram: &[u8]) -> Result<(), Refused> {
-        let now = self.at(now);
+    /// Returns the cause for which the datagram was dropped. The refusal has been counted, and nothing else
+    /// has changed.
+    pub fn receive(&mut self, now: Moment, sender: Option<NodeId>, datagram: &[u8]) -> Result<(), Refused> {
+        let now = self.advance_clock(now);
         self.counters.received += 1;
-        let taken = self.door.open(by, datagram).and_then(|envelope| self.route(now, &envelope));
-        match taken {
-            Ok(()) => self.follow(now),
-            Err(why) => self.counters.refuse(why),
+        let result = self.filter.accept(sender, datagram).and_then(|envelope| self.route(now, &envelope));
+        match result {
+            Ok(()) => self.follow_view(now),
+            Err(cause) => self.counters.record_refusal(cause),
         }
-        taken
+        result
     }
 
     fn route(&mut self, now: Moment, envelope: &Envelope) -> Result<(), Refused> {
         let Envelope { kind, from, payload, .. } = envelope;
         match kind {
             Kind::Peers => self.peers.receive(now, *from, payload),
-            Kind::Accord => hand(&mut self.accord, now, self.peers.view(), *from, payload),
-            Kind::Budgets => hand(&mut self.budgets, now, self.peers.view(), *from, payload),
+            Kind::Accord => deliver(&mut self.accord, now, self.peers.view(), *from, payload),
+            Kind::Budgets => deliver(&mut self.budgets, now, self.peers.view(), *from, payload),
         }
     }
 
-    /// Lets time pass.
+    /// Advances all state machines to `now`.
     pub fn tick(&mut self, now: Moment) {
-        let now = self.at(now);
+        let now = self.advance_clock(now);
         self.peers.tick(now);
         self.tick_machines(now);
     }
 
-    /// When [`Plane::tick`] is wanted next.
+    /// When [`Plane::tick`] must be called next.
     pub fn due(&self) -> Option<Moment> {
         let of_accord = self.accord.as_ref().and_then(Machine::due);
         let of_budgets = self.budgets.as_ref().and_then(Machine::due);
         [self.peers.due(), of_accord, of_budgets].into_iter().flatten().min()
     }
 
-    /// What has come out since the last call. Where more is to leave than may, what comes last is dropped and counted:
-    /// membership goes first, then leases, then tables.
+    /// Takes the outputs since the last call. Datagrams beyond the rate limit are dropped and counted; membership has
+    /// priority, then leases, then tables.
     pub fn take(&mut self, now: Moment) -> Vec<PlaneOutput<A::News, B::News>> {
-        let now = self.at(now);
-        self.follow(now);
+        let now = self.advance_clock(now);
+        self.follow_view(now);
         let mut out = Vec::new();
         for output in self.peers.take() {
-            out.extend(self.pass(now, Kind::Peers, output, PlaneNews::Peers));
+            out.extend(self.emit(now, Kind::Peers, output, PlaneNews::Peers));
         }
         for output in self.budgets.as_mut().map(Machine::take).unwrap_or_default() {
-            out.extend(self.pass(now, Kind::Budgets, output, PlaneNews::Budgets));
+            out.extend(self.emit(now, Kind::Budgets, output, PlaneNews::Budgets));
         }
         for output in self.accord.as_mut().map(Machine::take).unwrap_or_default() {
-            out.extend(self.pass(now, Kind::Accord, output, PlaneNews::Accord));
+            out.extend(self.emit(now, Kind::Accord, output, PlaneNews::Accord));
         }
         out
     }
 
-    /// Who is there, as far as this node has heard.
+    /// This node's membership view.
     pub fn view(&self) -> &View {
         self.peers.view()
     }
 
-    /// What was counted so far.
+    /// Datagram counters.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Membership and what was heard of boxes.
+    /// The membership machine, which also holds the evidence about boxes.
     pub fn peers(&mut self) -> &mut Peers {
         &mut self.peers
     }
 
-    /// The placement table's machine, where it is on.
+    /// The placement table's state machine, if on.
     pub fn accord(&mut self) -> Option<&mut A> {
         self.accord.as_mut()
     }
 
-    /// The budgets' machine, where it is on.
+    /// The budgets' state machine, if on.
     pub fn budgets(&mut self) -> Option<&mut B> {
         self.budgets.as_mut()
     }
 
-    fn at(&mut self, now: Moment) -> Moment {
+    fn advance_clock(&mut self, now: Moment) -> Moment {
         self.now = self.now.max(now);
         self.now
     }
 
-    /// A view that has changed is shown to those that read it, at once and not at their next tick.
-    fn follow(&mut self, now: Moment) {
-        if self.peers.view().version != self.followed {
+    /// Ticks accord and budgets at once if the view has changed, rather than at their next deadline.
+    fn follow_view(&mut self, now: Moment) {
+        if self.peers.view().version != self.ticked_version {
             self.tick_machines(now);
         }
     }
 
     fn tick_machines(&mut self, now: Moment) {
         let view = self.peers.view();
-        self.followed = view.version;
+        self.ticked_version = view.version;
         if let Some(accord) = &mut self.accord {
             accord.tick(now, view);
         }
@@ -177,22 +188,22 @@
         }
     }
 
-    fn pass<N>(
+    fn emit<N>(
         &mut self,
         now: Moment,
         kind: Kind,
         output: Output<N>,
-        news: impl Fn(N) -> PlaneNews<A::News, B::News>,
+        wrap: impl Fn(N) -> PlaneNews<A::News, B::News>,
     ) -> Option<PlaneOutput<A::News, B::News>> {
         let (to, payload) = match output {
-            Output::News(told) => return Some(PlaneOutput::News(news(told))),
+            Output::News(event) => return Some(PlaneOutput::News(wrap(event))),
             Output::Send { to, payload } => (to, payload),
         };
-        let Some(bytes) = self.door.close(kind, to, payload) else {
+        let Some(bytes) = self.filter.encapsulate(kind, to, payload) else {
             self.counters.unsendable += 1;
             return None;
         };
-        if !self.pace.pass(now) {
+        if !self.rate_limit.try_take(now) {
             self.counters.held_back += 1;
             return None;
         }
@@ -201,8 +212,9 @@
     }
 }
 
-/// Gives a payload to the machine it is for, unless that is off or the word is of an earlier life of its sender.
-fn hand<M: Machine>(
+/// Passes a payload to its state machine, unless that is off or the payload is from an earlier incarnation of its
+/// sender.
+fn deliver<M: Machine>(
     machine: &mut Option<M>,
     now: Moment,
     view: &View,
--- a/crates/control-plane/tests/routing.rs
+++ b/crates/control-plane/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which datagrams reach which machine, and that each one is counted in exactly one place.
+//! Routing of datagrams to state machines, and that each datagram is counted exactly once.
 
 use std::time::Duration;
 
@@ -13,25 +13,26 @@
 const REALM: u32 = 7;
 const NOW: Moment = Duration::from_secs(1);
 
-/// Notes what reaches it. A payload `n` makes it send `n` payloads to node 1, or none with an error for 0.
-struct Note<const KIND: u8> {
+/// Records the payloads that it receives. A payload byte `count` makes it send that many payloads to node 1; 0 is an
+/// error.
+struct RecordingMachine<const KIND: u8> {
     ticks: u32,
     out: Vec<Output<(Life, u8)>>,
 }
 
-fn note<const KIND: u8>() -> Note<KIND> {
-    Note { ticks: 0, out: Vec::new() }
+fn recording_machine<const KIND: u8>() -> RecordingMachine<KIND> {
+    RecordingMachine { ticks: 0, out: Vec::new() }
 }
 
-impl<const KIND: u8> Machine for Note<KIND> {
+impl<const KIND: u8> Machine for RecordingMachine<KIND> {
     type News = (Life, u8);
     const KIND: Kind = if KIND == 2 { Kind::Accord } else { Kind::Budgets };
 
     fn receive(&mut self, _: Moment, _: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
-        let n = *payload.first().filter(|n| **n > 0).ok_or(Refused::Payload)?;
-        self.out.push(Output::News((from, n)));
-        let send = |_| Output::Send { to: NodeId(1), payload: vec![n] };
-        self.out.extend((0..n).map(send));
+        let count = *payload.first().filter(|count| **count > 0).ok_or(Refused::Payload)?;
+        self.out.push(Output::News((from, count)));
+        let send = |_| Output::Send { to: NodeId(1), payload: vec![count] };
+        self.out.extend((0..count).map(send));
         Ok(())
     }
 
@@ -48,28 +49,28 @@
     }
 }
 
-type Noted = Plane<Note<2>, Note<3>>;
+type TestPlane = Plane<RecordingMachine<2>, RecordingMachine<3>>;
 
 fn life(node: u16, incarnation: u64) -> Life {
     Life { node: NodeId(node), incarnation: Incarnation(incarnation) }
 }
 
 /// Node 0 of three; `accord` and `budgets` say which machines are on.
-fn plane(accord: bool, budgets: bool, rate: Rate) -> Noted {
-    let door = Door { realm: REALM, this: life(0, 9), configured: 3 };
-    let peers = Peers::new(PeersConfig::new(door.this, ZoneId(0), 3), 1, NOW, &[]).unwrap();
-    Plane::new(door, rate, NOW, peers, accord.then(note), budgets.then(note))
+fn plane(accord: bool, budgets: bool, rate: Rate) -> TestPlane {
+    let filter = Door { realm: REALM, this: life(0, 9), configured: 3 };
+    let peers = Peers::new(PeersConfig::new(filter.this, ZoneId(0), 3), 1, NOW, &[]).unwrap();
+    Plane::new(filter, rate, NOW, peers, accord.then(recording_machine), budgets.then(recording_machine))
 }
 
-const WIDE: Rate = Rate { a_second: 1000, burst: 500 };
+const HIGH_RATE: Rate = Rate { a_second: 1000, burst: 500 };
 
 fn datagram(kind: Kind, from: Life, to: u16, payload: &[u8]) -> Vec<u8> {
     let to = NodeId(to);
     Envelope { realm: REALM, kind, from, to, payload: payload.into() }.encode().unwrap()
 }
 
-/// What came out of accord and budgets: news with the machine's kind, and datagrams.
-fn taken(plane: &mut Noted, now: Moment) -> (Vec<(Kind, Life)>, usize) {
+/// Outputs of accord and budgets: events with the machine's kind, and the number of datagrams.
+fn take_outputs(plane: &mut TestPlane, now: Moment) -> (Vec<(Kind, Life)>, usize) {
     let (mut news, mut sent) = (Vec::new(), 0);
     for output in plane.take(now) {
         match output {
@@ -88,17 +89,17 @@
 
 #[test]
 fn a_payload_reaches_the_machine_of_its_kind_and_no_other() {
-    let mut plane = plane(true, true, WIDE);
+    let mut plane = plane(true, true, HIGH_RATE);
     for kind in [Kind::Accord, Kind::Budgets] {
         plane.receive(NOW, Some(NodeId(1)), &datagram(kind, life(1, 5), 0, &[2])).unwrap();
-        assert_eq!(taken(&mut plane, NOW), (vec![(kind, life(1, 5))], 2));
+        assert_eq!(take_outputs(&mut plane, NOW), (vec![(kind, life(1, 5))], 2));
     }
     let counters = plane.counters();
     assert_eq!((counters.received, counters.refused().count()), (2, 0));
 }
 
 #[test]
-fn what_is_no_peers_word_to_this_node_is_refused_and_changes_nothing() {
+fn datagrams_not_from_a_peer_to_this_node_are_refused_and_change_nothing() {
     let good = datagram(Kind::Accord, life(1, 5), 0, &[1]);
     let other_realm = {
         let mut envelope = Envelope::decode(&good).unwrap();
@@ -127,86 +128,86 @@
         (one, good[..9].into(), Refused::Short),
         (one, vec![0; 100], Refused::Foreign),
     ];
-    for (by, bytes, why) in cases {
-        let mut plane = plane(true, false, WIDE);
-        assert_eq!(plane.receive(NOW, by, &bytes), Err(why));
-        assert_eq!(taken(&mut plane, NOW), (vec![], 0), "{why}");
-        assert_eq!(plane.counters().refused().collect::<Vec<_>>(), [(why, 1)]);
-        assert_eq!(plane.view().members.len(), 1, "{why}: nobody was heard");
+    for (sender, bytes, cause) in cases {
+        let mut plane = plane(true, false, HIGH_RATE);
+        assert_eq!(plane.receive(NOW, sender, &bytes), Err(cause));
+        assert_eq!(take_outputs(&mut plane, NOW), (vec![], 0), "{cause}");
+        assert_eq!(plane.counters().refused().collect::<Vec<_>>(), [(cause, 1)]);
+        assert_eq!(plane.view().members.len(), 1, "{cause}: the view is unchanged");
     }
 }
 
-/// A word of an earlier life that comes late must not reach a machine once a newer life was heard of.
+/// A late datagram of an earlier incarnation must not reach a machine once a newer incarnation is known.
 #[test]
-fn an_earlier_lifes_word_is_refused_once_a_newer_one_is_known() {
-    let mut old = plane(true, true, WIDE);
-    let mut new = Noted::new(
+fn datagrams_of_an_earlier_incarnation_are_refused_once_a_newer_one_is_known() {
+    let mut receiver = plane(true, true, HIGH_RATE);
+    let mut restarted = TestPlane::new(
         Door { realm: REALM, this: life(1, 6), configured: 3 },
-        WIDE,
+        HIGH_RATE,
         NOW,
         Peers::new(PeersConfig::new(life(1, 6), ZoneId(0), 3), 2, NOW, &[]).unwrap(),
         None,
         None,
     );
-    let word = |incarnation| datagram(Kind::Budgets, life(1, incarnation), 0, &[1]);
-    assert_eq!(old.receive(NOW, Some(NodeId(1)), &word(5)), Ok(()));
-    // The newer life makes itself known by its own pings.
+    let message = |incarnation| datagram(Kind::Budgets, life(1, incarnation), 0, &[1]);
+    assert_eq!(receiver.receive(NOW, Some(NodeId(1)), &message(5)), Ok(()));
+    // The newer incarnation becomes known by its own pings.
     let mut now = NOW;
-    while old.view().incarnation(NodeId(1)).is_none() {
-        now = new.due().unwrap().max(now);
-        assert!(now < NOW + Duration::from_secs(10), "never heard");
-        new.tick(now);
-        for output in new.take(now) {
+    while receiver.view().incarnation(NodeId(1)).is_none() {
+        now = restarted.due().unwrap().max(now);
+        assert!(now < NOW + Duration::from_secs(10), "the newer incarnation never became known");
+        restarted.tick(now);
+        for output in restarted.take(now) {
             if let PlaneOutput::Datagram { to: NodeId(0), bytes } = output {
-                old.receive(now, Some(NodeId(1)), &bytes).unwrap();
+                receiver.receive(now, Some(NodeId(1)), &bytes).unwrap();
             }
         }
     }
-    assert_eq!(old.view().incarnation(NodeId(1)), Some(Incarnation(6)));
-    assert_eq!(old.receive(now, Some(NodeId(1)), &word(5)), Err(Refused::Stranger));
-    assert_eq!(old.receive(now, Some(NodeId(1)), &word(6)), Ok(()));
+    assert_eq!(receiver.view().incarnation(NodeId(1)), Some(Incarnation(6)));
+    assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(5)), Err(Refused::Stranger));
+    assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(6)), Ok(()));
 }
 
-/// Whatever the machines ask for, no more leaves than the bound; the rest is counted and the news stays.
+/// Datagrams beyond the rate limit are dropped and counted, whatever the machines send; events are never dropped.
 #[test]
-fn what_leaves_is_bounded_and_the_rest_is_counted() {
+fn sent_datagrams_are_rate_limited_and_the_others_are_counted() {
     let mut plane = plane(true, true, Rate { a_second: 100, burst: 50 });
-    let (mut sent, mut told) = (0, 0);
+    let (mut sent, mut events) = (0, 0);
     for ms in (0..1000).step_by(100) {
         let now = NOW + Duration::from_millis(ms);
         for kind in [Kind::Accord, Kind::Budgets] {
             plane.receive(now, Some(NodeId(1)), &datagram(kind, life(1, 5), 0, &[200])).unwrap();
         }
-        let (news, datagrams) = taken(&mut plane, now);
-        (sent, told) = (sent + datagrams as u64, told + news.len());
+        let (news, datagrams) = take_outputs(&mut plane, now);
+        (sent, events) = (sent + datagrams as u64, events + news.len());
     }
     let counters = plane.counters();
-    assert_eq!(told, 20);
+    assert_eq!(events, 20);
     assert!(counters.sent <= 50 + 100 && sent <= counters.sent, "{counters:?}");
-    assert!(counters.sent >= 100, "the bound can be had: {counters:?}");
+    assert!(counters.sent >= 100, "the rate is reached: {counters:?}");
     assert!(counters.held_back + counters.sent >= 20 * 200, "{counters:?}");
 }
 
-/// A machine's own mistake goes no further than a counter.
+/// A bug in a state machine has no effect beyond a counter.
 #[test]
-fn a_payload_that_no_datagram_holds_is_dropped_and_counted() {
-    let mut plane = plane(true, false, WIDE);
+fn an_unsendable_payload_is_dropped_and_counted() {
+    let mut plane = plane(true, false, HIGH_RATE);
     let accord = plane.accord().unwrap();
     accord.out.push(Output::Send { to: NodeId(1), payload: vec![0; MAX_PAYLOAD + 1] });
     accord.out.push(Output::Send { to: NodeId(0), payload: vec![] });
     accord.out.push(Output::Send { to: NodeId(3), payload: vec![] });
-    assert_eq!(taken(&mut plane, NOW), (vec![], 0));
+    assert_eq!(take_outputs(&mut plane, NOW), (vec![], 0));
     assert_eq!(plane.counters().unsendable, 3);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
-    /// Bytes of anybody's neither end the program nor reach a machine, and are counted once each.
+    /// Arbitrary bytes neither panic nor reach a machine, and are counted once each.
     #[test]
     fn any_bytes_are_refused_and_counted(bytes in prop::collection::vec(any::<u8>(), 0..300), by in 0..4u16) {
-        let mut plane = plane(true, true, WIDE);
+        let mut plane = plane(true, true, HIGH_RATE);
         prop_assert!(plane.receive(NOW, Some(NodeId(by)), &bytes).is_err());
-        prop_assert_eq!(plane.counters().refused().map(|(_, n)| n).sum::<u64>(), 1);
-        prop_assert_eq!(taken(&mut plane, NOW), (vec![], 0));
+        prop_assert_eq!(plane.counters().refused().map(|(_, count)| count).sum::<u64>(), 1);
+        prop_assert_eq!(take_outputs(&mut plane, NOW), (vec![], 0));
     }
 }
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -1,5 +1,5 @@
-//! How much of the configured limits each part may use. While two processes serve one address, at a takeover, the
-//! limits hold for both together and each has half.
+//! Divides the configured limits among client connections, server connections and buffers. While two processes serve
+//! one address during a takeover, the limits apply to both together and each process has half.
 
 #[cfg(test)]
 mod tests;
@@ -9,85 +9,93 @@
 
 use crate::config::{Limits, RESERVED};
 
+/// Socket and memory limits of this process, with the memory reserved so far.
 pub struct Budget {
     sockets: usize,
-    /// Bytes of commands and answers that may be held.
-    memory: usize,
+    /// Bytes that commands and answers may occupy.
+    memory_bytes: usize,
+    /// Processes that share the limits.
     processes: Cell<usize>,
-    held: Cell<usize>,
+    reserved_bytes: Cell<usize>,
 }
 
 impl Budget {
+    /// The limits for a process that serves its address alone.
     pub fn new(limits: &Limits) -> Rc<Self> {
         Rc::new(Budget {
             sockets: limits.sockets,
-            // Buffers hold more than they are asked to, and the program and its tables need some.
-            memory: (limits.memory_mb << 20) / 4,
+            // A quarter of the limit: buffers take more than is reserved for them, and the program and its tables need
+            // memory.
+            memory_bytes: (limits.memory_mb << 20) / 4,
             processes: Cell::new(1),
-            held: Cell::default(),
+            reserved_bytes: Cell::default(),
         })
     }
 
-    /// Another process serves this address too.
+    /// Records that another process serves this address too.
     pub fn join(&self) {
         self.processes.set(self.processes.get() + 1);
     }
 
-    /// It is gone.
+    /// Records that the other process is gone.
     pub fn leave(&self) {
         self.processes.set(self.processes.get() - 1);
     }
 
-    fn own_sockets(&self) -> usize {
+    fn process_sockets(&self) -> usize {
         self.sockets / self.processes.get()
     }
 
-    fn for_traffic(&self) -> usize {
-        self.own_sockets().saturating_sub(RESERVED)
+    fn traffic_sockets(&self) -> usize {
+        self.process_sockets().saturating_sub(RESERVED)
     }
 
-    /// Connections to cache servers that may be open.
+    /// Most open connections to cache servers.
     pub fn servers(&self) -> usize {
-        (self.for_traffic() / 3).max(1)
+        (self.traffic_sockets() / 3).max(1)
     }
 
-    /// Client connections that may be open.
+    /// Most open client connections.
     pub fn clients(&self) -> usize {
-        (self.for_traffic() - self.for_traffic() / 3).max(1)
+        (self.traffic_sockets() - self.traffic_sockets() / 3).max(1)
     }
 
-    /// Client connections from which on those between requests make room. Clients may hold a third of all at most
-    /// for requests; less, so that they never hold it idle.
+    /// Number of client connections from which on idle ones are closed. It is below the third of all sockets that
+    /// clients may use for requests, so that idle connections never take up that third.
     pub fn clients_wanted(&self) -> usize {
-        (self.own_sockets() / 4).clamp(1, self.clients())
+        (self.process_sockets() / 4).clamp(1, self.clients())
     }
 
+    /// Reserves memory.
     pub fn hold(&self, bytes: usize) {
-        self.held.set(self.held.get() + bytes);
+        self.reserved_bytes.set(self.reserved_bytes.get() + bytes);
     }
 
+    /// Releases reserved memory.
     pub fn release(&self, bytes: usize) {
-        self.held.set(self.held.get() - bytes);
+        self.reserved_bytes.set(self.reserved_bytes.get() - bytes);
     }
 
-    /// Whether more may be held.
+    /// Whether more memory may be reserved.
     pub fn has_room(&self) -> bool {
-        self.held.get() < self.memory / self.processes.get()
+        self.reserved_bytes.get() < self.memory_bytes / self.processes.get()
     }
 }
 
-/// Bytes that are held until this is dropped.
+/// A memory reservation that ends when this is dropped.
 pub struct Held {
     budget: Rc<Budget>,
     bytes: usize,
 }
 
 impl Held {
+    /// Reserves `bytes`.
     pub fn new(budget: &Rc<Budget>, bytes: usize) -> Self {
         budget.hold(bytes);
         Held { budget: budget.clone(), bytes }
     }
 
+    /// Changes the size of the reservation.
     pub fn set(&mut self, bytes: usize) {
         self.budget.hold(bytes);
         self.budget.release(std::mem::replace(&mut self.bytes, bytes));
--- a/crates/node/src/plane.rs
+++ b/crates/node/src/plane.rs
@@ -1,25 +1,25 @@
-//! The node's shell of the plane between nodes. It owns the plane, its socket and its timer; the driver tells it what
-//! was listed and seen, and is told what the module should know. Off unless a file switches it on.
+//! Runs the plane between nodes: owns its state machines, socket and timer. The driver passes in endpoint lists and
+//! attempt outcomes, and receives events for the balancer. Off unless a fleet file is given.
 
 mod boxes;
-mod figures;
+mod evidence_timer;
 mod fleet;
 mod machines;
+mod metrics;
 mod news;
-mod placing;
-mod refusals;
+mod permits;
+mod refusal_log;
 mod setup;
 mod socket;
-mod spend;
-mod spending;
 mod start;
 mod state;
-mod telling;
 #[cfg(test)]
 mod tests;
 mod told;
+mod usage;
+mod weights;
 
 pub use boxes::Sent;
 pub use fleet::Fleet;
+pub use permits::{Opened, Use};
 pub use setup::Setup;
-pub use spend::{Opened, Use};
--- a/crates/node/src/plane/boxes.rs
+++ b/crates/node/src/plane/boxes.rs
@@ -1,4 +1,4 @@
-//! What this node was told of boxes by the list, and saw of them itself, gathered for the plane.
+//! Records of the listed boxes: what the endpoint list says and what this node observed, collected for the plane.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,57 +8,58 @@
 use hallpin_quota::Resource;
 use twox_hash::XxHash3_64;
 
-use super::placing::Placing;
+use super::weights::TableWeights;
 use crate::roster::Roster;
 
-/// An attempt that is under way at one life of a box.
+/// An attempt in flight at one incarnation of a box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sent {
     server: ServerId,
-    to: BoxLife,
+    life: BoxLife,
 }
 
-/// How an attempt speaks for or against a box.
+/// What the outcome of an attempt says about a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Word {
+enum Evidence {
     Answered,
     Silent,
-    Nothing,
+    Inconclusive,
 }
 
-fn word(status: Status) -> Word {
+fn evidence_of(status: Status) -> Evidence {
     match status {
-        Status::Success | Status::Error | Status::Overloaded | Status::Absent => Word::Answered,
-        Status::TimedOut | Status::Unreachable | Status::Broken => Word::Silent,
-        // What this node itself ended, or cannot read.
-        _ => Word::Nothing,
+        Status::Success | Status::Error | Status::Overloaded | Status::Absent => Evidence::Answered,
+        Status::TimedOut | Status::Unreachable | Status::Broken => Evidence::Silent,
+        // Ended by this node itself, or not understood.
+        _ => Evidence::Inconclusive,
     }
 }
 
+/// One listed box.
 #[derive(Debug)]
-struct Seen {
+struct BoxRecord {
     life: BoxLife,
-    /// The start of this life on the module's clock.
+    /// Start of this incarnation on the balancer's clock.
     started: Option<Seconds>,
-    /// Its part of a placement table, in thousandths; none where it belongs in no table.
-    part: Option<u32>,
+    /// Weight in a placement table, in thousandths; `None` where the box belongs in no table.
+    table_weight: Option<u32>,
     answered: u32,
     silent: u32,
     in_flight: u32,
-    /// Whether there is something to say.
-    news: bool,
+    /// Whether anything has changed since the last [`Boxes::take_facts`].
+    has_changes: bool,
 }
 
-/// The boxes of the list; as many as that names.
+/// The listed boxes. Bounded by the size of the list.
 #[derive(Debug, Default)]
 pub struct Boxes {
-    placing: Placing,
-    seen: BTreeMap<ServerId, Seen>,
+    table_weights: TableWeights,
+    records: BTreeMap<ServerId, BoxRecord>,
     by_id: BTreeMap<u64, ServerId>,
 }
 
-/// What is divided of a box: its connections, whichever life of it they lead to, as a node that has not heard of
-/// the next life may still have some.
+/// The quota resource of a box: its connections. All incarnations share it, as a node that does not know of the next
+/// incarnation may still have connections to the last.
 pub fn resource(server: &ServerId) -> Resource {
     Resource(hash(server))
 }
@@ -68,87 +69,100 @@
 }
 
 impl Boxes {
-    pub fn new(placing: Placing) -> Self {
-        Boxes { placing, ..Boxes::default() }
+    /// No boxes until the first [`Boxes::apply_roster`].
+    pub fn new(table_weights: TableWeights) -> Self {
+        Boxes { table_weights, ..Boxes::default() }
     }
 
-    /// Follows the list. A box that has started anew begins with nothing held of it.
-    pub fn learn(&mut self, roster: &Roster) {
+    /// Applies an endpoint list. A box that has restarted begins with an empty record.
+    pub fn apply_roster(&mut self, roster: &Roster) {
         if roster.complete {
             let listed: BTreeSet<&ServerId> = roster.members.iter().map(|m| &m.entry.server).collect();
-            self.seen.retain(|server, _| listed.contains(server));
+            self.records.retain(|server, _| listed.contains(server));
         }
         for member in &roster.members {
             let server = &member.entry.server;
             if member.entry.state == ServerState::Gone {
-                self.seen.remove(server);
+                self.records.remove(server);
                 continue;
             }
             let life = BoxLife { id: hash(server), started_unix_ms: member.started_unix_ms };
-            let (started, part) = (member.entry.started, self.placing.part(&member.entry));
-            let new = || Seen { life, started, part, answered: 0, silent: 0, in_flight: 0, news: false };
-            let seen = self.seen.entry(server.clone()).or_insert_with(new);
-            if seen.life != life {
-                *seen = new();
+            let (started, table_weight) =
+                (member.entry.started, self.table_weights.weight_milli(&member.entry));
+            let new = || BoxRecord {
+                life,
+                started,
+                table_weight,
+                answered: 0,
+                silent: 0,
+                in_flight: 0,
+                has_changes: false,
+            };
+            let record = self.records.entry(server.clone()).or_insert_with(new);
+            if record.life != life {
+                *record = new();
             }
-            seen.part = part;
+            record.table_weight = table_weight;
         }
-        self.by_id = self.seen.iter().map(|(server, seen)| (seen.life.id, server.clone())).collect();
+        self.by_id = self.records.iter().map(|(server, record)| (record.life.id, server.clone())).collect();
     }
 
-    /// The array that the list would make.
+    /// The placement table that follows from the list.
     pub fn table(&self) -> Vec<TableEntry> {
-        let entry = |(server, seen): (&ServerId, &Seen)| {
-            Some(TableEntry { server: server.0.to_string(), weight_milli: seen.part? })
+        let entry = |(server, record): (&ServerId, &BoxRecord)| {
+            Some(TableEntry { server: server.0.to_string(), weight_milli: record.table_weight? })
         };
-        self.seen.iter().filter_map(entry).collect()
+        self.records.iter().filter_map(entry).collect()
     }
 
-    /// The whole of each box that is listed.
-    pub fn wholes(&self, connections: u32) -> BTreeMap<Resource, u32> {
-        self.seen.values().map(|seen| (Resource(seen.life.id), connections)).collect()
+    /// The connection capacity of each listed box.
+    pub fn capacities(&self, connections: u32) -> BTreeMap<Resource, u32> {
+        self.records.values().map(|record| (Resource(record.life.id), connections)).collect()
     }
 
-    /// What peers found of a life of a box, if that is the one listed.
-    pub fn evidence(&self, found: &BoxEvidence) -> Option<ServerEvidence> {
-        let server = self.by_id.get(&found.of.id)?;
-        let seen = self.seen.get(server).filter(|seen| seen.life == found.of)?;
-        let BoxEvidence { silent, answering, in_flight, .. } = *found;
-        Some(ServerEvidence { server: server.clone(), started: seen.started, silent, answering, in_flight })
+    /// Converts evidence of peers about a box; `None` unless it concerns the listed incarnation.
+    pub fn evidence(&self, evidence: &BoxEvidence) -> Option<ServerEvidence> {
+        let server = self.by_id.get(&evidence.of.id)?;
+        let record = self.records.get(server).filter(|record| record.life == evidence.of)?;
+        let BoxEvidence { silent, answering, in_flight, .. } = *evidence;
+        Some(ServerEvidence { server: server.clone(), started: record.started, silent, answering, in_flight })
     }
 
-    /// An attempt goes out. `None` for a box that the list does not name.
-    pub fn sent(&mut self, server: &ServerId) -> Option<Sent> {
-        let seen = self.seen.get_mut(server)?;
-        seen.in_flight = seen.in_flight.saturating_add(1);
-        seen.news = true;
-        Some(Sent { server: server.clone(), to: seen.life })
+    /// Records that an attempt begins. `None` for a box that is not listed.
+    pub fn record_attempt(&mut self, server: &ServerId) -> Option<Sent> {
+        let record = self.records.get_mut(server)?;
+        record.in_flight = record.in_flight.saturating_add(1);
+        record.has_changes = true;
+        Some(Sent { server: server.clone(), life: record.life })
     }
 
-    /// It ended. What went to an earlier life of the box says nothing of this one.
-    pub fn ended(&mut self, sent: &Sent, status: Status) {
-        let Some(seen) = self.seen.get_mut(&sent.server).filter(|seen| seen.life == sent.to) else { return };
-        seen.in_flight = seen.in_flight.saturating_sub(1);
-        seen.news = true;
-        match word(status) {
-            Word::Answered => seen.answered = seen.answered.saturating_add(1),
-            Word::Silent => seen.silent = seen.silent.saturating_add(1),
-            Word::Nothing => {}
+    /// Records an attempt's outcome. One at an earlier incarnation of the box is ignored.
+    pub fn record_outcome(&mut self, sent: &Sent, status: Status) {
+        let Some(record) = self.records.get_mut(&sent.server).filter(|record| record.life == sent.life)
+        else {
+            return;
+        };
+        record.in_flight = record.in_flight.saturating_sub(1);
+        record.has_changes = true;
+        match evidence_of(status) {
+            Evidence::Answered => record.answered = record.answered.saturating_add(1),
+            Evidence::Silent => record.silent = record.silent.saturating_add(1),
+            Evidence::Inconclusive => {}
         }
     }
 
-    /// What was seen since the last call.
-    pub fn facts(&mut self) -> Vec<OwnFact> {
-        let fact = |seen: &mut Seen| {
-            seen.news = false;
+    /// Takes the observations since the last call.
+    pub fn take_facts(&mut self) -> Vec<OwnFact> {
+        let fact = |record: &mut BoxRecord| {
+            record.has_changes = false;
             OwnFact {
-                of: seen.life,
-                answered: std::mem::take(&mut seen.answered),
-                silent: std::mem::take(&mut seen.silent),
-                in_flight: seen.in_flight,
+                of: record.life,
+                answered: std::mem::take(&mut record.answered),
+                silent: std::mem::take(&mut record.silent),
+                in_flight: record.in_flight,
             }
         };
-        self.seen.values_mut().filter(|seen| seen.news).map(fact).collect()
+        self.records.values_mut().filter(|record| record.has_changes).map(fact).collect()
     }
 }
 
@@ -167,47 +181,48 @@
     }
 
     #[test]
-    fn what_was_seen_is_told_once_and_what_is_under_way_stays() {
+    fn observations_are_taken_once_and_attempts_in_flight_stay_counted() {
         let (mut boxes, s) = (Boxes::default(), ServerId("s".into()));
-        assert_eq!(boxes.sent(&s), None, "not listed");
-        boxes.learn(&roster(true, &member("s", "ready", 5)));
-        let sent: Vec<Sent> = (0..4).filter_map(|_| boxes.sent(&s)).collect();
-        boxes.ended(&sent[0], Status::Success);
-        boxes.ended(&sent[1], Status::TimedOut);
-        boxes.ended(&sent[2], Status::Cancelled);
+        assert_eq!(boxes.record_attempt(&s), None, "not listed");
+        boxes.apply_roster(&roster(true, &member("s", "ready", 5)));
+        let sent: Vec<Sent> = (0..4).filter_map(|_| boxes.record_attempt(&s)).collect();
+        boxes.record_outcome(&sent[0], Status::Success);
+        boxes.record_outcome(&sent[1], Status::TimedOut);
+        boxes.record_outcome(&sent[2], Status::Cancelled);
         let of = BoxLife { id: hash(&s), started_unix_ms: 5 };
-        assert_eq!(boxes.facts(), [OwnFact { of, answered: 1, silent: 1, in_flight: 1 }]);
-        assert_eq!(boxes.facts(), []);
+        assert_eq!(boxes.take_facts(), [OwnFact { of, answered: 1, silent: 1, in_flight: 1 }]);
+        assert_eq!(boxes.take_facts(), []);
     }
 
-    /// Hard case 11: a box replaced at its address is not held to account for what its earlier life left unanswered.
+    /// A box replaced at its address must not count as silent for attempts that its earlier incarnation left unanswered
+    /// (hard case 11).
     #[test]
-    fn an_attempt_at_an_earlier_life_says_nothing_of_the_next() {
+    fn an_attempt_at_an_earlier_incarnation_does_not_count_for_the_next() {
         let (mut boxes, s) = (Boxes::default(), ServerId("s".into()));
-        boxes.learn(&roster(true, &member("s", "ready", 5)));
-        let sent = boxes.sent(&s).unwrap();
-        boxes.learn(&roster(false, &member("s", "ready", 6)));
-        boxes.ended(&sent, Status::TimedOut);
-        assert_eq!(boxes.facts(), []);
-        boxes.learn(&roster(false, &member("s", "gone", 6)));
-        assert_eq!(boxes.sent(&s), None);
+        boxes.apply_roster(&roster(true, &member("s", "ready", 5)));
+        let sent = boxes.record_attempt(&s).unwrap();
+        boxes.apply_roster(&roster(false, &member("s", "ready", 6)));
+        boxes.record_outcome(&sent, Status::TimedOut);
+        assert_eq!(boxes.take_facts(), []);
+        boxes.apply_roster(&roster(false, &member("s", "gone", 6)));
+        assert_eq!(boxes.record_attempt(&s), None);
     }
 
-    /// Peers' word of a life that is over reaches nobody.
+    /// Evidence of peers about an incarnation other than the listed one is dropped.
     #[test]
-    fn evidence_of_another_life_is_dropped() {
+    fn evidence_of_another_incarnation_is_dropped() {
         let mut boxes = Boxes::default();
-        boxes.learn(&roster(true, &member("s", "ready", 5)));
+        boxes.apply_roster(&roster(true, &member("s", "ready", 5)));
         let id = hash(&ServerId("s".into()));
-        let found = |since| BoxEvidence {
+        let evidence = |since| BoxEvidence {
             of: BoxLife { id, started_unix_ms: since },
             silent: 2,
             answering: 1,
             in_flight: 3,
         };
-        assert_eq!(boxes.evidence(&found(4)), None);
-        let told = boxes.evidence(&found(5)).unwrap();
-        assert_eq!((told.silent, told.answering, told.in_flight), (2, 1, 3));
-        assert!(told.started.is_some());
+        assert_eq!(boxes.evidence(&evidence(4)), None);
+        let converted = boxes.evidence(&evidence(5)).unwrap();
+        assert_eq!((converted.silent, converted.answering, converted.in_flight), (2, 1, 3));
+        assert!(converted.started.is_some());
     }
 }
--- a/crates/node/src/plane/fleet.rs
+++ b/crates/node/src/plane/fleet.rs
@@ -1,4 +1,4 @@
-//! The owner of the plane in a node: moves datagrams, lets time pass, and passes on what is told.
+//! Owns the plane in a node: moves datagrams, drives the timer, and passes on events.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::net::SocketAddr;
@@ -14,21 +14,22 @@
 use tracing::{error, info, warn};
 
 use super::boxes::Boxes;
-use super::figures;
+use super::evidence_timer::EvidenceTimer;
 use super::machines::NodePlane;
-use super::refusals::Refusals;
+use super::metrics;
+use super::refusal_log::RefusalLog;
 use super::socket::{Addresses, Socket};
-use super::spending::Spending;
-use super::state::{Kept, KeptTable, KeptView, State};
-use super::telling::Telling;
+use super::state::{CachedState, StateWriter, StoredTable, StoredView};
+use super::usage::Usage;
 use crate::log::Throttle;
 use crate::message::Message;
 
-/// How often peers are told what this node saw of boxes.
-pub(super) const GATHER: Duration = Duration::from_millis(200);
-/// The plane's timer rings no more often, whatever its machines ask for.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
+/// Interval at which this node's observations of boxes are passed to membership.
+pub(super) const GATHER_INTERVAL: Duration = Duration::from_millis(200);
+/// Shortest wait of the plane's timer, whatever deadlines its machines request.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
+/// The plane of this node with its socket, timer and bookkeeping.
 pub struct Fleet {
     pub(super) started: Instant,
     pub(super) listen: SocketAddr,
@@ -36,40 +37,43 @@
     pub(super) socket: OnceCell<Socket>,
     pub(super) plane: RefCell<NodePlane>,
     pub(super) boxes: RefCell<Boxes>,
+    /// When observations are next passed to membership.
     pub(super) gather_at: Cell<Moment>,
-    /// Something was told from within the node, and time is to be looked at anew.
-    pub(super) told: Notify,
-    pub(super) refusals: RefCell<Refusals>,
-    pub(super) said: Throttle,
+    /// Wakes the loop after a call from the node, as deadlines may have changed.
+    pub(super) wake: Notify,
+    pub(super) refusal_log: RefCell<RefusalLog>,
+    pub(super) log_throttle: Throttle,
+    /// Number of alive nodes in the last view.
     pub(super) alive: Cell<usize>,
-    /// When the module is told of peers' evidence.
-    pub(super) telling: Telling,
+    /// Schedules notifications of the balancer about peers' evidence.
+    pub(super) evidence_timer: EvidenceTimer,
+    /// Path of the contracts file.
     pub(super) contracts: Option<PathBuf>,
-    /// Connections that a box accepts of all nodes.
-    pub(super) whole: Option<u32>,
-    pub(super) spending: RefCell<Spending>,
-    /// When the next part that something is open by may shrink.
-    pub(super) ends: Cell<Option<Moment>>,
-    /// Closes kept connections that have to go.
-    pub(super) drop_cut: OnceCell<Box<dyn Fn()>>,
-    /// Nothing is said for so long from the start.
-    pub(super) quiet: Duration,
-    pub(super) state: RefCell<Option<State>>,
+    /// Connections that a box accepts from all nodes together; `None` without budgets.
+    pub(super) connections_per_box: Option<u32>,
+    pub(super) usage: RefCell<Usage>,
+    /// When the next lease ends that open connections depend on.
+    pub(super) next_expiry: Cell<Option<Moment>>,
+    /// Closes idle connections that were cut.
+    pub(super) close_idle_cut: OnceCell<Box<dyn Fn()>>,
+    /// How long after the start no datagram is sent.
+    pub(super) quiet_period: Duration,
+    pub(super) state: RefCell<Option<StateWriter>>,
     pub(super) messages: UnboundedSender<Message>,
-    /// Datagrams that the socket did not take.
-    pub(super) lost: Cell<u64>,
+    /// Datagrams that the socket did not accept.
+    pub(super) lost_datagrams: Cell<u64>,
 }
 
 impl Fleet {
-    /// The time on this node's own monotonic clock, which goes on while the process is paused.
+    /// The time since the start by this node's monotonic clock, which continues while the process is paused.
     pub(super) fn now(&self) -> Moment {
         self.started.elapsed()
     }
 
-    /// Reads, waits and sends for as long as the node runs.
+    /// Runs the receive, timer and send loop until the node ends.
     pub async fn run(self: Rc<Self>) {
         let Some(addresses) = self.addresses.take() else { return };
-        sleep_until(self.started + self.quiet).await;
+        sleep_until(self.started + self.quiet_period).await;
         if let Some(state) = &*self.state.borrow() {
             state.quiet_is_over();
         }
@@ -80,15 +84,15 @@
         info!(listen = %self.listen, "the plane between nodes is on");
         let mut pause = Duration::ZERO;
         loop {
-            self.pass_time();
+            self.advance();
             self.flush();
-            let (next, reading) = (self.next(), self.readable(pause));
+            let (wakeup, reading) = (self.next_wakeup(), self.readable(pause));
             tokio::select! {
                 () = reading => pause = self.read(),
-                () = self.told.notified() => {}
-                () = sleep_until(next) => {}
+                () = self.wake.notified() => {}
+                () = sleep_until(wakeup) => {}
             }
-            // Whatever comes in, requests have their turn before the next datagrams.
+            // Requests are processed between two batches of datagrams, however many arrive.
             tokio::task::yield_now().await;
         }
     }
@@ -105,12 +109,12 @@
 
     fn read(&self) -> Duration {
         let Some(socket) = self.socket.get() else { return Duration::ZERO };
-        let pause = socket.read(|by, bytes| {
-            // Read after the datagram has come, which leases count on.
+        let pause = socket.read(|sender, bytes| {
+            // Leases rely on the clock being read after the datagram has arrived.
             let now = self.now();
-            let taken = self.plane.borrow_mut().receive(now, by, bytes);
-            if let Err(why) = taken {
-                if let Some(dropped) = self.refusals.borrow_mut().dropped(Instant::now()) {
+            let result = self.plane.borrow_mut().receive(now, sender, bytes);
+            if let Err(why) = result {
+                if let Some(dropped) = self.refusal_log.borrow_mut().record(Instant::now()) {
                     warn!(%why, dropped, "datagrams dropped; the last was {why}");
                 }
             }
@@ -118,29 +122,29 @@
         pause.unwrap_or_default()
     }
 
-    fn next(&self) -> Instant {
+    fn next_wakeup(&self) -> Instant {
         let due = self.plane.borrow().due();
-        let times = [due, self.ends.get(), Some(self.gather_at.get())];
-        let next = times.into_iter().flatten().min().unwrap_or_default();
-        self.started + next.max(self.now() + LEAST_WAIT)
+        let times = [due, self.next_expiry.get(), Some(self.gather_at.get())];
+        let wakeup = times.into_iter().flatten().min().unwrap_or_default();
+        self.started + wakeup.max(self.now() + MIN_WAIT)
     }
 
-    fn pass_time(&self) {
+    fn advance(&self) {
         let now = self.now();
-        if self.ends.get().is_some_and(|ends| ends <= now) {
-            self.shrink_all();
+        if self.next_expiry.get().is_some_and(|expiry| expiry <= now) {
+            self.close_all_excess();
         }
         let mut plane = self.plane.borrow_mut();
         if now >= self.gather_at.get() {
-            self.gather_at.set(now + GATHER);
-            for fact in self.boxes.borrow_mut().facts() {
+            self.gather_at.set(now + GATHER_INTERVAL);
+            for fact in self.boxes.borrow_mut().take_facts() {
                 plane.peers().observe(now, fact);
             }
-            if self.telling.due(now) {
-                self.tell_evidence(&plane.peers().evidence(now));
+            if self.evidence_timer.take_due(now) {
+                self.notify_evidence(&plane.peers().evidence(now));
             }
             if let Some(state) = &mut *self.state.borrow_mut() {
-                state.keep(now, || kept(&mut plane));
+                state.write_if_due(now, || snapshot(&mut plane));
             }
         }
         if plane.due().is_some_and(|due| due <= now) {
@@ -148,39 +152,41 @@
         }
     }
 
+    /// Takes the plane's outputs: sends datagrams and handles events.
     pub(super) fn flush(&self) {
         let outputs = self.plane.borrow_mut().take(self.now());
         for output in outputs {
             match output {
                 PlaneOutput::Datagram { to, bytes } => {
-                    let left = self.socket.get().is_some_and(|socket| socket.send(to, &bytes));
-                    self.lost.set(self.lost.get() + u64::from(!left));
+                    let sent = self.socket.get().is_some_and(|socket| socket.send(to, &bytes));
+                    self.lost_datagrams.set(self.lost_datagrams.get() + u64::from(!sent));
                 }
-                PlaneOutput::News(news) => self.tell(news),
+                PlaneOutput::News(event) => self.handle_event(event),
             }
         }
     }
 
-    pub(super) fn figures(&self, out: &mut String) {
+    /// Writes the plane's metrics.
+    pub(super) fn write_metrics(&self, out: &mut String) {
         let (now, mut plane) = (self.now(), self.plane.borrow_mut());
-        figures::of_plane(out, plane.view(), plane.counters(), self.lost.get());
+        metrics::write_plane(out, plane.view(), plane.counters(), self.lost_datagrams.get());
         if let Some(accord) = plane.accord() {
-            figures::of_accord(out, accord, now);
+            metrics::write_accord(out, accord, now);
         }
         if let Some(budgets) = plane.budgets() {
-            let of: Vec<_> = self
-                .whole
-                .map(|whole| self.boxes.borrow().wholes(whole))
+            let resources: Vec<_> = self
+                .connections_per_box
+                .map(|connections| self.boxes.borrow().capacities(connections))
                 .unwrap_or_default()
                 .into_keys()
                 .collect();
-            figures::of_budgets(out, budgets, &of, &mut self.spending.borrow_mut(), now);
+            metrics::write_budgets(out, budgets, &resources, &mut self.usage.borrow_mut(), now);
         }
     }
 }
 
-/// What of the plane may outlive the process.
-fn kept(plane: &mut NodePlane) -> Kept {
-    let view = KeptView(plane.view().members.values().map(|member| member.life).collect());
-    Kept { table: plane.accord().map(|accord| KeptTable(accord.stored())), view }
+/// The plane's state that is stored across restarts.
+fn snapshot(plane: &mut NodePlane) -> CachedState {
+    let view = StoredView(plane.view().members.values().map(|member| member.life).collect());
+    CachedState { table: plane.accord().map(|accord| StoredTable(accord.stored())), view }
 }
--- a/crates/node/src/plane/machines.rs
+++ b/crates/node/src/plane/machines.rs
@@ -1,7 +1,8 @@
-//! Which machines the node's plane has.
+//! The plane type of a node, with its state machines.
 
 use hallpin_control_plane::Plane;
 use hallpin_placement::Accord;
 use hallpin_quota::Budgets;
 
+/// The plane with placement agreement and budgets.
 pub type NodePlane = Plane<Accord, Budgets>;
--- a/crates/node/src/plane/figures.rs
+++ b/crates/node/src/plane/metrics.rs
@@ -1,16 +1,17 @@
-//! The plane's lines among the node's figures; `docs/operators/processes.md` says what each means.
+//! The plane's metrics in the output of `show-stat`; `docs/operators/processes.md` describes each.
 
-use hallpin_control_plane::counters::{reason, Counters};
+use hallpin_control_plane::counters::{cause_name, Counters};
 use hallpin_membership::envelope::Refused;
 use hallpin_membership::names::Moment;
 use hallpin_membership::view::View;
 use hallpin_placement::{Accord, AccordState};
 use hallpin_quota::{Budgets, Resource, TenantIndex};
 
-use super::spending::Spending;
+use super::usage::Usage;
 use crate::figures::{escape, line};
 
-const REASONS: [Refused; 9] = [
+/// All causes of refusals, in the order of their metrics.
+const REFUSAL_CAUSES: [Refused; 9] = [
     Refused::TooLong,
     Refused::Short,
     Refused::Foreign,
@@ -22,67 +23,71 @@
     Refused::Payload,
 ];
 
-const STATES: [(AccordState, &str); 4] = [
+/// All states of placement agreement, with their values of the label `state`.
+const ACCORD_STATES: [(AccordState, &str); 4] = [
     (AccordState::InForce, "in_force"),
     (AccordState::Preparing, "preparing"),
     (AccordState::Out, "out"),
     (AccordState::CatchingUp, "catching_up"),
 ];
 
-/// Which placement table is in force here, and how this node stands to it.
-pub fn of_accord(out: &mut String, accord: &Accord, now: Moment) {
+/// Writes the metrics of the placement table in force and of this node's state towards it.
+pub fn write_accord(out: &mut String, accord: &Accord, now: Moment) {
     let id = accord.in_force().map(|table| table.id()).unwrap_or_default();
     line(out, format_args!("app_table_epoch {}", id.epoch));
     line(out, format_args!("app_table_version {}", id.version));
     let state = accord.state(now);
-    for (each, name) in STATES {
-        line(out, format_args!("app_table_state{{state=\"{name}\"}} {}", u8::from(each == state)));
+    for (listed_state, name) in ACCORD_STATES {
+        line(out, format_args!("app_table_state{{state=\"{name}\"}} {}", u8::from(listed_state == state)));
     }
     line(out, format_args!("app_table_coordinator {}", u8::from(accord.is_coordinator(now))));
-    let counts = accord.figures();
-    line(out, format_args!("app_table_switches_total {}", counts.switches));
-    line(out, format_args!("app_table_outs_total {}", counts.outs));
-    line(out, format_args!("app_table_lists_refused_total {}", counts.lists_refused));
+    let totals = accord.figures();
+    line(out, format_args!("app_table_switches_total {}", totals.switches));
+    line(out, format_args!("app_table_outs_total {}", totals.outs));
+    line(out, format_args!("app_table_lists_refused_total {}", totals.lists_refused));
 }
 
-/// What this node may have open at all boxes together, by tenant, and what it has.
-pub fn of_budgets(
+/// Writes the connection quota of all boxes together by tenant, and its use.
+pub fn write_budgets(
     out: &mut String,
     budgets: &Budgets,
-    of: &[Resource],
-    spending: &mut Spending,
+    resources: &[Resource],
+    usage: &mut Usage,
     now: Moment,
 ) {
     for (index, tenant) in (0..).zip(budgets.in_force().tenants()) {
         let (index, name) = (TenantIndex(index), escape(&tenant.name));
-        let part: u64 = of.iter().map(|of| u64::from(budgets.part(now, *of, index).count)).sum();
-        line(out, format_args!("app_budget_part{{tenant=\"{name}\"}} {part}"));
-        let refused = spending.refused_total.get(&index).unwrap_or(&0);
-        line(out, format_args!("app_budget_refused_total{{tenant=\"{name}\"}} {refused}"));
+        let allotted: u64 = resources
+            .iter()
+            .map(|resource| u64::from(budgets.allotment(now, *resource, index).max_uses))
+            .sum();
+        line(out, format_args!("app_budget_part{{tenant=\"{name}\"}} {allotted}"));
+        let rejected = usage.rejected_total.get(&index).unwrap_or(&0);
+        line(out, format_args!("app_budget_refused_total{{tenant=\"{name}\"}} {rejected}"));
     }
-    let (open, used) = spending.counts(now);
+    let (open, used) = usage.counts(now);
     line(out, format_args!("app_budget_open {open}"));
     line(out, format_args!("app_budget_in_use {used}"));
-    line(out, format_args!("app_budget_cut_total {}", spending.cut_total));
+    line(out, format_args!("app_budget_cut_total {}", usage.cut_total));
     line(out, format_args!("app_budget_contracts {}", budgets.in_force().revision));
 }
 
-/// Who is there, and what became of datagrams; `lost` are those that the socket did not take.
-pub fn of_plane(out: &mut String, view: &View, counters: &Counters, lost: u64) {
+/// Writes the metrics of membership and datagrams; `lost` counts datagrams that the socket did not accept.
+pub fn write_plane(out: &mut String, view: &View, counters: &Counters, lost: u64) {
     line(out, format_args!("app_peers_alive {}", view.alive().count()));
     line(out, format_args!("app_peers_configured {}", view.configured));
     line(out, format_args!("app_peers_cut_off {}", u8::from(view.cut_off)));
-    let ways = [
+    let directions = [
         ("in", counters.received),
         ("out", counters.sent.saturating_sub(lost)),
         ("held_back", counters.held_back + counters.unsendable),
         ("lost", lost),
     ];
-    for (way, count) in ways {
-        line(out, format_args!("app_plane_datagrams_total{{way=\"{way}\"}} {count}"));
+    for (direction, count) in directions {
+        line(out, format_args!("app_plane_datagrams_total{{way=\"{direction}\"}} {count}"));
     }
-    for why in REASONS {
-        let (name, count) = (reason(why), counters.refused_for(why));
+    for cause in REFUSAL_CAUSES {
+        let (name, count) = (cause_name(cause), counters.refused_for(cause));
         line(out, format_args!("app_plane_refused_total{{why=\"{name}\"}} {count}"));
     }
 }
--- a/crates/node/src/plane/news.rs
+++ b/crates/node/src/plane/news.rs
@@ -1,48 +1,54 @@
-//! What the plane says is told on: to the module by way of the driver, and to the log.
+//! Handles events of the plane: notifies the balancer through the driver, and writes log lines.
 
 use hallpin_balancer::{FleetNews, ServerId, TableEntry};
 use hallpin_control_plane::PlaneNews;
 use hallpin_membership::facts::{BoxEvidence, PeersNews};
 use hallpin_placement::{AccordNews, Table};
-use hallpin_quota::BudgetsNews;
+use hallpin_quota::BudgetsEvent;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 
 use super::fleet::Fleet;
 use crate::message::Message;
 
-type News = PlaneNews<AccordNews, BudgetsNews>;
+/// The events of this node's plane.
+type PlaneEvent = PlaneNews<AccordNews, BudgetsEvent>;
 
 impl Fleet {
-    pub(super) fn tell(&self, news: News) {
-        match news {
+    /// Acts on an event of the plane.
+    pub(super) fn handle_event(&self, event: PlaneEvent) {
+        match event {
             PlaneNews::Peers(PeersNews::CutOff(true)) => warn!("cut off: no other node is heard"),
-            PlaneNews::Peers(PeersNews::CutOff(false)) => info!("other nodes are heard again"),
-            PlaneNews::Peers(PeersNews::View) => self.of_view(),
-            // Told with the next gathering: it may change with every datagram.
-            PlaneNews::Peers(PeersNews::Evidence) => self.telling.changed(),
+            PlaneNews::Peers(PeersNews::CutOff(false)) => {
+                info!("no longer cut off: other nodes are heard again")
+            }
+            PlaneNews::Peers(PeersNews::View) => self.log_view(),
+            // Sent with the next gathering, as evidence may change with every datagram.
+            PlaneNews::Peers(PeersNews::Evidence) => self.evidence_timer.trigger(),
             PlaneNews::Accord(AccordNews::Switch(table)) => self.switch(&table),
             PlaneNews::Accord(AccordNews::Out) => {
-                warn!("out: the lease on the placement table is over; the other nodes may go on without this one");
+                warn!("out: the lease on the placement table is over; other nodes may switch tables without this one");
             }
             PlaneNews::Accord(AccordNews::Back) => {
-                info!("back: a lease on the placement table is held again")
+                info!("back: the lease on the placement table was regained")
             }
             PlaneNews::Accord(AccordNews::Prepared { version }) => {
-                debug!(version, "a table is held, not yet in force")
+                debug!(version, "a table is prepared, not yet in force")
             }
             PlaneNews::Accord(AccordNews::Dropped { version }) => info!(version, "a table was dropped"),
-            PlaneNews::Budgets(BudgetsNews::Parts) => self.shrink_all(),
-            PlaneNews::Budgets(BudgetsNews::Granting { epoch }) => info!(epoch, "grants parts of budgets"),
-            PlaneNews::Budgets(BudgetsNews::Stopped) => info!("grants parts of budgets no longer"),
+            PlaneNews::Budgets(BudgetsEvent::AllotmentsChanged) => self.close_all_excess(),
+            PlaneNews::Budgets(BudgetsEvent::GrantingStarted { epoch }) => {
+                info!(epoch, "grants parts of budgets")
+            }
+            PlaneNews::Budgets(BudgetsEvent::GrantingStopped) => info!("grants parts of budgets no longer"),
         }
     }
 
-    fn of_view(&self) {
+    fn log_view(&self) {
         let plane = self.plane.borrow();
         let (alive, of) = (plane.view().alive().count(), plane.view().configured);
         if self.alive.replace(alive) != alive {
-            if let Some(suppressed) = self.said.pass(Instant::now()) {
+            if let Some(suppressed) = self.log_throttle.pass(Instant::now()) {
                 info!(alive, of, suppressed, "nodes that are there");
             }
         }
@@ -56,20 +62,21 @@
             weight: f64::from(entry.weight_milli) / 1000.0,
         };
         let entries = table.entries.iter().map(entry).collect();
-        self.to_module(FleetNews::Table { epoch, version, entries });
+        self.notify_balancer(FleetNews::Table { epoch, version, entries });
     }
 
-    pub(super) fn tell_evidence(&self, found: &[BoxEvidence]) {
+    /// Notifies the balancer of peers' evidence about listed boxes.
+    pub(super) fn notify_evidence(&self, evidence: &[BoxEvidence]) {
         let boxes = self.boxes.borrow();
-        let servers: Vec<_> = found.iter().filter_map(|each| boxes.evidence(each)).collect();
+        let servers: Vec<_> = evidence.iter().filter_map(|item| boxes.evidence(item)).collect();
         if servers.is_empty() {
             return;
         }
-        self.to_module(FleetNews::Servers(servers));
+        self.notify_balancer(FleetNews::Servers(servers));
     }
 
-    fn to_module(&self, news: FleetNews) {
-        // The driver is gone only when the program ends.
-        let _ = self.messages.send(Message::Fleet(news));
+    fn notify_balancer(&self, event: FleetNews) {
+        // The receiver is dropped only when the program ends.
+        let _ = self.messages.send(Message::Fleet(event));
     }
 }
--- a/crates/node/src/plane/setup.rs
+++ b/crates/node/src/plane/setup.rs
@@ -1,4 +1,4 @@
-//! What a node with a plane is told at its start, read and checked before anything runs.
+//! Reads and validates the configuration of the plane before the node starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,63 +15,66 @@
 use super::state::{self, RestoredState, StateFile};
 use crate::config::{wrong, Config, Wrong};
 
-/// Most nodes of a federation.
+/// Most nodes in a federation.
 const MAX_NODES: usize = 1024;
 
-/// What the file, the configuration and its settings say together.
+/// The plane's configuration from the fleet file, the node's configuration and its settings.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub file: FleetFile,
-    /// The file of contracts and what it said, where there are budgets.
+    /// Path and contents of the contracts file, if budgets are on.
     pub contracts: Option<(PathBuf, Contracts)>,
-    /// The file of what outlives the process, where there is one.
+    /// Path of the state file, if state is stored.
     pub state: Option<PathBuf>,
-    /// Where datagrams come in.
+    /// Address that datagrams are received on.
     pub listen: SocketAddr,
-    /// Where each node is sent to and sends from, by its number.
+    /// Address of each node, by its number.
     pub peers: Vec<SocketAddr>,
+    /// This node's number.
     pub this: NodeId,
+    /// This node's zone.
     pub zone: ZoneId,
+    /// Number of zones.
     pub zones: u16,
 }
 
 impl Setup {
-    /// Reads the file that switches the plane on, and what of the configuration it needs.
+    /// Reads the fleet file and the configuration fields that the plane requires.
     pub fn read(path: &Path, config: &Config) -> Result<Self, Wrong> {
         let text = std::fs::read_to_string(path).map_err(wrong(&path.display().to_string()))?;
         let file = FleetFile::parse(&text).map_err(|error| Wrong(format!("{}:{error}", path.display())))?;
-        let beside = |named: &PathBuf| path.parent().unwrap_or(Path::new("")).join(named);
-        let contracts = file.budgets.as_ref().map(|budgets| beside(&budgets.contracts));
+        let resolve = |named: &PathBuf| path.parent().unwrap_or(Path::new("")).join(named);
+        let contracts = file.budgets.as_ref().map(|budgets| resolve(&budgets.contracts));
         let contracts = contracts.map(|path| read_contracts(&path).map(|read| (path, read))).transpose()?;
-        let listen = field(&config.peer_listen, "peer_listen", "an address")?;
-        let peers: Vec<SocketAddr> = field(&config.peers, "peers", "a list of addresses")?;
+        let listen = required_field(&config.peer_listen, "peer_listen", "an address")?;
+        let peers: Vec<SocketAddr> = required_field(&config.peers, "peers", "a list of addresses")?;
         let count = u16::try_from(peers.len()).ok().filter(|n| (1..=MAX_NODES as u16).contains(n));
         let count = count.ok_or_else(|| Wrong(format!("peers: 1 to {MAX_NODES} addresses expected")))?;
         let this = own_number(listen, &peers, &config.settings["me"])?;
         let state =
-            file.state.as_ref().map(|state| beside(&state.folder).join(format!("node-{}.state", this.0)));
+            file.state.as_ref().map(|state| resolve(&state.folder).join(format!("node-{}.state", this.0)));
         let (zone, zones) = own_zone(&config.settings)?;
         debug_assert!(this.0 < count);
         Ok(Setup { file, contracts, state, listen, peers, this, zone, zones })
     }
 
-    /// How this life begins, and what it has of the one before.
-    pub fn begin(&self) -> RestoredState {
+    /// Begins a new incarnation with the state that the last one stored.
+    pub fn restore(&self) -> RestoredState {
         let identity = Identity { realm: self.file.realm_number(), node: self.this };
         match self.state.as_deref().zip(self.file.state.as_ref()) {
             Some((path, section)) => {
                 state::begin(StateFile::new(path, identity, section.max_age.0), section.every.0)
             }
-            None => state::without(),
+            None => state::begin_without_store(),
         }
     }
 
-    /// How many nodes there are; bounded at reading.
+    /// Number of nodes; [`Setup::read`] limits it to `MAX_NODES`.
     pub fn configured(&self) -> u16 {
         self.peers.len() as u16
     }
 
-    /// What agrees on tables, where that is on.
+    /// Settings of placement agreement, if on.
     pub fn accord_config(&self, this: Life) -> Option<AccordConfig> {
         let (configured, drift_ppm) = (self.configured(), self.file.drift_ppm);
         let with =
@@ -79,7 +82,7 @@
         self.file.table.as_ref().map(|table| with(table.lease.0))
     }
 
-    /// What divides connections, where that is on.
+    /// Settings of budgets, if on.
     pub fn budgets_config(&self, this: Life) -> Option<BudgetsConfig> {
         let with = |lease| BudgetsConfig {
             drift_ppm: self.file.drift_ppm,
@@ -88,6 +91,7 @@
         self.file.budgets.as_ref().map(|budgets| with(budgets.lease.0))
     }
 
+    /// Settings of membership.
     pub fn peers_config(&self, this: Life) -> PeersConfig {
         let Membership { probe_every, probe_timeout, suspicion_min, suspicion_max, recent, .. } =
             self.file.membership;
@@ -105,36 +109,42 @@
     }
 }
 
-/// Reads the file of contracts.
+/// Reads a contracts file.
 pub fn read_contracts(path: &Path) -> Result<Contracts, Wrong> {
     let text = std::fs::read_to_string(path).map_err(wrong(&path.display().to_string()))?;
     Contracts::parse(&text).map_err(|error| Wrong(format!("{}:{error}", path.display())))
 }
 
-fn field<T: serde::de::DeserializeOwned>(from: &Value, name: &str, expected: &str) -> Result<T, Wrong> {
-    let told = |error| Wrong(format!("{name}: {expected} expected with --fleet: {error}"));
-    T::deserialize(from).map_err(told)
+fn required_field<T: serde::de::DeserializeOwned>(
+    from: &Value,
+    name: &str,
+    expected: &str,
+) -> Result<T, Wrong> {
+    let config_error = |error| Wrong(format!("{name}: {expected} expected with --fleet: {error}"));
+    T::deserialize(from).map_err(config_error)
 }
 
-/// The place of its own address among the peers, or else what the settings say.
+/// This node's number: the position of its address among the peers, or else `me` of the settings.
 fn own_number(listen: SocketAddr, peers: &[SocketAddr], me: &Value) -> Result<NodeId, Wrong> {
     let by_address = peers.iter().position(|peer| *peer == listen);
-    let told = || me.as_u64().and_then(|me| usize::try_from(me).ok()).filter(|me| *me < peers.len());
-    let number = by_address.or_else(told).and_then(|at| u16::try_from(at).ok()).map(NodeId);
+    let by_settings = || me.as_u64().and_then(|me| usize::try_from(me).ok()).filter(|me| *me < peers.len());
+    let number = by_address.or_else(by_settings).and_then(|at| u16::try_from(at).ok()).map(NodeId);
     number.ok_or_else(|| {
         Wrong("peers: peer_listen among them expected, or settings.me below their number".into())
     })
 }
 
-/// The place of the node's zone among all, and their number; one zone where the settings name none.
+/// The position of the node's zone among the areas, and their number; one zone where the settings name no areas.
 fn own_zone(settings: &Value) -> Result<(ZoneId, u16), Wrong> {
     let Some(areas) = settings["areas"].as_array().filter(|areas| !areas.is_empty()) else {
         return Ok((ZoneId(0), 1));
     };
     let zones = u16::try_from(areas.len()).map_err(wrong("settings.areas"))?;
-    let own = areas.iter().position(|area| *area == settings["locality"]);
-    let own = own.and_then(|at| u16::try_from(at).ok()).map(ZoneId);
-    own.map(|zone| (zone, zones)).ok_or_else(|| Wrong("settings.locality: one of the areas expected".into()))
+    let position = areas.iter().position(|area| *area == settings["locality"]);
+    let position = position.and_then(|at| u16::try_from(at).ok()).map(ZoneId);
+    position
+        .map(|zone| (zone, zones))
+        .ok_or_else(|| Wrong("settings.locality: one of the areas expected".into()))
 }
 
 #[cfg(test)]
@@ -143,7 +153,7 @@
     use serde_json::json;
 
     #[test]
-    fn the_own_number_is_the_place_of_the_own_address_or_else_what_the_settings_say() {
+    fn own_number_is_the_position_of_the_own_address_or_else_from_the_settings() {
         let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
         let peers = [at(1), at(2), at(3)];
         for (listen, me, number) in [
@@ -159,7 +169,7 @@
     }
 
     #[test]
-    fn the_zone_is_its_place_among_the_areas() {
+    fn the_zone_is_its_position_among_the_areas() {
         for (settings, zone) in [
             (json!({}), Some((ZoneId(0), 1))),
             (json!({"areas": ["a", "b"], "locality": "b"}), Some((ZoneId(1), 2))),
--- a/crates/node/src/plane/socket.rs
+++ b/crates/node/src/plane/socket.rs
@@ -1,4 +1,4 @@
-//! The plane's one UDP socket: how much is read at once, and who is behind an address.
+//! The plane's UDP socket: bounded batches of reads, and the mapping between addresses and nodes.
 
 #[cfg(test)]
 mod tests;
@@ -17,61 +17,63 @@
 use crate::port::may_be_had_later;
 use crate::system_error::{classify, report, ErrorClass, Operation, SystemCall};
 
-/// Datagrams read in one turn, so that requests have theirs between two.
-const TURN: usize = 32;
-/// After a full turn none are read for so long: a flood takes no more than its part of the one core, and what lies
-/// unread the kernel drops.
-const PAUSE: Duration = Duration::from_millis(1);
-/// How often an address that cannot be had is tried, as a process that ends may still hold it.
-const AGAIN: Duration = Duration::from_millis(50);
-/// After a read that failed for want of memory, or that cannot succeed, none is made for so long.
-const FAILED_PAUSE: Duration = Duration::from_millis(50);
+/// Most datagrams read in one batch, so that requests are processed in between.
+const MAX_BATCH: usize = 32;
+/// Pause after a full batch: it bounds the share of the single core that a flood takes. The kernel drops what its
+/// buffer cannot hold meanwhile.
+const BATCH_PAUSE: Duration = Duration::from_millis(1);
+/// Interval of attempts to bind an address, which a process that is ending may still hold.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause after a read that failed for lack of memory or that cannot succeed.
+const ERROR_PAUSE: Duration = Duration::from_millis(50);
 
-/// Whom the addresses of the configuration belong to.
+/// The configured addresses by node, and the reverse.
 pub struct Addresses {
-    of: Vec<SocketAddr>,
-    by: HashMap<SocketAddr, NodeId>,
+    by_node: Vec<SocketAddr>,
+    by_address: HashMap<SocketAddr, NodeId>,
 }
 
 impl Addresses {
-    pub fn new(of: Vec<SocketAddr>) -> Self {
-        // There are no more than a number holds, as was checked.
-        let by = of.iter().zip(0..).map(|(address, n)| (*address, NodeId(n))).collect();
-        Addresses { of, by }
+    pub fn new(by_node: Vec<SocketAddr>) -> Self {
+        // `Setup::read` has checked that the number of addresses fits a node number.
+        let by_address =
+            by_node.iter().zip(0..).map(|(address, number)| (*address, NodeId(number))).collect();
+        Addresses { by_node, by_address }
     }
 }
 
+/// The bound socket.
 pub struct Socket {
     inner: UdpSocket,
     addresses: Addresses,
 }
 
 impl Socket {
-    /// Binds, and waits for an address that is in use and for a machine that is short of descriptors or memory.
+    /// Binds the address; retries while it is in use or the machine is short of descriptors or memory.
     ///
     /// # Errors
-    /// Where this machine does not have the address, or the like.
+    /// Returns errors that do not pass with time, such as an address that is not this machine's.
     pub async fn bind(listen: SocketAddr, addresses: Addresses) -> io::Result<Self> {
         let inner = retry_bind(listen, async || UdpSocket::bind(listen).await).await?;
         Ok(Socket { inner, addresses })
     }
 
-    /// Waits until there is something to read.
+    /// Waits until a datagram can be read.
     pub async fn readable(&self) {
         if self.inner.readable().await.is_err() {
-            sleep(PAUSE).await;
+            sleep(BATCH_PAUSE).await;
         }
     }
 
-    /// Reads one turn's datagrams. Where that was all that may be read at once, the next turn has to wait.
+    /// Reads one batch of datagrams. Returns the pause before the next read, if one is required.
     pub fn read(&self, mut each: impl FnMut(Option<NodeId>, &[u8])) -> Option<Duration> {
-        let each = |from, bytes: &[u8]| each(self.addresses.by.get(&from).copied(), bytes);
-        read_turn(|buffer| self.inner.try_recv_from(buffer), each)
+        let each = |from, bytes: &[u8]| each(self.addresses.by_address.get(&from).copied(), bytes);
+        read_batch(|buffer| self.inner.try_recv_from(buffer), each)
     }
 
-    /// Whether it left. One that does not is lost, as on the way.
+    /// Sends a datagram; returns false where it was lost, which callers treat like loss on the network.
     pub fn send(&self, to: NodeId, bytes: &[u8]) -> bool {
-        let address = self.addresses.of.get(usize::from(to.0));
+        let address = self.addresses.by_node.get(usize::from(to.0));
         address.is_some_and(|address| send(|| self.inner.try_send_to(bytes, *address)))
     }
 }
@@ -80,46 +82,46 @@
     listen: SocketAddr,
     mut bind: impl AsyncFnMut() -> io::Result<UdpSocket>,
 ) -> io::Result<UdpSocket> {
-    let mut told = false;
+    let mut logged = false;
     loop {
         match bind().await {
             Err(error) if may_be_had_later(&error) => {
                 if error.kind() != io::ErrorKind::AddrInUse {
-                    report(Operation::Listen, &error, "trying again");
-                } else if !std::mem::replace(&mut told, true) {
+                    report(Operation::Listen, &error, "retrying the bind");
+                } else if !std::mem::replace(&mut logged, true) {
                     warn!(%listen, "the plane's address is in use; waiting for it");
                 }
-                sleep(AGAIN).await;
+                sleep(BIND_RETRY_INTERVAL).await;
             }
             bound => return bound,
         }
     }
 }
 
-fn read_turn(
+fn read_batch(
     mut receive: impl FnMut(&mut [u8]) -> io::Result<(usize, SocketAddr)>,
     mut each: impl FnMut(SocketAddr, &[u8]),
 ) -> Option<Duration> {
-    // One byte more than may be, so that a longer one is told from one that fits.
+    // One byte more than the limit, so that an oversized datagram is recognised.
     let mut buffer = [0; MAX_DATAGRAM + 1];
-    for _ in 0..TURN {
+    for _ in 0..MAX_BATCH {
         match receive(&mut buffer) {
             Ok((length, from)) => each(from, &buffer[..length]),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return None,
             Err(error) => match classify(SystemCall::Transfer, &error) {
-                // Told of a datagram sent before, such as that nobody listens there; the next read is good.
+                // Reports a datagram sent earlier, such as to a port without a listener; the next read is not affected.
                 ErrorClass::RetryNow | ErrorClass::PeerFault => {}
                 ErrorClass::OwnShortage | ErrorClass::Fatal => {
                     report(Operation::ReceiveDatagram, &error, "reading again after a pause");
-                    return Some(FAILED_PAUSE);
+                    return Some(ERROR_PAUSE);
                 }
             },
         }
     }
-    Some(PAUSE)
+    Some(BATCH_PAUSE)
 }
 
-/// Sends, once more where a signal interrupted it.
+/// Sends, with one retry if interrupted by a signal.
 fn send(mut send: impl FnMut() -> io::Result<usize>) -> bool {
     let sent = send().or_else(|error| match classify(SystemCall::Transfer, &error) {
         ErrorClass::RetryNow => send(),
--- a/crates/node/src/plane/socket/tests.rs
+++ b/crates/node/src/plane/socket/tests.rs
@@ -1,66 +1,69 @@
-//! Datagrams as they come, and what the system says where a call fails.
+//! Batches of reads, and system call errors.
 
 use rustix::io::Errno;
 
 use super::*;
 
-/// However much lies there, a turn ends; what is longer than a datagram may be is seen to be.
+/// A batch is bounded however many datagrams are queued, and an oversized datagram is recognised.
 #[tokio::test]
-async fn a_turn_is_bounded_and_a_sender_is_told_by_its_address() {
+async fn a_batch_is_bounded_and_senders_are_identified_by_address() {
     let (peer, stranger) =
         (UdpSocket::bind("127.0.0.1:0").await.unwrap(), UdpSocket::bind("127.0.0.1:0").await.unwrap());
     let listen = "127.0.0.1:0".parse().unwrap();
     let addresses = Addresses::new(vec![listen, peer.local_addr().unwrap()]);
     let socket = Socket::bind(listen, addresses).await.unwrap();
-    let at = socket.inner.local_addr().unwrap();
-    for _ in 0..TURN {
-        peer.send_to(&[7; 300], at).await.unwrap();
+    let address = socket.inner.local_addr().unwrap();
+    for _ in 0..MAX_BATCH {
+        peer.send_to(&[7; 300], address).await.unwrap();
     }
-    stranger.send_to(&[7; 10], at).await.unwrap();
-    let mut came = Vec::new();
-    while came.len() <= TURN {
+    stranger.send_to(&[7; 10], address).await.unwrap();
+    let mut received = Vec::new();
+    while received.len() <= MAX_BATCH {
         socket.readable().await;
-        let before = came.len();
-        let pause = socket.read(|by, bytes| came.push((by, bytes.len())));
-        assert!(came.len() - before <= TURN);
-        assert_eq!(pause, (came.len() - before == TURN).then_some(PAUSE));
+        let before = received.len();
+        let pause = socket.read(|sender, bytes| received.push((sender, bytes.len())));
+        assert!(received.len() - before <= MAX_BATCH);
+        assert_eq!(pause, (received.len() - before == MAX_BATCH).then_some(BATCH_PAUSE));
     }
     let of_peer = (Some(NodeId(1)), MAX_DATAGRAM + 1);
-    assert!(came[..TURN].iter().all(|each| *each == of_peer) && came[TURN] == (None, 10), "{came:?}");
+    assert!(
+        received[..MAX_BATCH].iter().all(|each| *each == of_peer) && received[MAX_BATCH] == (None, 10),
+        "{received:?}"
+    );
 }
 
 fn failed<T>(errno: Errno) -> io::Result<T> {
     Err(errno.into())
 }
 
-/// A pending error is taken off with the read that tells it; what lies behind it is read in the same turn.
+/// A pending error is cleared by the read that reports it; the datagrams behind it are read in the same batch.
 #[test]
-fn errors_of_datagrams_sent_before_hold_up_no_read() {
+fn errors_of_earlier_sends_do_not_stop_a_batch() {
     let from = "127.0.0.1:9".parse().unwrap();
     for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::INTR] {
         let mut reads = vec![failed(Errno::AGAIN), Ok((3, from)), failed(errno)];
-        let mut came = Vec::new();
-        let pause = read_turn(|_| reads.pop().unwrap(), |_, bytes| came.push(bytes.len()));
-        assert_eq!((pause, came), (None, vec![3]), "{errno:?}");
+        let mut received = Vec::new();
+        let pause = read_batch(|_| reads.pop().unwrap(), |_, bytes| received.push(bytes.len()));
+        assert_eq!((pause, received), (None, vec![3]), "{errno:?}");
     }
 }
 
-/// What the next read would meet again is not asked for at once.
+/// An error that the next read would meet again is not retried at once.
 #[test]
-fn a_read_that_cannot_succeed_now_ends_the_turn_with_a_pause() {
+fn a_read_that_cannot_succeed_now_ends_the_batch_with_a_pause() {
     for errno in [Errno::NOMEM, Errno::NOBUFS, Errno::BADF, Errno::NOTSOCK] {
         let mut reads = 0;
         let receive = |_: &mut [u8]| {
             reads += 1;
             failed(errno)
         };
-        assert_eq!(read_turn(receive, |_, _| unreachable!()), Some(FAILED_PAUSE), "{errno:?}");
+        assert_eq!(read_batch(receive, |_, _| unreachable!()), Some(ERROR_PAUSE), "{errno:?}");
         assert_eq!(reads, 1, "{errno:?}");
     }
 }
 
 #[test]
-fn a_send_that_was_interrupted_is_made_again_and_any_other_failure_loses_the_datagram() {
+fn an_interrupted_send_is_retried_and_any_other_failure_loses_the_datagram() {
     let sends = |mut results: Vec<io::Result<usize>>| {
         let sent = send(|| results.pop().unwrap());
         (sent, results.len())
@@ -72,9 +75,10 @@
     }
 }
 
-/// The plane starts once the machine has what a socket takes, and not at all where the address is not this machine's.
+/// Binding is retried while the machine is short of descriptors or memory, and fails for an address that is not this
+/// machine's.
 #[tokio::test(start_paused = true)]
-async fn the_plane_waits_for_a_machine_that_is_short_of_something() {
+async fn binding_is_retried_while_the_machine_is_short_of_resources() {
     let listen = "127.0.0.1:0".parse().unwrap();
     let mut failures = vec![Errno::INTR, Errno::NOMEM, Errno::NOBUFS, Errno::NFILE, Errno::MFILE];
     let bind = async || match failures.pop() {
--- a/crates/node/src/plane/start.rs
+++ b/crates/node/src/plane/start.rs
@@ -1,4 +1,4 @@
-//! How a node's plane begins: its machines, of what it was given.
+//! Builds a node's plane and its state machines from the setup and the stored state.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
@@ -15,24 +15,24 @@
 use tracing::warn;
 
 use super::boxes::Boxes;
-use super::fleet::{Fleet, GATHER};
+use super::evidence_timer::EvidenceTimer;
+use super::fleet::{Fleet, GATHER_INTERVAL};
 use super::machines::NodePlane;
-use super::placing::Placing;
 use super::setup::Setup;
 use super::socket::Addresses;
-use super::state::{Kept, KeptTable, RestoredState};
-use super::telling::Telling;
+use super::state::{CachedState, RestoredState, StoredTable};
+use super::weights::TableWeights;
 use crate::config::{wrong, Wrong};
 use crate::figures::Figures;
 use crate::log::Throttle;
 use crate::message::Message;
 
-/// What was stored saves it the table's pages. What it cannot use is left.
-fn accord(config: AccordConfig, kept: &Kept, seed: u64) -> Result<Accord, Wrong> {
+/// Builds placement agreement. A stored table saves fetching it page by page; one that is not valid is ignored.
+fn accord(config: AccordConfig, cached: &CachedState, seed: u64) -> Result<Accord, Wrong> {
     let new = |stored| Accord::new(config.clone(), stored, Moment::ZERO, seed);
-    let begun = match new(kept.table.as_ref().map(|KeptTable(stored)| stored.clone())) {
+    let begun = match new(cached.table.as_ref().map(|StoredTable(stored)| stored.clone())) {
         Err(ConfigError::Restored) => {
-            warn!("set aside of what was stored: a table that is not sound, or not this node's");
+            warn!("set aside of what was stored: the table is invalid or belongs to another node");
             new(None)
         }
         begun => begun,
@@ -40,27 +40,27 @@
     begun.map_err(wrong("fleet: table"))
 }
 
-/// The machines that the file switches on.
-fn plane(setup: &Setup, this: Life, kept: &Kept, seed: u64) -> Result<NodePlane, Wrong> {
+/// Builds the plane with the state machines that the fleet file turns on.
+fn plane(setup: &Setup, this: Life, cached: &CachedState, seed: u64) -> Result<NodePlane, Wrong> {
     let now = Moment::ZERO;
-    let peers =
-        Peers::new(setup.peers_config(this), seed, now, &kept.view.0).map_err(wrong("fleet: membership"))?;
-    let accord = setup.accord_config(this).map(|config| accord(config, kept, seed)).transpose()?;
+    let peers = Peers::new(setup.peers_config(this), seed, now, &cached.view.0)
+        .map_err(wrong("fleet: membership"))?;
+    let accord = setup.accord_config(this).map(|config| accord(config, cached, seed)).transpose()?;
     let contracts = setup.contracts.as_ref().map(|(_, contracts)| contracts.clone());
     let budgets = setup.budgets_config(this).zip(contracts);
     let budgets = budgets.map(|(config, contracts)| Budgets::new(config, contracts, now, seed));
     let budgets = budgets.transpose().map_err(wrong("fleet: budgets"))?;
-    let door = Door { realm: setup.file.realm_number(), this, configured: setup.configured() };
+    let filter = Door { realm: setup.file.realm_number(), this, configured: setup.configured() };
     let membership = &setup.file.membership;
     let rate = Rate { a_second: membership.datagrams_a_second, burst: membership.burst };
-    Ok(NodePlane::new(door, rate, now, peers, accord, budgets))
+    Ok(NodePlane::new(filter, rate, now, peers, accord, budgets))
 }
 
 impl Fleet {
-    /// A node of a federation, which is heard of once [`Fleet::run`] has its socket.
+    /// Builds the plane of this node, which sends nothing until [`Fleet::run`] has bound its socket.
     ///
     /// # Errors
-    /// Names what of the file cannot work.
+    /// Returns the section of the fleet file with invalid settings.
     pub fn new(
         setup: Setup,
         settings: &Settings,
@@ -68,37 +68,37 @@
         figures: &Figures,
         messages: UnboundedSender<Message>,
     ) -> Result<Rc<Self>, Wrong> {
-        let RestoredState { incarnation, quiet, kept, state } = setup.begin();
+        let RestoredState { incarnation, quiet_period, cached, state } = setup.restore();
         let this = Life { node: setup.this, incarnation };
         let fleet = Rc::new(Fleet {
             started: Instant::now(),
             listen: setup.listen,
-            plane: RefCell::new(plane(&setup, this, &kept, seed)?),
+            plane: RefCell::new(plane(&setup, this, &cached, seed)?),
             addresses: RefCell::new(Some(Addresses::new(setup.peers))),
             socket: OnceCell::new(),
-            boxes: RefCell::new(Boxes::new(Placing::of(settings))),
-            gather_at: Cell::new(GATHER),
-            told: Notify::new(),
-            refusals: RefCell::default(),
-            said: Throttle::default(),
+            boxes: RefCell::new(Boxes::new(TableWeights::from_settings(settings))),
+            gather_at: Cell::new(GATHER_INTERVAL),
+            wake: Notify::new(),
+            refusal_log: RefCell::default(),
+            log_throttle: Throttle::default(),
             alive: Cell::new(1),
-            telling: Telling::default(),
+            evidence_timer: EvidenceTimer::default(),
             contracts: setup.contracts.map(|(path, _)| path),
-            whole: setup.file.budgets.map(|budgets| budgets.connections_per_box),
-            spending: RefCell::default(),
-            ends: Cell::new(None),
-            drop_cut: OnceCell::new(),
-            quiet,
+            connections_per_box: setup.file.budgets.map(|budgets| budgets.connections_per_box),
+            usage: RefCell::default(),
+            next_expiry: Cell::new(None),
+            close_idle_cut: OnceCell::new(),
+            quiet_period,
             state: RefCell::new(state),
             messages,
-            lost: Cell::new(0),
+            lost_datagrams: Cell::new(0),
         });
         let shown = Rc::downgrade(&fleet);
         figures.also(move |out| {
             if let Some(fleet) = shown.upgrade() {
-                fleet.figures(out);
+                fleet.write_metrics(out);
                 if let Some(state) = &*fleet.state.borrow() {
-                    state.figures(out);
+                    state.write_metrics(out);
                 }
             }
         });
--- a/crates/node/src/plane/state.rs
+++ b/crates/node/src/plane/state.rs
@@ -1,4 +1,4 @@
-//! What of the plane outlives the process, where a folder is named: read at the start, written by a thread of its own.
+//! The plane's state that is stored across restarts, if configured: read at the start, written by a separate thread.
 
 mod file;
 mod retry;
@@ -16,83 +16,93 @@
 
 use crate::clock::source::{SystemClock, TimeSource};
 pub use file::StateFile;
-pub use writer::State;
+pub use writer::StateWriter;
 
-/// The placement table and its fencing numbers.
+/// The placement table and its fencing tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptTable(pub hallpin_placement::Stored);
+pub struct StoredTable(pub hallpin_placement::Stored);
 
-impl Outlives for KeptTable {
+impl Outlives for StoredTable {
     const SECTION: Section = Section::Table;
     const FORMAT: u16 = 1;
 }
 
-/// Lives that were there: hints whom to ask first.
+/// Nodes that were alive, with their incarnations: hints which nodes to contact first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptView(pub Vec<Life>);
+pub struct StoredView(pub Vec<Life>);
 
-impl Outlives for KeptView {
+impl Outlives for StoredView {
     const SECTION: Section = Section::View;
     const FORMAT: u16 = 1;
 }
 
-/// What is kept, all at once.
+/// The stored state, written as one snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    pub table: Option<KeptTable>,
-    pub view: KeptView,
+pub struct CachedState {
+    /// The placement table; `None` if the node has no placement agreement.
+    pub table: Option<StoredTable>,
+    /// The nodes in the membership view.
+    pub view: StoredView,
 }
 
-/// What a node's process starts with: its incarnation, and what is restored of the process before.
+/// What a process starts with: its incarnation, and the state that the last process stored.
 pub struct RestoredState {
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Nothing may be said for so long.
-    pub quiet: Duration,
-    pub kept: Kept,
-    pub state: Option<State>,
+    /// How long no datagram may be sent.
+    pub quiet_period: Duration,
+    /// The state that the last process stored, or the default.
+    pub cached: CachedState,
+    /// The writer of the state; `None` if state is not stored.
+    pub state: Option<StateWriter>,
 }
 
-/// A life without a store: the wall clock tells it from earlier ones.
-pub fn without() -> RestoredState {
+/// Begins an incarnation without a store; its number is the wall clock time, which is later than earlier ones.
+pub fn begin_without_store() -> RestoredState {
     let incarnation = Incarnation(SystemClock.unix_ms());
-    RestoredState { incarnation, quiet: Duration::ZERO, kept: Kept::default(), state: None }
+    RestoredState { incarnation, quiet_period: Duration::ZERO, cached: CachedState::default(), state: None }
 }
 
-/// Opens the store and begins a life that follows the one before, whose state is written `every` so often. A store that
-/// cannot be opened costs what was in it and a moment of silence, and not the start; it is opened again later.
-pub fn begin(file: StateFile, every: Duration) -> RestoredState {
+/// Opens the store and begins the incarnation after the stored one; state is written every `write_interval`. If the
+/// store cannot be opened, the node starts without its contents and after a quiet period, and opening is retried later.
+pub fn begin(file: StateFile, write_interval: Duration) -> RestoredState {
     match file.open() {
-        Ok((store, restored)) => follow(file, store, restored, every),
+        Ok((store, restored)) => continue_from(file, store, restored, write_interval),
         Err(error) => {
-            warn!(%error, "no state: the node starts without, and tries again");
+            warn!(%error, "no state: the node starts without its stored state and retries");
             let start = Start::unwritten(Past::Unknown, file.unix_ms(), file.limits.clock_step_back);
-            let state = State::new(file, start.incarnation, None, every);
-            restored_state(start, Kept::default(), state)
+            let state = StateWriter::new(file, start.incarnation, None, write_interval);
+            restored_state(start, CachedState::default(), state)
         }
     }
 }
 
-/// A life that follows the one in an open store.
-fn follow(file: StateFile, mut store: Store, mut restored: Restored, every: Duration) -> RestoredState {
+/// Begins the incarnation after the one in an open store.
+fn continue_from(
+    file: StateFile,
+    mut store: Store,
+    mut restored: Restored,
+    write_interval: Duration,
+) -> RestoredState {
     let (start, written) = store.next_incarnation(file.unix_ms());
     if let Err(error) = written {
-        warn!(%error, "no state: this life is not written yet");
+        warn!(%error, "no state: this incarnation was not written yet");
     }
-    let table = restored.take().map(|stored: Stored<KeptTable>| stored.value);
-    let view = restored.take().map(|stored: Stored<KeptView>| stored.value).unwrap_or_default();
+    let table = restored.take().map(|stored: Stored<StoredTable>| stored.value);
+    let view = restored.take().map(|stored: Stored<StoredView>| stored.value).unwrap_or_default();
     report_set_aside(&mut store, &mut restored);
-    let state = State::new(file, start.incarnation, Some(store), every);
-    restored_state(start, Kept { table, view }, state)
+    let state = StateWriter::new(file, start.incarnation, Some(store), write_interval);
+    restored_state(start, CachedState { table, view }, state)
 }
 
-fn restored_state(start: Start, kept: Kept, state: State) -> RestoredState {
-    RestoredState { incarnation: start.incarnation, quiet: start.quiet, kept, state: Some(state) }
+fn restored_state(start: Start, cached: CachedState, state: StateWriter) -> RestoredState {
+    RestoredState { incarnation: start.incarnation, quiet_period: start.quiet, cached, state: Some(state) }
 }
 
-/// Keeps what was set aside, and says why it was.
+/// Stores the sections that were set aside in a file of their own, and logs the reasons.
 fn report_set_aside(store: &mut Store, restored: &mut Restored) {
     if let Err(error) = store.keep_aside(restored) {
-        warn!(%error, "what is set aside cannot be kept yet");
+        warn!(%error, "the sections set aside could not be stored yet");
     }
     for reason in &restored.set_aside {
         warn!(%reason, "set aside of what was stored");
--- a/crates/node/src/plane/state/file.rs
+++ b/crates/node/src/plane/state/file.rs
@@ -1,4 +1,4 @@
-//! The file of a node's state: opened at the start, or later where it could not be opened then.
+//! The state file of a node, opened at the start, or later if that fails.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use super::report_set_aside;
 use crate::clock::source::{SystemClock, TimeSource};
 
-/// A table of 4,096 boxes fits eight times over.
+/// Eight times the size of a table of 4,096 boxes.
 const MAX_BYTES: u64 = 8 << 20;
 
-/// Where a node's state is, whose it is and within which bounds.
+/// Path of a node's state file, the identity of the node, and limits.
 #[derive(Debug)]
 pub struct StateFile {
     pub(super) files: Arc<dyn FileSystem>,
@@ -26,7 +26,7 @@
 }
 
 impl StateFile {
-    /// A file on the machine's disk, of which nothing older than `max_age` is used.
+    /// A file on the local disk; contents older than `max_age` are not used.
     pub fn new(path: &Path, identity: Identity, max_age: Duration) -> Self {
         StateFile {
             files: Arc::new(Disk),
@@ -46,13 +46,13 @@
     }
 }
 
-/// The state of the process that runs. Where the store could not be opened, each commit tries to.
+/// The store of the running process. While it is not open, each commit tries to open it.
 #[derive(Debug)]
 pub struct ProcessState {
     pub(super) file: StateFile,
     pub(super) incarnation: Incarnation,
     pub(super) store: Option<Store>,
-    /// Whether the silence at its start is over.
+    /// Whether the quiet period at the start is over.
     quiet_is_over: bool,
 }
 
@@ -80,12 +80,12 @@
         store.commit(snapshot)
     }
 
-    /// Opens the store for a process that began without. What an earlier one stored comes too late to be used.
+    /// Opens the store for a process that started without it. The stored contents are no longer used.
     fn open_late(&self) -> Result<Store, StoreError> {
         let (mut store, mut restored) = self.file.open()?;
         store.adopt(self.incarnation, self.quiet_is_over)?;
         report_set_aside(&mut store, &mut restored);
-        info!(path = %self.file.path.display(), "the state can be opened now");
+        info!(path = %self.file.path.display(), "the state file is open now");
         Ok(store)
     }
 }
--- a/crates/node/src/plane/state/retry.rs
+++ b/crates/node/src/plane/state/retry.rs
@@ -1,4 +1,4 @@
-//! Decides when a write that failed is tried again, and how often that is said. Pure: the time comes in as an argument.
+//! Exponential backoff after failed writes, and rate limiting of their log lines. Pure: the time is an argument.
 
 #[cfg(test)]
 mod tests;
@@ -7,28 +7,29 @@
 
 use hallpin_membership::names::Moment;
 
-/// The wait after the first failure; it doubles with each one that follows.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
-/// The longest wait: a disk that has room again is used this soon.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// While writes go on failing, or fail again and again, it is said this often at most.
-const WARN_EVERY: Duration = Duration::from_secs(60);
+/// Backoff after the first failure; it doubles with each consecutive one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest backoff, and thus the time within which a disk with free space is used again.
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
+/// Shortest time between two warnings, whether writes keep failing or fail intermittently.
+const WARN_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Failures in a row, and when they are said next.
+/// Consecutive failures, and the time of the next warning.
 #[derive(Debug, Default)]
 pub struct Retry {
     failures: u32,
-    /// Whether the log said it of those in this row.
+    /// Whether a warning was logged for the current run of failures.
     warned: bool,
-    warn_at: Moment,
+    next_warn_at: Moment,
 }
 
-/// What follows from a failure.
+/// What to do after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failed {
+pub struct FailureOutcome {
+    /// Wait before the next attempt.
     pub retry_after: Duration,
-    /// Whether the log says it.
-    pub warn: bool,
+    /// Whether to log a warning.
+    pub should_warn: bool,
 }
 
 impl Retry {
@@ -37,19 +38,19 @@
         self.failures > 0
     }
 
-    /// A write has failed.
-    pub fn failed(&mut self, now: Moment) -> Failed {
+    /// Records a failed write.
+    pub fn record_failure(&mut self, now: Moment) -> FailureOutcome {
         let doublings = self.failures.min(16);
         self.failures = self.failures.saturating_add(1);
-        let warn = now >= self.warn_at;
-        if warn {
-            (self.warned, self.warn_at) = (true, now + WARN_EVERY);
+        let should_warn = now >= self.next_warn_at;
+        if should_warn {
+            (self.warned, self.next_warn_at) = (true, now + WARN_INTERVAL);
         }
-        Failed { retry_after: (FIRST_WAIT * (1 << doublings)).min(LONGEST_WAIT), warn }
+        FailureOutcome { retry_after: (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF), should_warn }
     }
 
-    /// A write has succeeded. How many before it failed, where the log said so and is to say that it is over.
-    pub fn succeeded(&mut self) -> Option<u32> {
+    /// Records a successful write. Returns the number of failures before it if a warning was logged for them.
+    pub fn record_success(&mut self) -> Option<u32> {
         let failures = std::mem::take(&mut self.failures);
         std::mem::take(&mut self.warned).then_some(failures)
     }
--- a/crates/node/src/plane/state/retry/tests.rs
+++ b/crates/node/src/plane/state/retry/tests.rs
@@ -1,24 +1,25 @@
-//! Waits and log lines over rows of failures.
+//! Backoff and log lines over runs of failures.
 
 use super::*;
 
 #[test]
-fn waits_double_up_to_the_longest_and_begin_anew_after_a_success() {
+fn backoff_doubles_up_to_the_maximum_and_resets_after_a_success() {
     let mut retry = Retry::default();
-    let waits: Vec<u128> = (0..40).map(|_| retry.failed(Moment::ZERO).retry_after.as_millis()).collect();
-    assert_eq!(waits[..7], [250, 500, 1000, 2000, 4000, 8000, 10_000]);
-    assert!(waits[7..].iter().all(|wait| *wait == 10_000));
-    assert_eq!((retry.succeeded(), retry.is_failing()), (Some(40), false));
-    assert_eq!(retry.failed(Moment::ZERO).retry_after, FIRST_WAIT);
+    let backoffs: Vec<u128> =
+        (0..40).map(|_| retry.record_failure(Moment::ZERO).retry_after.as_millis()).collect();
+    assert_eq!(backoffs[..7], [250, 500, 1000, 2000, 4000, 8000, 10_000]);
+    assert!(backoffs[7..].iter().all(|backoff| *backoff == 10_000));
+    assert_eq!((retry.record_success(), retry.is_failing()), (Some(40), false));
+    assert_eq!(retry.record_failure(Moment::ZERO).retry_after, INITIAL_BACKOFF);
 }
 
 #[test]
-fn a_disk_that_fails_and_recovers_again_and_again_is_said_once_a_minute() {
+fn an_intermittent_failure_is_logged_once_a_minute() {
     let mut retry = Retry::default();
-    let said = (0..1200).filter(|tenths| {
-        let failed = retry.failed(Duration::from_millis(100) * *tenths);
-        assert_eq!(retry.succeeded(), failed.warn.then_some(1));
-        failed.warn
+    let warned = (0..1200).filter(|tenths| {
+        let outcome = retry.record_failure(Duration::from_millis(100) * *tenths);
+        assert_eq!(retry.record_success(), outcome.should_warn.then_some(1));
+        outcome.should_warn
     });
-    assert_eq!(said.collect::<Vec<u32>>(), [0, 600]);
+    assert_eq!(warned.collect::<Vec<u32>>(), [0, 600]);
 }
--- a/crates/node/src/plane/state/tests/fakes.rs
+++ b/crates/node/src/plane/state/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! A disk without room and a wall clock that is set.
+//! Fakes: a disk that can be full and a wall clock with a fixed time.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -13,12 +13,12 @@
 
 use crate::clock::source::TimeSource;
 
-/// A disk that is full while it is told so.
+/// A disk that fails writes with `StorageFull` while set to full.
 #[derive(Clone, Debug, Default)]
 pub struct FullDisk(Arc<AtomicBool>);
 
 impl FullDisk {
-    pub fn is_full(&self, full: bool) {
+    pub fn set_full(&self, full: bool) {
         self.0.store(full, Ordering::SeqCst);
     }
 
@@ -30,10 +30,11 @@
     }
 }
 
+/// An open file on a [`FullDisk`].
 #[derive(Debug)]
-struct FileOnIt(Box<dyn StorageBackend>, FullDisk);
+struct FileOnFullDisk(Box<dyn StorageBackend>, FullDisk);
 
-impl StorageBackend for FileOnIt {
+impl StorageBackend for FileOnFullDisk {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
@@ -61,7 +62,7 @@
 impl FileSystem for FullDisk {
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageBackend>> {
         self.check()?;
-        Ok(Box::new(FileOnIt(Disk.open(path)?, self.clone())))
+        Ok(Box::new(FileOnFullDisk(Disk.open(path)?, self.clone())))
     }
 
     fn open_lock(&self, path: &Path) -> io::Result<File> {
@@ -93,7 +94,7 @@
     }
 }
 
-/// A wall clock that is set.
+/// A wall clock with a fixed time.
 #[derive(Debug)]
 pub struct SetClock(Duration);
 
--- a/crates/node/src/plane/state/writer.rs
+++ b/crates/node/src/plane/state/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the state now and then, one write at a time, on a thread of its own; tries again what failed.
+//! Writes the state periodically, one write at a time, on a separate thread, with retries.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,59 +11,59 @@
 
 use super::file::{ProcessState, StateFile};
 use super::retry::Retry;
-use super::{Kept, KeptTable};
+use super::{CachedState, StoredTable};
 use crate::clock::source::TimeSource;
 use crate::figures::line;
 
-/// Why the state was not written.
+/// Why a write of the state failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
     #[error(transparent)]
     Store(#[from] StoreError),
-    #[error("the writing thread has ended")]
+    #[error("the writer thread ended without a result")]
     Thread,
 }
 
-/// A write that is under way.
-pub(super) struct Writing {
+/// A write in progress.
+pub(super) struct PendingWrite {
     outcome: oneshot::Receiver<Result<(), StoreError>>,
-    kept: Kept,
-    begun: Moment,
+    contents: CachedState,
+    started_at: Moment,
 }
 
-/// The state of one node, as far as it is written.
-pub struct State {
+/// Schedules the writes of one node's state.
+pub struct StateWriter {
     process: Arc<Mutex<ProcessState>>,
     time: &'static dyn TimeSource,
-    every: Duration,
-    /// What does not change is written again well before it is too old to be used.
-    again: Duration,
-    next_at: Moment,
-    /// What is known to be in the file, and when its write began; none where a write has failed since.
-    written: Option<(Kept, Moment)>,
-    pub(super) writing: Option<Writing>,
+    write_interval: Duration,
+    /// Age at which unchanged contents are written again, well before they are too old to be used.
+    rewrite_after: Duration,
+    next_write_at: Moment,
+    /// The contents of the file with the start of their write; `None` if a write has failed since.
+    written: Option<(CachedState, Moment)>,
+    pub(super) pending: Option<PendingWrite>,
     retry: Retry,
     writes_done: u64,
     writes_failed: u64,
 }
 
-impl State {
-    /// The state of a process under `incarnation`, with the store if it could be opened.
+impl StateWriter {
+    /// The writer of a process under `incarnation`, with the store if it could be opened.
     pub(super) fn new(
         file: StateFile,
         incarnation: Incarnation,
         store: Option<Store>,
-        every: Duration,
+        write_interval: Duration,
     ) -> Self {
-        let (time, again) = (file.time, file.limits.max_age / 4);
-        State {
+        let (time, rewrite_after) = (file.time, file.limits.max_age / 4);
+        StateWriter {
             time,
             process: Arc::new(Mutex::new(ProcessState::new(file, incarnation, store))),
-            every,
-            again,
-            next_at: Moment::ZERO,
+            write_interval,
+            rewrite_after,
+            next_write_at: Moment::ZERO,
             written: None,
-            writing: None,
+            pending: None,
             retry: Retry::default(),
             writes_done: 0,
             writes_failed: 0,
@@ -74,85 +74,89 @@
         self.process.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The silence at the start is over.
+    /// Records that the quiet period at the start is over.
     pub fn quiet_is_over(&self) {
         self.process().quiet_is_over();
     }
 
-    /// Writes what is to be kept, where it has changed, the last write of it grows old, or the last write failed.
-    pub fn keep(&mut self, now: Moment, kept: impl FnOnce() -> Kept) {
+    /// Starts a write where the contents have changed, their last write is old, or the last write failed.
+    pub fn write_if_due(&mut self, now: Moment, contents: impl FnOnce() -> CachedState) {
         self.take_outcome(now);
-        if now < self.next_at || self.writing.is_some() {
+        if now < self.next_write_at || self.pending.is_some() {
             return;
         }
-        self.next_at = now + self.every;
-        let kept = kept();
-        if self.written.as_ref().is_some_and(|(before, at)| *before == kept && now < *at + self.again) {
+        self.next_write_at = now + self.write_interval;
+        let contents = contents();
+        if self
+            .written
+            .as_ref()
+            .is_some_and(|(last, written_at)| *last == contents && now < *written_at + self.rewrite_after)
+        {
             return;
         }
-        match self.snapshot(&kept) {
-            Some(snapshot) => self.write(now, kept, snapshot),
-            None => warn!("the state cannot be written as bytes"),
+        match self.snapshot(&contents) {
+            Some(snapshot) => self.write(now, contents, snapshot),
+            None => warn!("the state could not be serialised"),
         }
     }
 
-    /// The counts of writes, as lines of the node's figures.
-    pub fn figures(&self, out: &mut String) {
+    /// Writes the metrics of state writes.
+    pub fn write_metrics(&self, out: &mut String) {
         line(out, format_args!("app_state_writes_total{{result=\"done\"}} {}", self.writes_done));
         line(out, format_args!("app_state_writes_total{{result=\"failed\"}} {}", self.writes_failed));
         line(out, format_args!("app_state_failing {}", u8::from(self.retry.is_failing())));
     }
 
-    fn snapshot(&self, kept: &Kept) -> Option<Snapshot> {
-        let epoch = kept.table.as_ref().map_or(0, |KeptTable(stored)| stored.epoch);
+    fn snapshot(&self, contents: &CachedState) -> Option<Snapshot> {
+        let epoch = contents.table.as_ref().map_or(0, |StoredTable(stored)| stored.epoch);
         let mut snapshot = Snapshot::new(self.time.unix_ms(), epoch);
-        let view = snapshot.put(&Stored::new(kept.view.clone()));
-        let table = kept.table.as_ref().is_none_or(|table| snapshot.put(&Stored::new(table.clone())));
+        let view = snapshot.put(&Stored::new(contents.view.clone()));
+        let table = contents.table.as_ref().is_none_or(|table| snapshot.put(&Stored::new(table.clone())));
         (view && table).then_some(snapshot)
     }
 
-    fn write(&mut self, now: Moment, kept: Kept, snapshot: Snapshot) {
-        let (told, outcome) = oneshot::channel();
+    fn write(&mut self, now: Moment, contents: CachedState, snapshot: Snapshot) {
+        let (result_sender, outcome) = oneshot::channel();
         let process = self.process.clone();
         spawn_blocking(move || {
             let committed = process.lock().unwrap_or_else(PoisonError::into_inner).commit(&snapshot);
-            // A node that ends meanwhile does not wait for it.
-            let _ = told.send(committed);
+            // The receiver is gone if the node has ended in the meantime.
+            let _ = result_sender.send(committed);
         });
-        self.writing = Some(Writing { outcome, kept, begun: now });
+        self.pending = Some(PendingWrite { outcome, contents, started_at: now });
     }
 
-    /// Takes in what became of the write under way, if it has ended.
+    /// Handles the outcome of the write in progress, if it has ended.
     pub(super) fn take_outcome(&mut self, now: Moment) {
-        let Some(writing) = &mut self.writing else { return };
-        let outcome = match writing.outcome.try_recv() {
+        let Some(pending) = &mut self.pending else { return };
+        let outcome = match pending.outcome.try_recv() {
             Ok(outcome) => outcome.map_err(WriteError::from),
             Err(TryRecvError::Closed) => Err(WriteError::Thread),
             Err(TryRecvError::Empty) => return,
         };
-        let Some(Writing { kept, begun, .. }) = self.writing.take() else { return };
+        let Some(PendingWrite { contents, started_at, .. }) = self.pending.take() else { return };
         match outcome {
-            Ok(()) => self.succeeded(kept, begun),
+            Ok(()) => self.succeeded(contents, started_at),
             Err(error) => self.failed(now, &error),
         }
     }
 
-    fn succeeded(&mut self, kept: Kept, begun: Moment) {
+    fn succeeded(&mut self, contents: CachedState, started_at: Moment) {
         self.writes_done += 1;
-        self.written = Some((kept, begun));
-        if let Some(failures) = self.retry.succeeded() {
-            info!(failures, "the state is written again");
+        self.written = Some((contents, started_at));
+        if let Some(failures) = self.retry.record_success() {
+            info!(failures, "the state was written again after failures");
         }
     }
 
-    /// The file has the state before or the one that failed: whichever it is, the next write replaces it.
+    /// Schedules a retry. The file may contain the old contents or those that failed; the next write replaces either.
     fn failed(&mut self, now: Moment, error: &WriteError) {
         self.writes_failed += 1;
         self.written = None;
-        let failed = self.retry.failed(now);
-        self.next_at = now + failed.retry_after;
-        if failed.warn {
-            warn!(%error, "the state was not written; it is tried again");
+        let outcome = self.retry.record_failure(now);
+        self.next_write_at = now + outcome.retry_after;
+        if outcome.should_warn {
+            warn!(%error, "the state was not written; retrying");
         }
     }
 }
--- a/crates/node/src/plane/tests.rs
+++ b/crates/node/src/plane/tests.rs
@@ -1,9 +1,9 @@
-//! Nodes over real sockets on loopback, in one process.
+//! Nodes that communicate over real loopback sockets, in one process.
 
 mod budgets;
 mod membership;
 mod tables;
-mod use_of_whole;
+mod utilization;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,10 +25,10 @@
 use crate::message::Message;
 use crate::roster::Roster;
 
-/// Only a failing test waits for it.
-const LONG: Duration = Duration::from_secs(20);
+/// Only a failing test waits this long.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Loopback addresses that no other test has: the process, and a number for each.
+/// Loopback addresses unique among tests: the address from the process id, and a new port for each.
 fn addresses(count: usize) -> Vec<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
     let [high, low] = (std::process::id() as u16).to_be_bytes();
@@ -40,28 +40,33 @@
     fleet: Rc<Fleet>,
     figures: Rc<Figures>,
     task: JoinHandle<()>,
-    told: UnboundedReceiver<Message>,
+    messages: UnboundedReceiver<Message>,
 }
 
 impl Node {
     fn start(peers: &[SocketAddr], number: u16) -> Self {
-        Self::with(peers, number, "version = 1\nrealm = \"test\"\n[table]\n", None)
+        Self::start_with(peers, number, "version = 1\nrealm = \"test\"\n[table]\n", None)
     }
 
-    fn with(peers: &[SocketAddr], number: u16, file: &str, contracts: Option<(PathBuf, Contracts)>) -> Self {
+    fn start_with(
+        peers: &[SocketAddr],
+        number: u16,
+        file: &str,
+        contracts: Option<(PathBuf, Contracts)>,
+    ) -> Self {
         let file = FleetFile::parse(file).unwrap();
         let (this, zone, listen) = (NodeId(number), ZoneId(0), peers[usize::from(number)]);
         let setup =
             Setup { file, contracts, state: None, listen, peers: peers.to_vec(), this, zone, zones: 1 };
         let figures = Figures::new([]);
-        let (messages, told) = unbounded_channel();
+        let (sender, messages) = unbounded_channel();
         let settings = Settings::default();
-        let fleet = Fleet::new(setup, &settings, u64::from(number), &figures, messages).unwrap();
+        let fleet = Fleet::new(setup, &settings, u64::from(number), &figures, sender).unwrap();
         let task = tokio::task::spawn_local(fleet.clone().run());
-        Node { fleet, figures, task, told }
+        Node { fleet, figures, task, messages }
     }
 
-    /// A list that names boxes 0 to `boxes`, all at one address.
+    /// A list of `boxes` boxes, numbered from 0, all at one address.
     fn roster(&self, revision: u64, boxes: usize, at: SocketAddr) -> Roster {
         let member = |n| format!(r#"{{"id":"s-{n}","host_port":"{at}","phase":"ready"}}"#);
         let members: Vec<String> = (0..boxes).map(member).collect();
@@ -77,17 +82,18 @@
         self.list_at(revision, boxes, SocketAddr::from(([127, 0, 0, 1], 9)));
     }
 
-    /// The next table that its module is told to place by, and of how many boxes it is.
+    /// The next table that the balancer is notified of: epoch, version and number of boxes.
     async fn table(&mut self) -> (u64, u64, usize) {
         loop {
-            let told = timeout(LONG, self.told.recv()).await.expect("a table").expect("news");
-            if let Message::Fleet(FleetNews::Table { epoch, version, entries }) = told {
+            let message =
+                timeout(TEST_TIMEOUT, self.messages.recv()).await.expect("a table").expect("a message");
+            if let Message::Fleet(FleetNews::Table { epoch, version, entries }) = message {
                 return (epoch, version, entries.len());
             }
         }
     }
 
-    fn figure(&self, name: &str) -> u64 {
+    fn metric(&self, name: &str) -> u64 {
         let text = self.figures.render(Members::default());
         let value = |line: &str| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok();
         text.lines().find_map(value).unwrap_or_else(|| panic!("no {name} in {text}"))
--- a/crates/node/src/plane/tests/membership.rs
+++ b/crates/node/src/plane/tests/membership.rs
@@ -1,67 +1,67 @@
-//! Nodes find each other, and find out who is gone.
+//! Nodes detect each other, and nodes that leave or die.
 
 use std::time::Duration;
 
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-use super::{addresses, Node, LONG};
+use super::{addresses, Node, TEST_TIMEOUT};
 
-/// Waits until each node holds so many to be there.
-async fn agree(nodes: &[Node], alive: u64) {
+/// Waits until each node counts `alive` nodes as alive.
+async fn wait_until_alive(nodes: &[Node], alive: u64) {
     let all = async {
-        while !nodes.iter().all(|node| node.figure("app_peers_alive") == alive) {
+        while !nodes.iter().all(|node| node.metric("app_peers_alive") == alive) {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    let held = || nodes.iter().map(|node| node.figure("app_peers_alive")).collect::<Vec<_>>();
-    timeout(LONG, all).await.unwrap_or_else(|_| panic!("{alive} expected, got {:?}", held()));
+    let counts = || nodes.iter().map(|node| node.metric("app_peers_alive")).collect::<Vec<_>>();
+    timeout(TEST_TIMEOUT, all).await.unwrap_or_else(|_| panic!("{alive} expected, got {:?}", counts()));
 }
 
-async fn find_each_other_and_who_is_gone(count: usize) {
+async fn nodes_detect_each_other_and_departures(count: usize) {
     let peers = addresses(count);
     let mut nodes: Vec<Node> = (0..count as u16).map(|n| Node::start(&peers, n)).collect();
-    agree(&nodes, count as u64).await;
+    wait_until_alive(&nodes, count as u64).await;
     for node in &nodes {
-        assert_eq!(node.figure("app_plane_refused_total{why=\"stranger\"}"), 0);
-        assert!(node.figure("app_plane_datagrams_total{way=\"out\"}") > 0);
+        assert_eq!(node.metric("app_plane_refused_total{why=\"stranger\"}"), 0);
+        assert!(node.metric("app_plane_datagrams_total{way=\"out\"}") > 0);
     }
-    // One says farewell, another just ends; where the rest are two or more, the last one starts anew.
+    // One node announces that it leaves. If more than two remain, another is killed and then restarted.
     let leaver = nodes.remove(0);
     leaver.fleet.leave();
-    agree(&nodes, count as u64 - 1).await;
+    wait_until_alive(&nodes, count as u64 - 1).await;
     leaver.task.abort();
     if let Some(ended) = (nodes.len() > 2).then(|| nodes.remove(0)) {
         ended.task.abort();
-        agree(&nodes, count as u64 - 2).await;
+        wait_until_alive(&nodes, count as u64 - 2).await;
         drop(ended);
         nodes.push(Node::start(&peers, 1));
-        agree(&nodes, count as u64 - 1).await;
+        wait_until_alive(&nodes, count as u64 - 1).await;
     }
 }
 
 #[tokio::test]
-async fn two_nodes_find_each_other_and_who_is_gone() {
-    LocalSet::new().run_until(find_each_other_and_who_is_gone(2)).await;
+async fn two_nodes_detect_each_other_and_departures() {
+    LocalSet::new().run_until(nodes_detect_each_other_and_departures(2)).await;
 }
 
 #[tokio::test]
-async fn five_nodes_find_each_other_and_who_is_gone() {
-    LocalSet::new().run_until(find_each_other_and_who_is_gone(5)).await;
+async fn five_nodes_detect_each_other_and_departures() {
+    LocalSet::new().run_until(nodes_detect_each_other_and_departures(5)).await;
 }
 
-/// A process that ends may still hold the address for a moment: its successor waits, and then is there.
+/// A process that is ending may still hold the address; its successor waits until it can bind it.
 #[tokio::test]
 async fn a_node_waits_for_its_address() {
     let local = LocalSet::new();
     let test = async {
         let peers = addresses(2);
-        let held = tokio::net::UdpSocket::bind(peers[0]).await.unwrap();
+        let occupied = tokio::net::UdpSocket::bind(peers[0]).await.unwrap();
         let nodes = [Node::start(&peers, 0), Node::start(&peers, 1)];
         sleep(Duration::from_millis(1)).await;
-        assert_eq!(nodes[0].figure("app_plane_datagrams_total{way=\"in\"}"), 0);
-        drop(held);
-        agree(&nodes, 2).await;
+        assert_eq!(nodes[0].metric("app_plane_datagrams_total{way=\"in\"}"), 0);
+        drop(occupied);
+        wait_until_alive(&nodes, 2).await;
     };
     local.run_until(test).await;
 }
--- a/crates/node/src/plane/tests/tables.rs
+++ b/crates/node/src/plane/tests/tables.rs
@@ -1,16 +1,16 @@
-//! Modules are told of tables that all nodes have, and of what peers saw.
+//! Balancers are notified of tables that all nodes have, and of evidence from peers.
 
 use hallpin_balancer::{FleetNews, ServerId, Status};
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-use super::{addresses, Node, LONG};
+use super::{addresses, Node, TEST_TIMEOUT};
 use crate::message::Message;
 
-/// Lists that come late at some nodes give no two of them unlike arrays under one version: all place by the first
-/// table, and then by the next, which needs only one list that has it.
+/// Lists that arrive late at some nodes never lead to different tables under one version: all nodes use the first
+/// table, and then the next, for which a single node with the new list would suffice; here three have it.
 #[tokio::test]
-async fn five_nodes_place_by_the_same_tables_whatever_list_each_has() {
+async fn five_nodes_use_the_same_tables_whatever_list_each_has() {
     let test = async {
         let peers = addresses(5);
         let mut nodes: Vec<Node> = (0..5).map(|n| Node::start(&peers, n)).collect();
@@ -28,36 +28,37 @@
         }
         assert!(tables[5..].iter().all(|table| *table == tables[5]), "{tables:?}");
         for node in &nodes {
-            assert_eq!(node.figure("app_table_version"), tables[5].1);
-            assert_eq!(node.figure("app_table_state{state=\"out\"}"), 0);
+            assert_eq!(node.metric("app_table_version"), tables[5].1);
+            assert_eq!(node.metric("app_table_state{state=\"out\"}"), 0);
         }
-        assert_eq!(nodes.iter().map(|node| node.figure("app_table_coordinator")).sum::<u64>(), 1);
+        assert_eq!(nodes.iter().map(|node| node.metric("app_table_coordinator")).sum::<u64>(), 1);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// What one node saw of a box's present life is told to the other's module, as the word of one peer.
+/// One node's observation of a box's current incarnation reaches the other's balancer, as evidence of one peer.
 #[tokio::test]
-async fn what_a_node_saw_of_a_box_reaches_the_modules_of_its_peers() {
+async fn observations_of_a_box_reach_the_balancers_of_the_peers() {
     let test = async {
         let peers = addresses(2);
-        let [seer, mut other] = [0, 1].map(|n| Node::start(&peers, n));
-        seer.list(1, 2);
+        let [observer, mut other] = [0, 1].map(|n| Node::start(&peers, n));
+        observer.list(1, 2);
         other.list(1, 2);
         let server = ServerId("s-1".into());
-        let sent = seer.fleet.sent(&server).expect("a box of the list");
-        seer.fleet.ended(&sent, Status::TimedOut);
-        let found = loop {
-            let told = timeout(LONG, other.told.recv()).await.expect("evidence").expect("news");
-            if let Message::Fleet(FleetNews::Servers(found)) = told {
-                break found;
+        let sent = observer.fleet.sent(&server).expect("a box of the list");
+        observer.fleet.ended(&sent, Status::TimedOut);
+        let evidence = loop {
+            let message =
+                timeout(TEST_TIMEOUT, other.messages.recv()).await.expect("evidence").expect("a message");
+            if let Message::Fleet(FleetNews::Servers(evidence)) = message {
+                break evidence;
             }
         };
-        let found: Vec<_> = found
+        let evidence: Vec<_> = evidence
             .into_iter()
             .map(|each| (each.server, each.silent, each.answering, each.in_flight))
             .collect();
-        assert_eq!(found, [(server, 1, 0, 0)]);
+        assert_eq!(evidence, [(server, 1, 0, 0)]);
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/node/src/plane/told.rs
+++ b/crates/node/src/plane/told.rs
@@ -1,4 +1,4 @@
-//! What the rest of the node tells the plane: the list, what was seen of boxes, new contracts, and that it ends.
+//! Inputs to the plane from the rest of the node: endpoint lists, attempts, new contracts and shutdown.
 
 use hallpin_balancer::{ServerId, Status};
 use tracing::{info, warn};
@@ -10,33 +10,33 @@
 use crate::roster::Roster;
 
 impl Fleet {
-    /// Follows the list of boxes.
+    /// Applies an endpoint list.
     pub fn learn(&self, roster: &Roster) {
         let mut boxes = self.boxes.borrow_mut();
-        boxes.learn(roster);
+        boxes.apply_roster(roster);
         let (now, mut plane) = (self.now(), self.plane.borrow_mut());
         if let Some(accord) = plane.accord() {
             accord.list(now, roster.revision, boxes.table());
         }
-        if let Some((budgets, whole)) = plane.budgets().zip(self.whole) {
-            let wholes = boxes.wholes(whole);
-            budgets.wholes(now, &wholes);
-            self.spending.borrow_mut().keep(|of| wholes.contains_key(&of));
+        if let Some((budgets, connections)) = plane.budgets().zip(self.connections_per_box) {
+            let capacities = boxes.capacities(connections);
+            budgets.set_capacities(now, &capacities);
+            self.usage.borrow_mut().retain(|resource| capacities.contains_key(&resource));
         }
-        self.told.notify_one();
+        self.wake.notify_one();
     }
 
-    /// An attempt goes out.
+    /// Records that an attempt begins. `None` for a box that is not listed.
     pub fn sent(&self, server: &ServerId) -> Option<Sent> {
-        self.boxes.borrow_mut().sent(server)
+        self.boxes.borrow_mut().record_attempt(server)
     }
 
-    /// It has its outcome.
+    /// Records an attempt's outcome.
     pub fn ended(&self, sent: &Sent, status: Status) {
-        self.boxes.borrow_mut().ended(sent, status);
+        self.boxes.borrow_mut().record_outcome(sent, status);
     }
 
-    /// Reads the contracts anew; what does not read leaves the last good ones.
+    /// Reloads the contracts; on an error the old ones stay in force.
     pub fn reload(&self) {
         let Some(path) = &self.contracts else { return };
         match read_contracts(path) {
@@ -44,15 +44,15 @@
                 info!(revision = contracts.revision, "contracts are in force");
                 let now = self.now();
                 if let Some(budgets) = self.plane.borrow_mut().budgets() {
-                    budgets.contracts(now, contracts);
+                    budgets.set_contracts(now, contracts);
                 }
-                self.told.notify_one();
+                self.wake.notify_one();
             }
             Err(Wrong(what)) => warn!("{what}; the old contracts stand"),
         }
     }
 
-    /// Says farewell, so that nobody has to find out.
+    /// Announces that this node leaves, so that the others need not detect it.
     pub fn leave(&self) {
         let now = self.now();
         self.plane.borrow_mut().peers().leave(now);
--- a/crates/quota/src/budgets.rs
+++ b/crates/quota/src/budgets.rs
@@ -1,4 +1,4 @@
-//! One node's share in budgets, as the rest of the node has it.
+//! One node's participant in budgets: the interface to the rest of the node.
 
 mod exchange;
 mod machine;
@@ -16,68 +16,71 @@
 
 use crate::config::{BudgetsConfig, ConfigError};
 use crate::contracts::Contracts;
+use crate::demand::DemandTracker;
 use crate::grantor::Grantor;
 use crate::leases::Leases;
 use crate::message::Message;
-use crate::names::{Part, Resource, TenantIndex};
-use crate::state::State;
-use crate::wants::Wants;
+use crate::names::{Allotment, Resource, TenantIndex};
+use crate::node_quota::NodeQuota;
 
-/// What the rest of the node is told.
+/// Events for the rest of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BudgetsNews {
-    /// What [`Budgets::part`] gives has changed: what is open beyond it is to be closed.
-    Parts,
-    /// This node has begun to grant, by this epoch.
-    Granting {
-        /// Of the leader lease.
+pub enum BudgetsEvent {
+    /// The results of [`Budgets::allotment`] may have changed: connections beyond them are to be closed.
+    AllotmentsChanged,
+    /// This node has become the grantor.
+    GrantingStarted {
+        /// Epoch of the leader lease.
         epoch: u64,
     },
-    /// This node grants no longer.
-    Stopped,
+    /// This node has ceased to be the grantor.
+    GrantingStopped,
 }
 
-/// One node's share in budgets.
+/// One node's participant in budgets: its quota, its requests to the grantor, and the grantor role while it holds the
+/// leader lease.
 #[derive(Clone, Debug)]
 pub struct Budgets {
-    state: State,
+    quota: NodeQuota,
     leader_lease: LeaderLease,
     seed: u64,
-    grantor: Option<Granting>,
-    /// Questions that may be answered yet, and when they were asked, before they were sent.
-    asked: VecDeque<(u32, Moment)>,
-    question: u32,
-    next_question: Moment,
-    /// Questions in a row that nobody answered.
-    tries: u32,
-    /// Who is known to grant.
-    known: Option<Known>,
-    out: Vec<Output<BudgetsNews>>,
+    granting: Option<GrantorRole>,
+    /// Requests that may still be answered, with the time just before each was sent.
+    pending: VecDeque<(u32, Moment)>,
+    /// Identifier of the last request.
+    request_id: u32,
+    next_request_at: Moment,
+    /// Consecutive requests without an answer.
+    unanswered: u32,
+    /// The grantor that this node knows of.
+    known_grantor: Option<KnownGrantor>,
+    outbox: Vec<Output<BudgetsEvent>>,
 }
 
-/// Who grants, and until when that is worth going by.
+/// The known grantor, and when that knowledge expires.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownGrantor {
     node: NodeId,
-    until: Moment,
-    /// It granted to this node; not only somebody's word, which is passed on to nobody.
-    sure: bool,
+    expires_at: Moment,
+    /// The grantor has granted to this node. Otherwise only a redirect named it, and this node redirects nobody to it.
+    confirmed: bool,
 }
 
+/// State of this node while it is the grantor.
 #[derive(Clone, Debug)]
-struct Granting {
-    books: Grantor,
-    /// It listens to what is wanted before it grants.
-    from: Moment,
-    next_round: Moment,
+struct GrantorRole {
+    ledger: Grantor,
+    /// Before this time the grantor only collects demand.
+    grants_from: Moment,
+    next_round_at: Moment,
 }
 
 impl Budgets {
-    /// A node that has just started and has its safe minimums of whatever [`Budgets::wholes`] says. `seed` spreads when
-    /// it asks.
+    /// A node that has just started, with only the safe minimums of what [`Budgets::set_capacities`] sets. `seed`
+    /// jitters the times of its requests.
     ///
     /// # Errors
-    /// Where the settings cannot be gone by.
+    /// Returns an error for invalid settings.
     pub fn new(
         config: BudgetsConfig,
         contracts: Contracts,
@@ -85,91 +88,92 @@
         seed: u64,
     ) -> Result<Self, ConfigError> {
         let leader_lease = LeaderLease::new(config.leader_lease(), now, seed)?;
-        config.check()?;
-        let (wholes, wants, leases) = (BTreeMap::new(), Wants::default(), Leases::default());
-        let state = State { config, contracts, wholes, wants, leases };
-        let (grantor, asked, known, out) = (None, VecDeque::new(), None, Vec::new());
+        config.validate()?;
+        let (capacities, demands, leases) = (BTreeMap::new(), DemandTracker::default(), Leases::default());
+        let quota = NodeQuota { config, contracts, capacities, demands, leases };
+        let (granting, pending, known_grantor, outbox) = (None, VecDeque::new(), None, Vec::new());
         let mut budgets = Budgets {
-            state,
+            quota,
             leader_lease,
             seed,
-            grantor,
-            asked,
-            question: 0,
-            next_question: now,
-            tries: 0,
-            known,
-            out,
+            granting,
+            pending,
+            request_id: 0,
+            next_request_at: now,
+            unanswered: 0,
+            known_grantor,
+            outbox,
         };
-        budgets.next_question = now + budgets.jitter(config.period());
+        budgets.next_request_at = now + budgets.jitter(config.period());
         Ok(budgets)
     }
 
-    /// Takes what there is. A whole must be the same at every node; while it changes, the sum of parts keeps to the
-    /// greater one until all nodes have heard and a lease has passed.
-    pub fn wholes(&mut self, now: Moment, wholes: &BTreeMap<Resource, u32>) {
-        if self.state.wholes == *wholes {
+    /// Sets the resources and their capacities. A capacity must be the same at every node; while it changes, the sum of
+    /// allotments stays within the greater value until all nodes know the new one and a lease has passed.
+    pub fn set_capacities(&mut self, now: Moment, capacities: &BTreeMap<Resource, u32>) {
+        if self.quota.capacities == *capacities {
             return;
         }
-        self.state.wholes.clone_from(wholes);
-        self.state.wants.keep(|resource| wholes.contains_key(&resource));
-        if let Some(granting) = &mut self.grantor {
-            granting.books.wholes(wholes);
-            granting.next_round = now;
+        self.quota.capacities.clone_from(capacities);
+        self.quota.demands.retain(|resource| capacities.contains_key(&resource));
+        if let Some(granting) = &mut self.granting {
+            granting.ledger.set_capacities(capacities);
+            granting.next_round_at = now;
         }
-        self.out.push(Output::News(BudgetsNews::Parts));
+        self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
     }
 
-    /// Takes other contracts. Places of tenants are those of the new ones from now on. What was leased stays until its
-    /// end, divided by the new shares; a tenant that is gone is among the others, and what it has in use ends by itself.
-    pub fn contracts(&mut self, now: Moment, contracts: Contracts) {
-        if self.state.contracts.digest() != contracts.digest() {
-            let places = self.state.contracts.places_in(&contracts);
-            self.state.wants.rearrange(&places);
-            if let Some(granting) = &mut self.grantor {
-                granting.books.contracts(&places, contracts.tenants().len());
-                granting.next_round = now;
+    /// Replaces the contracts; tenant indexes are those of the new ones from now on. Leases stay until they expire,
+    /// divided by the new shares. A removed tenant counts as one of `others`, and its uses in progress run to their
+    /// end.
+    pub fn set_contracts(&mut self, now: Moment, contracts: Contracts) {
+        if self.quota.contracts.digest() != contracts.digest() {
+            let new_indexes = self.quota.contracts.indexes_in(&contracts);
+            self.quota.demands.remap_tenants(&new_indexes);
+            if let Some(granting) = &mut self.granting {
+                granting.ledger.remap_tenants(&new_indexes, contracts.tenants().len());
+                granting.next_round_at = now;
             }
-            self.out.push(Output::News(BudgetsNews::Parts));
-            self.next_question = self.next_question.min(now + self.state.config.period() / 4);
+            self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
+            self.next_request_at = self.next_request_at.min(now + self.quota.config.period() / 4);
         }
-        self.state.contracts = contracts;
+        self.quota.contracts = contracts;
     }
 
     /// The contracts in force.
     pub fn in_force(&self) -> &Contracts {
-        &self.state.contracts
+        &self.quota.contracts
     }
 
-    /// Learns what a tenant would use of a resource now, were there no bound: what it has in use and what was refused.
-    pub fn want(&mut self, now: Moment, resource: Resource, tenant: TenantIndex, wanted: u32) {
-        let State { config, contracts, wholes, wants, .. } = &mut self.state;
-        if wholes.contains_key(&resource) {
-            wants.learn(now, (resource, tenant), wanted, config.period(), contracts.tenants().len());
+    /// Records what a tenant would use of a resource now without a limit: its uses plus its rejected requests.
+    pub fn record_demand(&mut self, now: Moment, resource: Resource, tenant: TenantIndex, demand: u32) {
+        let NodeQuota { config, contracts, capacities, demands, .. } = &mut self.quota;
+        if capacities.contains_key(&resource) {
+            demands.record(now, (resource, tenant), demand, config.period(), contracts.tenants().len());
         }
     }
 
-    /// What may be used at `now`. Of a resource that is not there: nothing.
-    pub fn part(&self, now: Moment, resource: Resource, tenant: TenantIndex) -> Part {
-        self.state.part(now, resource, tenant)
+    /// What may be used at `now`; nothing of an unknown resource.
+    pub fn allotment(&self, now: Moment, resource: Resource, tenant: TenantIndex) -> Allotment {
+        self.quota.allotment(now, resource, tenant)
     }
 
-    /// Who grants, as far as this node has heard, and its epoch: a hint, for people.
+    /// The last grantor that this node knows of, with its epoch; informational.
     pub fn grantor(&self) -> Option<(NodeId, u64)> {
         self.leader_lease.last_known_holder()
     }
 
-    /// From one half to one and a half of a length.
+    /// A deterministic jitter: 0.5 to 1.5 times `length`, by seed and request.
     fn jitter(&self, length: Duration) -> Duration {
-        let hash = FxBuildHasher.hash_one((self.seed, self.question));
+        let hash = FxBuildHasher.hash_one((self.seed, self.request_id));
         length.mul_f64(0.5 + (hash >> 11) as f64 / (1u64 << 53) as f64)
     }
 
-    /// Sends a message; what a node would say to itself it knows.
-    fn say(&mut self, to: NodeId, message: &Message) {
-        let payload = message.encode().filter(|_| to != self.state.config.this.node);
+    /// Queues a message; one to this node itself is skipped.
+    fn send(&mut self, to: NodeId, message: &Message) {
+        let payload = message.encode().filter(|_| to != self.quota.config.this.node);
         if let Some(payload) = payload {
-            self.out.push(Output::Send { to, payload });
+            self.outbox.push(Output::Send { to, payload });
         }
     }
 }
--- a/crates/quota/src/budgets/exchange.rs
+++ b/crates/quota/src/budgets/exchange.rs
@@ -1,4 +1,4 @@
-//! What passes between a node and the grantor: questions, grants, and who to ask.
+//! The protocol between a node and the grantor: demand reports, grants, and the choice of the node to ask.
 
 use std::time::Duration;
 
@@ -6,162 +6,176 @@
 use hallpin_membership::names::{Life, Moment, NodeId};
 use hallpin_membership::view::View;
 
-use super::{Budgets, BudgetsNews, Granting, Known};
+use super::{Budgets, BudgetsEvent, GrantorRole, KnownGrantor};
 use crate::grantor::Grantor;
 use crate::leases::Lease;
-use crate::message::{Message, SHEET_ROOM};
-use crate::report::{report, MAX_PAGES};
-use crate::sheet::Sheet;
-use crate::state::State;
+use crate::message::{Message, MAX_PAGE_BYTES};
+use crate::node_quota::NodeQuota;
+use crate::quota_page::QuotaPage;
+use crate::report::{demand_pages, MAX_PAGES};
 
-/// Questions remembered: answers to older ones are late beyond use.
-const MAX_ASKED: usize = 8 * MAX_PAGES;
+/// Most pending requests; answers to older ones come too late to be of use.
+const MAX_PENDING: usize = 8 * MAX_PAGES;
 
-/// Periods that a new grantor waits for nodes that its view has and that have not said what they want.
-const LISTENING: u32 = 2;
-/// Questions that are asked soon again.
-const MAX_TRIES: u32 = 3;
+/// Periods that a new grantor waits for demand reports from the nodes of its view.
+const LISTEN_PERIODS: u32 = 2;
+/// Requests without an answer that are followed by a retry after a third of a period.
+const MAX_FAST_RETRIES: u32 = 3;
 
 impl Budgets {
-    /// Sends the leader lease's messages, and begins or ends granting with the lease.
+    /// Sends the leader lease's messages, and starts or stops granting when the lease is acquired or lost.
     pub(super) fn follow_leader_lease(&mut self, now: Moment, view: &View) {
         for (to, message) in self.leader_lease.take_outbox() {
-            self.say(to, &Message::Lease(message));
+            self.send(to, &Message::Lease(message));
         }
-        match (self.leader_lease.held(now), self.grantor.is_some()) {
+        match (self.leader_lease.held(now), self.granting.is_some()) {
             (Some(lease), false) => {
-                let books = Grantor::new(self.state.config, &self.state.wholes);
-                let from = now + self.state.config.period() * LISTENING;
-                self.grantor = Some(Granting { books, from, next_round: now });
-                self.out.push(Output::News(BudgetsNews::Granting { epoch: lease.epoch }));
-                let node = self.state.config.this.node;
-                view.alive().for_each(|member| self.say(member.life.node, &Message::Elsewhere { node }));
-                self.next_question = now;
+                let ledger = Grantor::new(self.quota.config, &self.quota.capacities);
+                let grants_from = now + self.quota.config.period() * LISTEN_PERIODS;
+                self.granting = Some(GrantorRole { ledger, grants_from, next_round_at: now });
+                self.outbox.push(Output::News(BudgetsEvent::GrantingStarted { epoch: lease.epoch }));
+                let node = self.quota.config.this.node;
+                view.alive().for_each(|member| self.send(member.life.node, &Message::Elsewhere { node }));
+                self.next_request_at = now;
             }
             (None, true) => {
-                self.grantor = None;
-                self.out.push(Output::News(BudgetsNews::Stopped));
+                self.granting = None;
+                self.outbox.push(Output::News(BudgetsEvent::GrantingStopped));
             }
             _ => {}
         }
     }
 
-    /// Asks the grantor for what is wanted, page by page; soon again where nobody answers.
-    pub(super) fn ask(&mut self, now: Moment, view: &View) {
-        self.tries = self.tries.saturating_add(1);
-        let period = self.state.config.period();
-        self.next_question = now + if self.tries <= MAX_TRIES { period / 3 } else { period };
-        let Some(to) = self.whom_to_ask(now, view) else {
+    /// Reports this node's demand to the grantor, page by page; the next report follows sooner while none is answered.
+    pub(super) fn request_grants(&mut self, now: Moment, view: &View) {
+        self.unanswered = self.unanswered.saturating_add(1);
+        let period = self.quota.config.period();
+        self.next_request_at = now + if self.unanswered <= MAX_FAST_RETRIES { period / 3 } else { period };
+        let Some(to) = self.choose_grantor(now, view) else {
             return;
         };
-        let contracts = self.state.contracts.digest();
-        for sheet in report(&self.state.wholes, &self.state.wanted(now), SHEET_ROOM) {
-            self.question = self.question.wrapping_add(1);
-            let question = self.question;
-            self.asked.push_back((question, now));
-            if self.asked.len() > MAX_ASKED {
-                self.asked.pop_front();
+        let contracts = self.quota.contracts.digest();
+        for page in demand_pages(&self.quota.capacities, &self.quota.current_demands(now), MAX_PAGE_BYTES) {
+            self.request_id = self.request_id.wrapping_add(1);
+            let request_id = self.request_id;
+            self.pending.push_back((request_id, now));
+            if self.pending.len() > MAX_PENDING {
+                self.pending.pop_front();
             }
-            if to == self.state.config.this.node {
-                self.answer(now, self.state.config.this, question, contracts, &sheet);
+            if to == self.quota.config.this.node {
+                self.handle_demand(now, self.quota.config.this, request_id, contracts, &page);
             } else {
-                self.say(to, &Message::Wants { question, contracts, sheet });
+                self.send(to, &Message::Wants { request_id, contracts, page });
             }
         }
     }
 
-    /// This node where it grants; who granted last; else who should, or who was heard to, by turns.
-    fn whom_to_ask(&self, now: Moment, view: &View) -> Option<NodeId> {
-        let this = self.state.config.this.node;
-        if self.grantor.is_some() {
+    /// The node to send demand to: this node if it grants, else the last grantor if alive, else in turn the last known
+    /// lease holder and the lowest node that is alive.
+    fn choose_grantor(&self, now: Moment, view: &View) -> Option<NodeId> {
+        let this = self.quota.config.this.node;
+        if self.granting.is_some() {
             return Some(this);
         }
-        let last = self.known(now).map(|known| known.node).filter(|node| view.is_alive(*node));
-        let heard = self
+        let last_grantor =
+            self.known_grantor(now).map(|known| known.node).filter(|node| view.is_alive(*node));
+        let last_holder = self
             .leader_lease
             .last_known_holder()
             .map(|(node, _)| node)
-            .filter(|_| self.question.is_multiple_of(2));
-        last.or(heard).or(lowest(view)).filter(|node| *node != this)
+            .filter(|_| self.request_id.is_multiple_of(2));
+        last_grantor.or(last_holder).or(lowest_alive(view)).filter(|node| *node != this)
     }
 
-    fn known(&self, now: Moment) -> Option<Known> {
-        self.known.filter(|known| now < known.until)
+    fn known_grantor(&self, now: Moment) -> Option<KnownGrantor> {
+        self.known_grantor.filter(|known| now < known.expires_at)
     }
 
-    /// Answers a question, where this node grants.
-    pub(super) fn answer(&mut self, now: Moment, from: Life, question: u32, contracts: u32, wants: &Sheet) {
-        let (Some(granting), Some(lease)) = (&mut self.grantor, self.leader_lease.held(now)) else {
-            if let Some(Known { node, .. }) = self.known(now).filter(|known| known.sure) {
-                self.say(from.node, &Message::Elsewhere { node });
+    /// Handles a demand report: grants if this node is the grantor, else redirects to a confirmed grantor.
+    pub(super) fn handle_demand(
+        &mut self,
+        now: Moment,
+        from: Life,
+        request_id: u32,
+        contracts: u32,
+        demand: &QuotaPage,
+    ) {
+        let (Some(granting), Some(lease)) = (&mut self.granting, self.leader_lease.held(now)) else {
+            if let Some(KnownGrantor { node, .. }) = self.known_grantor(now).filter(|known| known.confirmed) {
+                self.send(from.node, &Message::Elsewhere { node });
             }
             return;
         };
-        let State { config, contracts: own, .. } = &self.state;
-        if !granting.books.wants(now, from, (own, contracts), wants) {
+        let NodeQuota { config, contracts: own_contracts, .. } = &self.quota;
+        if !granting.ledger.record_demands(now, from, (own_contracts, contracts), demand) {
             return;
         }
-        if now < granting.from {
+        if now < granting.grants_from {
             return;
         }
-        let left = config.drift().longest_promise_within(lease.expires_at.saturating_sub(now));
-        let length_ms = config.grant().min(left).as_millis() as u32;
+        let remaining = config.drift().longest_promise_within(lease.expires_at.saturating_sub(now));
+        let length_ms = config.max_grant().min(remaining).as_millis() as u32;
         let length = Duration::from_millis(length_ms.into());
-        let sheets = granting.books.grant(now, from.node, wants, length, own, SHEET_ROOM);
-        let (life, epoch, contracts) = (from.incarnation, lease.epoch, own.digest());
-        for sheet in sheets {
-            if from == self.state.config.this {
-                self.granted(now, from.node, Grant { question, epoch, contracts, length, sheet });
+        let pages = granting.ledger.grant(now, from.node, demand, length, own_contracts, MAX_PAGE_BYTES);
+        let (life, epoch, contracts) = (from.incarnation, lease.epoch, own_contracts.digest());
+        for page in pages {
+            if from == self.quota.config.this {
+                self.handle_grant(now, from.node, Grant { request_id, epoch, contracts, length, page });
             } else {
-                self.say(from.node, &Message::Grant { life, question, epoch, contracts, length_ms, sheet });
+                self.send(from.node, &Message::Grant { life, request_id, epoch, contracts, length_ms, page });
             }
         }
     }
 
-    /// Hears who grants. A node that is granted to knows better, but for the word of who begins to.
-    pub(super) fn pointed(&mut self, now: Moment, by: NodeId, node: NodeId) {
-        let config = &self.state.config;
-        let sure = self.known(now).is_some_and(|known| known.sure && by != node);
-        if !sure && node.0 < config.configured && node != config.this.node {
-            let until = now.saturating_add(config.period());
-            self.known = Some(Known { node, until, sure: false });
-            self.next_question = now.saturating_add(self.jitter(config.period() / 8));
-            self.tries = 0;
+    /// Handles a redirect. It is ignored while the known grantor is confirmed, unless the new grantor itself sent it.
+    pub(super) fn handle_redirect(&mut self, now: Moment, sender: NodeId, node: NodeId) {
+        let config = &self.quota.config;
+        let confirmed = self.known_grantor(now).is_some_and(|known| known.confirmed && sender != node);
+        if !confirmed && node.0 < config.configured && node != config.this.node {
+            let expires_at = now.saturating_add(config.period());
+            self.known_grantor = Some(KnownGrantor { node, expires_at, confirmed: false });
+            self.next_request_at = now.saturating_add(self.jitter(config.period() / 8));
+            self.unanswered = 0;
         }
     }
 
-    /// Takes a grant: it lasts from before the question was sent, shortened for drift.
-    pub(super) fn granted(&mut self, now: Moment, by: NodeId, grant: Grant) {
-        let Some(&(_, asked)) = self.asked.iter().find(|(question, _)| *question == grant.question) else {
+    /// Stores a grant. It lasts from just before the request was sent, shortened for clock drift.
+    pub(super) fn handle_grant(&mut self, now: Moment, sender: NodeId, grant: Grant) {
+        let Some(&(_, sent_at)) = self.pending.iter().find(|(request_id, _)| *request_id == grant.request_id)
+        else {
             return;
         };
-        let config = &self.state.config;
-        let until = asked.saturating_add(config.drift().shorten(grant.length));
-        self.known = Some(Known { node: by, until: now.saturating_add(config.grant()), sure: true });
-        if grant.question == self.question {
-            self.tries = 0;
-            self.next_question = asked + config.period() / 2 + self.jitter(config.period() / 2);
+        let config = &self.quota.config;
+        let expires_at = sent_at.saturating_add(config.drift().shorten(grant.length));
+        self.known_grantor = Some(KnownGrantor {
+            node: sender,
+            expires_at: now.saturating_add(config.max_grant()),
+            confirmed: true,
+        });
+        if grant.request_id == self.request_id {
+            self.unanswered = 0;
+            self.next_request_at = sent_at + config.period() / 2 + self.jitter(config.period() / 2);
         }
-        if until <= now {
+        if expires_at <= now {
             return;
         }
-        let Grant { question, epoch, contracts, sheet, .. } = grant;
-        if self.state.leases.take(now, Lease { epoch, question, contracts, until, sheet }) {
-            self.out.push(Output::News(BudgetsNews::Parts));
+        let Grant { request_id, epoch, contracts, page, .. } = grant;
+        if self.quota.leases.insert(now, Lease { epoch, request_id, contracts, expires_at, page }) {
+            self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
         }
     }
 }
 
-/// An answer, taken apart.
+/// The fields of a grant message.
 pub(super) struct Grant {
-    pub(super) question: u32,
+    pub(super) request_id: u32,
     pub(super) epoch: u64,
     pub(super) contracts: u32,
     pub(super) length: Duration,
-    pub(super) sheet: Sheet,
+    pub(super) page: QuotaPage,
 }
 
-/// Who should stand for the leader lease, by the view.
-pub(super) fn lowest(view: &View) -> Option<NodeId> {
+/// The node that should be the candidate for the leader lease, by the view.
+pub(super) fn lowest_alive(view: &View) -> Option<NodeId> {
     view.alive().map(|member| member.life.node).min()
 }
--- a/crates/quota/src/budgets/machine.rs
+++ b/crates/quota/src/budgets/machine.rs
@@ -1,4 +1,4 @@
-//! How the machine is driven.
+//! Drives a node's participant by messages and time.
 
 use std::time::Duration;
 
@@ -8,33 +8,33 @@
 use hallpin_membership::names::{Life, Moment};
 use hallpin_membership::view::View;
 
-use super::exchange::{lowest, Grant};
-use super::{Budgets, BudgetsNews};
+use super::exchange::{lowest_alive, Grant};
+use super::{Budgets, BudgetsEvent};
 use crate::message::Message;
 
 impl Machine for Budgets {
-    type News = BudgetsNews;
+    type News = BudgetsEvent;
 
     const KIND: Kind = Kind::Budgets;
 
     fn receive(&mut self, now: Moment, view: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
-        let this = self.state.config.this;
-        if from.node.0 >= self.state.config.configured || from.node == this.node {
+        let this = self.quota.config.this;
+        if from.node.0 >= self.quota.config.configured || from.node == this.node {
             return Err(Refused::Stranger);
         }
         match Message::decode(payload)? {
             Message::Lease(message) => self.leader_lease.receive(now, from, message),
-            Message::Wants { question, contracts, sheet } => {
+            Message::Wants { request_id, contracts, page } => {
                 self.follow_leader_lease(now, view);
-                self.answer(now, from, question, contracts, &sheet);
+                self.handle_demand(now, from, request_id, contracts, &page);
             }
-            Message::Grant { life, question, epoch, contracts, length_ms, sheet }
+            Message::Grant { life, request_id, epoch, contracts, length_ms, page }
                 if life == this.incarnation =>
             {
-                let length = Duration::from_millis(length_ms.into()).min(self.state.config.grant());
-                self.granted(now, from.node, Grant { question, epoch, contracts, length, sheet });
+                let length = Duration::from_millis(length_ms.into()).min(self.quota.config.max_grant());
+                self.handle_grant(now, from.node, Grant { request_id, epoch, contracts, length, page });
             }
-            Message::Elsewhere { node } => self.pointed(now, from.node, node),
+            Message::Elsewhere { node } => self.handle_redirect(now, from.node, node),
             Message::Grant { .. } => {}
         }
         self.follow_leader_lease(now, view);
@@ -42,36 +42,40 @@
     }
 
     fn tick(&mut self, now: Moment, view: &View) {
-        // Who holds it goes on: a change of grantors is a time without leases.
-        let holds = self.leader_lease.held(now).is_some();
-        let stands = holds || lowest(view) == Some(self.state.config.this.node);
-        self.leader_lease.set_candidacy(Candidacy::standing_if(stands));
+        // The holder stays a candidate, as no leases are granted while the grantor changes.
+        let is_holder = self.leader_lease.held(now).is_some();
+        let is_candidate = is_holder || lowest_alive(view) == Some(self.quota.config.this.node);
+        self.leader_lease.set_candidacy(Candidacy::standing_if(is_candidate));
         self.leader_lease.tick(now);
         self.follow_leader_lease(now, view);
-        if self.state.leases.expire(now) {
-            self.out.push(Output::News(BudgetsNews::Parts));
+        if self.quota.leases.expire(now) {
+            self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
         }
-        let period = self.state.config.period();
-        if let Some(granting) = self.grantor.as_mut().filter(|granting| now >= granting.next_round) {
-            if granting.books.heard_all(view.alive().map(|member| member.life.node)) {
-                granting.from = granting.from.min(now);
+        let period = self.quota.config.period();
+        if let Some(granting) = self.granting.as_mut().filter(|granting| now >= granting.next_round_at) {
+            if granting.ledger.has_heard_all(view.alive().map(|member| member.life.node)) {
+                granting.grants_from = granting.grants_from.min(now);
             }
-            granting.books.round(now, &self.state.contracts);
-            granting.next_round = now + if now < granting.from { period / 8 } else { period / 2 };
+            granting.ledger.run_round(now, &self.quota.contracts);
+            granting.next_round_at = now + if now < granting.grants_from { period / 8 } else { period / 2 };
         }
-        if now >= self.next_question {
-            self.ask(now, view);
+        if now >= self.next_request_at {
+            self.request_grants(now, view);
         }
     }
 
     fn due(&self) -> Option<Moment> {
-        let round = self.grantor.as_ref().map(|granting| granting.next_round);
-        let times =
-            [self.leader_lease.next_deadline(), self.state.leases.due(), round, Some(self.next_question)];
+        let next_round = self.granting.as_ref().map(|granting| granting.next_round_at);
+        let times = [
+            self.leader_lease.next_deadline(),
+            self.quota.leases.next_expiry(),
+            next_round,
+            Some(self.next_request_at),
+        ];
         times.into_iter().flatten().min()
     }
 
-    fn take(&mut self) -> Vec<Output<BudgetsNews>> {
-        std::mem::take(&mut self.out)
+    fn take(&mut self) -> Vec<Output<BudgetsEvent>> {
+        std::mem::take(&mut self.outbox)
     }
 }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,53 +1,54 @@
-//! What every node has to hold alike for the sum of parts to keep to the whole.
+//! Settings that must agree at all nodes for the sum of allotments to stay within each capacity.
 
 use std::time::Duration;
 
 use hallpin_leader_lease::{ClockDrift, LeaseConfig};
 use hallpin_membership::names::Life;
 
-/// Settings of budgets. All but `this` must be the same at every node.
+/// Settings of budgets. All fields except `this` must be the same at every node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetsConfig {
-    /// This node.
+    /// This node and its incarnation.
     pub this: Life,
-    /// How many nodes the federation has by its configuration, this one included.
+    /// Number of nodes in the configuration, this one included.
     pub configured: u16,
-    /// Within how long what is lent comes back, and the term of the grantor's leader lease. A grant lasts half of it.
+    /// Longest time until lent quota returns, and the term of the grantor's leader lease. A grant lasts at most half of
+    /// it.
     pub lease: Duration,
-    /// How much faster or slower than true time any node's clock may run, in millionths.
+    /// Maximum rate error of any node's clock against true time, in millionths.
     pub drift_ppm: u32,
-    /// The share of each whole, in millionths, that the safe minimums of all configured nodes may take together.
+    /// Share of each capacity, in millionths, that the safe minimums of all configured nodes take together.
     pub minimum_ppm: u32,
 }
 
-/// A setting that budgets cannot go by.
+/// An invalid setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The leader lease cannot work with it either.
+    /// The leader lease rejects the settings.
     #[error(transparent)]
     LeaderLease(#[from] hallpin_leader_lease::ConfigError),
-    /// The lease is so short that it is all datagrams.
-    #[error("a lease of {0:?}, at least {MIN_LEASE:?} expected")]
+    /// The lease is too short: its renewals would be a constant stream of datagrams.
+    #[error("budget lease is {0:?}, expected at least {MIN_LEASE:?}")]
     Lease(Duration),
-    /// More than the whole.
-    #[error("safe minimums of {0} millionths, at most 1000000 expected")]
+    /// The safe minimums together exceed the capacity.
+    #[error("safe minimums take {0} millionths of a capacity, expected at most 1000000")]
     Minimum(u32),
 }
 
 const MIN_LEASE: Duration = Duration::from_millis(40);
-const WHOLE: u64 = 1_000_000;
+const PPM: u64 = 1_000_000;
 
 impl BudgetsConfig {
-    /// Clocks within 2% of true time; a quarter of each whole kept for safe minimums.
+    /// Default settings: clocks within 2% of true time, a quarter of each capacity for safe minimums.
     pub fn new(this: Life, configured: u16, lease: Duration) -> Self {
         BudgetsConfig { this, configured, lease, drift_ppm: 20_000, minimum_ppm: 250_000 }
     }
 
-    pub(crate) fn check(&self) -> Result<(), ConfigError> {
+    pub(crate) fn validate(&self) -> Result<(), ConfigError> {
         if self.lease < MIN_LEASE {
             return Err(ConfigError::Lease(self.lease));
         }
-        if u64::from(self.minimum_ppm) > WHOLE {
+        if u64::from(self.minimum_ppm) > PPM {
             return Err(ConfigError::Minimum(self.minimum_ppm));
         }
         Ok(())
@@ -62,24 +63,24 @@
         ClockDrift(self.drift_ppm)
     }
 
-    /// A node says what it wants, and its grants are renewed, this often.
+    /// Interval at which a node reports its demand and has its grants renewed.
     pub(crate) fn period(&self) -> Duration {
         self.lease / 4
     }
 
-    /// The longest grant.
-    pub(crate) fn grant(&self) -> Duration {
+    /// Longest duration of a grant.
+    pub(crate) fn max_grant(&self) -> Duration {
         self.lease / 2
     }
 
-    /// What each configured node may use of a whole without a lease.
-    pub(crate) fn minimum(&self, whole: u32) -> u32 {
-        let all = u64::from(whole) * u64::from(self.minimum_ppm) / WHOLE;
-        (all / u64::from(self.configured)) as u32
+    /// What each configured node may use of a capacity without a lease.
+    pub(crate) fn safe_minimum(&self, capacity: u32) -> u32 {
+        let reserved = u64::from(capacity) * u64::from(self.minimum_ppm) / PPM;
+        (reserved / u64::from(self.configured)) as u32
     }
 
-    /// What is there of a whole to be leased, beside all safe minimums.
-    pub(crate) fn pool(&self, whole: u32) -> u32 {
-        whole - self.minimum(whole) * u32::from(self.configured)
+    /// The portion of a capacity that is leased out: all of it except the safe minimums of all nodes.
+    pub(crate) fn leasable(&self, capacity: u32) -> u32 {
+        capacity - self.safe_minimum(capacity) * u32::from(self.configured)
     }
 }
--- a/crates/quota/src/contracts.rs
+++ b/crates/quota/src/contracts.rs
@@ -1,56 +1,56 @@
-//! Which tenants there are and what share of each whole is theirs.
+//! Contracts: the tenants and their shares of each capacity.
 
 mod read;
 
-use crate::fill::{fill, Claim};
+use crate::max_min::{max_min, Claim};
 use crate::names::TenantIndex;
 
 pub use read::ContractError;
 
-/// Most tenants that a file may name.
+/// Most tenants that a contracts file may name.
 pub const MAX_TENANTS: usize = 15;
 
 /// A tenant and its share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// As requests name it.
+    /// The name that requests carry.
     pub name: String,
-    /// Its weight against the other tenants', from 1 to 10,000. What it leaves is lent.
+    /// Weight relative to the other tenants, from 1 to 10,000. What the tenant does not use is lent to others.
     pub share: u32,
 }
 
-/// The contracts in force at a node: the tenants of the file, and `others` for whoever it does not name.
+/// The contracts in force at a node: the tenants of the file, and `others` for all tenants that it does not name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contracts {
-    /// The operators' number of this state of the file; for people.
+    /// The operators' revision number of the file; informational.
     pub revision: u32,
     /// In the order of the file; the last is `others`.
     tenants: Vec<Tenant>,
-    /// Of all that must be alike at two nodes for tenants' places to mean the same.
+    /// CRC-32 of names and shares. Two nodes with equal digests have the same tenant at each index.
     digest: u32,
 }
 
 impl Contracts {
-    /// Reads `deploy/contracts.toml` or one like it.
+    /// Parses the text of a contracts file such as `deploy/contracts.toml`.
     ///
     /// # Errors
-    /// Names line, column, field and what was expected; whoever read the file puts its name in front.
+    /// Returns the line, column and field of the first fault and what was expected; the caller adds the file's name.
     pub fn parse(text: &str) -> Result<Self, ContractError> {
         read::parse(text)
     }
 
-    /// All tenants by their places; the last is `others`.
+    /// All tenants by index; the last is `others`.
     pub fn tenants(&self) -> &[Tenant] {
         &self.tenants
     }
 
-    /// The place of a tenant by its name. One that the file does not name, or no longer, is among the others.
+    /// The index of a tenant by its name, or that of `others` for a name that is not in the file.
     pub fn tenant(&self, name: &str) -> TenantIndex {
         let found = self.tenants.iter().position(|tenant| tenant.name == name);
         TenantIndex(found.unwrap_or(self.tenants.len() - 1) as u8)
     }
 
-    pub(crate) fn others(&self) -> usize {
+    pub(crate) fn others_index(&self) -> usize {
         self.tenants.len() - 1
     }
 
@@ -58,21 +58,21 @@
         self.digest
     }
 
-    /// Where each tenant of these contracts is in newer ones, by its name.
-    pub(crate) fn places_in(&self, newer: &Contracts) -> Vec<usize> {
+    /// For each tenant of these contracts, its index in `newer` by name.
+    pub(crate) fn indexes_in(&self, newer: &Contracts) -> Vec<usize> {
         self.tenants.iter().map(|tenant| newer.tenant(&tenant.name).0.into()).collect()
     }
 
-    /// Divides what a node has by itself, by what its tenants want; each wants at least its next use.
-    pub(crate) fn divide(&self, amount: u32, wants: &[u32]) -> Vec<u32> {
-        let want = |index: usize| wants.get(index).copied().unwrap_or(0).max(1);
+    /// Divides a node's own quota among its tenants by demand, with a demand of at least one each, for the next use.
+    pub(crate) fn divide(&self, amount: u32, demands: &[u32]) -> Vec<u32> {
+        let demand = |index: usize| demands.get(index).copied().unwrap_or(0).max(1);
         let claims: Vec<Claim> = self
             .tenants
             .iter()
             .enumerate()
-            .map(|(index, tenant)| Claim { weight: tenant.share, floor: 0, want: want(index) })
+            .map(|(index, tenant)| Claim { weight: tenant.share, floor: 0, demand: demand(index) })
             .collect();
-        fill(amount, &claims, 0)
+        max_min(amount, &claims, 0)
     }
 
     fn new(revision: u32, tenants: Vec<Tenant>) -> Self {
--- a/crates/quota/src/contracts/read.rs
+++ b/crates/quota/src/contracts/read.rs
@@ -1,4 +1,4 @@
-//! Reads a file of contracts and says where it is wrong.
+//! Parses and validates contracts files; errors carry the position of the fault.
 
 use serde::Deserialize;
 use toml::Spanned;
@@ -9,18 +9,18 @@
 const OTHERS: &str = "others";
 const MAX_SHARE: u32 = 10_000;
 
-/// What is wrong with a file, and where.
+/// A fault in a contracts file and its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{line}:{column}: {field}: {what}")]
+#[error("{line}:{column}: {field}: {expected}")]
 pub struct ContractError {
-    /// Counted from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// In characters, counted from 1.
+    /// Column in characters, from 1.
     pub column: usize,
-    /// Such as `tenants[1].share`, or `file`.
+    /// Path of the field, such as `tenants[1].share`, or `file`.
     pub field: String,
-    /// What was expected.
-    pub what: String,
+    /// What was expected, or the parser's message.
+    pub expected: String,
 }
 
 #[derive(Deserialize)]
@@ -48,16 +48,17 @@
 
 pub(super) fn parse(text: &str) -> Result<Contracts, ContractError> {
     let start = |error: &toml::de::Error| error.span().map_or(0, |span| span.start);
-    let told = |error: &toml::de::Error| error.message().replace('\n', ", ");
-    let document = toml::Deserializer::parse(text).map_err(|e| wrong(text, start(&e), "file", told(&e)))?;
+    let single_line = |error: &toml::de::Error| error.message().replace('\n', ", ");
+    let document =
+        toml::Deserializer::parse(text).map_err(|e| error_at(text, start(&e), "file", single_line(&e)))?;
     let file: File = serde_path_to_error::deserialize(document).map_err(|error| {
-        // Where a value keeps its place, the path ends in a name of the parser's own.
+        // For a `Spanned` value, the path ends in the parser's internal field name.
         let path = error.path().to_string();
         let path = path.split(".$__").next().unwrap_or(&path);
         let field = if path == "." { "file" } else { path };
-        wrong(text, start(error.inner()), field, told(error.inner()))
+        error_at(text, start(error.inner()), field, single_line(error.inner()))
     })?;
-    check(&file).map_err(|(at, field, what)| wrong(text, at, &field, what))?;
+    check(&file).map_err(|(at, field, expected)| error_at(text, at, &field, expected))?;
     let mut tenants: Vec<Tenant> = file
         .tenants
         .into_iter()
@@ -67,10 +68,11 @@
     Ok(Contracts::new(file.revision, tenants))
 }
 
-type Wrong = (usize, String, String);
+/// Byte offset, field path, and what was expected.
+type Fault = (usize, String, String);
 
-/// What the form alone does not say.
-fn check(file: &File) -> Result<(), Wrong> {
+/// Checks what the types alone cannot express.
+fn check(file: &File) -> Result<(), Fault> {
     if *file.version.get_ref() != VERSION {
         return Err((file.version.span().start, "version".into(), format!("{VERSION} expected")));
     }
@@ -93,18 +95,18 @@
     Ok(())
 }
 
-fn share(share: &Spanned<u32>, field: &str) -> Result<(), Wrong> {
+fn share(share: &Spanned<u32>, field: &str) -> Result<(), Fault> {
     if (1..=MAX_SHARE).contains(share.get_ref()) {
         return Ok(());
     }
     Err((share.span().start, field.into(), format!("from 1 to {MAX_SHARE} expected")))
 }
 
-fn wrong(text: &str, offset: usize, field: &str, what: String) -> ContractError {
+fn error_at(text: &str, offset: usize, field: &str, expected: String) -> ContractError {
     let before = text.get(..offset).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-    ContractError { line, column, field: field.into(), what }
+    ContractError { line, column, field: field.into(), expected }
 }
 
 #[cfg(test)]
@@ -113,7 +115,7 @@
     use crate::names::TenantIndex;
 
     #[test]
-    fn the_file_in_deploy_reads_and_strangers_are_others() {
+    fn the_file_in_deploy_parses_and_unknown_tenants_map_to_others() {
         let contracts = Contracts::parse(include_str!("../../../../deploy/contracts.toml")).unwrap();
         let last = TenantIndex(contracts.tenants().len() as u8 - 1);
         assert_eq!(contracts.tenant(&contracts.tenants()[0].name), TenantIndex(0));
@@ -121,11 +123,11 @@
     }
 
     #[test]
-    fn what_is_wrong_is_named_with_its_place() {
+    fn errors_name_the_position_and_the_field() {
         let head = "version = 1\nrevision = 1\n[others]\nshare = 1\n";
         let many: String =
             (0..=MAX_TENANTS).map(|i| format!("[[tenants]]\nname = \"{i}\"\nshare = 1\n")).collect();
-        for (text, told) in [
+        for (text, expected) in [
             ("version = 2\nrevision = 1\n[others]\nshare = 1\n", "1:11: version: 1 expected"),
             ("version = 1\nrevision = 1\n[others]\nshare = 0\n", "4:9: others.share: from 1 to 10000"),
             ("version = 1\nrevision = 1\n", "others"),
@@ -146,7 +148,7 @@
             ),
         ] {
             let error = Contracts::parse(text).expect_err(text).to_string();
-            assert!(error.contains(told), "{text:?}: {error}");
+            assert!(error.contains(expected), "{text:?}: {error}");
         }
     }
 }
