--- a/crates/quota/src/gate.rs
+++ b/crates/quota/src/gate.rs
@@ -1,123 +1,148 @@
-//! The door's bookkeeping at a node: what is in use of each resource by each tenant, and what is open.
+//! Admission at a node: counts the uses and open connections of each resource against the node's allotments.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hallpin_membership::names::Moment;
 
-use crate::names::{Part, Resource, TenantIndex};
+use crate::names::{Allotment, Resource, TenantIndex};
 
-/// What a tenant who asks for one use is told.
+/// The outcome of a request for one use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// It has one more use, until [`Gate::release`].
-    Taken,
-    /// It has its part in use.
-    Refused {
-        /// When it is worth coming back.
+pub enum Admission {
+    /// The use has begun; it lasts until [`AdmissionGate::release`].
+    Admitted,
+    /// The tenant's or the node's allotment is in use.
+    Rejected {
+        /// When a retry may succeed.
         retry_after: Duration,
     },
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
-    /// By tenant.
+struct ResourceUse {
+    /// Concurrent uses by tenant.
     in_use: Vec<u32>,
-    /// When a tenant whose part is below one last began a use beyond its count.
-    beyond: Vec<Option<Moment>>,
+    /// By tenant, when one with an allotment below one last began a use beyond its `max_uses`.
+    last_extra_use: Vec<Option<Moment>>,
+    /// Open connections.
     open: u32,
 }
 
-/// Counts of one node. No tenant's uses pass its part, and neither uses nor open connections of all tenants pass the
-/// node's, except where parts have shrunk since: then nothing new begins, and [`Gate::excess`] says what is to close.
+/// Usage counts of one node. A tenant's uses stay within its allotment, and the uses and open connections of all
+/// tenants within the node's. After an allotment shrinks nothing new is admitted, and [`AdmissionGate::excess`] returns
+/// how many connections to close.
 #[derive(Clone, Debug)]
-pub struct Gate {
-    held: BTreeMap<Resource, Held>,
-    retry: Duration,
+pub struct AdmissionGate {
+    resources: BTreeMap<Resource, ResourceUse>,
+    default_retry_after: Duration,
 }
 
-impl Gate {
-    /// An empty door. `retry` is told to who is refused where nothing better is known: about as long as a use lasts.
-    pub fn new(retry: Duration) -> Self {
-        Gate { held: BTreeMap::new(), retry }
+impl AdmissionGate {
+    /// A gate with nothing in use. `default_retry_after`, about the duration of a use, is returned with a rejection
+    /// unless a better value is known.
+    pub fn new(default_retry_after: Duration) -> Self {
+        AdmissionGate { resources: BTreeMap::new(), default_retry_after }
     }
 
-    /// Begins a use, where the tenant's part and the node's allow one more.
-    pub fn take(&mut self, now: Moment, resource: Resource, tenant: TenantIndex, part: Part) -> Answer {
-        let retry = self.retry;
-        let held = self.held.entry(resource).or_default();
+    /// Begins a use if the tenant's allotment and the node's allow one more.
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        resource: Resource,
+        tenant: TenantIndex,
+        allotment: Allotment,
+    ) -> Admission {
+        let default_retry_after = self.default_retry_after;
+        let resource_use = self.resources.entry(resource).or_default();
         let index = usize::from(tenant.0);
-        if held.in_use.len() <= index {
-            held.in_use.resize(index + 1, 0);
-            held.beyond.resize(index + 1, None);
+        if resource_use.in_use.len() <= index {
+            resource_use.in_use.resize(index + 1, 0);
+            resource_use.last_extra_use.resize(index + 1, None);
         }
-        if held.in_use.iter().sum::<u32>() >= part.all {
-            return Answer::Refused { retry_after: retry };
+        if resource_use.in_use.iter().sum::<u32>() >= allotment.node_max_uses {
+            return Admission::Rejected { retry_after: default_retry_after };
         }
-        if held.in_use[index] >= part.count {
-            if let Some(wait) = held.wait(now, index, part, retry) {
-                return Answer::Refused { retry_after: wait };
+        if resource_use.in_use[index] >= allotment.max_uses {
+            if let Some(wait) = resource_use.wait(now, index, allotment, default_retry_after) {
+                return Admission::Rejected { retry_after: wait };
             }
-            held.beyond[index] = Some(now);
+            resource_use.last_extra_use[index] = Some(now);
         }
-        held.in_use[index] += 1;
-        Answer::Taken
+        resource_use.in_use[index] += 1;
+        Admission::Admitted
     }
 
     /// Ends a use.
     pub fn release(&mut self, resource: Resource, tenant: TenantIndex) {
-        let in_use = self.held.get_mut(&resource).and_then(|held| held.in_use.get_mut(usize::from(tenant.0)));
+        let in_use = self
+            .resources
+            .get_mut(&resource)
+            .and_then(|resource_use| resource_use.in_use.get_mut(usize::from(tenant.0)));
         if let Some(in_use) = in_use {
             *in_use = in_use.saturating_sub(1);
         }
     }
 
-    /// Counts a connection as open before it is asked for; says whether it may be, by `all` of the resource's parts.
-    pub fn open(&mut self, resource: Resource, part: Part) -> bool {
-        let held = self.held.entry(resource).or_default();
-        let may = held.open < part.all;
-        held.open += u32::from(may);
-        may
+    /// Counts a connection before it is opened; returns false, without counting it, where `node_max_uses` are open.
+    pub fn open(&mut self, resource: Resource, allotment: Allotment) -> bool {
+        let resource_use = self.resources.entry(resource).or_default();
+        let is_allowed = resource_use.open < allotment.node_max_uses;
+        resource_use.open += u32::from(is_allowed);
+        is_allowed
     }
 
-    /// A connection has ended, or was never had.
-    pub fn closed(&mut self, resource: Resource) {
-        if let Some(held) = self.held.get_mut(&resource) {
-            held.open = held.open.saturating_sub(1);
+    /// Uncounts a connection that was closed or could not be opened.
+    pub fn record_close(&mut self, resource: Resource) {
+        if let Some(resource_use) = self.resources.get_mut(&resource) {
+            resource_use.open = resource_use.open.saturating_sub(1);
         }
     }
 
-    /// How many open connections are beyond the node's part and are to be closed at once, those in use as well.
-    pub fn excess(&self, resource: Resource, part: Part) -> u32 {
-        self.held.get(&resource).map_or(0, |held| held.open.saturating_sub(part.all))
+    /// Number of open connections beyond the node's allotment; these must be closed at once, even if in use.
+    pub fn excess(&self, resource: Resource, allotment: Allotment) -> u32 {
+        self.resources
+            .get(&resource)
+            .map_or(0, |resource_use| resource_use.open.saturating_sub(allotment.node_max_uses))
     }
 
-    /// Connections open, and uses by all tenants.
+    /// Open connections, and uses by all tenants.
     pub fn counts(&self, resource: Resource) -> (u32, u32) {
-        self.held.get(&resource).map_or((0, 0), |held| (held.open, held.in_use.iter().sum()))
+        self.resources
+            .get(&resource)
+            .map_or((0, 0), |resource_use| (resource_use.open, resource_use.in_use.iter().sum()))
     }
 
-    /// Uses by one tenant.
+    /// Concurrent uses by one tenant.
     pub fn in_use(&self, resource: Resource, tenant: TenantIndex) -> u32 {
-        let held = self.held.get(&resource);
-        held.and_then(|held| held.in_use.get(usize::from(tenant.0))).copied().unwrap_or(0)
+        let resource_use = self.resources.get(&resource);
+        resource_use
+            .and_then(|resource_use| resource_use.in_use.get(usize::from(tenant.0)))
+            .copied()
+            .unwrap_or(0)
     }
 
-    /// Forgets a resource that is gone, with all that was open.
-    pub fn forget(&mut self, resource: Resource) {
-        self.held.remove(&resource);
+    /// Removes a resource and its counts.
+    pub fn remove(&mut self, resource: Resource) {
+        self.resources.remove(&resource);
     }
 }
 
-impl Held {
-    /// How long a tenant at its count has to wait; `None` where its rate allows one use now.
-    fn wait(&self, now: Moment, index: usize, part: Part, retry: Duration) -> Option<Duration> {
-        let every = part.every.filter(|_| self.in_use[index] == part.count);
-        match (every, self.beyond[index]) {
-            (None, _) => Some(retry),
+impl ResourceUse {
+    /// How long a tenant at its `max_uses` has to wait; `None` where its rate allows one more use now.
+    fn wait(
+        &self,
+        now: Moment,
+        index: usize,
+        allotment: Allotment,
+        default_retry_after: Duration,
+    ) -> Option<Duration> {
+        let min_interval = allotment.min_interval.filter(|_| self.in_use[index] == allotment.max_uses);
+        match (min_interval, self.last_extra_use[index]) {
+            (None, _) => Some(default_retry_after),
             (Some(_), None) => None,
-            (Some(every), Some(last)) => {
-                let wait = last.saturating_add(every).saturating_sub(now);
+            (Some(min_interval), Some(last)) => {
+                let wait = last.saturating_add(min_interval).saturating_sub(now);
                 (!wait.is_zero()).then_some(wait)
             }
         }
@@ -132,52 +157,62 @@
     const A: TenantIndex = TenantIndex(0);
     const B: TenantIndex = TenantIndex(1);
 
-    fn part(count: u32, all: u32, every: Option<Duration>) -> Part {
-        Part { count, all, until: None, every }
+    fn allotment(max_uses: u32, node_max_uses: u32, min_interval: Option<Duration>) -> Allotment {
+        Allotment { max_uses, node_max_uses, expires_at: None, min_interval }
     }
 
     #[test]
-    fn nobody_passes_its_part_nor_all_the_nodes() {
+    fn uses_stay_within_the_tenants_and_the_nodes_allotment() {
         let second = Duration::from_secs(1);
-        let (mut gate, refused) = (Gate::new(second), Answer::Refused { retry_after: second });
+        let (mut gate, rejected) = (AdmissionGate::new(second), Admission::Rejected { retry_after: second });
         assert_eq!(
-            [gate.take(second, BOX, A, part(2, 3, None)), gate.take(second, BOX, A, part(2, 3, None))],
-            [Answer::Taken; 2]
+            [
+                gate.admit(second, BOX, A, allotment(2, 3, None)),
+                gate.admit(second, BOX, A, allotment(2, 3, None))
+            ],
+            [Admission::Admitted; 2]
+        );
+        assert_eq!(gate.admit(second, BOX, A, allotment(2, 3, None)), rejected);
+        assert_eq!(gate.admit(second, BOX, B, allotment(2, 3, None)), Admission::Admitted);
+        assert_eq!(
+            gate.admit(second, BOX, B, allotment(2, 3, None)),
+            rejected,
+            "the node's allotment is in use"
         );
-        assert_eq!(gate.take(second, BOX, A, part(2, 3, None)), refused);
-        assert_eq!(gate.take(second, BOX, B, part(2, 3, None)), Answer::Taken);
-        assert_eq!(gate.take(second, BOX, B, part(2, 3, None)), refused, "all of the node's are in use");
         gate.release(BOX, A);
-        assert_eq!(gate.take(second, BOX, B, part(2, 3, None)), Answer::Taken);
+        assert_eq!(gate.admit(second, BOX, B, allotment(2, 3, None)), Admission::Admitted);
         assert_eq!((gate.counts(BOX), gate.in_use(BOX, B)), ((0, 3), 2));
     }
 
     #[test]
-    fn a_part_below_one_is_had_by_rate() {
+    fn an_allotment_below_one_is_granted_by_rate() {
         let ms = Duration::from_millis;
-        let (mut gate, below) = (Gate::new(ms(5)), part(0, 2, Some(ms(100))));
-        assert_eq!(gate.take(ms(1000), BOX, B, below), Answer::Taken);
+        let (mut gate, fractional) = (AdmissionGate::new(ms(5)), allotment(0, 2, Some(ms(100))));
+        assert_eq!(gate.admit(ms(1000), BOX, B, fractional), Admission::Admitted);
         assert_eq!(
-            gate.take(ms(1200), BOX, B, below),
-            Answer::Refused { retry_after: ms(5) },
-            "one at a time"
+            gate.admit(ms(1200), BOX, B, fractional),
+            Admission::Rejected { retry_after: ms(5) },
+            "one use at a time"
         );
         gate.release(BOX, B);
-        assert_eq!(gate.take(ms(1040), BOX, B, below), Answer::Refused { retry_after: ms(60) });
-        assert_eq!(gate.take(ms(1100), BOX, B, below), Answer::Taken);
+        assert_eq!(gate.admit(ms(1040), BOX, B, fractional), Admission::Rejected { retry_after: ms(60) });
+        assert_eq!(gate.admit(ms(1100), BOX, B, fractional), Admission::Admitted);
     }
 
     #[test]
-    fn what_is_open_beyond_a_shrunk_part_is_to_close() {
-        let mut gate = Gate::new(Duration::ZERO);
-        let opened = (0..5).filter(|_| gate.open(BOX, part(0, 4, None))).count();
+    fn connections_beyond_a_shrunk_allotment_are_excess() {
+        let mut gate = AdmissionGate::new(Duration::ZERO);
+        let opened = (0..5).filter(|_| gate.open(BOX, allotment(0, 4, None))).count();
         assert_eq!(
-            (opened, gate.excess(BOX, part(0, 4, None)), gate.excess(BOX, part(0, 1, None))),
+            (opened, gate.excess(BOX, allotment(0, 4, None)), gate.excess(BOX, allotment(0, 1, None))),
             (4, 0, 3)
         );
-        gate.closed(BOX);
-        assert_eq!((gate.excess(BOX, part(0, 1, None)), gate.open(BOX, part(0, 1, None))), (2, false));
-        gate.forget(BOX);
+        gate.record_close(BOX);
+        assert_eq!(
+            (gate.excess(BOX, allotment(0, 1, None)), gate.open(BOX, allotment(0, 1, None))),
+            (2, false)
+        );
+        gate.remove(BOX);
         assert_eq!(gate.counts(BOX), (0, 0));
     }
 }
--- a/crates/quota/src/grantor/account.rs
+++ b/crates/quota/src/grantor/account.rs
@@ -1,98 +1,110 @@
-//! One node in the grantor's books: what it wants, what it should have, what it was lent until when.
+//! One node's entry in the grantor's ledger: its demand, its targets and its grants in force.
 
 use hallpin_membership::names::{Life, Moment};
 
-use super::slots::Moves;
-use crate::sheet::Row;
+use super::slots::SlotSources;
+use crate::quota_page::Row;
 
-/// Grants kept apart for each node; more are taken together, as long and as large as the greatest of them.
-const MAX_LENT: usize = 8;
+/// Most grants stored separately for a node; further ones are merged into the last, with the maximum of size and
+/// expiry.
+const MAX_GRANTS: usize = 8;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Account {
     pub(crate) life: Life,
-    /// When it last said what it wants.
-    pub(crate) heard: Moment,
-    /// Its questions in this round.
-    pub(crate) questions: u32,
-    /// By slot.
-    pub(crate) wants: Vec<Row>,
-    /// By slot: what the division gives it beside its minimum.
+    /// When the node last reported its demand.
+    pub(crate) last_report_at: Moment,
+    /// Requests of the node in this round.
+    pub(crate) requests: u32,
+    /// Demand by slot.
+    pub(crate) demands: Vec<Row>,
+    /// By slot: the node's share in the last division, beyond its safe minimum.
     pub(crate) targets: Vec<Row>,
-    /// By slot: the most that any grant in force gives it. Which of them it goes by is not known.
+    /// By slot: the maximum over all grants in force, as it is not known which of them the node uses.
     pub(crate) reserved: Vec<u32>,
-    lent: Vec<Lent>,
+    active_grants: Vec<ActiveGrant>,
 }
 
 #[derive(Clone, Debug)]
-struct Lent {
-    until: Moment,
-    /// By slot, over all tenants.
+struct ActiveGrant {
+    expires_at: Moment,
+    /// Granted amount by slot, summed over tenants.
     counts: Vec<u32>,
 }
 
 impl Account {
     pub(crate) fn new(life: Life, now: Moment, slots: usize) -> Self {
-        let (wants, targets) = (vec![Row::new(); slots], vec![Row::new(); slots]);
-        Account { life, heard: now, questions: 0, wants, targets, reserved: vec![0; slots], lent: Vec::new() }
+        let (demands, targets) = (vec![Row::new(); slots], vec![Row::new(); slots]);
+        Account {
+            life,
+            last_report_at: now,
+            requests: 0,
+            demands,
+            targets,
+            reserved: vec![0; slots],
+            active_grants: Vec::new(),
+        }
     }
 
-    /// Whether a grant may be in force.
-    pub(crate) fn owes(&self) -> bool {
-        !self.lent.is_empty()
+    /// Whether any grant may still be in force.
+    pub(crate) fn has_active_grants(&self) -> bool {
+        !self.active_grants.is_empty()
     }
 
     pub(crate) fn expire(&mut self, now: Moment) {
-        let before = self.lent.len();
-        self.lent.retain(|lent| now < lent.until);
-        if self.lent.len() < before {
-            self.reserve();
+        let before = self.active_grants.len();
+        self.active_grants.retain(|grant| now < grant.expires_at);
+        if self.active_grants.len() < before {
+            self.recompute_reserved();
         }
     }
 
-    pub(crate) fn lend(&mut self, until: Moment, counts: Vec<u32>) {
-        if self.lent.len() < MAX_LENT {
-            self.lent.push(Lent { until, counts });
-        } else if let Some(last) = self.lent.last_mut() {
-            last.until = last.until.max(until);
+    pub(crate) fn record_grant(&mut self, expires_at: Moment, counts: Vec<u32>) {
+        if self.active_grants.len() < MAX_GRANTS {
+            self.active_grants.push(ActiveGrant { expires_at, counts });
+        } else if let Some(last) = self.active_grants.last_mut() {
+            last.expires_at = last.expires_at.max(expires_at);
             last.counts.iter_mut().zip(counts).for_each(|(count, more)| *count = (*count).max(more));
         }
-        self.reserve();
+        self.recompute_reserved();
     }
 
-    /// Whether every grant gives as much of one slot as of another, or nothing where there is no other.
-    pub(crate) fn alike(&self, index: usize, other: Option<usize>) -> bool {
-        self.lent.iter().all(|lent| lent.counts[index] == other.map_or(0, |other| lent.counts[other]))
+    /// Whether every grant gives the same amount for both slots, or zero where there is no other slot.
+    pub(crate) fn has_equal_grants(&self, index: usize, other: Option<usize>) -> bool {
+        self.active_grants
+            .iter()
+            .all(|grant| grant.counts[index] == other.map_or(0, |other| grant.counts[other]))
     }
 
-    /// Puts everything in the places of other slots.
-    pub(crate) fn rearrange(&mut self, moves: &Moves) {
-        let first =
+    /// Moves all values to a new slot order; `sources` lists the old slots of each new one.
+    pub(crate) fn remap_slots(&mut self, sources: &SlotSources) {
+        let first_source =
             |rows: &[Row], from: &Vec<usize>| from.first().map_or(Row::new(), |&index| rows[index].clone());
-        self.wants = moves.iter().map(|from| first(&self.wants, from)).collect();
-        self.targets = moves.iter().map(|from| first(&self.targets, from)).collect();
-        for lent in &mut self.lent {
-            let most = |from: &Vec<usize>| from.iter().map(|&index| lent.counts[index]).max().unwrap_or(0);
-            lent.counts = moves.iter().map(most).collect();
+        self.demands = sources.iter().map(|from| first_source(&self.demands, from)).collect();
+        self.targets = sources.iter().map(|from| first_source(&self.targets, from)).collect();
+        for grant in &mut self.active_grants {
+            let most = |from: &Vec<usize>| from.iter().map(|&index| grant.counts[index]).max().unwrap_or(0);
+            grant.counts = sources.iter().map(most).collect();
         }
-        self.reserve();
-        self.reserved.resize(moves.len(), 0);
+        self.recompute_reserved();
+        self.reserved.resize(sources.len(), 0);
     }
 
-    /// Puts tenants in the places that other contracts give them.
-    pub(crate) fn rename(&mut self, places: &[usize], tenants: usize) {
-        for row in self.wants.iter_mut().chain(&mut self.targets) {
-            let mut renamed = vec![0; tenants];
-            for (count, &place) in row.iter().zip(places) {
-                renamed[place] += count;
+    /// Moves tenants to the indexes that new contracts give them.
+    pub(crate) fn remap_tenants(&mut self, new_indexes: &[usize], tenants: usize) {
+        for row in self.demands.iter_mut().chain(&mut self.targets) {
+            let mut remapped = vec![0; tenants];
+            for (count, &new_index) in row.iter().zip(new_indexes) {
+                remapped[new_index] += count;
             }
-            *row = renamed;
+            *row = remapped;
         }
     }
 
-    fn reserve(&mut self) {
-        let slots = self.wants.len();
-        let most = |index: usize| self.lent.iter().map(|lent| lent.counts[index]).max().unwrap_or(0);
+    fn recompute_reserved(&mut self) {
+        let slots = self.demands.len();
+        let most =
+            |index: usize| self.active_grants.iter().map(|grant| grant.counts[index]).max().unwrap_or(0);
         self.reserved = (0..slots).map(most).collect();
     }
 }
--- a/crates/quota/src/grantor/slots.rs
+++ b/crates/quota/src/grantor/slots.rs
@@ -1,38 +1,38 @@
-//! What the grantor divides: each resource, and for each whole a class that stands for every resource with that whole
-//! that a grant does not name, also one that only the node knows.
+//! The slots that the grantor divides: one per resource, and per capacity a class. A class stands for every resource of
+//! its capacity that a grant does not list, including those known only to the node.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use crate::config::BudgetsConfig;
 use crate::names::Resource;
-use crate::sheet::Sheet;
+use crate::quota_page::QuotaPage;
 
-/// Most resources; those beyond have their safe minimums alone.
+/// Most resources; any beyond have only their safe minimums.
 const MAX_RESOURCES: usize = 4096;
-/// Most wholes that have a class; a resource of another whole is always named.
+/// Most capacities that have a class; a resource of any other capacity is always listed.
 pub(crate) const MAX_CLASSES: usize = 2;
 
-/// Classes come before resources.
+/// Identifies a slot. The derived order puts classes before resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Key {
+pub(crate) enum SlotKey {
     Class(u32),
     Resource(Resource),
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
-    pub(crate) key: Key,
-    pub(crate) whole: u32,
-    /// What there is to lease.
-    pub(crate) pool: u32,
-    /// What leases in force may take, of all nodes together.
+    pub(crate) key: SlotKey,
+    pub(crate) capacity: u32,
+    /// The amount that can be leased.
+    pub(crate) leasable: u32,
+    /// The amount that grants in force may use, summed over all nodes.
     pub(crate) reserved: u32,
-    /// By tenant, whether the last division gave it all that it wants.
-    pub(crate) content: Vec<bool>,
-    /// It is no longer there, but some may not have heard.
+    /// By tenant, whether the last division met its demand.
+    pub(crate) satisfied: Vec<bool>,
+    /// The resource no longer exists, but some nodes may not know yet.
     retired: bool,
-    /// Its whole has changed, so nodes may go by another class: it is always named.
+    /// The resource's capacity has changed, so nodes may use another class for it: it is always listed.
     pub(crate) explicit: bool,
 }
 
@@ -41,8 +41,8 @@
     slots: Vec<Slot>,
 }
 
-/// Where each slot's leases come from after a change: the places, before, of what counts as granted of it.
-pub(crate) type Moves = Vec<Vec<usize>>;
+/// For each slot after a change, the old indexes of the slots whose grants a node may be using for it.
+pub(crate) type SlotSources = Vec<Vec<usize>>;
 
 impl Slots {
     pub(crate) fn len(&self) -> usize {
@@ -53,8 +53,8 @@
         &self.slots[index]
     }
 
-    pub(crate) fn set_content(&mut self, index: usize, content: Vec<bool>) {
-        self.slots[index].content = content;
+    pub(crate) fn set_satisfied(&mut self, index: usize, satisfied: Vec<bool>) {
+        self.slots[index].satisfied = satisfied;
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Slot> {
@@ -65,78 +65,89 @@
         self.slots.iter_mut()
     }
 
-    /// Classes, and resources that a page covers.
-    pub(crate) fn within<'a>(&'a self, sheet: &'a Sheet) -> impl Iterator<Item = (usize, &'a Slot)> {
+    /// All classes, and the resources within a page's range.
+    pub(crate) fn covered_by<'a>(&'a self, page: &'a QuotaPage) -> impl Iterator<Item = (usize, &'a Slot)> {
         self.slots.iter().enumerate().filter(|(_, slot)| match slot.key {
-            Key::Class(_) => true,
-            Key::Resource(resource) => sheet.covers(resource),
+            SlotKey::Class(_) => true,
+            SlotKey::Resource(resource) => page.covers(resource),
         })
     }
 
-    /// The place of a slot's class.
-    pub(crate) fn class(&self, slot: &Slot) -> Option<usize> {
-        self.place(Key::Class(slot.whole))
+    /// The index of a slot's class.
+    pub(crate) fn class_index(&self, slot: &Slot) -> Option<usize> {
+        self.index_of(SlotKey::Class(slot.capacity))
     }
 
-    pub(crate) fn recount(&mut self, before: &[u32], after: &[u32]) {
+    pub(crate) fn update_reserved(&mut self, before: &[u32], after: &[u32]) {
         for (slot, (before, after)) in self.slots.iter_mut().zip(before.iter().zip(after)) {
             slot.reserved = slot.reserved - before + after;
         }
     }
 
-    /// The slots once there is what `wholes` says.
-    pub(crate) fn renewed(&self, wholes: &BTreeMap<Resource, u32>, config: &BudgetsConfig) -> (Slots, Moves) {
-        let mut slots: BTreeMap<Key, Slot> = self.slots.iter().map(|slot| (slot.key, slot.clone())).collect();
+    /// The slots for new capacities, with their sources. Resources that are gone are kept as retired.
+    pub(crate) fn updated(
+        &self,
+        capacities: &BTreeMap<Resource, u32>,
+        config: &BudgetsConfig,
+    ) -> (Slots, SlotSources) {
+        let mut slots: BTreeMap<SlotKey, Slot> =
+            self.slots.iter().map(|slot| (slot.key, slot.clone())).collect();
         for slot in slots.values_mut() {
-            slot.retired = matches!(slot.key, Key::Resource(resource) if !wholes.contains_key(&resource));
+            slot.retired =
+                matches!(slot.key, SlotKey::Resource(resource) if !capacities.contains_key(&resource));
         }
-        for (&resource, &whole) in wholes {
-            let key = Key::Resource(resource);
+        for (&resource, &capacity) in capacities {
+            let key = SlotKey::Resource(resource);
             let known = slots.get(&key);
             if known.is_none() && slots.len() >= MAX_RESOURCES + MAX_CLASSES {
                 continue;
             }
-            let explicit = known.is_some_and(|slot| slot.explicit || slot.whole != whole);
-            slots.insert(key, slot(key, whole, explicit, config));
+            let explicit = known.is_some_and(|slot| slot.explicit || slot.capacity != capacity);
+            slots.insert(key, slot(key, capacity, explicit, config));
         }
-        let there = slots.keys().filter(|key| matches!(key, Key::Class(_))).count();
-        let new = common(wholes).into_iter().filter(|whole| !slots.contains_key(&Key::Class(*whole)));
-        let new: Vec<u32> = new.take(MAX_CLASSES.saturating_sub(there)).collect();
-        slots.extend(
-            new.into_iter().map(|whole| (Key::Class(whole), slot(Key::Class(whole), whole, false, config))),
-        );
+        let class_count = slots.keys().filter(|key| matches!(key, SlotKey::Class(_))).count();
+        let new = capacities_by_frequency(capacities)
+            .into_iter()
+            .filter(|capacity| !slots.contains_key(&SlotKey::Class(*capacity)));
+        let new: Vec<u32> = new.take(MAX_CLASSES.saturating_sub(class_count)).collect();
+        slots.extend(new.into_iter().map(|capacity| {
+            (SlotKey::Class(capacity), slot(SlotKey::Class(capacity), capacity, false, config))
+        }));
         let slots = Slots { slots: slots.into_values().collect() };
-        let moves = slots.iter().map(|slot| self.sources(slot)).collect();
-        (slots, moves)
+        let sources = slots.iter().map(|slot| self.sources(slot)).collect();
+        (slots, sources)
     }
 
-    /// Whose grants a node may be using for this slot: its own, and where the slot is new or has another whole, those
-    /// of classes.
+    /// The old slots whose grants a node may be using for this slot: its own and, where it is new or its capacity
+    /// changed, those of classes.
     fn sources(&self, new: &Slot) -> Vec<usize> {
-        match (self.place(new.key), new.key) {
+        match (self.index_of(new.key), new.key) {
             (Some(own), _) if !new.explicit => vec![own],
-            (own, Key::Resource(_)) => {
-                let classes =
-                    |slot: &Slot| matches!(slot.key, Key::Class(whole) if new.explicit || whole == new.whole);
+            (own, SlotKey::Resource(_)) => {
+                let classes = |old: &Slot| matches!(old.key, SlotKey::Class(size) if new.explicit || size == new.capacity);
                 let classes = self.slots.iter().enumerate().filter(|(_, slot)| classes(slot));
                 own.into_iter().chain(classes.map(|(index, _)| index)).collect()
             }
-            (own, Key::Class(_)) => own.into_iter().collect(),
+            (own, SlotKey::Class(_)) => own.into_iter().collect(),
         }
     }
 
-    fn place(&self, key: Key) -> Option<usize> {
+    fn index_of(&self, key: SlotKey) -> Option<usize> {
         self.slots.binary_search_by_key(&key, |slot| slot.key).ok()
     }
 
-    /// Drops retired resources for which all nodes hold what they hold of the class.
-    pub(crate) fn drop_retired(&mut self, alike: impl Fn(usize, Option<usize>) -> bool) -> Option<Moves> {
-        let goes = |index: usize, slot: &Slot| slot.retired && alike(index, self.class(slot));
+    /// Drops retired resources whose grants equal those of their class at all nodes.
+    pub(crate) fn drop_retired(
+        &mut self,
+        has_equal_grants: impl Fn(usize, Option<usize>) -> bool,
+    ) -> Option<SlotSources> {
+        let is_dropped =
+            |index: usize, slot: &Slot| slot.retired && has_equal_grants(index, self.class_index(slot));
         let kept: Vec<usize> = self
             .slots
             .iter()
             .enumerate()
-            .filter(|(index, slot)| !goes(*index, slot))
+            .filter(|(index, slot)| !is_dropped(*index, slot))
             .map(|(index, _)| index)
             .collect();
         if kept.len() == self.slots.len() {
@@ -147,15 +158,23 @@
     }
 }
 
-/// The wholes that there are, the most common first.
-pub(crate) fn common(wholes: &BTreeMap<Resource, u32>) -> Vec<u32> {
+/// The distinct capacities, most frequent first.
+pub(crate) fn capacities_by_frequency(capacities: &BTreeMap<Resource, u32>) -> Vec<u32> {
     let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
-    wholes.values().for_each(|whole| *counts.entry(*whole).or_default() += 1);
-    let mut common: Vec<u32> = counts.keys().copied().collect();
-    common.sort_by_key(|whole| Reverse(counts.get(whole).copied()));
-    common
+    capacities.values().for_each(|capacity| *counts.entry(*capacity).or_default() += 1);
+    let mut distinct: Vec<u32> = counts.keys().copied().collect();
+    distinct.sort_by_key(|capacity| Reverse(counts.get(capacity).copied()));
+    distinct
 }
 
-fn slot(key: Key, whole: u32, explicit: bool, config: &BudgetsConfig) -> Slot {
-    Slot { key, whole, pool: config.pool(whole), reserved: 0, content: Vec::new(), retired: false, explicit }
+fn slot(key: SlotKey, capacity: u32, explicit: bool, config: &BudgetsConfig) -> Slot {
+    Slot {
+        key,
+        capacity,
+        leasable: config.leasable(capacity),
+        reserved: 0,
+        satisfied: Vec::new(),
+        retired: false,
+        explicit,
+    }
 }
--- a/crates/quota/src/leases.rs
+++ b/crates/quota/src/leases.rs
@@ -1,61 +1,66 @@
-//! What this node has been granted, until when by its own clock. The newest page that covers a resource is the one used.
+//! The leases that this node holds, with their expiry by its own clock. The newest lease that covers a resource
+//! applies.
 
 use hallpin_membership::names::Moment;
 
 use crate::names::Resource;
-use crate::sheet::{Row, Sheet};
+use crate::quota_page::{QuotaPage, Row};
 
-/// Pages kept; a grantor's answers to one question are far fewer.
-const MAX_PAGES: usize = 64;
+/// Most leases stored; a grantor's answers to one request are far fewer.
+const MAX_LEASES: usize = 64;
 
-/// A page of grants.
+/// One granted page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Lease {
+    /// Epoch of the grantor's leader lease.
     pub(crate) epoch: u64,
-    pub(crate) question: u32,
-    /// Of the contracts that its rows go by.
+    /// The request that the lease answers.
+    pub(crate) request_id: u32,
+    /// Digest of the contracts that the page's rows are ordered by.
     pub(crate) contracts: u32,
-    pub(crate) until: Moment,
-    pub(crate) sheet: Sheet,
+    /// Expiry by this node's clock.
+    pub(crate) expires_at: Moment,
+    pub(crate) page: QuotaPage,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Leases {
     /// Newest last.
-    pages: Vec<Lease>,
+    leases: Vec<Lease>,
 }
 
 impl Leases {
-    /// Takes a page; those that it covers are over, as what was not used is not to be had twice. Says whether what may
-    /// be used has changed.
-    pub(crate) fn take(&mut self, now: Moment, lease: Lease) -> bool {
-        let age = |page: &Lease| (page.epoch, page.question);
-        let covered = |page: &Lease| lease.sheet.from <= page.sheet.from && page.sheet.to <= lease.sheet.to;
-        let changed = !self.pages.iter().any(|page| now < page.until && page.sheet == lease.sheet);
-        self.pages.retain(|page| now < page.until && !(covered(page) && age(page) <= age(&lease)));
-        let at = self.pages.partition_point(|page| age(page) <= age(&lease));
-        self.pages.insert(at, lease);
-        if self.pages.len() > MAX_PAGES {
-            self.pages.remove(0);
+    /// Stores a lease and ends older ones whose range it covers, so that no quota counts twice. Returns whether the
+    /// usable quota may have changed.
+    pub(crate) fn insert(&mut self, now: Moment, lease: Lease) -> bool {
+        let age = |lease: &Lease| (lease.epoch, lease.request_id);
+        let is_covered = |old: &Lease| lease.page.from <= old.page.from && old.page.to <= lease.page.to;
+        let changed = !self.leases.iter().any(|old| now < old.expires_at && old.page == lease.page);
+        self.leases.retain(|old| now < old.expires_at && !(is_covered(old) && age(old) <= age(&lease)));
+        let index = self.leases.partition_point(|old| age(old) <= age(&lease));
+        self.leases.insert(index, lease);
+        if self.leases.len() > MAX_LEASES {
+            self.leases.remove(0);
         }
         changed
     }
 
-    /// Drops what is over, and says whether anything was.
+    /// Drops expired leases and returns whether there were any.
     pub(crate) fn expire(&mut self, now: Moment) -> bool {
-        let before = self.pages.len();
-        self.pages.retain(|page| now < page.until);
-        self.pages.len() < before
+        let before = self.leases.len();
+        self.leases.retain(|lease| now < lease.expires_at);
+        self.leases.len() < before
     }
 
-    /// The lease of a resource that is in force.
-    pub(crate) fn of(&self, now: Moment, resource: Resource, whole: u32) -> Option<(&Lease, &Row)> {
-        let page = self.pages.iter().rev().find(|page| now < page.until && page.sheet.covers(resource))?;
-        page.sheet.row(resource, whole).map(|row| (page, row))
+    /// The lease in force for a resource, with the resource's row.
+    pub(crate) fn find(&self, now: Moment, resource: Resource, capacity: u32) -> Option<(&Lease, &Row)> {
+        let lease =
+            self.leases.iter().rev().find(|lease| now < lease.expires_at && lease.page.covers(resource))?;
+        lease.page.row(resource, capacity).map(|row| (lease, row))
     }
 
-    /// When the next of them ends.
-    pub(crate) fn due(&self) -> Option<Moment> {
-        self.pages.iter().map(|page| page.until).min()
+    /// Time of the next expiry.
+    pub(crate) fn next_expiry(&self) -> Option<Moment> {
+        self.leases.iter().map(|lease| lease.expires_at).min()
     }
 }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,48 +1,53 @@
-//! The payloads of budgets: a node says what it wants and is told what it has; and the leader lease of who grants.
+//! Payloads of the quota protocol: demand reports, grants, redirects to the grantor, and the grantor's leader lease.
 
 use hallpin_leader_lease::LeaseMessage;
 use hallpin_membership::envelope::{Refused, MAX_PAYLOAD};
 use hallpin_membership::names::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
-use crate::sheet::Sheet;
+use crate::quota_page::QuotaPage;
 
-/// Bytes for a sheet beside all else in the longest message: kind, life, epoch, two digests or numbers, a length.
-pub(crate) const SHEET_ROOM: usize = MAX_PAYLOAD - 1 - 2 * 10 - 3 * 5;
-/// Longest row that reads; no contracts have more tenants.
-const MAX_ROW: usize = crate::contracts::MAX_TENANTS + 1;
+/// Bytes left for a page beside the other fields of the longest message: variant, incarnation, epoch, and three 32-bit
+/// numbers.
+pub(crate) const MAX_PAGE_BYTES: usize = MAX_PAYLOAD - 1 - 2 * 10 - 3 * 5;
+/// Longest row accepted: the most tenants that contracts can have.
+const MAX_ROW_LENGTH: usize = crate::contracts::MAX_TENANTS + 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// About who grants.
+    /// Leader lease of the grantor.
     Lease(LeaseMessage),
-    /// What a node wants, its safe minimums included: a question for grants in the sheet's range.
+    /// A node's demand, its safe minimums included: a request for grants in the page's range.
     Wants {
-        /// Which of its questions.
-        question: u32,
-        /// Of the contracts that rows go by.
+        /// Identifies the request among those of its sender.
+        #[serde(rename = "question")]
+        request_id: u32,
+        /// Digest of the contracts that the rows are ordered by.
         contracts: u32,
-        sheet: Sheet,
+        #[serde(rename = "sheet")]
+        page: QuotaPage,
     },
-    /// Who grants instead of the node that was asked.
+    /// Redirect: `node` is the grantor, not the node that was asked.
     Elsewhere { node: NodeId },
-    /// What a node has beside its safe minimums.
+    /// What a node is granted beyond its safe minimums.
     Grant {
-        /// The life that asked.
+        /// Incarnation that sent the request.
         life: Incarnation,
-        /// The question that this answers.
-        question: u32,
-        /// The grantor's.
+        /// The request that this grant answers.
+        #[serde(rename = "question")]
+        request_id: u32,
+        /// Epoch of the grantor's leader lease.
         epoch: u64,
         contracts: u32,
-        /// From the question on, of true time.
+        /// Duration from the sending of the request, in true time.
         length_ms: u32,
-        sheet: Sheet,
+        #[serde(rename = "sheet")]
+        page: QuotaPage,
     },
 }
 
 impl Message {
-    /// The payload. A sheet is made to fit; a message that did not would be a fault of this program and is not sent.
+    /// Encodes the payload. Pages are built to fit; `None` for a message that does not, which would be a bug.
     pub(crate) fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MAX_PAYLOAD)
     }
@@ -51,7 +56,7 @@
         let (message, rest) = postcard::take_from_bytes(payload).map_err(|_| Refused::Payload)?;
         let fits = match &message {
             Message::Lease(_) | Message::Elsewhere { .. } => true,
-            Message::Wants { sheet, .. } | Message::Grant { sheet, .. } => sheet.longest_row() <= MAX_ROW,
+            Message::Wants { page, .. } | Message::Grant { page, .. } => page.longest_row() <= MAX_ROW_LENGTH,
         };
         (rest.is_empty() && fits).then_some(message).ok_or(Refused::Payload)
     }
--- a/crates/quota/src/names.rs
+++ b/crates/quota/src/names.rs
@@ -1,28 +1,29 @@
-//! What is divided, for whom, and what a node may have of it.
+//! Identifiers of resources and tenants, and what a node may use of a resource.
 
 use std::time::Duration;
 
 use hallpin_membership::names::Moment;
 use serde::{Deserialize, Serialize};
 
-/// A hash of what is divided: the connections of a box's life, the planner's fetches, a cold box's work, retries. The
-/// same at every node.
+/// Identifies a divided resource by a hash that is the same at every node, such as the connections of a box, the
+/// planner's fetches, the work of a box that is warming up, or retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Resource(pub u64);
 
-/// A tenant's place in a node's own [`Contracts`](crate::Contracts); nothing outside the node.
+/// A tenant's index in this node's [`Contracts`](crate::Contracts); meaningless at other nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantIndex(pub u8);
 
-/// What this node may use of a resource for a tenant, at the moment it was asked for.
+/// What this node may use of a resource for one tenant, at the time of the query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Part {
-    /// Uses at a time by the tenant.
-    pub count: u32,
-    /// Uses at a time by all tenants of this node: never less than the sum of their counts.
-    pub all: u32,
-    /// When what is leased of it ends, by this node's clock. `None`: all of it is the safe minimum, which does not end.
-    pub until: Option<Moment>,
-    /// The tenant's part of the safe minimum is below one: one use more may begin this often, within `all`.
-    pub every: Option<Duration>,
+pub struct Allotment {
+    /// Concurrent uses by the tenant.
+    pub max_uses: u32,
+    /// Concurrent uses by all tenants of this node together; at least the sum of their `max_uses`.
+    pub node_max_uses: u32,
+    /// When the leased portion ends, by this node's clock. `None`: all of it is the safe minimum, which never ends.
+    pub expires_at: Option<Moment>,
+    /// Set where the tenant's share of the safe minimum is below one: one use beyond `max_uses` may begin at this
+    /// interval, within `node_max_uses`.
+    pub min_interval: Option<Duration>,
 }
--- a/crates/quota/tests/fleet/mod.rs
+++ b/crates/quota/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of machines in virtual time: clocks of unlike rates, a network that loses, doubles and delays, and an
-//! observer who knows true time and holds the sum of all parts to the whole.
+//! A fleet of [`Budgets`] nodes in virtual time, with clocks of different rates and a network that loses, duplicates
+//! and delays datagrams. Tests check allotments against capacities at the same true time.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub const MS: u64 = 1_000_000;
+pub const NS_PER_MS: u64 = 1_000_000;
 pub const A: TenantIndex = TenantIndex(0);
 pub const B: TenantIndex = TenantIndex(1);
 
@@ -27,8 +27,8 @@
     pub budgets: Budgets,
     pub view: View,
     pub life: Life,
-    /// Nanoseconds of its clock in a million of true time.
-    pub rate: u64,
+    /// Nanoseconds that the node's clock advances in a million nanoseconds of true time.
+    pub clock_rate_ppm: u64,
     started: u64,
     pub paused_until: u64,
     pub down: bool,
@@ -36,77 +36,94 @@
 
 impl Node {
     pub fn clock(&self, now: u64) -> Moment {
-        Duration::from_nanos((u128::from(now - self.started) * u128::from(self.rate) / 1_000_000) as u64)
+        Duration::from_nanos(
+            (u128::from(now - self.started) * u128::from(self.clock_rate_ppm) / 1_000_000) as u64,
+        )
     }
 }
 
-pub struct Fleet {
+pub struct SimulatedFleet {
     pub nodes: Vec<Node>,
     pub now: u64,
-    pub chance: Pcg64Mcg,
-    pub loss: f64,
-    pub late: f64,
-    /// Nodes below it hear nothing of the others.
-    pub cut: usize,
-    /// Datagrams and their bytes, by sender.
+    pub rng: Pcg64Mcg,
+    pub loss_probability: f64,
+    pub late_probability: f64,
+    /// Nodes with a lower number are partitioned from the others.
+    pub partition_below: usize,
+    /// Datagrams and payload bytes sent, by node.
     pub sent: Vec<(u64, u64)>,
-    pub wholes: BTreeMap<Resource, u32>,
+    pub capacities: BTreeMap<Resource, u32>,
     pub config: BudgetsConfig,
-    /// The clocks' true drift, in millionths.
-    pub drift: u32,
-    order: u64,
-    coming: BTreeMap<(u64, u64), (Life, usize, Vec<u8>)>,
+    /// True drift of the clocks, in millionths.
+    pub true_drift_ppm: u32,
+    sequence: u64,
+    in_flight: BTreeMap<(u64, u64), (Life, usize, Vec<u8>)>,
 }
 
-impl Fleet {
-    pub fn new(count: u16, lease: Duration, wholes: BTreeMap<Resource, u32>, seed: u64) -> Self {
+impl SimulatedFleet {
+    pub fn new(node_count: u16, lease: Duration, capacities: BTreeMap<Resource, u32>, seed: u64) -> Self {
         let this = Life { node: NodeId(0), incarnation: Incarnation(0) };
-        let config = BudgetsConfig::new(this, count, lease);
-        let (chance, sent) = (Pcg64Mcg::seed_from_u64(seed), vec![(0, 0); count.into()]);
-        let (now, loss, late, cut, order, drift) = (0, 0.0, 0.0, 0, 0, 20_000);
-        let (nodes, coming) = (Vec::new(), BTreeMap::new());
-        Fleet { nodes, now, chance, loss, late, cut, sent, wholes, config, drift, order, coming }
+        let config = BudgetsConfig::new(this, node_count, lease);
+        let (rng, sent) = (Pcg64Mcg::seed_from_u64(seed), vec![(0, 0); node_count.into()]);
+        let (now, loss_probability, late_probability, partition_below, sequence, true_drift_ppm) =
+            (0, 0.0, 0.0, 0, 0, 20_000);
+        let (nodes, in_flight) = (Vec::new(), BTreeMap::new());
+        SimulatedFleet {
+            nodes,
+            now,
+            rng,
+            loss_probability,
+            late_probability,
+            partition_below,
+            sent,
+            capacities,
+            config,
+            true_drift_ppm,
+            sequence,
+            in_flight,
+        }
     }
 
     pub fn start_all(&mut self) {
         self.nodes = (0..self.config.configured).map(|node| self.start(node)).collect();
-        self.see();
+        self.refresh_views();
     }
 
     fn start(&mut self, node: u16) -> Node {
-        let life = Life { node: NodeId(node), incarnation: Incarnation(1_000_000 + self.now / MS) };
+        let life = Life { node: NodeId(node), incarnation: Incarnation(1_000_000 + self.now / NS_PER_MS) };
         let config = BudgetsConfig { this: life, ..self.config };
-        let seed = self.chance.random();
+        let seed = self.rng.random();
         let mut budgets = Budgets::new(config, contracts(2, 1), Moment::ZERO, seed).unwrap();
-        budgets.wholes(Moment::ZERO, &self.wholes);
-        let drift = u64::from(self.drift);
-        let rate = if self.chance.random() { 1_000_000 - drift } else { 1_000_000 + drift };
+        budgets.set_capacities(Moment::ZERO, &self.capacities);
+        let true_drift_ppm = u64::from(self.true_drift_ppm);
+        let clock_rate_ppm =
+            if self.rng.random() { 1_000_000 - true_drift_ppm } else { 1_000_000 + true_drift_ppm };
         let view = View::alone(life, ZoneId(0), config.configured, Moment::ZERO);
-        Node { budgets, view, life, rate, started: self.now, paused_until: 0, down: false }
+        Node { budgets, view, life, clock_rate_ppm, started: self.now, paused_until: 0, down: false }
     }
 
-    /// A new life without state.
+    /// Restarts a node with a new incarnation and no state.
     pub fn restart(&mut self, node: usize) {
         self.nodes[node] = self.start(node as u16);
-        self.see();
+        self.refresh_views();
     }
 
-    /// Gives every node a true view of who is there.
-    pub fn see(&mut self) {
-        let there: Vec<Life> = self.nodes.iter().filter(|node| !node.down).map(|node| node.life).collect();
+    /// Gives every node the true view of the running nodes.
+    pub fn refresh_views(&mut self) {
+        let running: Vec<Life> = self.nodes.iter().filter(|node| !node.down).map(|node| node.life).collect();
         for node in &mut self.nodes {
-            see(node, &there);
+            refresh_views(node, &running);
         }
     }
 
-    /// Gives a node a view of whom it does not see.
-    pub fn mistake(&mut self, node: usize) {
-        let there: Vec<Life> = self.nodes.iter().map(|node| node.life).collect();
-        let seen: Vec<Life> = there.into_iter().filter(|_| self.chance.random_bool(0.5)).collect();
-        see(&mut self.nodes[node], &seen);
+    /// Gives a node a view that misses about half of the nodes.
+    pub fn corrupt_view(&mut self, node: usize) {
+        let running: Vec<Life> = self.nodes.iter().map(|node| node.life).collect();
+        let visible: Vec<Life> = running.into_iter().filter(|_| self.rng.random_bool(0.5)).collect();
+        refresh_views(&mut self.nodes[node], &visible);
     }
 
-    pub fn runs(&self, node: usize) -> bool {
+    pub fn is_running(&self, node: usize) -> bool {
         !self.nodes[node].down && self.nodes[node].paused_until <= self.now
     }
 
@@ -118,86 +135,86 @@
             self.sent[node].0 += 1;
             self.sent[node].1 += payload.len() as u64;
             let to = usize::from(to.0);
-            let cut = (node < self.cut) != (to < self.cut);
-            while !cut && !self.chance.random_bool(self.loss) {
-                let late = if self.chance.random_bool(self.late) { 1_500 } else { 10 };
-                self.order += 1;
-                let at = self.now + self.chance.random_range(MS..late * MS);
-                self.coming.insert((at, self.order), (from, to, payload.clone()));
-                if !self.chance.random_bool(0.05) {
+            let is_partitioned = (node < self.partition_below) != (to < self.partition_below);
+            while !is_partitioned && !self.rng.random_bool(self.loss_probability) {
+                let max_delay_ms = if self.rng.random_bool(self.late_probability) { 1_500 } else { 10 };
+                self.sequence += 1;
+                let arrives_at = self.now + self.rng.random_range(NS_PER_MS..max_delay_ms * NS_PER_MS);
+                self.in_flight.insert((arrives_at, self.sequence), (from, to, payload.clone()));
+                if !self.rng.random_bool(0.05) {
                     break;
                 }
             }
         }
     }
 
-    /// Lets 10 ms pass: what has come is taken, who is due is ticked.
+    /// Advances time by 10 ms: delivers datagrams that have arrived and ticks nodes that are due.
     pub fn step(&mut self) {
-        self.now += 10 * MS;
-        while let Some(entry) = self.coming.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        self.now += 10 * NS_PER_MS;
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let (from, to, payload) = entry.remove();
-            if self.runs(to) {
+            if self.is_running(to) {
                 let node = &mut self.nodes[to];
                 let (clock, view) = (node.clock(self.now), &node.view);
                 node.budgets.receive(clock, view, from, &payload).unwrap();
                 self.send(to);
             }
         }
-        for node in (0..self.nodes.len()).filter(|node| self.runs(*node)).collect::<Vec<_>>() {
+        for node in (0..self.nodes.len()).filter(|node| self.is_running(*node)).collect::<Vec<_>>() {
             let clock = self.nodes[node].clock(self.now);
-            let at = &mut self.nodes[node];
-            if at.budgets.due().is_some_and(|due| due <= clock) {
-                at.budgets.tick(clock, &at.view);
+            let due_node = &mut self.nodes[node];
+            if due_node.budgets.due().is_some_and(|due| due <= clock) {
+                due_node.budgets.tick(clock, &due_node.view);
                 self.send(node);
             }
         }
     }
 
-    /// Tells every node that runs what its tenants want of all resources.
-    pub fn want(&mut self, wanted: impl Fn(usize, TenantIndex) -> u32) {
-        for node in (0..self.nodes.len()).filter(|node| self.runs(*node)).collect::<Vec<_>>() {
+    /// Records the demand of both tenants for all resources at every running node.
+    pub fn set_demands(&mut self, demand: impl Fn(usize, TenantIndex) -> u32) {
+        for node in (0..self.nodes.len()).filter(|node| self.is_running(*node)).collect::<Vec<_>>() {
             let clock = self.nodes[node].clock(self.now);
-            for resource in self.wholes.keys() {
+            for resource in self.capacities.keys() {
                 for tenant in [A, B] {
-                    self.nodes[node].budgets.want(clock, *resource, tenant, wanted(node, tenant));
+                    self.nodes[node].budgets.record_demand(clock, *resource, tenant, demand(node, tenant));
                 }
             }
         }
     }
 
-    /// What all nodes that are up may use of a resource now, those that are paused included.
-    pub fn sum(&self, resource: Resource) -> u32 {
-        let part = |node: &Node| node.budgets.part(node.clock(self.now), resource, A).all;
-        self.nodes.iter().filter(|node| !node.down).map(part).sum()
+    /// What all nodes that are up, including paused ones, may use of a resource now.
+    pub fn total_max_uses(&self, resource: Resource) -> u32 {
+        let allotment = |node: &Node| node.budgets.allotment(node.clock(self.now), resource, A).node_max_uses;
+        self.nodes.iter().filter(|node| !node.down).map(allotment).sum()
     }
 
-    /// What a tenant may use in all of a resource.
-    pub fn count(&self, resource: Resource, tenant: TenantIndex) -> u32 {
-        let part = |node: &Node| node.budgets.part(node.clock(self.now), resource, tenant).count;
-        self.nodes.iter().filter(|node| !node.down).map(part).sum()
+    /// What a tenant may use of a resource at all nodes that are up.
+    pub fn tenant_max_uses(&self, resource: Resource, tenant: TenantIndex) -> u32 {
+        let allotment = |node: &Node| node.budgets.allotment(node.clock(self.now), resource, tenant).max_uses;
+        self.nodes.iter().filter(|node| !node.down).map(allotment).sum()
     }
 
-    /// Plays with a steady appetite.
-    pub fn play(
+    /// Runs for `ms` with constant demand and calls `observe` after each step.
+    pub fn run(
         &mut self,
         ms: u64,
-        wanted: impl Fn(usize, TenantIndex) -> u32,
-        mut seen: impl FnMut(&Fleet),
+        demand: impl Fn(usize, TenantIndex) -> u32,
+        mut observe: impl FnMut(&SimulatedFleet),
     ) {
-        let until = self.now + ms * MS;
+        let until = self.now + ms * NS_PER_MS;
         while self.now < until {
-            if self.now.is_multiple_of(50 * MS) {
-                self.want(&wanted);
+            if self.now.is_multiple_of(50 * NS_PER_MS) {
+                self.set_demands(&demand);
             }
             self.step();
-            seen(self);
+            observe(self);
         }
     }
 }
 
-fn see(node: &mut Node, there: &[Life]) {
+fn refresh_views(node: &mut Node, running: &[Life]) {
     let mut view = View::alone(node.life, ZoneId(0), node.view.configured, Moment::ZERO);
-    for &life in there {
+    for &life in running {
         let member = Member { life, zone: ZoneId(0), state: MemberState::Alive, since: Moment::ZERO };
         view.members.insert(life.node, member);
     }
