--- a/crates/store/src/bounded.rs
+++ b/crates/store/src/bounded_file.rs
@@ -1,23 +1,23 @@
-//! A file that does not grow beyond its bound: files count as memory where a node runs.
+//! A storage backend that limits the length of its file, since files count as memory where a node runs.
 
 use std::io;
 
 use redb::StorageBackend;
 
-/// A file backend with a bound on its length. It takes no locks: the store holds one of its own.
+/// A storage backend with a maximum length. It takes no locks; the store holds a lock file of its own.
 #[derive(Debug)]
-pub(crate) struct Bounded {
+pub(crate) struct BoundedFile {
     file: Box<dyn StorageBackend>,
     max_bytes: u64,
 }
 
-impl Bounded {
+impl BoundedFile {
     pub(crate) fn new(file: Box<dyn StorageBackend>, max_bytes: u64) -> Self {
-        Bounded { file, max_bytes }
+        BoundedFile { file, max_bytes }
     }
 }
 
-impl StorageBackend for Bounded {
+impl StorageBackend for BoundedFile {
     fn len(&self) -> io::Result<u64> {
         self.file.len()
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! What a store cannot do. None of it stops a node: it goes on without a store.
+//! Errors of the store. None of them stops a node, which goes on without a store.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,44 +8,44 @@
 /// Why a store cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process, or another store of this one, has it open.
+    /// Another process, or another store in this process, has the state open.
     #[error("{}: in use by another process", .0.display())]
     InUse(PathBuf),
-    /// The file system refuses: no folder, not writable, full, broken.
-    #[error("{}: {doing}: {source}", path.display())]
+    /// A file system call failed, for instance on a missing folder, missing permission, a full disk or a device error.
+    #[error("{}: {operation}: {source}", path.display())]
     Io {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// What was tried.
-        doing: &'static str,
-        /// What the file system said.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The error of the file system.
         source: io::Error,
     },
-    /// The snapshot is longer than its bound; what was stored before stays.
-    #[error("a snapshot of {found} bytes, at most {bound} expected")]
+    /// The snapshot is longer than its limit; the state stored before is unchanged.
+    #[error("the snapshot has {found} bytes, at most {bound} expected")]
     TooLarge {
-        /// Its bytes.
+        /// Length of the snapshot in bytes.
         found: u64,
-        /// The bound.
+        /// Maximum length in bytes.
         bound: u64,
     },
-    /// The database refuses; what was stored before stays.
+    /// The database returned an error; the state stored before is unchanged.
     #[error("{}: {detail}", path.display())]
     Database {
-        /// Which file.
+        /// The database file.
         path: PathBuf,
-        /// What it said.
+        /// The database's error message.
         detail: String,
     },
-    /// A life is stored that is not before the one that would take its place.
-    #[error("the stored incarnation {} is not before this one's, {}", stored.0, this.0)]
-    LaterLife {
+    /// The stored incarnation is not below the one that would replace it.
+    #[error("the stored incarnation {} is not below this process's, {}", stored.0, this.0)]
+    LaterIncarnation {
         /// The incarnation in the file.
         stored: Incarnation,
-        /// The one that this process speaks under.
+        /// The incarnation of this process.
         this: Incarnation,
     },
-    /// The value cannot be written as bytes.
-    #[error("a snapshot that cannot be written as bytes")]
+    /// The snapshot cannot be serialised.
+    #[error("the snapshot cannot be serialised")]
     Encoding,
 }
--- a/crates/store/src/file_system.rs
+++ b/crates/store/src/file_system.rs
@@ -1,4 +1,4 @@
-//! What a store does to files, behind a trait, so that a test can fail or cut each call.
+//! The file system calls of a store behind a trait, so that a test can make each call fail or end early.
 
 use std::ffi::OsString;
 use std::fmt::Debug;
@@ -9,52 +9,52 @@
 use redb::backends::FileBackend;
 pub use redb::StorageBackend;
 
-/// The calls of the file system that a store makes.
+/// The file system calls that a store makes.
 pub trait FileSystem: Debug + Send + Sync {
-    /// Opens a file to read and write, and makes an empty one where there is none.
+    /// Opens a file for reading and writing; creates an empty one if it does not exist.
     ///
     /// # Errors
-    /// What the file system says.
+    /// The error of the file system.
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageBackend>>;
 
-    /// Opens, or makes, the file whose lock says which process has the store.
+    /// Opens the lock file, which the process that uses the store keeps locked; creates it if it does not exist.
     ///
     /// # Errors
-    /// What the file system says.
+    /// The error of the file system.
     fn open_lock(&self, path: &Path) -> io::Result<File>;
 
-    /// Renames a file over another.
+    /// Renames a file, replacing `to` if it exists.
     ///
     /// # Errors
-    /// What the file system says.
+    /// The error of the file system.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Copies a file, and syncs the copy.
+    /// Copies a file and syncs the copy.
     ///
     /// # Errors
-    /// What the file system says.
+    /// The error of the file system.
     fn copy(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Deletes a file.
     ///
     /// # Errors
-    /// What the file system says.
+    /// The error of the file system.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Makes what was done to names in a folder durable.
+    /// Syncs a folder, which makes renames, new files and deletions in it durable.
     ///
     /// # Errors
-    /// What the file system says.
+    /// The error of the file system.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// The names in a folder.
+    /// Names of the entries in a folder.
     ///
     /// # Errors
-    /// What the file system says.
+    /// The error of the file system.
     fn names(&self, folder: &Path) -> io::Result<Vec<OsString>>;
 }
 
-/// The machine's file system.
+/// The operating system's file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Disk;
 
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,42 +1,45 @@
-//! The frame of a row: format (2 bytes), CRC-32 of format and body (4), little-endian, then the body by `postcard`.
+//! Encoding of a row: format (2 bytes) and CRC-32 of format and body (4 bytes), both little-endian, then the body in
+//! `postcard` encoding.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use crate::reason::Reason;
+use crate::reason::SetAsideReason;
 
-const HEADER: usize = 6;
+const HEADER_BYTES: usize = 6;
 
-/// A row's bytes. None where the body cannot be written, which no type of this crate gives.
-pub(crate) fn seal<T: Serialize>(format: u16, body: &T) -> Option<Vec<u8>> {
+/// Encodes a row. Returns `None` if the body cannot be serialised, which happens for no type of this crate.
+pub(crate) fn encode<T: Serialize>(format: u16, body: &T) -> Option<Vec<u8>> {
     let mut out = format.to_le_bytes().to_vec();
     out.extend_from_slice(&[0; 4]);
     let mut out = postcard::to_extend(body, out).ok()?;
-    let sum = check_sum(format, &out[HEADER..]);
-    out[2..HEADER].copy_from_slice(&sum.to_le_bytes());
+    let sum = checksum(format, &out[HEADER_BYTES..]);
+    out[2..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     Some(out)
 }
 
-/// Reads a row of a format up to `read`. The check sum comes first, so that a garbled format number is torn and not
-/// newer; so a newer format keeps this frame.
-pub(crate) fn open<T: DeserializeOwned>(read: u16, bytes: &[u8]) -> Result<T, Reason> {
-    let (header, body) =
-        bytes.split_first_chunk::<HEADER>().ok_or_else(|| Reason::Torn("a row cut short".to_owned()))?;
+/// Decodes a row of a format up to `supported`. The checksum is verified before the format is compared, so that a
+/// damaged format number is reported as corruption and not as a newer format. Newer formats must therefore keep this
+/// header.
+pub(crate) fn decode<T: DeserializeOwned>(supported: u16, bytes: &[u8]) -> Result<T, SetAsideReason> {
+    let (header, body) = bytes
+        .split_first_chunk::<HEADER_BYTES>()
+        .ok_or_else(|| SetAsideReason::Corrupt("a row is shorter than its header".to_owned()))?;
     let [low, high, sum @ ..] = *header;
     let format = u16::from_le_bytes([low, high]);
-    if check_sum(format, body) != u32::from_le_bytes(sum) {
-        return Err(Reason::Torn("a row does not fit its check sum".to_owned()));
+    if checksum(format, body) != u32::from_le_bytes(sum) {
+        return Err(SetAsideReason::Corrupt("the checksum of a row does not match".to_owned()));
     }
-    if format > read {
-        return Err(Reason::NewerFormat { section: None, found: format, read });
+    if format > supported {
+        return Err(SetAsideReason::NewerFormat { section: None, found: format, supported });
     }
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
-        _ => Err(Reason::Unreadable { section: None }),
+        _ => Err(SetAsideReason::Unreadable { section: None }),
     }
 }
 
-fn check_sum(format: u16, body: &[u8]) -> u32 {
+fn checksum(format: u16, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&format.to_le_bytes());
     hasher.update(body);
@@ -48,24 +51,31 @@
     use super::*;
 
     #[test]
-    fn any_bit_that_flips_and_any_cut_is_torn() {
-        let bytes = seal(1, &(7u64, "body")).unwrap();
-        assert_eq!(open::<(u64, String)>(1, &bytes), Ok((7, "body".to_owned())));
+    fn any_flipped_bit_and_any_truncation_is_corrupt() {
+        let bytes = encode(1, &(7u64, "body")).unwrap();
+        assert_eq!(decode::<(u64, String)>(1, &bytes), Ok((7, "body".to_owned())));
         for bit in 0..bytes.len() * 8 {
-            let mut garbled = bytes.clone();
-            garbled[bit / 8] ^= 1 << (bit % 8);
-            assert!(matches!(open::<(u64, String)>(1, &garbled), Err(Reason::Torn(_))), "bit {bit}");
+            let mut damaged = bytes.clone();
+            damaged[bit / 8] ^= 1 << (bit % 8);
+            assert!(
+                matches!(decode::<(u64, String)>(1, &damaged), Err(SetAsideReason::Corrupt(_))),
+                "bit {bit}"
+            );
         }
         for length in 0..bytes.len() {
-            assert!(matches!(open::<(u64, String)>(1, &bytes[..length]), Err(Reason::Torn(_))));
+            assert!(matches!(decode::<(u64, String)>(1, &bytes[..length]), Err(SetAsideReason::Corrupt(_))));
         }
     }
 
     #[test]
-    fn a_newer_format_and_a_body_of_another_shape_are_told_apart() {
-        let bytes = seal(2, &(7u64, "body")).unwrap();
-        let newer = Reason::NewerFormat { section: None, found: 2, read: 1 };
-        assert_eq!(open::<(u64, String)>(1, &bytes), Err(newer));
-        assert_eq!(open::<u64>(2, &bytes), Err(Reason::Unreadable { section: None }), "bytes left over");
+    fn newer_formats_and_undecodable_bodies_are_distinguished() {
+        let bytes = encode(2, &(7u64, "body")).unwrap();
+        let newer = SetAsideReason::NewerFormat { section: None, found: 2, supported: 1 };
+        assert_eq!(decode::<(u64, String)>(1, &bytes), Err(newer));
+        assert_eq!(
+            decode::<u64>(2, &bytes),
+            Err(SetAsideReason::Unreadable { section: None }),
+            "bytes left over"
+        );
     }
 }
--- a/crates/store/src/incarnation.rs
+++ b/crates/store/src/incarnation.rs
@@ -1,39 +1,41 @@
-//! Decides under which incarnation a node speaks, and how long it is silent before it does. Pure.
+//! Chooses the incarnation of a node's process, and how long the process stays silent before it uses it. No I/O.
 //!
-//! No incarnation may be used (spoken under) twice, and none may be below one used before. With a settled life stored
-//! the next one follows it and is written before the first word. Without, only the wall clock tells lives apart, and it
-//! may have stepped back by a bound `b`. So a node that does not know its past takes a number `b` ahead of its clock,
-//! and says nothing for `2b`: the first passes what earlier lives used, the second lets any later life's clock pass it.
+//! No incarnation may be used (sent to other nodes) by two processes, and none may be below one used before. With a
+//! settled incarnation stored, the next one is above it and is written before the first message. Otherwise only the
+//! wall clock tells incarnations apart, and the clock may have stepped back by up to `b`. So a process that does not
+//! know its predecessor takes a number `b` ahead of its clock and sends nothing for `2b`: the lead passes what earlier
+//! processes used, and the silence lets the clock of any later process pass this one.
 //!
-//! It holds where the clock's error varies by at most `b` over all lives together, where two lives are at least 1 ms
-//! apart, and where nobody puts an older copy of the file back. `tests/lives.rs` checks it.
+//! This is correct if the clock's error varies by at most `b` over all processes of the node together, if two
+//! processes start at least 1 ms apart, and if nobody restores an older copy of the file. `tests/lives.rs` checks it
+//! with a model checker.
 
 use std::time::Duration;
 
 use hallpin_membership::names::Incarnation;
 
-/// What is known of a node's earlier lives.
+/// What is known of the incarnations that earlier processes of a node used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Past {
-    /// Nothing: no state, or none that may be used.
+    /// There is no stored state, or none that may be used.
     Unknown,
-    /// A life was written that had not known its past and whose silence was not over.
+    /// An incarnation is stored whose process did not know its predecessor, and whose silence was not over.
     Unsettled(Incarnation),
-    /// A life was written from which the next may follow.
+    /// An incarnation is stored that the next one may follow directly.
     Settled(Incarnation),
 }
 
-/// How a life begins.
+/// The incarnation of a process, and the silence before it is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Start {
-    /// Under which incarnation.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// How long nothing may be said under it, on the monotonic clock and from the choice on.
+    /// How long nothing may be sent under this incarnation, on the monotonic clock, from its choice on.
     pub quiet: Duration,
 }
 
 impl Start {
-    /// A life that is written before its first word. It follows a settled one at once.
+    /// An incarnation that is written to the store before the first message. It follows a settled one without silence.
     pub fn written(past: Past, now_unix_ms: u64, step_back: Duration) -> Self {
         match past {
             Past::Settled(before) => {
@@ -44,8 +46,8 @@
         }
     }
 
-    /// A life that cannot be written, or that does not know its past. A node without a store starts by this with
-    /// [`Past::Unknown`].
+    /// An incarnation that cannot be written, or whose predecessor is unknown. A node without a store starts with this
+    /// and [`Past::Unknown`].
     pub fn unwritten(past: Past, now_unix_ms: u64, step_back: Duration) -> Self {
         let least = match past {
             Past::Unknown => 0,
@@ -56,7 +58,7 @@
         Start { incarnation, quiet: step_back.saturating_mul(2) }
     }
 
-    /// Whether a next life may follow this one at once where it is written.
+    /// Whether the next process may follow this incarnation without silence once this one is written.
     pub fn is_settled(&self) -> bool {
         self.quiet.is_zero()
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,31 +1,31 @@
-//! Snapshots of what may outlive a process, in an embedded store: which of what was stored may be used again, and
-//! under which incarnation a node may speak.
+//! Persists the state of a node that stays valid after its process ends, in an embedded database: decides which parts
+//! of a stored state may be used again, and which incarnation a node may use.
 //!
-//! A shell over files, with its decisions in pure modules: [`judge`] decides what of a state may be used,
-//! [`incarnation`] which life comes next. [`vault`] holds rows in a database over any backend, [`Store`] puts them
-//! together over a folder. Leases are void after a restart: nothing but types that say [`Outlives`] can be stored.
+//! The decisions are pure modules: [`validity`] checks which parts of a state may be used, [`incarnation`] chooses the
+//! next incarnation. [`row_database`] holds rows in a database over any storage backend, and [`Store`] combines them
+//! over a folder. Leases are void after a restart, so only types that implement [`Outlives`] can be stored.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod aside;
-mod bounded;
+mod bounded_file;
 mod error;
 pub mod file_system;
 mod frame;
 pub mod incarnation;
-pub mod judge;
 mod lock;
 mod names;
 mod reason;
 mod restored;
+pub mod row_database;
 mod rows;
 mod snapshot;
 mod store;
-pub mod vault;
+pub mod validity;
 
 pub use error::StoreError;
 pub use names::{Identity, Limits, Section};
-pub use reason::Reason;
+pub use reason::SetAsideReason;
 pub use restored::Restored;
 pub use snapshot::{Outlives, Snapshot, Stored};
 pub use store::Store;
--- a/crates/store/src/lock.rs
+++ b/crates/store/src/lock.rs
@@ -1,4 +1,4 @@
-//! Owns the right to a state: one process at a time, by a file beside it, since the state's own may be renamed away.
+//! Exclusive access to a state for one process, by a lock file beside it, since the state's own file may be renamed.
 
 use std::fs::{File, TryLockError};
 use std::path::Path;
@@ -7,15 +7,15 @@
 use crate::error::StoreError;
 use crate::file_system::FileSystem;
 
-/// Held while it lives.
+/// Holds the lock file's lock until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Lock(File);
 
 impl Lock {
-    pub(crate) fn take(files: &dyn FileSystem, path: &Path) -> Result<Self, StoreError> {
-        let beside = aside::beside(path, ".lock");
-        let io = |source| StoreError::Io { path: beside.clone(), doing: "cannot lock", source };
-        let file = files.open_lock(&beside).map_err(io)?;
+    pub(crate) fn acquire(files: &dyn FileSystem, path: &Path) -> Result<Self, StoreError> {
+        let lock_path = aside::with_suffix(path, ".lock");
+        let io = |source| StoreError::Io { path: lock_path.clone(), operation: "cannot lock", source };
+        let file = files.open_lock(&lock_path).map_err(io)?;
         match file.try_lock() {
             Ok(()) => Ok(Lock(file)),
             Err(TryLockError::WouldBlock) => Err(StoreError::InUse(path.to_owned())),
@@ -26,7 +26,8 @@
 
 impl Drop for Lock {
     fn drop(&mut self) {
-        // Closing alone leaves it held while a child that is being started has a copy of the descriptor.
+        // Closing the file is not enough: a child process that is being started may still hold a copy of the
+        // descriptor, which would keep the lock.
         let _ = self.0.unlock();
     }
 }
@@ -37,14 +38,14 @@
     use crate::file_system::Disk;
 
     #[test]
-    fn it_goes_with_its_holder_though_a_copy_of_the_descriptor_lives_on() {
+    fn dropping_releases_the_lock_while_a_copy_of_the_descriptor_is_open() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("state");
-        let lock = Lock::take(&Disk, &path).unwrap();
+        let lock = Lock::acquire(&Disk, &path).unwrap();
         let copy = lock.0.try_clone().unwrap();
-        assert!(matches!(Lock::take(&Disk, &path), Err(StoreError::InUse(_))));
+        assert!(matches!(Lock::acquire(&Disk, &path), Err(StoreError::InUse(_))));
         drop(lock);
-        Lock::take(&Disk, &path).unwrap();
+        Lock::acquire(&Disk, &path).unwrap();
         drop(copy);
     }
 }
--- a/crates/store/src/reason.rs
+++ b/crates/store/src/reason.rs
@@ -1,4 +1,4 @@
-//! Why a state, or a part of one, is set aside. Its `Display` is the log line.
+//! Reasons why a state, or a section of one, is set aside. The `Display` text is the log line.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 
 use crate::names::Section;
 
-/// Why a state is set aside. What is set aside is never used, and never deleted without being named here.
+/// Why a state is set aside. Data that is set aside is never used, and never deleted without an entry of this type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Reason {
-    /// The file, or a row of it, does not fit its check sums.
-    #[error("stored state set aside: torn: {0}")]
-    Torn(String),
-    /// The file is longer than its bound.
+pub enum SetAsideReason {
+    /// The file or a row fails its checksum, or is no database of this program.
+    #[error("stored state set aside: corrupt: {0}")]
+    Corrupt(String),
+    /// The file is longer than its limit.
     #[error("stored state set aside: the file has {found} bytes, at most {bound} expected")]
     TooLarge {
-        /// Bytes of the file.
+        /// Length of the file in bytes.
         found: u64,
-        /// The bound.
+        /// Maximum length in bytes.
         bound: u64,
     },
-    /// Another federation's.
+    /// The state belongs to another federation.
     #[error("stored state set aside: of realm {found:#010x}, this node is of {this:#010x}")]
     OtherRealm {
         /// The realm in the state.
@@ -29,7 +29,7 @@
         /// This node's realm.
         this: u32,
     },
-    /// Another node's.
+    /// The state belongs to another node.
     #[error("stored state set aside: of node {}, this is node {}", found.0, this.0)]
     OtherNode {
         /// The node in the state.
@@ -37,44 +37,44 @@
         /// This node.
         this: NodeId,
     },
-    /// Written by a newer program.
-    #[error("stored state set aside: {} of format {found}, this program reads up to {read}",
-        part(*section))]
+    /// A newer program wrote the state or the section.
+    #[error("stored state set aside: {} of format {found}, this program reads up to {supported}",
+        section_name(*section))]
     NewerFormat {
-        /// The section, or none for the state as a whole.
+        /// The section, or `None` for the state as a whole.
         section: Option<Section>,
         /// The format found.
         found: u16,
-        /// The newest format that is read.
-        read: u16,
+        /// The newest format that this program reads.
+        supported: u16,
     },
-    /// Fits its check sum and does not read.
-    #[error("stored state set aside: {} does not read", part(*section))]
+    /// The checksum matches, but the content cannot be decoded.
+    #[error("stored state set aside: {} cannot be decoded", section_name(*section))]
     Unreadable {
-        /// The section, or none for the state as a whole.
+        /// The section, or `None` for the state as a whole.
         section: Option<Section>,
     },
-    /// Taken later than now by the wall clock.
+    /// The snapshot was taken later than now by the wall clock.
     #[error(
         "stored state set aside: taken {ahead:?} in the future, at most {allowed:?} allowed for the clock"
     )]
     FromTheFuture {
-        /// By how much.
+        /// How far in the future the snapshot was taken.
         ahead: Duration,
-        /// What is allowed for a clock that steps back.
+        /// Maximum allowed, for a clock that steps back.
         allowed: Duration,
     },
-    /// Older than its stated age.
+    /// The section is older than its maximum age.
     #[error("stored state set aside: {section:?} is {age:?} old, at most {bound:?} expected")]
     TooOld {
         /// The section.
         section: Section,
         /// Its age.
         age: Duration,
-        /// The bound.
+        /// Maximum age.
         bound: Duration,
     },
-    /// The peers hold a newer epoch.
+    /// Peers hold a newer epoch.
     #[error("stored state set aside: of epoch {stored}, peers hold {held}")]
     OlderEpoch {
         /// The epoch in the state.
@@ -82,32 +82,32 @@
         /// The epoch that peers hold.
         held: u64,
     },
-    /// Where the state that was set aside is kept.
+    /// The file under which the state that was set aside is kept.
     #[error("stored state set aside: kept as {}", .0.display())]
-    KeptAs(PathBuf),
-    /// No copy could be kept, or the rest not be written; a later commit tries again.
+    PreservedAs(PathBuf),
+    /// No copy could be made, or the rest of the state could not be written; a later commit tries again.
     #[error("stored state set aside: not yet kept: {0}")]
-    NotKept(String),
-    /// The oldest file that was kept had to make room.
+    NotPreserved(String),
+    /// The oldest file that was set aside is deleted, to stay within the maximum number of files.
     #[error("stored state set aside earlier is deleted to make room: {}", .0.display())]
-    MadeRoom(PathBuf),
+    DeletedOldest(PathBuf),
 }
 
-impl Reason {
-    /// Whether nothing of the file may be used, the incarnation included: its owner is unknown or not this node.
-    pub fn is_of_the_file(&self) -> bool {
+impl SetAsideReason {
+    /// Whether nothing of the file may be used, the incarnation included: its owner is unknown or is not this node.
+    pub fn affects_whole_file(&self) -> bool {
         matches!(
             self,
-            Reason::Torn(_)
-                | Reason::TooLarge { .. }
-                | Reason::OtherRealm { .. }
-                | Reason::OtherNode { .. }
-                | Reason::NewerFormat { section: None, .. }
-                | Reason::Unreadable { section: None }
+            SetAsideReason::Corrupt(_)
+                | SetAsideReason::TooLarge { .. }
+                | SetAsideReason::OtherRealm { .. }
+                | SetAsideReason::OtherNode { .. }
+                | SetAsideReason::NewerFormat { section: None, .. }
+                | SetAsideReason::Unreadable { section: None }
         )
     }
 }
 
-fn part(section: Option<Section>) -> String {
+fn section_name(section: Option<Section>) -> String {
     section.map_or_else(|| "the file".to_owned(), |section| format!("{section:?}"))
 }
--- a/crates/store/src/restored.rs
+++ b/crates/store/src/restored.rs
@@ -6,55 +6,55 @@
 use crate::error::StoreError;
 use crate::frame;
 use crate::incarnation::Past;
-use crate::judge;
 use crate::names::{Identity, Limits, Section};
-use crate::reason::Reason;
-use crate::rows::{LifeRow, Part, SnapshotRow, FORMAT};
+use crate::reason::SetAsideReason;
+use crate::row_database::Rows;
+use crate::rows::{EncodedSection, IncarnationRow, SnapshotRow, FORMAT};
 use crate::snapshot::{Outlives, Snapshot, Stored};
-use crate::vault::Rows;
+use crate::validity;
 
-/// What of a stored state may be used.
+/// The parts of a stored state that may be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restored {
-    /// The epoch of the placement table that the state was taken under; 0 where there is none.
+    /// The epoch of the placement table when the state was taken; 0 if there is no state.
     pub epoch: u64,
-    /// What is known of this node's earlier lives.
+    /// What is known of the incarnations of this node's earlier processes.
     pub past: Past,
-    /// What was set aside and why, in order; each is a line for the log.
-    pub set_aside: Vec<Reason>,
-    sections: BTreeMap<Section, Part>,
-    /// How many of `set_aside` are in a file that is kept.
-    covered: usize,
+    /// What was set aside and why, in order; each entry is a log line.
+    pub set_aside: Vec<SetAsideReason>,
+    sections: BTreeMap<Section, EncodedSection>,
+    /// How many entries of `set_aside` have a file that preserves the data.
+    preserved_count: usize,
 }
 
 impl Restored {
-    pub(crate) fn nothing(set_aside: Vec<Reason>) -> Self {
-        Restored { epoch: 0, past: Past::Unknown, set_aside, sections: BTreeMap::new(), covered: 0 }
+    pub(crate) fn empty(set_aside: Vec<SetAsideReason>) -> Self {
+        Restored { epoch: 0, past: Past::Unknown, set_aside, sections: BTreeMap::new(), preserved_count: 0 }
     }
 
-    /// Judges the rows of a file.
+    /// Checks the rows of a file.
     ///
     /// # Errors
-    /// A reason that is [of the file](Reason::is_of_the_file): nothing of it may be used.
-    pub(crate) fn judge(
+    /// A reason that [affects the whole file](SetAsideReason::affects_whole_file): nothing of it may be used.
+    pub(crate) fn validate(
         rows: &Rows,
         this: Identity,
         now_unix_ms: u64,
         limits: &Limits,
-    ) -> Result<Self, Reason> {
-        let mut restored = Restored::nothing(Vec::new());
-        if let Some(bytes) = &rows.life {
-            let life: LifeRow = frame::open(FORMAT, bytes)?;
-            judge::owner(life.identity, this)?;
-            restored.past = match life.settled {
-                true => Past::Settled(life.incarnation),
-                false => Past::Unsettled(life.incarnation),
+    ) -> Result<Self, SetAsideReason> {
+        let mut restored = Restored::empty(Vec::new());
+        if let Some(bytes) = &rows.incarnation {
+            let row: IncarnationRow = frame::decode(FORMAT, bytes)?;
+            validity::check_owner(row.identity, this)?;
+            restored.past = match row.settled {
+                true => Past::Settled(row.incarnation),
+                false => Past::Unsettled(row.incarnation),
             };
         }
         if let Some(bytes) = &rows.snapshot {
-            let snapshot: SnapshotRow = frame::open(FORMAT, bytes)?;
-            judge::owner(snapshot.identity, this)?;
-            match judge::since(snapshot.taken_unix_ms, now_unix_ms, limits) {
+            let snapshot: SnapshotRow = frame::decode(FORMAT, bytes)?;
+            validity::check_owner(snapshot.identity, this)?;
+            match validity::time_since(snapshot.taken_unix_ms, now_unix_ms, limits) {
                 Ok(since) => restored.admit(snapshot, since, limits),
                 Err(reason) => restored.set_aside.push(reason),
             }
@@ -64,61 +64,65 @@
 
     fn admit(&mut self, snapshot: SnapshotRow, since: Duration, limits: &Limits) {
         self.epoch = snapshot.epoch;
-        for (section, part) in snapshot.sections {
-            match judge::age(section, part.age, since, limits) {
-                Ok(age) => drop(self.sections.insert(section, Part { age, ..part })),
+        for (section, encoded) in snapshot.sections {
+            match validity::check_age(section, encoded.age, since, limits) {
+                Ok(age) => drop(self.sections.insert(section, EncodedSection { age, ..encoded })),
                 Err(reason) => self.set_aside.push(reason),
             }
         }
     }
 
-    /// What may be used, as a snapshot of now.
+    /// The usable sections as a snapshot taken now.
     pub(crate) fn as_snapshot(&self, now_unix_ms: u64) -> Snapshot {
         Snapshot { taken_unix_ms: now_unix_ms, epoch: self.epoch, sections: self.sections.clone() }
     }
 
-    /// Whether something was set aside that no kept file has yet.
-    pub(crate) fn has_news(&self) -> bool {
-        self.set_aside.len() > self.covered
+    /// Whether `set_aside` has entries whose data no file preserves yet.
+    pub(crate) fn has_unpreserved(&self) -> bool {
+        self.set_aside.len() > self.preserved_count
     }
 
-    /// What was set aside stays in the file for now.
-    pub(crate) fn untidy(&mut self, error: &StoreError) {
-        self.kept(vec![Reason::NotKept(error.to_string())]);
+    /// Records that the data set aside could not be preserved, and stays in the state's file for now.
+    pub(crate) fn record_not_preserved(&mut self, error: &StoreError) {
+        self.record_preserved(vec![SetAsideReason::NotPreserved(error.to_string())]);
     }
 
-    /// All that was set aside is kept, as these say.
-    pub(crate) fn kept(&mut self, reasons: Vec<Reason>) {
+    /// Records that all data set aside is preserved, with the entries that say how.
+    pub(crate) fn record_preserved(&mut self, reasons: Vec<SetAsideReason>) {
         self.set_aside.extend(reasons);
-        self.covered = self.set_aside.len();
+        self.preserved_count = self.set_aside.len();
     }
 
-    /// Which sections may be used and were not taken yet.
+    /// The sections that may be used and were not taken yet.
     pub fn sections(&self) -> impl Iterator<Item = Section> + '_ {
         self.sections.keys().copied()
     }
 
-    /// Takes a section out for its owner. None where there is none, or where it is of a newer format or does not read;
-    /// then the reason is added to [`Restored::set_aside`].
+    /// Removes a section and returns its value. Returns `None` if there is no such section, if it has a newer format,
+    /// or if it cannot be decoded; the latter two add a reason to [`Restored::set_aside`].
     pub fn take<T: Outlives>(&mut self) -> Option<Stored<T>> {
-        let part = self.sections.remove(&T::SECTION)?;
+        let encoded = self.sections.remove(&T::SECTION)?;
         let section = Some(T::SECTION);
-        if part.format > T::FORMAT {
-            self.set_aside.push(Reason::NewerFormat { section, found: part.format, read: T::FORMAT });
+        if encoded.format > T::FORMAT {
+            self.set_aside.push(SetAsideReason::NewerFormat {
+                section,
+                found: encoded.format,
+                supported: T::FORMAT,
+            });
             return None;
         }
-        let value = T::read(part.format, &part.bytes);
+        let value = T::read(encoded.format, &encoded.bytes);
         if value.is_none() {
-            self.set_aside.push(Reason::Unreadable { section });
+            self.set_aside.push(SetAsideReason::Unreadable { section });
         }
-        value.map(|value| Stored { value, age: part.age })
+        value.map(|value| Stored { value, age: encoded.age })
     }
 
-    /// Holds the state against the newest epoch that peers are known to hold. Of an older one all that was not taken
-    /// yet is dropped, and false is returned with the reason added to [`Restored::set_aside`]; the caller then drops
-    /// what it took, and keeps a copy by [`Store::keep_aside`](crate::Store::keep_aside) before it commits.
-    pub fn against(&mut self, held: u64) -> bool {
-        let Err(reason) = judge::epoch(self.epoch, held) else { return true };
+    /// Compares the state's epoch with the newest one that peers are known to hold. If the state's is older, drops all
+    /// sections not taken yet, adds the reason to [`Restored::set_aside`] and returns false; the caller then drops the
+    /// values that it took, and preserves a copy by [`Store::keep_aside`](crate::Store::keep_aside) before it commits.
+    pub fn check_epoch(&mut self, held: u64) -> bool {
+        let Err(reason) = validity::check_epoch(self.epoch, held) else { return true };
         if !self.set_aside.contains(&reason) {
             self.set_aside.push(reason);
         }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What may be stored: values whose types say that they outlive a process, gathered into one snapshot.
+//! Snapshots, and the trait of the types that may be stored in them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,10 +7,11 @@
 use serde::Serialize;
 
 use crate::names::Section;
-use crate::rows::Part;
+use crate::rows::EncodedSection;
 
-/// A type that says that it outlives a process. Leases must not say it: what a node was granted is void once it stops,
-/// and only what it may still owe (a debt) is stored. No lease type implements this, so none can be put:
+/// A type whose values stay valid after the process ends. Lease types must not implement it: a lease is void once its
+/// holder stops, and only what the node may still owe for it (a debt) is stored. No lease type implements this trait,
+/// so none can be put into a snapshot:
 ///
 /// ```compile_fail
 /// #[derive(serde::Serialize, serde::Deserialize)]
@@ -20,16 +21,16 @@
 /// hallpin_store::Stored::new(Lease { until: Default::default() });
 /// ```
 ///
-/// A value holds lengths of time and never a [`Moment`](hallpin_membership::names::Moment), which means nothing to the next
-/// life. An owner counts [`Stored::age`] in when it takes a value back.
+/// A value holds durations and never a [`Moment`](hallpin_membership::names::Moment), which means nothing to the next
+/// process. An owner adds [`Stored::age`] when it takes a value back.
 pub trait Outlives: Serialize + DeserializeOwned {
-    /// Where it is kept. One section has one owner, so no two types name the same.
+    /// The section that holds the value. A section has one owner, so no two types name the same one.
     const SECTION: Section;
-    /// The owner's own format, raised by 1 with each change of the type's shape.
+    /// The owner's own format number, raised by 1 with each change of the type's shape.
     const FORMAT: u16;
 
-    /// Reads a value of a format up to [`Outlives::FORMAT`]; none where it does not read. As given, only of the
-    /// newest; an owner that changes its shape reads the older ones here.
+    /// Decodes a value of a format up to [`Outlives::FORMAT`]; `None` if it cannot be decoded. The default decodes
+    /// only the newest format; an owner that changes its type's shape decodes the older ones here.
     fn read(format: u16, bytes: &[u8]) -> Option<Self> {
         if format != Self::FORMAT {
             return None;
@@ -41,41 +42,42 @@
     }
 }
 
-/// A value that goes into a state or has come out of one, with its age: facts age on while no process runs.
+/// A value to store, or one that was stored, with its age, which grows also while no process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stored<T: Outlives> {
     /// The value.
     pub value: T,
-    /// How old it is.
+    /// The value's age.
     pub age: Duration,
 }
 
 impl<T: Outlives> Stored<T> {
-    /// A value as of now.
+    /// A value of age 0.
     pub fn new(value: T) -> Self {
         Stored { value, age: Duration::ZERO }
     }
 }
 
-/// All that is stored at once. A commit replaces what was stored before.
+/// All values that are stored together. A commit replaces the whole snapshot stored before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     pub(crate) taken_unix_ms: u64,
     pub(crate) epoch: u64,
-    pub(crate) sections: BTreeMap<Section, Part>,
+    pub(crate) sections: BTreeMap<Section, EncodedSection>,
 }
 
 impl Snapshot {
-    /// A snapshot without sections, taken now (milliseconds of the wall clock) under the table's epoch.
+    /// A snapshot without sections, taken now (wall clock, milliseconds since the Unix epoch) under the placement
+    /// table's epoch.
     pub fn new(taken_unix_ms: u64, epoch: u64) -> Self {
         Snapshot { taken_unix_ms, epoch, sections: BTreeMap::new() }
     }
 
-    /// Puts a value into its section, in place of what was there. False where the value cannot be written as bytes;
-    /// then nothing has changed.
+    /// Encodes a value into its section and replaces the previous one. Returns false, and changes nothing, if the
+    /// value cannot be serialised.
     pub fn put<T: Outlives>(&mut self, stored: &Stored<T>) -> bool {
         let Ok(bytes) = postcard::to_stdvec(&stored.value) else { return false };
-        self.sections.insert(T::SECTION, Part { format: T::FORMAT, age: stored.age, bytes });
+        self.sections.insert(T::SECTION, EncodedSection { format: T::FORMAT, age: stored.age, bytes });
         true
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! Owns the files of a state: opens and judges them, commits to them, sets aside what may not be used.
+//! Owns the files of a state: opens and checks them, commits to them, and sets aside what must not be used.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -9,20 +9,20 @@
 use redb::StorageBackend;
 
 use crate::aside;
-use crate::bounded::Bounded;
+use crate::bounded_file::BoundedFile;
 use crate::error::StoreError;
 use crate::file_system::{Disk, FileSystem};
 use crate::frame;
 use crate::incarnation::{Past, Start};
 use crate::lock::Lock;
 use crate::names::{Identity, Limits};
-use crate::reason::Reason;
+use crate::reason::SetAsideReason;
 use crate::restored::Restored;
-use crate::rows::{LifeRow, SnapshotRow, FORMAT};
+use crate::row_database::{DatabaseError, RowDatabase, Rows};
+use crate::rows::{IncarnationRow, SnapshotRow, FORMAT};
 use crate::snapshot::Snapshot;
-use crate::vault::{Rows, Vault, VaultError};
 
-/// A state that is open. One process at a time has it; dropping it lets it go.
+/// An open state. Only one process at a time can have it open; dropping it releases the lock.
 #[derive(Debug)]
 pub struct Store {
     files: Arc<dyn FileSystem>,
@@ -30,22 +30,23 @@
     identity: Identity,
     limits: Limits,
     past: Past,
-    begun: Option<(Start, LifeRow)>,
-    /// None after a write that failed; the next one opens it again.
-    vault: Option<Vault>,
-    /// What was set aside could not be kept yet: its copy is due before a commit replaces it.
-    owes_copy: bool,
-    /// Dropped last, when the database is closed.
+    current: Option<(Start, IncarnationRow)>,
+    /// `None` after a failed write; the next write opens the database again.
+    database: Option<RowDatabase>,
+    /// Data was set aside without a copy: the copy must be made before a commit replaces the data.
+    copy_due: bool,
+    /// The last field, so that it is dropped after the database is closed.
     _lock: Lock,
 }
 
 impl Store {
-    /// Opens the state at `path`, or makes an empty one, and judges what may be used of it by the wall clock's
-    /// milliseconds. Beside it are `FILE.lock` and what was set aside, `FILE.aside-N`. Its folder must exist.
+    /// Opens the state at `path`, or creates an empty one, and checks by the wall time (milliseconds since the Unix
+    /// epoch) what of it may be used. Beside the file are `FILE.lock` and what was set aside, `FILE.aside-N`. The
+    /// folder must exist.
     ///
     /// # Errors
-    /// Where the file system refuses or another process has it open. Nothing that was stored is lost then, and the
-    /// node goes on without a store: by [`Start::unwritten`].
+    /// A file system call fails or another process has the state open. Stored data is not lost, and the node goes on
+    /// without a store, with [`Start::unwritten`].
     pub fn open(
         path: &Path,
         identity: Identity,
@@ -55,7 +56,7 @@
         Self::open_on(Arc::new(Disk), path, identity, now_unix_ms, limits)
     }
 
-    /// The same on another file system than the machine's.
+    /// Opens the state on the given file system.
     ///
     /// # Errors
     /// As [`Store::open`].
@@ -66,73 +67,77 @@
         now_unix_ms: u64,
         limits: &Limits,
     ) -> Result<(Store, Restored), StoreError> {
-        let lock = Lock::take(&*files, path)?;
+        let lock = Lock::acquire(&*files, path)?;
         let mut store = Store {
             files,
             path: path.to_owned(),
             identity,
             limits: *limits,
             past: Past::Unknown,
-            begun: None,
-            vault: None,
-            owes_copy: false,
+            current: None,
+            database: None,
+            copy_due: false,
             _lock: lock,
         };
-        let restored = match store.read(now_unix_ms)? {
-            Ok(restored) => store.tidy(restored, now_unix_ms),
-            Err(reason) => store.start_over(reason)?,
+        let restored = match store.load(now_unix_ms)? {
+            Ok(restored) => store.remove_set_aside(restored, now_unix_ms),
+            Err(reason) => store.replace_file(reason)?,
         };
         store.past = restored.past;
         Ok((store, restored))
     }
 
-    /// Chooses this life's incarnation and writes it, before anything is said under it. The same on a second call.
-    /// Nothing may be said before [`Start::quiet`] has passed since this call; then [`Store::quiet_is_over`] is called.
+    /// Chooses the incarnation of this process and writes it, before anything is sent under it. Later calls return the
+    /// same. Nothing may be sent before [`Start::quiet`] has passed since the first call; then
+    /// [`Store::quiet_is_over`] is called.
     ///
-    /// The error says that it could not be written; the start that comes with it holds without, by a longer silence.
+    /// The error says that the incarnation could not be written; the returned start is valid without it, with a longer
+    /// silence.
     pub fn next_incarnation(&mut self, now_unix_ms: u64) -> (Start, Result<(), StoreError>) {
-        if let Some((start, _)) = self.begun {
+        if let Some((start, _)) = self.current {
             return (start, Ok(()));
         }
         let step_back = self.limits.clock_step_back;
         let mut start = Start::written(self.past, now_unix_ms, step_back);
-        let written = self.write_life(start, start.is_settled());
+        let written = self.write_incarnation(start, start.is_settled());
         if written.is_err() {
             start = Start::unwritten(self.past, now_unix_ms, step_back);
-            self.begun = Some((start, self.life(start, false)));
+            self.current = Some((start, self.incarnation_row(start, false)));
         }
         (start, written)
     }
 
-    /// Takes over a life that began while the store could not be opened, under an incarnation of [`Start::unwritten`].
-    /// From the next commit on it is stored. `quiet_is_over` says whether its silence is over.
+    /// Takes over the incarnation of a process that started while the store could not be opened, from
+    /// [`Start::unwritten`]. The next commit stores it. `quiet_is_over` says whether its silence is over.
     ///
     /// # Errors
-    /// Where a later life is stored: it must not be forgotten, so this one cannot be written.
+    /// A later incarnation is stored: it must not be overwritten, so this one cannot be written.
     pub fn adopt(&mut self, incarnation: Incarnation, quiet_is_over: bool) -> Result<(), StoreError> {
         if let Past::Unsettled(stored) | Past::Settled(stored) = self.past {
             if stored >= incarnation {
-                return Err(StoreError::LaterLife { stored, this: incarnation });
+                return Err(StoreError::LaterIncarnation { stored, this: incarnation });
             }
         }
         let start = Start { incarnation, quiet: Duration::ZERO };
-        self.begun = Some((start, self.life(start, quiet_is_over)));
+        self.current = Some((start, self.incarnation_row(start, quiet_is_over)));
         Ok(())
     }
 
-    /// This life's silence is over: from the next commit on, a next life may follow it at once.
+    /// Marks this incarnation's silence as over: after the next commit, the next process may follow it without
+    /// silence.
     pub fn quiet_is_over(&mut self) {
-        if let Some((_, life)) = &mut self.begun {
-            life.settled = true;
+        if let Some((_, row)) = &mut self.current {
+            row.settled = true;
         }
     }
 
-    /// Writes a snapshot in place of the one before, durably. A crash at any point leaves one of the two, whole.
+    /// Replaces the stored snapshot, durably. A crash at any point leaves either the old snapshot or the new one
+    /// complete.
     ///
     /// # Errors
-    /// What was stored before, or this snapshot, is stored then. A later commit tries again; the node goes on.
+    /// Either the old snapshot or this one is stored then. A later commit tries again; the node goes on.
     pub fn commit(&mut self, snapshot: &Snapshot) -> Result<(), StoreError> {
-        if self.owes_copy {
+        if self.copy_due {
             self.copy_aside()?;
         }
         let row = SnapshotRow {
@@ -141,133 +146,139 @@
             taken_unix_ms: snapshot.taken_unix_ms,
             sections: snapshot.sections.clone(),
         };
-        let bytes = frame::seal(FORMAT, &row).ok_or(StoreError::Encoding)?;
+        let bytes = frame::encode(FORMAT, &row).ok_or(StoreError::Encoding)?;
         let (found, bound) = (bytes.len() as u64, self.limits.max_snapshot());
         if found > bound {
             return Err(StoreError::TooLarge { found, bound });
         }
-        let life = self.begun.and_then(|(_, life)| frame::seal(FORMAT, &life));
-        self.write(&Rows { life, snapshot: Some(bytes) })
+        let incarnation = self.current.and_then(|(_, row)| frame::encode(FORMAT, &row));
+        self.write(&Rows { incarnation, snapshot: Some(bytes) })
     }
 
-    /// Keeps a copy of the file beside it where `restored` has set aside more since it was opened, in sections of a
-    /// newer format or against the epoch of the peers. To be called before the first commit replaces them.
+    /// Copies the file to an `.aside-N` file if `restored` has set aside more since it was opened: sections of a newer
+    /// format, or a state of an older epoch than the peers'. Must be called before the first commit replaces them.
     ///
     /// # Errors
-    /// Where the file system refuses. Then commits fail, too, until one of them has made the copy.
+    /// A file system call fails. Commits then fail too, until one of them has made the copy.
     pub fn keep_aside(&mut self, restored: &mut Restored) -> Result<(), StoreError> {
-        if restored.has_news() {
-            restored.kept(self.copy_aside()?);
+        if restored.has_unpreserved() {
+            restored.record_preserved(self.copy_aside()?);
         }
         Ok(())
     }
 
-    fn copy_aside(&mut self) -> Result<Vec<Reason>, StoreError> {
-        self.owes_copy = true;
-        let kept = aside::copy(&*self.files, &self.path, self.limits.kept_aside);
-        let kept = kept.map_err(self.io("cannot keep what is set aside"))?;
-        self.owes_copy = false;
+    fn copy_aside(&mut self) -> Result<Vec<SetAsideReason>, StoreError> {
+        self.copy_due = true;
+        let kept = aside::copy_aside(&*self.files, &self.path, self.limits.max_aside_files);
+        let kept = kept.map_err(self.io_error("cannot copy the state that is set aside"))?;
+        self.copy_due = false;
         Ok(kept)
     }
 
-    /// Opens the file and judges it: a reason of the file, or what may be used.
-    fn read(&mut self, now_unix_ms: u64) -> Result<Result<Restored, Reason>, StoreError> {
-        let file = self.file()?;
-        let found = file.len().map_err(self.io("cannot read"))?;
+    /// Opens the file and checks it. Returns a reason that affects the whole file, or what may be used.
+    fn load(&mut self, now_unix_ms: u64) -> Result<Result<Restored, SetAsideReason>, StoreError> {
+        let file = self.open_file()?;
+        let found = file.len().map_err(self.io_error("cannot read"))?;
         if found > self.limits.max_bytes {
-            return Ok(Err(Reason::TooLarge { found, bound: self.limits.max_bytes }));
+            return Ok(Err(SetAsideReason::TooLarge { found, bound: self.limits.max_bytes }));
         }
-        match self.open_vault(file) {
-            Ok((vault, rows)) => {
-                self.vault = Some(vault);
-                Ok(Restored::judge(&rows, self.identity, now_unix_ms, &self.limits))
+        match self.open_database(file) {
+            Ok((database, rows)) => {
+                self.database = Some(database);
+                Ok(Restored::validate(&rows, self.identity, now_unix_ms, &self.limits))
             }
-            Err(VaultError::Torn(detail)) => Ok(Err(Reason::Torn(detail))),
-            Err(error) => Err(self.fault("cannot open", error)),
+            Err(DatabaseError::Corrupt(detail)) => Ok(Err(SetAsideReason::Corrupt(detail))),
+            Err(error) => Err(self.database_error("cannot open", error)),
         }
     }
 
-    /// What was set aside in part is kept as a copy, and goes from the file, so that the next open has only the rest.
-    /// Where that fails the rest is used nevertheless, the life above all: the next commit does it.
-    fn tidy(&mut self, mut restored: Restored, now_unix_ms: u64) -> Restored {
-        if restored.has_news() {
-            let tidied =
+    /// Preserves sections that were set aside as a copy of the file, and removes them from the file, so that the next
+    /// open finds only the usable rest. If that fails, the rest is used all the same, the incarnation above all, and
+    /// the next commit tries again.
+    fn remove_set_aside(&mut self, mut restored: Restored, now_unix_ms: u64) -> Restored {
+        if restored.has_unpreserved() {
+            let removed =
                 self.keep_aside(&mut restored).and_then(|()| self.commit(&restored.as_snapshot(now_unix_ms)));
-            if let Err(error) = tidied {
-                restored.untidy(&error);
+            if let Err(error) = removed {
+                restored.record_not_preserved(&error);
             }
         }
         restored
     }
 
-    /// The whole file is set aside, and an empty one takes its place.
-    fn start_over(&mut self, reason: Reason) -> Result<Restored, StoreError> {
-        self.vault = None;
-        let kept = aside::rename(&*self.files, &self.path, self.limits.kept_aside);
-        let mut restored = Restored::nothing(vec![reason]);
-        restored.kept(kept.map_err(self.io("cannot set aside"))?);
-        let file = self.file()?;
-        let (vault, _) = self.open_vault(file).map_err(|error| self.fault("cannot open", error))?;
-        self.vault = Some(vault);
+    /// Sets the whole file aside and creates an empty one in its place.
+    fn replace_file(&mut self, reason: SetAsideReason) -> Result<Restored, StoreError> {
+        self.database = None;
+        let kept = aside::rename_aside(&*self.files, &self.path, self.limits.max_aside_files);
+        let mut restored = Restored::empty(vec![reason]);
+        restored.record_preserved(kept.map_err(self.io_error("cannot set the file aside"))?);
+        let file = self.open_file()?;
+        let (database, _) =
+            self.open_database(file).map_err(|error| self.database_error("cannot open", error))?;
+        self.database = Some(database);
         Ok(restored)
     }
 
-    fn life(&self, start: Start, settled: bool) -> LifeRow {
-        LifeRow { identity: self.identity, incarnation: start.incarnation, settled }
+    fn incarnation_row(&self, start: Start, settled: bool) -> IncarnationRow {
+        IncarnationRow { identity: self.identity, incarnation: start.incarnation, settled }
     }
 
-    fn write_life(&mut self, start: Start, settled: bool) -> Result<(), StoreError> {
-        let life = self.life(start, settled);
-        let rows = Rows { life: frame::seal(FORMAT, &life), snapshot: None };
+    fn write_incarnation(&mut self, start: Start, settled: bool) -> Result<(), StoreError> {
+        let row = self.incarnation_row(start, settled);
+        let rows = Rows { incarnation: frame::encode(FORMAT, &row), snapshot: None };
         self.write(&rows)?;
         if settled {
-            // The database falls back to the commit before where the newest is damaged: that one must not be an
-            // earlier settled life, which this one's number follows.
+            // The database falls back to the previous commit if the newest one is damaged. That commit must not hold
+            // an earlier settled incarnation, because the next process would then reuse this one's number.
             self.write(&rows)?;
         }
-        self.begun = Some((start, life));
+        self.current = Some((start, row));
         Ok(())
     }
 
     fn write(&mut self, rows: &Rows) -> Result<(), StoreError> {
-        let mut vault = match self.vault.take() {
-            Some(vault) => vault,
-            None => self.reopened()?,
+        let mut database = match self.database.take() {
+            Some(database) => database,
+            None => self.reopen()?,
         };
-        vault.write(rows).map_err(|error| self.fault("cannot write", error))?;
-        self.vault = Some(vault);
+        database.write(rows).map_err(|error| self.database_error("cannot write", error))?;
+        self.database = Some(database);
         Ok(())
     }
 
-    /// After a write that failed. What is there then is one of this node's own states, or is left alone.
-    fn reopened(&mut self) -> Result<Vault, StoreError> {
-        let file = self.file()?;
-        let (vault, rows) = self.open_vault(file).map_err(|error| self.fault("cannot open again", error))?;
-        match Restored::judge(&rows, self.identity, u64::MAX, &self.limits) {
-            Ok(_) => Ok(vault),
+    /// Opens the database again after a failed write. The file must hold one of this node's own states; any other is
+    /// not overwritten.
+    fn reopen(&mut self) -> Result<RowDatabase, StoreError> {
+        let file = self.open_file()?;
+        let (database, rows) =
+            self.open_database(file).map_err(|error| self.database_error("cannot reopen", error))?;
+        match Restored::validate(&rows, self.identity, u64::MAX, &self.limits) {
+            Ok(_) => Ok(database),
             Err(reason) => Err(StoreError::Database { path: self.path.clone(), detail: reason.to_string() }),
         }
     }
 
-    fn file(&self) -> Result<Box<dyn StorageBackend>, StoreError> {
-        let file = self.files.open(&self.path).map_err(self.io("cannot open"))?;
-        aside::sync_folder(&*self.files, &self.path).map_err(self.io("cannot make durable"))?;
+    fn open_file(&self) -> Result<Box<dyn StorageBackend>, StoreError> {
+        let file = self.files.open(&self.path).map_err(self.io_error("cannot open"))?;
+        aside::sync_folder(&*self.files, &self.path).map_err(self.io_error("cannot sync the folder"))?;
         Ok(file)
     }
 
-    fn open_vault(&self, file: Box<dyn StorageBackend>) -> Result<(Vault, Rows), VaultError> {
-        Vault::open(Bounded::new(file, self.limits.max_bytes))
+    fn open_database(&self, file: Box<dyn StorageBackend>) -> Result<(RowDatabase, Rows), DatabaseError> {
+        RowDatabase::open(BoundedFile::new(file, self.limits.max_bytes))
     }
 
-    fn io(&self, doing: &'static str) -> impl FnOnce(io::Error) -> StoreError {
+    fn io_error(&self, operation: &'static str) -> impl FnOnce(io::Error) -> StoreError {
         let path = self.path.clone();
-        move |source| StoreError::Io { path, doing, source }
+        move |source| StoreError::Io { path, operation, source }
     }
 
-    fn fault(&self, doing: &'static str, error: VaultError) -> StoreError {
+    fn database_error(&self, operation: &'static str, error: DatabaseError) -> StoreError {
         match error {
-            VaultError::Io(source) => self.io(doing)(source),
-            other => StoreError::Database { path: self.path.clone(), detail: format!("{doing}: {other}") },
+            DatabaseError::Io(source) => self.io_error(operation)(source),
+            other => {
+                StoreError::Database { path: self.path.clone(), detail: format!("{operation}: {other}") }
+            }
         }
     }
 }
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,26 +1,26 @@
-//! A crash at each write: whatever of the writes since the last sync reached the disk, what is read again is the state
-//! before or the new one, whole.
+//! Simulates a crash at each write of a commit. Whichever of the writes since the last sync reached the disk,
+//! reopening finds either the old rows or the new ones complete.
 
 use std::fmt;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use hallpin_store::vault::{Rows, Vault, VaultError};
+use hallpin_store::row_database::{DatabaseError, RowDatabase, Rows};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use redb::StorageBackend;
 
 #[derive(Clone)]
-enum Op {
+enum WriteOperation {
     Write(usize, Vec<u8>),
     Length(usize),
 }
 
-impl Op {
+impl WriteOperation {
     fn apply(&self, image: &mut Vec<u8>) {
         match self {
-            Op::Length(length) => image.resize(*length, 0),
-            Op::Write(at, data) => {
+            WriteOperation::Length(length) => image.resize(*length, 0),
+            WriteOperation::Write(at, data) => {
                 image.resize(image.len().max(at + data.len()), 0);
                 image[*at..at + data.len()].copy_from_slice(data);
             }
@@ -29,76 +29,76 @@
 }
 
 #[derive(Default)]
-struct Disk {
+struct SimulatedDisk {
     durable: Vec<u8>,
-    seen: Vec<u8>,
-    pending: Vec<Op>,
-    /// Writes and syncs left before the power goes; none where it stays.
-    left: Option<u64>,
-    done: u64,
-    /// The first write that the power did not last for.
-    refused: Option<Op>,
-    /// Panics where it is written to, as the database might on damaged content.
+    written: Vec<u8>,
+    pending: Vec<WriteOperation>,
+    /// Writes and syncs that succeed before the power fails; `None` if it does not fail.
+    steps_left: Option<u64>,
+    steps_done: u64,
+    /// The first write after the power failure.
+    interrupted: Option<WriteOperation>,
+    /// Panics on each write, as the database might on damaged content.
     panics: bool,
 }
 
-impl Disk {
-    fn step(&mut self) -> io::Result<()> {
+impl SimulatedDisk {
+    fn count_step(&mut self) -> io::Result<()> {
         if self.panics {
-            panic!("it might");
+            panic!("the simulated disk might panic");
         }
-        match &mut self.left {
-            Some(0) => return Err(io::Error::other("no power")),
-            Some(left) => *left -= 1,
+        match &mut self.steps_left {
+            Some(0) => return Err(io::Error::other("power failure")),
+            Some(steps_left) => *steps_left -= 1,
             None => {}
         }
-        self.done += 1;
+        self.steps_done += 1;
         Ok(())
     }
 
-    fn put(&mut self, op: Op) -> io::Result<()> {
-        if let Err(error) = self.step() {
-            self.refused.get_or_insert(op);
+    fn apply_write(&mut self, operation: WriteOperation) -> io::Result<()> {
+        if let Err(error) = self.count_step() {
+            self.interrupted.get_or_insert(operation);
             return Err(error);
         }
-        op.apply(&mut self.seen);
-        self.pending.push(op);
+        operation.apply(&mut self.written);
+        self.pending.push(operation);
         Ok(())
     }
 
-    /// What is on the disk after the power went: all that was synced, and of the rest what chance left, each write
-    /// whole, not at all, or its first sectors.
-    fn after_power(&self, random: &mut impl Rng) -> Vec<u8> {
+    /// A random content of the disk after a power failure: everything synced, and of each later write either
+    /// everything, nothing, or its first sectors.
+    fn after_power_failure(&self, random: &mut impl Rng) -> Vec<u8> {
         let mut image = self.durable.clone();
-        for op in &self.pending {
-            match (random.random_range(0..3), op) {
+        for operation in &self.pending {
+            match (random.random_range(0..3), operation) {
                 (0, _) => {}
-                (1, Op::Write(at, data)) if data.len() > 512 => {
+                (1, WriteOperation::Write(at, data)) if data.len() > 512 => {
                     let sectors = random.random_range(1..data.len() / 512 + 1);
-                    Op::Write(*at, data[..sectors * 512].to_vec()).apply(&mut image);
+                    WriteOperation::Write(*at, data[..sectors * 512].to_vec()).apply(&mut image);
                 }
-                _ => op.apply(&mut image),
+                _ => operation.apply(&mut image),
             }
         }
         image
     }
 }
 
-/// How many bytes of a write got to the file before a kill: each number, or without optimisation, which makes that take
-/// minutes, each in what the database's header has and some of the rest.
-fn cuts(length: usize) -> impl Iterator<Item = usize> {
-    const HEADER: usize = 320;
+/// How many bytes of a write reach the file before a kill: with optimisation every number; without, where that takes
+/// minutes, every number within the database's header and every 97th after it.
+fn partial_lengths(length: usize) -> impl Iterator<Item = usize> {
+    const HEADER_BYTES: usize = 320;
     let step = if cfg!(debug_assertions) { 97 } else { 1 };
-    (1..=length).filter(move |cut| *cut <= HEADER || *cut == length || cut % step == 0)
+    (1..=length).filter(move |cut| *cut <= HEADER_BYTES || *cut == length || cut % step == 0)
 }
 
-/// What is in the file after a kill in the middle of a write. What differs in nothing from the one before is left out.
-fn after_kill(disk: &Disk) -> Vec<Vec<u8>> {
-    let mut images = vec![disk.seen.clone()];
-    if let Some(Op::Write(at, data)) = &disk.refused {
-        for length in cuts(data.len()) {
-            let mut image = disk.seen.clone();
-            Op::Write(*at, data[..length].to_vec()).apply(&mut image);
+/// Contents of the file after a kill in the middle of a write. Contents equal to the previous one are left out.
+fn after_kill(disk: &SimulatedDisk) -> Vec<Vec<u8>> {
+    let mut images = vec![disk.written.clone()];
+    if let Some(WriteOperation::Write(at, data)) = &disk.interrupted {
+        for length in partial_lengths(data.len()) {
+            let mut image = disk.written.clone();
+            WriteOperation::Write(*at, data[..length].to_vec()).apply(&mut image);
             if images.last() != Some(&image) {
                 images.push(image);
             }
@@ -108,51 +108,51 @@
 }
 
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Disk>>);
+struct SharedDisk(Arc<Mutex<SimulatedDisk>>);
 
-impl Shared {
-    fn disk(&self) -> MutexGuard<'_, Disk> {
+impl SharedDisk {
+    fn disk(&self) -> MutexGuard<'_, SimulatedDisk> {
         self.0.lock().unwrap()
     }
 
-    fn of(image: Vec<u8>) -> Self {
-        let shared = Shared::default();
-        shared.disk().seen = image.clone();
+    fn from_image(image: Vec<u8>) -> Self {
+        let shared = SharedDisk::default();
+        shared.disk().written = image.clone();
         shared.disk().durable = image;
         shared
     }
 }
 
-impl fmt::Debug for Shared {
+impl fmt::Debug for SharedDisk {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Shared")
+        f.write_str("SharedDisk")
     }
 }
 
-impl StorageBackend for Shared {
+impl StorageBackend for SharedDisk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.disk().seen.len() as u64)
+        Ok(self.disk().written.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let (disk, at) = (self.disk(), offset as usize);
-        let bytes = disk.seen.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let bytes = disk.written.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.disk().put(Op::Length(len as usize))
+        self.disk().apply_write(WriteOperation::Length(len as usize))
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.disk().put(Op::Write(offset as usize, data.to_vec()))
+        self.disk().apply_write(WriteOperation::Write(offset as usize, data.to_vec()))
     }
 
     fn sync_data(&self) -> io::Result<()> {
         let mut disk = self.disk();
-        disk.step()?;
-        disk.durable = disk.seen.clone();
+        disk.count_step()?;
+        disk.durable = disk.written.clone();
         disk.pending.clear();
         Ok(())
     }
@@ -160,45 +160,46 @@
 
 fn rows(generation: u8) -> Rows {
     let length = 100 + usize::from(generation) * 7_001 % 20_000;
-    Rows { life: Some(vec![generation; 30]), snapshot: Some(vec![generation; length]) }
+    Rows { incarnation: Some(vec![generation; 30]), snapshot: Some(vec![generation; length]) }
 }
 
-/// Plays `commits` commits with the power going after `left` steps of the last one, and gives what was told.
-fn play(commits: u8, left: Option<u64>) -> (Shared, Result<(), VaultError>) {
-    let shared = Shared::default();
-    let (mut vault, _) = Vault::open(shared.clone()).unwrap();
+/// Runs `commits` commits where the power fails after `steps_left` steps of the last one; returns that commit's
+/// result.
+fn run_commits(commits: u8, steps_left: Option<u64>) -> (SharedDisk, Result<(), DatabaseError>) {
+    let shared = SharedDisk::default();
+    let (mut database, _) = RowDatabase::open(shared.clone()).unwrap();
     for generation in 1..commits {
-        vault.write(&rows(generation)).unwrap();
+        database.write(&rows(generation)).unwrap();
     }
-    shared.disk().left = left;
-    let told = vault.write(&rows(commits));
-    if told.is_err() {
-        drop(vault);
+    shared.disk().steps_left = steps_left;
+    let result = database.write(&rows(commits));
+    if result.is_err() {
+        drop(database);
     } else {
-        // The process is killed: nothing is closed in order.
-        std::mem::forget(vault);
+        // The process is killed, so the database is not closed.
+        std::mem::forget(database);
     }
-    (shared, told)
+    (shared, result)
 }
 
 #[test]
-fn a_crash_at_each_write_of_a_commit_leaves_one_of_two_states() {
+fn a_crash_at_each_write_of_a_commit_leaves_the_old_or_the_new_state() {
     let (mut old, mut new) = (0, 0);
     for commits in 2..=6 {
-        for left in 0.. {
-            let (shared, told) = play(commits, Some(left));
+        for steps_left in 0.. {
+            let (shared, result) = run_commits(commits, Some(steps_left));
             for seed in 0..12 {
                 let mut random = Pcg64::seed_from_u64(seed);
-                let image = shared.disk().after_power(&mut random);
-                let found = Vault::open(Shared::of(image)).map(|(_, rows)| rows);
-                let what = format!("commit {commits}, {left} steps, seed {seed}, told {told:?}");
-                let found = found.unwrap_or_else(|error| panic!("{what}: {error}"));
+                let image = shared.disk().after_power_failure(&mut random);
+                let found = RowDatabase::open(SharedDisk::from_image(image)).map(|(_, rows)| rows);
+                let context = format!("commit {commits}, {steps_left} steps, seed {seed}, result {result:?}");
+                let found = found.unwrap_or_else(|error| panic!("{context}: {error}"));
                 let is_new = found == rows(commits);
-                assert!(is_new || told.is_err() && found == rows(commits - 1), "{what}: {found:?}");
+                assert!(is_new || result.is_err() && found == rows(commits - 1), "{context}: {found:?}");
                 new += u32::from(is_new);
                 old += u32::from(!is_new);
             }
-            if told.is_ok() && shared.disk().left.is_some_and(|left| left > 0) {
+            if result.is_ok() && shared.disk().steps_left.is_some_and(|steps_left| steps_left > 0) {
                 break;
             }
         }
@@ -208,20 +209,20 @@
 }
 
 #[test]
-fn a_kill_at_each_byte_of_each_write_of_a_commit_leaves_one_of_two_states() {
+fn a_kill_at_each_byte_of_each_write_of_a_commit_leaves_the_old_or_the_new_state() {
     let (mut old, mut new) = (0, 0);
     for commits in [2, 3] {
-        for left in 0.. {
-            let (shared, told) = play(commits, Some(left));
-            if told.is_ok() {
+        for steps_left in 0.. {
+            let (shared, result) = run_commits(commits, Some(steps_left));
+            if result.is_ok() {
                 break;
             }
             for (cut, image) in after_kill(&shared.disk()).into_iter().enumerate() {
-                let what = format!("commit {commits}, {left} steps, cut {cut}");
-                let found = Vault::open(Shared::of(image)).map(|(_, rows)| rows);
-                let found = found.unwrap_or_else(|error| panic!("{what}: {error}"));
+                let context = format!("commit {commits}, {steps_left} steps, cut {cut}");
+                let found = RowDatabase::open(SharedDisk::from_image(image)).map(|(_, rows)| rows);
+                let found = found.unwrap_or_else(|error| panic!("{context}: {error}"));
                 let is_new = found == rows(commits);
-                assert!(is_new || found == rows(commits - 1), "{what}: {found:?}");
+                assert!(is_new || found == rows(commits - 1), "{context}: {found:?}");
                 new += u32::from(is_new);
                 old += u32::from(!is_new);
             }
@@ -232,62 +233,62 @@
 }
 
 #[test]
-fn a_kill_at_each_byte_of_making_a_database_leaves_an_empty_one_or_a_torn_one() {
-    let shared = Shared::default();
-    std::mem::forget(Vault::open(shared.clone()).unwrap());
-    let steps = shared.disk().done;
-    for left in 0..steps {
-        let shared = Shared::default();
-        shared.disk().left = Some(left);
-        assert!(Vault::open(shared.clone()).is_err());
+fn a_kill_at_each_byte_of_creating_a_database_leaves_an_empty_or_a_corrupt_one() {
+    let shared = SharedDisk::default();
+    std::mem::forget(RowDatabase::open(shared.clone()).unwrap());
+    let steps = shared.disk().steps_done;
+    for steps_left in 0..steps {
+        let shared = SharedDisk::default();
+        shared.disk().steps_left = Some(steps_left);
+        assert!(RowDatabase::open(shared.clone()).is_err());
         for image in after_kill(&shared.disk()) {
-            match Vault::open(Shared::of(image)) {
+            match RowDatabase::open(SharedDisk::from_image(image)) {
                 Ok((_, found)) => assert_eq!(found, Rows::default()),
-                Err(error) => assert!(matches!(error, VaultError::Torn(_)), "{error}"),
+                Err(error) => assert!(matches!(error, DatabaseError::Corrupt(_)), "{error}"),
             }
         }
     }
 }
 
 #[test]
-fn a_crash_at_each_write_of_making_a_database_leaves_an_empty_one_or_a_torn_one() {
-    let shared = Shared::default();
-    std::mem::forget(Vault::open(shared.clone()).unwrap());
-    let steps = shared.disk().done;
+fn a_crash_at_each_write_of_creating_a_database_leaves_an_empty_or_a_corrupt_one() {
+    let shared = SharedDisk::default();
+    std::mem::forget(RowDatabase::open(shared.clone()).unwrap());
+    let steps = shared.disk().steps_done;
     assert!(steps > 2);
-    for left in 0..steps {
-        let shared = Shared::default();
-        shared.disk().left = Some(left);
-        assert!(Vault::open(shared.clone()).is_err());
+    for steps_left in 0..steps {
+        let shared = SharedDisk::default();
+        shared.disk().steps_left = Some(steps_left);
+        assert!(RowDatabase::open(shared.clone()).is_err());
         for seed in 0..12 {
-            let image = shared.disk().after_power(&mut Pcg64::seed_from_u64(seed));
-            match Vault::open(Shared::of(image)) {
+            let image = shared.disk().after_power_failure(&mut Pcg64::seed_from_u64(seed));
+            match RowDatabase::open(SharedDisk::from_image(image)) {
                 Ok((_, found)) => assert_eq!(found, Rows::default()),
-                Err(error) => assert!(matches!(error, VaultError::Torn(_)), "{error}"),
+                Err(error) => assert!(matches!(error, DatabaseError::Corrupt(_)), "{error}"),
             }
         }
     }
 }
 
 #[test]
-fn a_disk_that_is_full_is_told_as_such_and_serves_again_when_it_has_room() {
-    let (shared, told) = play(2, Some(0));
-    assert!(matches!(told, Err(VaultError::Io(_))), "{told:?}");
-    shared.disk().left = None;
-    let (mut vault, found) = Vault::open(shared).unwrap();
+fn a_full_disk_is_an_io_error_and_writes_succeed_again_once_there_is_space() {
+    let (shared, result) = run_commits(2, Some(0));
+    assert!(matches!(result, Err(DatabaseError::Io(_))), "{result:?}");
+    shared.disk().steps_left = None;
+    let (mut database, found) = RowDatabase::open(shared).unwrap();
     assert_eq!(found, rows(1));
-    vault.write(&rows(3)).unwrap();
+    database.write(&rows(3)).unwrap();
 }
 
 #[test]
-fn a_panic_below_is_a_torn_file_and_no_panic_above() {
-    let shared = Shared::default();
+fn a_panic_of_the_backend_is_reported_as_corruption() {
+    let shared = SharedDisk::default();
     shared.disk().panics = true;
-    let told = Vault::open(shared).map(|_| ());
-    assert!(matches!(&told, Err(VaultError::Torn(text)) if text.contains("might")), "{told:?}");
-    let shared = Shared::default();
-    let (mut vault, _) = Vault::open(shared.clone()).unwrap();
-    vault.write(&rows(1)).unwrap();
+    let result = RowDatabase::open(shared).map(|_| ());
+    assert!(matches!(&result, Err(DatabaseError::Corrupt(text)) if text.contains("might")), "{result:?}");
+    let shared = SharedDisk::default();
+    let (mut database, _) = RowDatabase::open(shared.clone()).unwrap();
+    database.write(&rows(1)).unwrap();
     shared.disk().panics = true;
-    drop(vault);
+    drop(database);
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Calls of the file system that fail for a while, each in turn, and a kill after any of them: a node that goes on and
-//! tries again, and a next life that follows on all that was taken on.
+//! Makes file system calls fail for a while, each in turn, and kills the process after any of them. The process must
+//! go on and retry, and the next process must find every commit that was acknowledged.
 
 mod support;
 
@@ -8,31 +8,31 @@
 
 use hallpin_membership::names::Incarnation;
 use hallpin_store::incarnation::{Past, Start};
-use hallpin_store::{Limits, Reason, Store};
+use hallpin_store::{Limits, SetAsideReason, Store};
 use support::faulty::{Fault, Faulty};
 use support::*;
 
-const B: u64 = 500;
-const KINDS: [ErrorKind; 3] = [ErrorKind::StorageFull, ErrorKind::Other, ErrorKind::PermissionDenied];
-/// How many calls in a row fail; the last is a file system that stays broken.
-const LENGTHS: [u64; 4] = [1, 2, 7, u64::MAX];
-/// Generations that a life commits, after those that were there.
-const FIRST: u64 = 10;
-const LAST: u64 = 13;
-const TRIES: u64 = 40;
+const STEP_BACK_MS: u64 = 500;
+const ERROR_KINDS: [ErrorKind; 3] = [ErrorKind::StorageFull, ErrorKind::Other, ErrorKind::PermissionDenied];
+/// How many calls in a row fail; with the last value the file system stays broken.
+const FAILED_CALLS: [u64; 4] = [1, 2, 7, u64::MAX];
+/// Generations that a run commits, after those stored before it.
+const FIRST_GENERATION: u64 = 10;
+const LAST_GENERATION: u64 = 13;
+const MAX_ATTEMPTS: u64 = 40;
 
-/// What a life announced and was told.
+/// The incarnation that a process used, and the commits that were acknowledged to it.
 #[derive(Debug, Default)]
-struct Life {
+struct ProcessRun {
     incarnation: Option<Incarnation>,
-    /// The last generation that was said to be written.
-    written: Option<u64>,
-    /// The last that was tried.
-    tried: Option<u64>,
+    /// The last generation whose commit succeeded.
+    committed: Option<u64>,
+    /// The last generation whose commit was attempted.
+    attempted: Option<u64>,
 }
 
-/// A folder in which a settled life committed generation 1.
-fn lived() -> Folder {
+/// A folder in which a process with a settled incarnation committed generation 1.
+fn folder_with_state() -> Folder {
     let folder = Folder::new();
     let (mut store, _) = open(&folder);
     store.next_incarnation(NOW).1.unwrap();
@@ -41,67 +41,68 @@
     folder
 }
 
-/// A life as a shell drives it. `tries` are made at each commit.
-fn live(folder: &Folder, files: &Faulty, now: u64, tries: u64) -> Life {
-    let mut life = Life::default();
+/// Runs a process on the store as the node does, with up to `attempts` attempts for each commit, and kills it.
+fn run_process(folder: &Folder, files: &Faulty, now: u64, attempts: u64) -> ProcessRun {
+    let mut run = ProcessRun::default();
     let limits = Limits::default();
     let opened = Store::open_on(Arc::new(files.clone()), &folder.file(), NODE_4, now, &limits);
     let Ok((mut store, mut restored)) = opened else {
         let start = Start::unwritten(Past::Unknown, now, limits.clock_step_back);
-        return Life { incarnation: Some(start.incarnation), ..life };
+        return ProcessRun { incarnation: Some(start.incarnation), ..run };
     };
     let (start, _) = store.next_incarnation(now);
-    life.incarnation = Some(start.incarnation);
+    run.incarnation = Some(start.incarnation);
     generation(&mut restored);
     let _ = store.keep_aside(&mut restored);
     store.quiet_is_over();
-    for generation in FIRST..=LAST {
-        life.tried = Some(generation);
-        if (0..tries).any(|_| store.commit(&snapshot(generation)).is_ok()) {
-            life.written = Some(generation);
+    for generation in FIRST_GENERATION..=LAST_GENERATION {
+        run.attempted = Some(generation);
+        if (0..attempts).any(|_| store.commit(&snapshot(generation)).is_ok()) {
+            run.committed = Some(generation);
         }
     }
     files.kill();
-    life
+    run
 }
 
-/// The life after: it follows on what the one before announced and was told, and nothing is torn.
-fn check_next(folder: &Folder, life: &Life, before: Option<u64>, now: u64, what: &str) {
+/// Checks that the next process finds what the run before it committed, uses a greater incarnation, and finds no
+/// corruption.
+fn check_next_process(folder: &Folder, run: &ProcessRun, before: Option<u64>, now: u64, context: &str) {
     let (mut store, mut restored) = Store::open(&folder.file(), NODE_4, now, &Limits::default()).unwrap();
-    let torn = restored.set_aside.iter().any(|reason| matches!(reason, Reason::Torn(_)));
-    assert!(!torn, "{what}: {:?}", restored.set_aside);
+    let is_corrupt = restored.set_aside.iter().any(|reason| matches!(reason, SetAsideReason::Corrupt(_)));
+    assert!(!is_corrupt, "{context}: {:?}", restored.set_aside);
     let found = generation(&mut restored);
-    let least = life.written.or(before);
-    assert!(found >= least && found <= life.tried.max(before), "{what}: {found:?} of {life:?}");
+    let least = run.committed.or(before);
+    assert!(found >= least && found <= run.attempted.max(before), "{context}: {found:?} of {run:?}");
     let (start, written) = store.next_incarnation(now);
     written.unwrap();
-    assert!(Some(start.incarnation) > life.incarnation, "{what}: {start:?} after {life:?}");
+    assert!(Some(start.incarnation) > run.incarnation, "{context}: {start:?} after {run:?}");
 }
 
-/// The number of calls that opening a state makes, where nothing of it is set aside.
+/// The number of calls that opening a state makes if nothing of it is set aside.
 fn calls_to_open() -> u64 {
-    let (folder, files) = (lived(), Faulty::default());
+    let (folder, files) = (folder_with_state(), Faulty::default());
     let limits = Limits::default();
     let opened = Store::open_on(Arc::new(files.clone()), &folder.file(), NODE_4, NOW, &limits).unwrap();
     let made = files.made();
-    // Closing makes more.
+    // Closing makes more calls.
     drop(opened);
     made
 }
 
-/// The number of calls that a life makes where none fails.
-fn calls() -> u64 {
-    let (folder, files) = (lived(), Faulty::default());
-    let life = live(&folder, &files, NOW + 1_000, 1);
-    assert_eq!(life.written, Some(LAST));
+/// The number of calls that a run makes if none fails.
+fn calls_of_a_run() -> u64 {
+    let (folder, files) = (folder_with_state(), Faulty::default());
+    let run = run_process(&folder, &files, NOW + 1_000, 1);
+    assert_eq!(run.committed, Some(LAST_GENERATION));
     files.made()
 }
 
-/// Each call in turn, and those after it for a while.
+/// Faults that start at each call of a run in turn, for each of `lengths` calls.
 fn faults(lengths: &[u64]) -> Vec<Fault> {
     let mut faults = Vec::new();
-    for from in 0..calls() {
-        for (kind, calls) in KINDS.iter().cycle().zip(lengths) {
+    for from in 0..calls_of_a_run() {
+        for (kind, calls) in ERROR_KINDS.iter().cycle().zip(lengths) {
             for bytes in [0, 100] {
                 faults.push(Fault { from, calls: *calls, kind: *kind, bytes });
             }
@@ -111,39 +112,39 @@
 }
 
 #[test]
-fn calls_that_fail_for_a_while_cost_no_state_and_no_incarnation() {
+fn temporarily_failing_calls_lose_no_state_and_no_incarnation() {
     let (mut unopened, mut failed) = (0, 0);
-    for fault in faults(&LENGTHS) {
-        let (folder, files) = (lived(), Faulty::with(fault));
-        let life = live(&folder, &files, NOW + 1_000, TRIES);
-        let what = format!("{fault:?}");
+    for fault in faults(&FAILED_CALLS) {
+        let (folder, files) = (folder_with_state(), Faulty::with(fault));
+        let run = run_process(&folder, &files, NOW + 1_000, MAX_ATTEMPTS);
+        let context = format!("{fault:?}");
         failed += u64::from(files.failed() > 0);
-        unopened += u64::from(life.tried.is_none());
-        // Once calls succeed again, what is to be kept is written.
-        let healed = fault.calls < u64::MAX && life.tried.is_some();
-        assert!(!healed || life.written == Some(LAST), "{what}: {life:?}");
-        check_next(&folder, &life, Some(1), NOW + 1_000 + 2 * B, &what);
+        unopened += u64::from(run.attempted.is_none());
+        // Once calls succeed again, the last generation must have been committed.
+        let has_recovered = fault.calls < u64::MAX && run.attempted.is_some();
+        assert!(!has_recovered || run.committed == Some(LAST_GENERATION), "{context}: {run:?}");
+        check_next_process(&folder, &run, Some(1), NOW + 1_000 + 2 * STEP_BACK_MS, &context);
     }
-    println!("{failed} lives with a fault, {unopened} without a store");
+    println!("{failed} runs with a fault, {unopened} without a store");
     assert!(failed > 0 && unopened > 0);
 }
 
 #[test]
-fn a_kill_at_each_call_leaves_the_last_state_that_was_said_to_be_written_or_a_later_one() {
+fn a_kill_at_each_call_leaves_the_last_acknowledged_state_or_a_later_one() {
     for fault in faults(&[u64::MAX]) {
-        let (folder, files) = (lived(), Faulty::with(fault));
-        let life = live(&folder, &files, NOW + 1_000, 1);
-        check_next(&folder, &life, Some(1), NOW + 1_000 + 2 * B, &format!("{fault:?}"));
+        let (folder, files) = (folder_with_state(), Faulty::with(fault));
+        let run = run_process(&folder, &files, NOW + 1_000, 1);
+        check_next_process(&folder, &run, Some(1), NOW + 1_000 + 2 * STEP_BACK_MS, &format!("{fault:?}"));
     }
 }
 
-/// The wall clock has stepped back an hour, so that what was stored is of the future, and the disk fails.
+/// The wall clock has stepped back an hour, so that the stored snapshot is from the future, and the disk fails.
 #[test]
-fn a_life_that_was_read_is_followed_though_what_was_set_aside_cannot_be_kept() {
+fn the_stored_incarnation_is_followed_although_data_set_aside_cannot_be_preserved() {
     let now = NOW - 3_600_000;
     let to_open = calls_to_open();
     for fault in faults(&[1, 3]) {
-        let (folder, files) = (lived(), Faulty::with(fault));
+        let (folder, files) = (folder_with_state(), Faulty::with(fault));
         let limits = Limits::default();
         let store = Store::open_on(Arc::new(files.clone()), &folder.file(), NODE_4, now, &limits);
         let Ok((mut store, mut restored)) = store else {
@@ -152,11 +153,11 @@
         };
         assert_eq!(generation(&mut restored), None, "{fault:?}");
         assert!(store.next_incarnation(now).0.incarnation > Incarnation(NOW), "{fault:?}");
-        assert!((0..TRIES).any(|_| store.commit(&snapshot(9)).is_ok()), "{fault:?}");
-        let kept: Vec<u64> = folder.lengths_of_kept();
-        assert!(!kept.is_empty(), "{fault:?}: what was set aside is kept before a commit replaces it");
-        // With more calls that fail, the part of a copy may not be deleted either.
-        let whole = kept.iter().all(|length| *length >= 1 << 16);
-        assert!(fault.calls > 1 || whole, "{fault:?}: a part of a copy is left: {kept:?}");
+        assert!((0..MAX_ATTEMPTS).any(|_| store.commit(&snapshot(9)).is_ok()), "{fault:?}");
+        let kept: Vec<u64> = folder.aside_file_lengths();
+        assert!(!kept.is_empty(), "{fault:?}: data set aside is preserved before a commit replaces it");
+        // With more than one failed call, deleting an incomplete copy may fail as well.
+        let is_complete = kept.iter().all(|length| *length >= 1 << 16);
+        assert!(fault.calls > 1 || is_complete, "{fault:?}: an incomplete copy is left: {kept:?}");
     }
 }
--- a/crates/store/tests/growth.rs
+++ b/crates/store/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What commits cost over time: the file stays within its bound and no commit is refused. Times are printed only.
+//! Over thousands of commits, the file stays within its maximum length and no commit fails. Times are only printed.
 
 mod support;
 
@@ -10,25 +10,26 @@
 use rand_pcg::Pcg64;
 use support::*;
 
-/// Commits snapshots of `length` bytes drawn anew, each within its bound, and gives the longest the file has been.
-fn commits(path: &Path, limits: &Limits, count: u32, mut length: impl FnMut() -> usize) -> u64 {
+/// Commits `count` snapshots of about `length()` bytes, each within the limit, and returns the greatest length of the
+/// file.
+fn run_commits(path: &Path, limits: &Limits, count: u32, mut length: impl FnMut() -> usize) -> u64 {
     let (mut store, _) = Store::open(path, NODE_4, NOW, limits).unwrap();
-    let (mut longest, mut took) = (0, Vec::new());
-    for round in 0..count {
-        let mut snapshot = Snapshot::new(NOW, u64::from(round));
+    let (mut longest, mut durations) = (0, Vec::new());
+    for generation in 0..count {
+        let mut snapshot = Snapshot::new(NOW, u64::from(generation));
         assert!(snapshot.put(&Stored::new(Seen(vec![1; length()]))));
         let start = Instant::now();
         store.commit(&snapshot).unwrap();
-        took.push(start.elapsed());
+        durations.push(start.elapsed());
         longest = longest.max(std::fs::metadata(path).unwrap().len());
     }
-    took.sort_unstable();
-    let at = |percent: usize| took[(took.len() - 1) * percent / 100];
+    durations.sort_unstable();
+    let percentile = |percent: usize| durations[(durations.len() - 1) * percent / 100];
     println!(
         "{count} commits: {:?} median, {:?} 99th, {:?} worst; file {longest} bytes",
-        at(50),
-        at(99),
-        at(100)
+        percentile(50),
+        percentile(99),
+        percentile(100)
     );
     longest
 }
@@ -36,19 +37,21 @@
 #[test]
 fn thousands_of_commits_stay_within_the_bound() {
     let mut random = Pcg64::seed_from_u64(29);
-    // Ten thousand take two minutes without optimisation, and 2 s with it.
-    let many = if cfg!(debug_assertions) { 1_000 } else { 10_000 };
-    for (max_bytes, count) in [(1 << 20, many), (192 << 10, many / 4), (300 << 10, many / 4)] {
+    // 10,000 commits take two minutes without optimisation, and 2 s with it.
+    let commit_count = if cfg!(debug_assertions) { 1_000 } else { 10_000 };
+    for (max_bytes, count) in
+        [(1 << 20, commit_count), (192 << 10, commit_count / 4), (300 << 10, commit_count / 4)]
+    {
         let limits = Limits { max_bytes, ..Limits::default() };
         let folder = Folder::new();
-        let most = limits.max_snapshot() as usize - 64;
-        let longest = commits(&folder.file(), &limits, count, || match random.random_range(0..4) {
-            0 => most,
-            _ => random.random_range(0..most),
+        let max_values = limits.max_snapshot() as usize - 64;
+        let longest = run_commits(&folder.file(), &limits, count, || match random.random_range(0..4) {
+            0 => max_values,
+            _ => random.random_range(0..max_values),
         });
         assert!(longest <= max_bytes, "{longest} of {max_bytes}");
     }
-    // Where a sync costs what it does: a state of 12 KiB on the machine's own disk.
+    // On a real disk, where syncs take time, with a state of 12 KiB.
     let folder = tempfile::tempdir().unwrap();
-    commits(&folder.path().join("state.redb"), &Limits::default(), 100, || 12 << 10);
+    run_commits(&folder.path().join("state.redb"), &Limits::default(), 100, || 12 << 10);
 }
--- a/crates/store/tests/lives.rs
+++ b/crates/store/tests/lives.rs
@@ -1,5 +1,5 @@
-//! A model check of lives: no incarnation is spoken under twice, and none below one before, whatever is stored or lost,
-//! at whichever step a life ends, and wherever the wall clock steps within its bound.
+//! Model check of the choice of incarnations: no incarnation is used twice, and none is below one used before,
+//! whatever is stored or lost, at whichever step a process ends, and wherever the wall clock steps within its limit.
 
 use std::time::Duration;
 
@@ -7,86 +7,90 @@
 use hallpin_store::incarnation::{Past, Start};
 use stateright::{Checker, Model, Property};
 
-/// How far the clock may step back in the model; the whole of time in it; the number of lives.
-const BACK: u64 = 2;
-const END: u64 = 16;
-const LIVES: u8 = 4;
-/// Wall time at the start of it all.
-const EPOCH: u64 = 100;
+/// In the model: how far the clock may step back (ms), how long time runs (ms), and the number of processes.
+const MAX_STEP_BACK_MS: u64 = 2;
+const END_MS: u64 = 16;
+const MAX_PROCESSES: u8 = 4;
+/// Wall time at the start of the model, in ms.
+const START_WALL_MS: u64 = 100;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Step {
-    /// The process runs and has chosen nothing yet.
+enum Stage {
+    /// The process runs and has not chosen an incarnation yet.
     Started,
-    /// It has chosen, by which wall time and when; whether its row is to be written yet.
+    /// The process has chosen `start` at wall time `wall` and real time `at`; `to_write` if its row is still to be
+    /// written.
     Chosen { start: Start, wall: u64, at: u64, to_write: bool },
-    /// It speaks. `to_settle`: the row in the file still says that it is silent.
-    Speaks { start: Start, to_settle: bool },
+    /// The process sends messages. `to_settle`: the stored row still says that its silence is not over.
+    Active { start: Start, to_settle: bool },
     /// No process runs.
     Down,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    /// Real time in ms, and by how much the wall clock is behind the furthest it can be ahead; at most `BACK`.
+    /// Real time in ms, and by how much the wall clock is behind the furthest that it can be ahead; at most
+    /// `MAX_STEP_BACK_MS`.
     now: u64,
     behind: u64,
-    lives: u8,
-    step: Step,
-    /// The row in the file.
-    row: Past,
-    /// The greatest incarnation spoken under, and whether one was not above all before it.
-    spoken: Option<Incarnation>,
-    broken: bool,
+    processes: u8,
+    stage: Stage,
+    /// The stored row.
+    stored: Past,
+    /// The greatest incarnation used, and whether one was used that was not above all earlier ones.
+    highest_used: Option<Incarnation>,
+    is_violated: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Happens {
-    Passes,
-    Clock {
+enum ModelEvent {
+    TimePasses,
+    ClockSteps {
         behind: u64,
     },
-    Starts,
-    /// Chooses, with a store or none that can be opened.
-    Chooses {
-        store: bool,
+    ProcessStarts,
+    /// ChoosesIncarnation an incarnation, with a store or while none can be opened.
+    ChoosesIncarnation {
+        has_store: bool,
     },
-    /// Writes the row; or it fails, with the row in the file or not.
-    Writes {
-        told: bool,
-        done: bool,
+    /// WritesRow the row, acknowledged or not; without acknowledgement it may or may not be in the file.
+    WritesRow {
+        acknowledged: bool,
+        durable: bool,
     },
-    Speaks,
-    Settles,
-    Ends,
-    /// The file is lost, or set aside as torn.
-    Loses,
+    SendsMessage,
+    SettlesRow,
+    ProcessEnds,
+    /// The file is lost, or set aside as corrupt.
+    LosesFile,
 }
 
-struct Lives {
-    rule: Rule,
+struct IncarnationModel {
+    variant: Variant,
 }
 
-/// What is taken out of the rule to see the check fail.
+/// The part of the algorithm that is removed, which must make the check fail.
 #[derive(Clone, Copy, PartialEq)]
-enum Rule {
-    AsItIs,
+enum Variant {
+    Complete,
     NoSilence,
-    NoLead,
+    NoClockLead,
     SettledAtOnce,
-    SpeaksBeforeWriting,
+    SendsBeforeWriting,
 }
 
-impl Lives {
+impl IncarnationModel {
     fn step_back(&self) -> Duration {
-        Duration::from_millis(BACK)
+        Duration::from_millis(MAX_STEP_BACK_MS)
     }
 
     fn unwritten(&self, past: Past, wall: u64) -> Start {
         let start = Start::unwritten(past, wall, self.step_back());
-        match self.rule {
-            Rule::NoSilence => Start { quiet: Duration::ZERO, ..start },
-            Rule::NoLead => Start { quiet: start.quiet, ..Start::unwritten(past, wall, Duration::ZERO) },
+        match self.variant {
+            Variant::NoSilence => Start { quiet: Duration::ZERO, ..start },
+            Variant::NoClockLead => {
+                Start { quiet: start.quiet, ..Start::unwritten(past, wall, Duration::ZERO) }
+            }
             _ => start,
         }
     }
@@ -99,83 +103,90 @@
     }
 }
 
-impl Model for Lives {
+impl Model for IncarnationModel {
     type State = Node;
-    type Action = Happens;
+    type Action = ModelEvent;
 
     fn init_states(&self) -> Vec<Node> {
-        let (step, row) = (Step::Down, Past::Unknown);
-        vec![Node { now: 0, behind: 0, lives: 0, step, row, spoken: None, broken: false }]
+        let (stage, stored) = (Stage::Down, Past::Unknown);
+        vec![Node { now: 0, behind: 0, processes: 0, stage, stored, highest_used: None, is_violated: false }]
     }
 
-    fn actions(&self, node: &Node, out: &mut Vec<Happens>) {
-        if node.now < END {
-            out.push(Happens::Passes);
+    fn actions(&self, node: &Node, out: &mut Vec<ModelEvent>) {
+        if node.now < END_MS {
+            out.push(ModelEvent::TimePasses);
         }
         out.extend(
-            (0..=BACK).filter(|behind| *behind != node.behind).map(|behind| Happens::Clock { behind }),
+            (0..=MAX_STEP_BACK_MS)
+                .filter(|behind| *behind != node.behind)
+                .map(|behind| ModelEvent::ClockSteps { behind }),
         );
-        if node.row != Past::Unknown && node.step == Step::Down {
-            out.push(Happens::Loses);
+        if node.stored != Past::Unknown && node.stage == Stage::Down {
+            out.push(ModelEvent::LosesFile);
         }
-        match node.step {
-            Step::Down if node.lives < LIVES => out.push(Happens::Starts),
-            Step::Down => {}
-            Step::Started => {
-                out.extend([true, false].map(|store| Happens::Chooses { store }));
+        match node.stage {
+            Stage::Down if node.processes < MAX_PROCESSES => out.push(ModelEvent::ProcessStarts),
+            Stage::Down => {}
+            Stage::Started => {
+                out.extend([true, false].map(|has_store| ModelEvent::ChoosesIncarnation { has_store }));
             }
-            Step::Chosen { start, at, to_write, .. } => {
+            Stage::Chosen { start, at, to_write, .. } => {
                 if to_write {
-                    out.push(Happens::Writes { told: true, done: true });
-                    out.extend([true, false].map(|done| Happens::Writes { told: false, done }));
+                    out.push(ModelEvent::WritesRow { acknowledged: true, durable: true });
+                    out.extend(
+                        [true, false].map(|durable| ModelEvent::WritesRow { acknowledged: false, durable }),
+                    );
                 }
                 let silent = node.now < at + start.quiet.as_millis() as u64;
-                if !silent && (!to_write || self.rule == Rule::SpeaksBeforeWriting) {
-                    out.push(Happens::Speaks);
+                if !silent && (!to_write || self.variant == Variant::SendsBeforeWriting) {
+                    out.push(ModelEvent::SendsMessage);
                 }
             }
-            Step::Speaks { to_settle, .. } => out.extend(to_settle.then_some(Happens::Settles)),
+            Stage::Active { to_settle, .. } => out.extend(to_settle.then_some(ModelEvent::SettlesRow)),
         }
-        if node.step != Step::Down {
-            out.push(Happens::Ends);
+        if node.stage != Stage::Down {
+            out.push(ModelEvent::ProcessEnds);
         }
     }
 
-    fn next_state(&self, node: &Node, happens: Happens) -> Option<Node> {
+    fn next_state(&self, node: &Node, event: ModelEvent) -> Option<Node> {
         let mut node = node.clone();
-        let wall = EPOCH + node.now - node.behind;
-        match (happens, node.step) {
-            (Happens::Passes, _) => node.now += 1,
-            (Happens::Clock { behind }, _) => node.behind = behind,
-            // Two lives are at least 1 ms apart.
-            (Happens::Starts, _) => {
-                (node.step, node.lives, node.now) = (Step::Started, node.lives + 1, node.now + 1)
+        let wall = START_WALL_MS + node.now - node.behind;
+        match (event, node.stage) {
+            (ModelEvent::TimePasses, _) => node.now += 1,
+            (ModelEvent::ClockSteps { behind }, _) => node.behind = behind,
+            // Two processes start at least 1 ms apart.
+            (ModelEvent::ProcessStarts, _) => {
+                (node.stage, node.processes, node.now) = (Stage::Started, node.processes + 1, node.now + 1)
             }
-            (Happens::Chooses { store }, _) => {
-                let start =
-                    if store { self.written(node.row, wall) } else { self.unwritten(Past::Unknown, wall) };
-                node.step = Step::Chosen { start, wall, at: node.now, to_write: store };
+            (ModelEvent::ChoosesIncarnation { has_store }, _) => {
+                let start = if has_store {
+                    self.written(node.stored, wall)
+                } else {
+                    self.unwritten(Past::Unknown, wall)
+                };
+                node.stage = Stage::Chosen { start, wall, at: node.now, to_write: has_store };
             }
-            (Happens::Writes { told, done }, Step::Chosen { start, wall, at, .. }) => {
-                let past = node.row;
-                if done {
-                    let settled = start.is_settled() || self.rule == Rule::SettledAtOnce;
-                    node.row = if settled { Past::Settled } else { Past::Unsettled }(start.incarnation);
+            (ModelEvent::WritesRow { acknowledged, durable }, Stage::Chosen { start, wall, at, .. }) => {
+                let past = node.stored;
+                if durable {
+                    let settled = start.is_settled() || self.variant == Variant::SettledAtOnce;
+                    node.stored = if settled { Past::Settled } else { Past::Unsettled }(start.incarnation);
                 }
-                let start = if told { start } else { self.unwritten(past, wall) };
-                node.step = Step::Chosen { start, wall, at, to_write: false };
+                let start = if acknowledged { start } else { self.unwritten(past, wall) };
+                node.stage = Stage::Chosen { start, wall, at, to_write: false };
             }
-            (Happens::Speaks, Step::Chosen { start, .. }) => {
-                node.broken |= node.spoken >= Some(start.incarnation);
-                node.spoken = node.spoken.max(Some(start.incarnation));
-                node.step = Step::Speaks { start, to_settle: !start.is_settled() };
+            (ModelEvent::SendsMessage, Stage::Chosen { start, .. }) => {
+                node.is_violated |= node.highest_used >= Some(start.incarnation);
+                node.highest_used = node.highest_used.max(Some(start.incarnation));
+                node.stage = Stage::Active { start, to_settle: !start.is_settled() };
             }
-            (Happens::Settles, Step::Speaks { start, .. }) => {
-                node.row = Past::Settled(start.incarnation);
-                node.step = Step::Speaks { start, to_settle: false };
+            (ModelEvent::SettlesRow, Stage::Active { start, .. }) => {
+                node.stored = Past::Settled(start.incarnation);
+                node.stage = Stage::Active { start, to_settle: false };
             }
-            (Happens::Ends, _) => node.step = Step::Down,
-            (Happens::Loses, _) => node.row = Past::Unknown,
+            (ModelEvent::ProcessEnds, _) => node.stage = Stage::Down,
+            (ModelEvent::LosesFile, _) => node.stored = Past::Unknown,
             _ => return None,
         }
         Some(node)
@@ -183,32 +194,32 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("none twice, none below one before", |_, node: &Node| !node.broken),
-            Property::sometimes("the last life speaks", |_, node: &Node| {
-                node.lives == LIVES && matches!(node.step, Step::Speaks { .. })
+            Property::always("incarnations only increase", |_, node: &Node| !node.is_violated),
+            Property::sometimes("the last process sends messages", |_, node: &Node| {
+                node.processes == MAX_PROCESSES && matches!(node.stage, Stage::Active { .. })
             }),
         ]
     }
 }
 
 #[test]
-fn no_incarnation_is_spoken_under_twice() {
-    let checked = Lives { rule: Rule::AsItIs }.checker().threads(2).spawn_bfs().join();
-    println!("{} states, {} of them unlike", checked.state_count(), checked.unique_state_count());
+fn no_incarnation_is_used_twice() {
+    let checked = IncarnationModel { variant: Variant::Complete }.checker().threads(2).spawn_bfs().join();
+    println!("{} states, {} of them unique", checked.state_count(), checked.unique_state_count());
     checked.assert_properties();
 }
 
 #[test]
-fn each_part_of_the_rule_is_needed() {
-    for (rule, name) in [
-        (Rule::NoSilence, "no silence"),
-        (Rule::NoLead, "no lead on the clock"),
-        (Rule::SettledAtOnce, "settled at once"),
-        (Rule::SpeaksBeforeWriting, "speaks before writing"),
+fn each_part_of_the_algorithm_is_needed() {
+    for (variant, name) in [
+        (Variant::NoSilence, "no silence"),
+        (Variant::NoClockLead, "no lead on the clock"),
+        (Variant::SettledAtOnce, "settled at once"),
+        (Variant::SendsBeforeWriting, "sends before writing"),
     ] {
-        let checked = Lives { rule }.checker().spawn_bfs().join();
-        let path = checked.discovery("none twice, none below one before");
-        let actions = path.unwrap_or_else(|| panic!("{name}: nothing found")).into_actions();
+        let checked = IncarnationModel { variant }.checker().spawn_bfs().join();
+        let path = checked.discovery("incarnations only increase");
+        let actions = path.unwrap_or_else(|| panic!("{name}: no violation found")).into_actions();
         println!("{name}: {actions:?}");
     }
 }
--- a/crates/store/tests/state.rs
+++ b/crates/store/tests/state.rs
@@ -1,4 +1,4 @@
-//! Which stored states are used, which are set aside with which reason, and that what is set aside is kept.
+//! Which stored states are used, which are set aside for which reason, and that the data set aside is preserved.
 
 mod support;
 
@@ -8,12 +8,14 @@
 
 use hallpin_membership::names::{Incarnation, NodeId};
 use hallpin_store::incarnation::Past;
-use hallpin_store::{Identity, Limits, Outlives, Reason, Section, Snapshot, Store, StoreError, Stored};
+use hallpin_store::{
+    Identity, Limits, Outlives, Section, SetAsideReason, Snapshot, Store, StoreError, Stored,
+};
 use serde::{Deserialize, Serialize};
 use support::*;
 
-/// A state of node 4: a settled life and generation 1.
-fn stored() -> Folder {
+/// A state of node 4: a settled incarnation and generation 1.
+fn folder_with_state() -> Folder {
     let folder = Folder::new();
     let limits = Limits { clock_step_back: Duration::ZERO, ..Limits::default() };
     let (mut store, _) = Store::open(&folder.file(), NODE_4, NOW, &limits).unwrap();
@@ -24,30 +26,30 @@
     folder
 }
 
-fn kept(folder: &Folder) -> Vec<String> {
+fn aside_names(folder: &Folder) -> Vec<String> {
     folder.names().into_iter().filter(|name| name.contains("aside")).collect()
 }
 
 #[test]
-fn a_state_comes_back_with_its_age_and_the_next_life_follows() {
-    let folder = stored();
+fn a_state_is_restored_with_its_age_and_the_next_incarnation_follows() {
+    let folder = folder_with_state();
     let later = NOW + 7_000;
     let (mut store, mut restored) = Store::open(&folder.file(), NODE_4, later, &Limits::default()).unwrap();
     assert_eq!(restored.past, Past::Settled(Incarnation(NOW)));
     assert_eq!(restored.sections().collect::<Vec<_>>(), [Section::View, Section::Debts]);
-    let owed = restored.take::<Owed>().unwrap();
-    assert_eq!((&owed.value, owed.age), (&Owed(1), Duration::from_secs(7)));
+    let debt = restored.take::<Owed>().unwrap();
+    assert_eq!((&debt.value, debt.age), (&Owed(1), Duration::from_secs(7)));
     assert_eq!(restored.set_aside, []);
-    // The clock has stepped back behind the stored life.
+    // The clock has stepped back behind the stored incarnation.
     assert_eq!(store.next_incarnation(NOW - 400).0.incarnation, Incarnation(NOW + 1));
     assert_eq!(
         store.next_incarnation(NOW + 9_000).0.incarnation,
         Incarnation(NOW + 1),
-        "one life, one number"
+        "one process, one incarnation"
     );
-    // What was had at an age goes in with it, and ages on from there.
+    // A value stored again keeps its age, which grows on from there.
     let mut again = Snapshot::new(later, 1);
-    assert!(again.put(&owed));
+    assert!(again.put(&debt));
     store.commit(&again).unwrap();
     drop(store);
     let (_, mut restored) = Store::open(&folder.file(), NODE_4, later + 1_000, &Limits::default()).unwrap();
@@ -55,51 +57,54 @@
 }
 
 #[test]
-fn another_s_state_is_moved_aside_whole() {
+fn a_state_of_another_owner_is_moved_aside_unchanged() {
     let others = [
-        (Identity { node: NodeId(3), ..NODE_4 }, Reason::OtherNode { found: NodeId(4), this: NodeId(3) }),
-        (Identity { realm: 1, ..NODE_4 }, Reason::OtherRealm { found: 0xbeef, this: 1 }),
+        (
+            Identity { node: NodeId(3), ..NODE_4 },
+            SetAsideReason::OtherNode { found: NodeId(4), this: NodeId(3) },
+        ),
+        (Identity { realm: 1, ..NODE_4 }, SetAsideReason::OtherRealm { found: 0xbeef, this: 1 }),
     ];
     for (this, reason) in others {
-        let folder = stored();
+        let folder = folder_with_state();
         let (store, mut restored) = Store::open(&folder.file(), this, NOW, &Limits::default()).unwrap();
         assert_eq!((generation(&mut restored), restored.past), (None, Past::Unknown));
         assert_eq!(restored.set_aside[0], reason);
         drop(store);
-        // Put back where it belongs, it is whole.
+        // Moved back to its owner, the state is usable again.
         fs::rename(folder.file().with_extension("redb.aside-1"), folder.file()).unwrap();
         assert_eq!(generation(&mut open(&folder).1), Some(1));
     }
 }
 
 #[test]
-fn states_of_a_wrong_time_are_set_aside_and_the_life_is_kept() {
-    for (now, future) in [(NOW - 501, true), (NOW + 600_001, false)] {
-        let folder = stored();
+fn states_from_the_future_or_too_old_are_set_aside_and_the_incarnation_is_used() {
+    for (now, is_from_future) in [(NOW - 501, true), (NOW + 600_001, false)] {
+        let folder = folder_with_state();
         let (store, mut restored) = Store::open(&folder.file(), NODE_4, now, &Limits::default()).unwrap();
         assert_eq!((generation(&mut restored), restored.past), (None, Past::Settled(Incarnation(NOW))));
         let reason = &restored.set_aside[0];
-        assert_eq!(matches!(reason, Reason::FromTheFuture { .. }), future, "{reason}");
-        assert_eq!(matches!(reason, Reason::TooOld { .. }), !future, "{reason}");
+        assert_eq!(matches!(reason, SetAsideReason::FromTheFuture { .. }), is_from_future, "{reason}");
+        assert_eq!(matches!(reason, SetAsideReason::TooOld { .. }), !is_from_future, "{reason}");
         drop(store);
         let (_, again) = Store::open(&folder.file(), NODE_4, now, &Limits::default()).unwrap();
         assert_eq!(again.set_aside, [], "set aside once");
-        assert_eq!(kept(&folder).len(), 1);
+        assert_eq!(aside_names(&folder).len(), 1);
     }
 }
 
 #[test]
 fn an_older_epoch_than_the_peers_hold_is_set_aside() {
-    let folder = stored();
+    let folder = folder_with_state();
     let (mut store, mut restored) = open(&folder);
-    assert!(restored.against(1));
-    assert!(!restored.against(2));
-    assert!(!restored.against(2));
-    assert_eq!(restored.set_aside, [Reason::OlderEpoch { stored: 1, held: 2 }]);
+    assert!(restored.check_epoch(1));
+    assert!(!restored.check_epoch(2));
+    assert!(!restored.check_epoch(2));
+    assert_eq!(restored.set_aside, [SetAsideReason::OlderEpoch { stored: 1, held: 2 }]);
     store.keep_aside(&mut restored).unwrap();
     store.keep_aside(&mut restored).unwrap();
     assert_eq!(generation(&mut restored), None);
-    assert_eq!(kept(&folder), ["state.redb.aside-1"]);
+    assert_eq!(aside_names(&folder), ["state.redb.aside-1"]);
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -115,8 +120,8 @@
 }
 
 #[test]
-fn a_section_of_a_newer_format_is_kept_and_an_older_one_is_its_owner_s_to_read() {
-    let folder = stored();
+fn a_section_of_a_newer_format_is_preserved_and_its_owner_decodes_an_older_one() {
+    let folder = folder_with_state();
     let (mut store, mut restored) = open(&folder);
     assert_eq!(restored.take::<Newer>().unwrap().value, Newer(1));
     let mut newer = Snapshot::new(NOW, 1);
@@ -126,39 +131,39 @@
     let (mut store, mut restored) = open(&folder);
     assert_eq!(restored.take::<Owed>(), None);
     let section = Some(Section::Debts);
-    assert_eq!(restored.set_aside, [Reason::NewerFormat { section, found: 2, read: 1 }]);
+    assert_eq!(restored.set_aside, [SetAsideReason::NewerFormat { section, found: 2, supported: 1 }]);
     store.keep_aside(&mut restored).unwrap();
-    assert_eq!(kept(&folder), ["state.redb.aside-1"]);
+    assert_eq!(aside_names(&folder), ["state.redb.aside-1"]);
 }
 
 #[test]
-fn what_is_kept_is_bounded_and_each_deletion_is_told() {
-    let folder = stored();
+fn the_number_of_aside_files_is_limited_and_each_deletion_is_reported() {
+    let folder = folder_with_state();
     for round in 1..=5u32 {
         fs::write(folder.file(), b"no database").unwrap();
         let (_, restored) = open(&folder);
-        assert!(matches!(restored.set_aside[0], Reason::Torn(_)), "{:?}", restored.set_aside);
+        assert!(matches!(restored.set_aside[0], SetAsideReason::Corrupt(_)), "{:?}", restored.set_aside);
         assert_eq!(restored.set_aside.len(), if round > 3 { 3 } else { 2 });
     }
-    assert_eq!(kept(&folder), [3, 4, 5].map(|number| format!("state.redb.aside-{number}")));
+    assert_eq!(aside_names(&folder), [3, 4, 5].map(|number| format!("state.redb.aside-{number}")));
     fs::write(folder.file(), vec![0; (1 << 20) + 1]).unwrap();
-    assert!(matches!(open(&folder).1.set_aside[0], Reason::TooLarge { .. }));
+    assert!(matches!(open(&folder).1.set_aside[0], SetAsideReason::TooLarge { .. }));
 }
 
 #[test]
-fn a_snapshot_over_its_bound_and_a_file_at_its_bound_leave_what_was_stored() {
-    let folder = stored();
+fn a_snapshot_or_a_file_over_its_limit_leaves_the_stored_state_unchanged() {
+    let folder = folder_with_state();
     let mut large = Snapshot::new(NOW, 2);
     assert!(large.put(&Stored::new(Seen(vec![u64::MAX; 20_000]))));
     let (mut store, _) = open(&folder);
     assert!(matches!(store.commit(&large), Err(StoreError::TooLarge { .. })));
     drop(store);
     assert_eq!(generation(&mut open(&folder).1), Some(1));
-    // No room at all for the file: refused, and what was stored stays.
+    // The file has no room to grow: commits fail, and the stored state is unchanged.
     let limits = Limits { max_bytes: fs::metadata(folder.file()).unwrap().len(), ..Limits::default() };
-    let refused = Store::open(&folder.file(), NODE_4, NOW, &limits)
+    let result = Store::open(&folder.file(), NODE_4, NOW, &limits)
         .and_then(|(mut store, _)| (0..20).try_for_each(|round| store.commit(&snapshot(round))));
-    assert!(matches!(refused, Err(StoreError::Io { .. })), "{refused:?}");
+    assert!(matches!(result, Err(StoreError::Io { .. })), "{result:?}");
     assert!(fs::metadata(folder.file()).unwrap().len() <= limits.max_bytes);
     let (mut store, mut restored) = open(&folder);
     assert!(generation(&mut restored).is_some() && restored.set_aside.is_empty());
@@ -166,8 +171,8 @@
 }
 
 #[test]
-fn a_folder_that_is_not_there_or_not_writable_is_an_error_and_no_more() {
-    let folder = stored();
+fn a_missing_or_unwritable_folder_is_an_error() {
+    let folder = folder_with_state();
     for path in [Path::new("/proc/state.redb"), &folder.file().join("state.redb"), Path::new("/")] {
         let error = Store::open(path, NODE_4, NOW, &Limits::default()).unwrap_err();
         assert!(matches!(error, StoreError::Io { .. }), "{error}");
@@ -176,7 +181,7 @@
 
 const OPENED_BY_ANOTHER: &str = "HALLPIN_STORE_TEST_FILE";
 
-/// What another process does: run by the test below, and nothing without its variable.
+/// Body of the other process that the test below starts; does nothing without its environment variable.
 #[test]
 fn another_process() {
     if let Some(path) = std::env::var_os(OPENED_BY_ANOTHER) {
@@ -189,7 +194,7 @@
 
 #[test]
 fn two_processes_do_not_share_a_state() {
-    let folder = stored();
+    let folder = folder_with_state();
     let other = || {
         let mut command = std::process::Command::new(std::env::current_exe().unwrap());
         command.args(["--exact", "another_process", "--nocapture"]).env(OPENED_BY_ANOTHER, folder.file());
--- a/crates/store/tests/support/faulty.rs
+++ b/crates/store/tests/support/faulty.rs
@@ -1,4 +1,4 @@
-//! The machine's file system, of which calls fail for a while, or from some call on for good.
+//! The operating system's file system with injected faults: calls fail for a while, or from some call on for good.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -8,16 +8,16 @@
 
 use hallpin_store::file_system::{Disk, FileSystem, StorageBackend};
 
-/// Which calls fail.
+/// Which calls fail, and how.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// The first, by the number of calls before it.
+    /// The first call that fails, by the number of calls before it.
     pub from: u64,
-    /// How many.
+    /// How many calls fail.
     pub calls: u64,
-    /// What they say.
+    /// The error of a failed call.
     pub kind: io::ErrorKind,
-    /// How many bytes of the first get to the disk where that is a write or a copy.
+    /// How many bytes of the first failed call reach the disk, if it is a write or a copy.
     pub bytes: usize,
 }
 
@@ -28,7 +28,7 @@
     failed: u64,
 }
 
-/// A file system with a fault. Copies share what was called.
+/// A file system with a fault. Clones share the call counter and the fault.
 #[derive(Clone, Debug, Default)]
 pub struct Faulty(Arc<Mutex<Calls>>);
 
@@ -45,15 +45,16 @@
         self.0.lock().unwrap().failed
     }
 
-    /// From now on all calls fail: the process is gone, and what it would still do reaches no disk.
+    /// Makes all calls fail from now on: the process is killed, and nothing that it would still write reaches the
+    /// disk.
     pub fn kill(&self) {
         let mut calls = self.0.lock().unwrap();
         let (from, kind) = (calls.made, io::ErrorKind::Other);
         calls.fault = Some(Fault { from, calls: u64::MAX, kind, bytes: 0 });
     }
 
-    /// Counts a call. Where it fails, says how many of its bytes are written, and the error.
-    fn call(&self) -> Result<(), (usize, io::Error)> {
+    /// Counts a call. If the call fails, returns how many of its bytes are written, and the error.
+    fn count_call(&self) -> Result<(), (usize, io::Error)> {
         let mut calls = self.0.lock().unwrap();
         let number = calls.made;
         calls.made += 1;
@@ -61,14 +62,14 @@
             Some(fault) if number >= fault.from && number - fault.from < fault.calls => {
                 calls.failed += 1;
                 let bytes = if number == fault.from { fault.bytes } else { 0 };
-                Err((bytes, io::Error::new(fault.kind, "a fault")))
+                Err((bytes, io::Error::new(fault.kind, "injected fault")))
             }
             _ => Ok(()),
         }
     }
 
-    fn checked(&self) -> io::Result<()> {
-        self.call().map_err(|(_, error)| error)
+    fn check_call(&self) -> io::Result<()> {
+        self.count_call().map_err(|(_, error)| error)
     }
 }
 
@@ -84,22 +85,22 @@
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.calls.checked()?;
+        self.calls.check_call()?;
         self.file.read(offset, out)
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.calls.checked()?;
+        self.calls.check_call()?;
         self.file.set_len(len)
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.calls.checked()?;
+        self.calls.check_call()?;
         self.file.sync_data()
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        match self.calls.call() {
+        match self.calls.count_call() {
             Ok(()) => self.file.write(offset, data),
             Err((bytes, error)) => {
                 self.file.write(offset, &data[..bytes.min(data.len())])?;
@@ -111,43 +112,43 @@
 
 impl FileSystem for Faulty {
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageBackend>> {
-        self.checked()?;
+        self.check_call()?;
         Ok(Box::new(FaultyFile { file: Disk.open(path)?, calls: self.clone() }))
     }
 
     fn open_lock(&self, path: &Path) -> io::Result<File> {
-        self.checked()?;
+        self.check_call()?;
         Disk.open_lock(path)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.checked()?;
+        self.check_call()?;
         Disk.rename(from, to)
     }
 
     fn copy(&self, from: &Path, to: &Path) -> io::Result<()> {
-        match self.call() {
+        match self.count_call() {
             Ok(()) => Disk.copy(from, to),
             Err((bytes, error)) => {
-                let whole = std::fs::read(from)?;
-                std::fs::write(to, &whole[..bytes.min(whole.len())])?;
+                let content = std::fs::read(from)?;
+                std::fs::write(to, &content[..bytes.min(content.len())])?;
                 Err(error)
             }
         }
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
-        self.checked()?;
+        self.check_call()?;
         Disk.remove(path)
     }
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
-        self.checked()?;
+        self.check_call()?;
         Disk.sync_folder(folder)
     }
 
     fn names(&self, folder: &Path) -> io::Result<Vec<OsString>> {
-        self.checked()?;
+        self.check_call()?;
         Disk.names(folder)
     }
 }
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests store: two owners' values of one generation, so that a mixture of two shows.
-#![allow(dead_code)] // each test binary uses its part
+//! Values that the tests store: two sections of one generation, so that a mixture of two generations is detected.
+#![allow(dead_code)] // each test binary uses only some of the items
 
 pub mod faulty;
 
@@ -32,7 +32,8 @@
 
 impl Folder {
     pub fn new() -> Self {
-        // In memory where there is such a place: these tests are about bytes, and a sync costs nothing there.
+        // On a memory file system if there is one, where a sync costs nothing: these tests are about contents, not
+        // durability.
         let folder = tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir());
         Folder(folder.unwrap())
     }
@@ -41,7 +42,7 @@
         self.0.path().join("state.redb")
     }
 
-    /// Names in the folder, in order.
+    /// Names of the entries in the folder, sorted.
     pub fn names(&self) -> Vec<String> {
         let entries = std::fs::read_dir(self.0.path()).unwrap();
         let mut names: Vec<_> =
@@ -50,14 +51,14 @@
         names
     }
 
-    /// The lengths of the files that were set aside.
-    pub fn lengths_of_kept(&self) -> Vec<u64> {
+    /// Lengths of the files that were set aside.
+    pub fn aside_file_lengths(&self) -> Vec<u64> {
         let kept = self.names().into_iter().filter(|name| name.contains(".aside-"));
         kept.map(|name| std::fs::metadata(self.0.path().join(name)).unwrap().len()).collect()
     }
 }
 
-/// A snapshot of a generation; its length differs from one to the next.
+/// A snapshot of a generation. Its length differs from one generation to the next.
 pub fn snapshot(generation: u64) -> Snapshot {
     let mut snapshot = Snapshot::new(NOW, generation);
     assert!(snapshot.put(&Stored::new(Seen(vec![generation; (generation as usize % 7) * 300 + 1]))));
@@ -65,15 +66,15 @@
     snapshot
 }
 
-/// The generation that was restored, or none where there is nothing; fails on a mixture.
+/// The generation that was restored, or `None` if nothing was. Panics if values of two generations are mixed.
 pub fn generation(restored: &mut Restored) -> Option<u64> {
     let (seen, owed) = (restored.take::<Seen>(), restored.take::<Owed>());
     let (Some(seen), Some(owed)) = (&seen, &owed) else {
-        assert_eq!((&seen, &owed), (&None, &None), "a part of a state");
+        assert_eq!((&seen, &owed), (&None, &None), "part of a state is missing");
         return None;
     };
-    assert!(seen.value.0.iter().all(|generation| *generation == owed.value.0), "a mixture");
-    assert_eq!(restored.epoch, owed.value.0, "a mixture");
+    assert!(seen.value.0.iter().all(|generation| *generation == owed.value.0), "values of two generations");
+    assert_eq!(restored.epoch, owed.value.0, "values of two generations");
     Some(owed.value.0)
 }
 
