--- a/crates/protocol/src/cache_server.rs
+++ b/crates/protocol/src/cache_server.rs
@@ -1,4 +1,4 @@
-//! The cache server's side: what it reads from a node, and how it words its answers.
+//! The cache server's side of a connection: decoding what a node sends and encoding the answers.
 
 use std::fmt::Write;
 
@@ -7,27 +7,27 @@
 
 use crate::command::{next_input, Command, Input};
 
-/// What a node's bytes come to at a cache server.
+/// What a cache server received from a node.
 #[derive(Debug, PartialEq)]
 pub enum Call {
     /// A read or a write.
     Command(Box<Command>),
-    /// `mn`: a shallow probe.
+    /// `mn`: a shallow health check.
     Ready,
-    /// `stats load`: the load report.
+    /// `stats load`: a request for the load report.
     Load,
-    /// Nothing that a cache server knows: the answer, and whether the framing is lost.
+    /// Not a request that a cache server knows.
     Bad {
-        /// The line that answers it.
+        /// The answer line.
         answer: &'static str,
-        /// The connection is of no further use.
+        /// The framing is lost, so the connection must be closed.
         close: bool,
     },
 }
 
 const LOAD: &[u8] = b"stats load\r\n";
 
-/// Takes the next call off `buf`; `None` until it is whole.
+/// Removes the next complete request from `buf`; `None` while it is incomplete.
 pub fn next_call(buf: &mut BytesMut) -> Option<Call> {
     if buf.starts_with(LOAD) {
         buf.advance(LOAD.len());
@@ -40,12 +40,12 @@
     })
 }
 
-/// What goes behind an answer's first words: how the read went and the load, where they are told.
+/// Optional flags at the end of an answer's line: the result of the cache lookup and the load report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Remarks {
-    /// How the read went.
+    /// The result of a read's cache lookup.
     pub note: Option<CacheNote>,
-    /// The load report: names and values.
+    /// The load report as names and values; empty for none.
     pub load: Vec<(String, f64)>,
 }
 
@@ -57,15 +57,15 @@
             Some(CacheNote::MissFetching) => " h0 Z",
             None => "",
         });
-        for (at, (name, value)) in self.load.iter().enumerate() {
-            // Writing to a text cannot fail.
-            let _ = write!(line, "{}{name}={value}", if at == 0 { " L" } else { "," });
+        for (index, (name, value)) in self.load.iter().enumerate() {
+            // Writing to a `String` cannot fail.
+            let _ = write!(line, "{}{name}={value}", if index == 0 { " L" } else { "," });
         }
         line.push_str("\r\n");
     }
 }
 
-/// A value for the command with this id.
+/// Encodes a value as the answer to the read with this id.
 pub fn value(opaque: &str, value: &[u8], remarks: &Remarks) -> Vec<u8> {
     let mut line = format!("VA {} O{opaque}", value.len());
     remarks.write(&mut line);
@@ -75,32 +75,32 @@
     out
 }
 
-/// The receipt for the write with this id.
+/// Encodes a receipt as the answer to the write with this id.
 pub fn receipt(opaque: &str, receipt: &str, remarks: &Remarks) -> Vec<u8> {
     let mut line = format!("HD O{opaque} c{receipt}");
     remarks.write(&mut line);
     line.into_bytes()
 }
 
-/// Turned away: it never ran.
+/// Encodes a rejection: the command was not executed.
 pub fn busy(remarks: &Remarks) -> Vec<u8> {
     let mut line = String::from("SERVER_ERROR busy");
     Remarks { note: None, load: remarks.load.clone() }.write(&mut line);
     line.into_bytes()
 }
 
-/// An error: it may have run.
+/// Encodes a failure: the command may have been executed.
 pub fn failed(remarks: &Remarks) -> Vec<u8> {
     let mut line = String::from("SERVER_ERROR failed");
     Remarks { note: None, load: remarks.load.clone() }.write(&mut line);
     line.into_bytes()
 }
 
-/// The answer to `stats load`.
+/// Encodes the answer to `stats load`.
 pub fn load(report: &[(String, f64)]) -> Vec<u8> {
     let mut out = String::new();
     for (name, value) in report {
-        // Writing to a text cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(out, "STAT {name} {value}\r\n");
     }
     out.push_str("END\r\n");
@@ -113,7 +113,7 @@
     use crate::{next_reply, Body, Reply};
 
     #[test]
-    fn a_node_reads_what_a_cache_server_writes() {
+    fn a_node_decodes_what_a_cache_server_encodes() {
         let load = vec![("inflight".to_string(), 7.0), ("util".to_string(), 0.61)];
         let remarks = Remarks { note: Some(CacheNote::MissFetching), load };
         let mut buf = BytesMut::new();
@@ -134,7 +134,7 @@
     }
 
     #[test]
-    fn calls_are_read_wherever_they_are_split() {
+    fn requests_are_decoded_at_any_split() {
         let text = b"stats load\r\nmn\r\nmg k v Oa Pc=r,d=1\r\nstats x\r\n";
         for cut in 0..text.len() {
             let mut buf = BytesMut::from(&text[..cut]);
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -1,54 +1,55 @@
-//! The client's side: commands as text, and the answers to them.
+//! The client's side of a connection: encoding commands and decoding the answers.
 
 use std::fmt::Write;
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
 
-use crate::line::{figure, line_length};
+use crate::line::{line_length, parse_digits};
 use crate::{Malformed, MAX_VALUE};
 
-/// What a client asks for. Names must be free of spaces and commas, as they stand in one word of the line.
+/// A client's command. The names and the key must not contain spaces, and the names no commas either, because they
+/// stand in one word of the line.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
     /// The key.
     pub key: &'a str,
-    /// The value to write; `None` reads.
+    /// The value to write; `None` for a read.
     pub value: Option<&'a [u8]>,
-    /// The id of this try.
+    /// The id of this attempt.
     pub opaque: &'a str,
-    /// The class.
+    /// The name of the request class.
     pub class: &'a str,
-    /// The tenant, where there is one.
+    /// The name of the tenant, if any.
     pub tenant: Option<&'a str>,
-    /// How long the client waits, counted from the sending.
+    /// How long the client waits for the answer, from sending the command on.
     pub wait: Duration,
-    /// A guess at the work.
+    /// The client's estimate of the work that the command needs.
     pub work: Option<Duration>,
-    /// The idempotency key of a keyed write.
+    /// The idempotency key of a write that is deduplicated by key.
     pub effect_key: Option<&'a str>,
-    /// This repeats an earlier try, where clients mark that.
+    /// Whether this attempt is a retry, for clients that mark retries.
     pub retry: bool,
 }
 
 impl Ask<'_> {
-    /// The command as it goes over the wire.
+    /// Encodes the command.
     pub fn to_bytes(&self) -> Vec<u8> {
         let Ask { key, opaque, class, .. } = self;
         let mut line = match self.value {
             Some(value) => format!("ms {key} {} O{opaque} Pc={class}", value.len()),
             None => format!("mg {key} v O{opaque} Pc={class}"),
         };
-        let mut add = |name: &str, value: &dyn std::fmt::Display| {
-            // Writing to a text cannot fail.
+        let mut add_parameter = |name: &str, value: &dyn std::fmt::Display| {
+            // Writing to a `String` cannot fail.
             let _ = write!(line, ",{name}={value}");
         };
-        self.tenant.iter().for_each(|t| add("t", t));
-        add("d", &self.wait.as_millis());
-        self.work.iter().for_each(|w| add("h", &w.as_micros()));
-        self.effect_key.iter().for_each(|k| add("k", k));
+        self.tenant.iter().for_each(|tenant| add_parameter("t", tenant));
+        add_parameter("d", &self.wait.as_millis());
+        self.work.iter().for_each(|work| add_parameter("h", &work.as_micros()));
+        self.effect_key.iter().for_each(|key| add_parameter("k", key));
         if self.retry {
-            add("r", &1);
+            add_parameter("r", &1);
         }
         let mut out = line.into_bytes();
         out.extend_from_slice(b"\r\n");
@@ -60,35 +61,35 @@
     }
 }
 
-/// How a try ended, as its client reads it.
+/// The answer to an attempt, as decoded by its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A value, for the id behind it.
+    /// A value, and the id of the attempt that it answers.
     Value(Bytes, Bytes),
-    /// The receipt of a write, for the id behind it.
+    /// The receipt of a write, and the id of the attempt that it answers.
     Receipt(Bytes, Bytes),
-    /// Refused: coming again, after this long where it says so, is harmless.
+    /// Rejected without execution: a retry is safe, after this time if the answer names one.
     Busy(Option<Duration>),
     /// Any other line.
     Failed(Bytes),
 }
 
-/// Takes the next answer off `buf`; `None` until it is whole.
+/// Removes the next complete answer from `buf`; `None` while it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] where the bytes can be no answer, and nothing that follows can be trusted.
+/// [`Malformed`] if the bytes cannot be an answer; nothing that follows on the connection can be trusted then.
 pub fn next_answer(buf: &mut BytesMut) -> Result<Option<Answer>, Malformed> {
     let Some(end) = line_length(buf).map_err(|()| Malformed)? else { return Ok(None) };
     let line = buf[..end].strip_suffix(b"\r").ok_or(Malformed)?;
     let words: Vec<&[u8]> = line.split(|&b| b == b' ').collect();
     let flag = |letter: u8| {
-        let word = words.iter().skip(1).find(|w| w.first() == Some(&letter)).ok_or(Malformed)?;
+        let word = words.iter().skip(1).find(|word| word.first() == Some(&letter)).ok_or(Malformed)?;
         Ok(Bytes::copy_from_slice(&word[1..]))
     };
-    let number = |word: &[u8]| std::str::from_utf8(word).ok().and_then(figure::<usize>);
+    let number = |word: &[u8]| std::str::from_utf8(word).ok().and_then(parse_digits::<usize>);
     let answer = match words[..] {
         [b"VA", length, ..] => {
-            let length = number(length).filter(|&l| l <= MAX_VALUE).ok_or(Malformed)?;
+            let length = number(length).filter(|&length| length <= MAX_VALUE).ok_or(Malformed)?;
             if buf.len() < end + 1 + length + 2 {
                 return Ok(None);
             }
@@ -117,7 +118,7 @@
     use super::*;
     use crate::{busy, next_input, Input, Verb, FAILED};
 
-    const ASK: Ask = Ask {
+    const READ_COMMAND: Ask = Ask {
         key: "7f3a",
         value: None,
         opaque: "9b1f",
@@ -129,28 +130,27 @@
         retry: true,
     };
 
-    /// What a client writes is what a node reads.
     #[test]
-    fn a_node_reads_what_a_client_writes() {
-        let write = Ask { value: Some(b"he\r\nlo"), effect_key: Some("5c0f"), retry: false, ..ASK };
-        for (ask, verb) in [(ASK, Verb::Get), (write, Verb::Set)] {
-            let mut buf = BytesMut::from(&ask.to_bytes()[..]);
+    fn a_node_decodes_what_a_client_encodes() {
+        let write = Ask { value: Some(b"he\r\nlo"), effect_key: Some("5c0f"), retry: false, ..READ_COMMAND };
+        for (sent, verb) in [(READ_COMMAND, Verb::Get), (write, Verb::Set)] {
+            let mut buf = BytesMut::from(&sent.to_bytes()[..]);
             let Some(Input::Command(command)) = next_input(&mut buf) else { panic!("a command") };
             assert!(buf.is_empty());
-            assert_eq!((command.verb, command.wait, command.work), (verb, ask.wait, ask.work));
+            assert_eq!((command.verb, command.wait, command.work), (verb, sent.wait, sent.work));
             assert_eq!((&command.class[..], command.tenant.as_deref()), ("read", Some("acme")));
             assert_eq!(command.opaque(), "9b1f");
         }
     }
 
     #[test]
-    fn answers_are_read_wherever_they_are_split() {
+    fn answers_are_decoded_at_any_split() {
         let mut text = b"VA 4 O9b1f\r\na\r\nb\r\nHD O9b1f c77\r\n".to_vec();
         text.extend(busy(Some(Duration::from_millis(250))));
         text.extend(busy(None));
         text.extend(FAILED);
         let id = || Bytes::from_static(b"9b1f");
-        let want = [
+        let expected = [
             Answer::Value(Bytes::from_static(b"a\r\nb"), id()),
             Answer::Receipt(Bytes::from_static(b"77"), id()),
             Answer::Busy(Some(Duration::from_millis(250))),
@@ -167,12 +167,12 @@
             while let Some(answer) = next_answer(&mut buf).unwrap() {
                 got.push(answer);
             }
-            assert_eq!(got, want, "cut at {cut}");
+            assert_eq!(got, expected, "cut at {cut}");
         }
     }
 
     #[test]
-    fn what_can_be_no_answer_is_malformed() {
+    fn invalid_answers_are_malformed() {
         for text in ["VA x Oa\r\n", "VA 1\r\na\r\n", "VA 1 Oa\r\nabc", "HD Oa\r\n", "HD c1\r\n", "MN\n"] {
             assert_eq!(next_answer(&mut BytesMut::from(text)), Err(Malformed), "{text}");
         }
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands: what clients send, how a node reads it, and how it goes on to a cache server.
+//! Commands that clients send: decoding in a node and forwarding to a cache server.
 
 use std::hash::Hasher;
 use std::ops::Range;
@@ -7,10 +7,10 @@
 use bytes::{Buf, Bytes, BytesMut};
 use hallpin_balancer::Key;
 
-use crate::line::{figure, line_length};
-use crate::{MAX_KEY, MAX_OPAQUE, MAX_WHOLE};
+use crate::line::{line_length, parse_digits};
+use crate::{MAX_KEY_BYTES, MAX_OPAQUE_BYTES, MAX_WHOLE};
 
-/// Reads or writes.
+/// The kind of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     /// `mg`: a read.
@@ -19,74 +19,76 @@
     Set,
 }
 
-/// A client's command, whole and well-formed. Its text is kept, as it goes on unchanged but for `d`.
+/// A complete, well-formed command of a client. Its text is kept, because it is forwarded unchanged except for `d`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Command {
-    /// Reads or writes.
+    /// Whether the command reads or writes.
     pub verb: Verb,
-    /// The hash of its key.
+    /// The hash of the command's key.
     pub key: Key,
-    /// The name of its class.
+    /// The name of the request class.
     pub class: String,
-    /// The name of its tenant, where it has one.
+    /// The name of the tenant, if any.
     pub tenant: Option<String>,
-    /// How long the client waits, from when it sent the command.
+    /// How long the client waits for the answer, from sending the command on.
     pub wait: Duration,
-    /// A guess at the work.
+    /// The client's estimate of the work that the command needs.
     pub work: Option<Duration>,
     line: Bytes,
     opaque: Range<usize>,
-    /// Where the digits of `d` stand in the line.
-    wait_at: Range<usize>,
+    /// Position of the digits of `d` in the line.
+    wait_digits: Range<usize>,
     value: Bytes,
 }
 
-/// What a client's bytes come to.
+/// What a node received from a client.
 #[derive(Debug, PartialEq)]
 pub enum Input {
     /// A read or a write.
     Command(Box<Command>),
-    /// `mn`: are you ready?
+    /// `mn`: asks whether the node is ready.
     Ready,
-    /// Not a command: the answer, and whether the framing is lost.
+    /// Not a valid command.
     Bad {
-        /// The line that answers it.
+        /// The answer line.
         answer: &'static str,
-        /// The connection is of no further use.
+        /// The framing is lost, so the connection must be closed.
         close: bool,
     },
 }
 
-pub(crate) const BAD_LINE: Input =
+pub(crate) const INVALID_LINE: Input =
     Input::Bad { answer: "CLIENT_ERROR bad command line format\r\n", close: false };
-pub(crate) const UNKNOWN: Input = Input::Bad { answer: "ERROR\r\n", close: false };
-pub(crate) const TOO_LONG: Input = Input::Bad { answer: "CLIENT_ERROR line too long\r\n", close: true };
-pub(crate) const TOO_LARGE: Input = Input::Bad { answer: "CLIENT_ERROR value too large\r\n", close: true };
-pub(crate) const BAD_BLOCK: Input = Input::Bad { answer: "CLIENT_ERROR bad data chunk\r\n", close: true };
+pub(crate) const UNKNOWN_COMMAND: Input = Input::Bad { answer: "ERROR\r\n", close: false };
+pub(crate) const LINE_TOO_LONG: Input = Input::Bad { answer: "CLIENT_ERROR line too long\r\n", close: true };
+pub(crate) const VALUE_TOO_LARGE: Input =
+    Input::Bad { answer: "CLIENT_ERROR value too large\r\n", close: true };
+pub(crate) const INVALID_BLOCK: Input = Input::Bad { answer: "CLIENT_ERROR bad data chunk\r\n", close: true };
 
-/// Takes the next command off `buf`; `None` until it is whole.
+/// Removes the next complete command from `buf`; `None` while it is incomplete.
 pub fn next_input(buf: &mut BytesMut) -> Option<Input> {
     let end = match line_length(buf) {
         Ok(end) => end?,
-        Err(()) => return Some(TOO_LONG),
+        Err(()) => return Some(LINE_TOO_LONG),
     };
-    // Cache servers close on what they cannot read, whatever else waits there: it must not get that far.
-    let printable = |line: &&[u8]| line.iter().all(|b| matches!(b, b' '..=b'~'));
+    // Cache servers close a connection on bytes that they cannot read, although other requests wait on it, so such
+    // bytes must not be forwarded.
+    let is_printable = |line: &&[u8]| line.iter().all(|b| matches!(b, b' '..=b'~'));
     let text =
-        buf[..end].strip_suffix(b"\r").filter(printable).and_then(|line| std::str::from_utf8(line).ok());
+        buf[..end].strip_suffix(b"\r").filter(is_printable).and_then(|line| std::str::from_utf8(line).ok());
     let Some(text) = text else {
-        let framed = !buf.starts_with(b"ms");
+        let is_framed = !buf.starts_with(b"ms");
         buf.advance(end + 1);
-        return Some(if framed { BAD_LINE } else { BAD_BLOCK });
+        return Some(if is_framed { INVALID_LINE } else { INVALID_BLOCK });
     };
     let words: Vec<&str> = text.split(' ').collect();
     let length = match (words[0], words.get(2)) {
-        ("ms", Some(length)) => match figure::<usize>(length) {
+        ("ms", Some(length)) => match parse_digits::<usize>(length) {
             Some(length) if length <= MAX_WHOLE => Some(length),
-            Some(_) => return Some(TOO_LARGE),
-            None => return Some(BAD_BLOCK),
+            Some(_) => return Some(VALUE_TOO_LARGE),
+            None => return Some(INVALID_BLOCK),
         },
-        ("ms", None) => return Some(BAD_BLOCK),
+        ("ms", None) => return Some(INVALID_BLOCK),
         ("mg", _) => None,
         ("mn", None) if words.len() == 1 => {
             buf.advance(end + 1);
@@ -94,39 +96,39 @@
         }
         _ => {
             buf.advance(end + 1);
-            return Some(UNKNOWN);
+            return Some(UNKNOWN_COMMAND);
         }
     };
-    let block = length.map_or(0, |length| length + 2);
-    if buf.len() < end + 1 + block {
+    let block_length = length.map_or(0, |length| length + 2);
+    if buf.len() < end + 1 + block_length {
         return None;
     }
-    // Copied: a part of the read buffer would keep the whole of it in memory.
+    // Copied, because a slice of the read buffer would keep the whole buffer in memory.
     let line = Bytes::copy_from_slice(&buf[..end.saturating_sub(1)]);
     let value = Bytes::copy_from_slice(&buf[end + 1..][..length.unwrap_or(0)]);
-    let ends_well = length.is_none_or(|length| buf[end + 1 + length..].starts_with(b"\r\n"));
-    buf.advance(end + 1 + block);
-    if !ends_well {
-        return Some(BAD_BLOCK);
+    let has_line_end = length.is_none_or(|length| buf[end + 1 + length..].starts_with(b"\r\n"));
+    buf.advance(end + 1 + block_length);
+    if !has_line_end {
+        return Some(INVALID_BLOCK);
     }
-    Some(command(line, value).map_or(BAD_LINE, |c| Input::Command(Box::new(c))))
+    Some(parse_command(line, value).map_or(INVALID_LINE, |command| Input::Command(Box::new(command))))
 }
 
-/// How many bytes more surely belong to the command that `buf` begins with and that is not whole: of a line one at a
-/// time, as any may be its last; of a block all.
+/// A lower bound on the bytes still missing from the incomplete command at the start of `buf`: 1 while its line is
+/// incomplete, as the next byte may end it, and the exact number for a data block.
 pub fn missing(buf: &[u8]) -> usize {
     let Ok(Some(end)) = line_length(buf) else { return 1 };
     let mut words = buf[..end].strip_suffix(b"\r").unwrap_or_default().split(|&b| b == b' ');
     let verb = words.next();
-    let length = words.nth(1).and_then(|word| std::str::from_utf8(word).ok()).and_then(figure::<usize>);
+    let length = words.nth(1).and_then(|word| std::str::from_utf8(word).ok()).and_then(parse_digits::<usize>);
     let length = length.filter(|&length| verb == Some(b"ms") && length <= MAX_WHOLE);
     (end + 1 + length.map_or(0, |length| length + 2)).saturating_sub(buf.len()).max(1)
 }
 
-fn command(line: Bytes, value: Bytes) -> Option<Command> {
+fn parse_command(line: Bytes, value: Bytes) -> Option<Command> {
     let text = std::str::from_utf8(&line).ok()?;
-    // Where a part of the line stands in it.
-    let place = |part: &str| {
+    // The range of the line that `part`, a slice of it, occupies.
+    let range_of = |part: &str| {
         let start = part.as_ptr() as usize - text.as_ptr() as usize;
         start..start + part.len()
     };
@@ -136,18 +138,18 @@
         "ms" => Verb::Set,
         _ => return None,
     };
-    let key = words.next().filter(|k| !k.is_empty() && k.len() <= MAX_KEY)?;
+    let key = words.next().filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES)?;
     if verb == Verb::Set {
         words.next()?;
     }
-    let (mut wants_value, mut opaque, mut list) = (false, None, None);
+    let (mut wants_value, mut opaque, mut params) = (false, None, None);
     for flag in words {
         let first = flag.chars().next()?;
         let token = &flag[first.len_utf8()..];
         match first {
             'v' if token.is_empty() && !wants_value => wants_value = true,
-            'O' if opaque.is_none() && (1..=MAX_OPAQUE).contains(&token.len()) => opaque = Some(token),
-            'P' if list.is_none() => list = Some(token),
+            'O' if opaque.is_none() && (1..=MAX_OPAQUE_BYTES).contains(&token.len()) => opaque = Some(token),
+            'P' if params.is_none() => params = Some(token),
             _ => return None,
         }
     }
@@ -155,9 +157,9 @@
         return None;
     }
     let (mut class, mut tenant, mut wait, mut work, mut effect_key) = (None, None, None, None, None);
-    for pair in list?.split(',') {
+    for pair in params?.split(',') {
         let (name, value) = pair.split_once('=')?;
-        let place = match name {
+        let slot = match name {
             "c" => &mut class,
             "t" => &mut tenant,
             "d" => &mut wait,
@@ -165,15 +167,15 @@
             "k" => &mut effect_key,
             _ => continue,
         };
-        // Said twice, it could mean one thing here and another at the cache server.
-        if place.replace(value).is_some() {
+        // Rejected, because the cache server might use the other one of two values.
+        if slot.replace(value).is_some() {
             return None;
         }
     }
     let wait_text = wait?;
-    let wait = figure::<u32>(wait_text)?;
+    let wait = parse_digits::<u32>(wait_text)?;
     let work = match work {
-        Some(text) => Some(Duration::from_micros(figure::<u32>(text)?.into())),
+        Some(text) => Some(Duration::from_micros(parse_digits::<u32>(text)?.into())),
         None => None,
     };
     Some(Command {
@@ -183,14 +185,15 @@
         tenant: tenant.map(Into::into),
         wait: Duration::from_millis(wait.into()),
         work,
-        opaque: place(opaque?),
-        wait_at: place(wait_text),
+        opaque: range_of(opaque?),
+        wait_digits: range_of(wait_text),
         line: line.clone(),
         value,
     })
 }
 
-/// FNV-1a: one function for all nodes and starts, as nodes that differ would give one key several homes.
+/// The FNV-1a hash of a key. All nodes and all restarts must use the same function; otherwise a key would have several
+/// owners.
 pub fn key_of(text: &str) -> Key {
     let mut hash = fnv::FnvHasher::default();
     hash.write(text.as_bytes());
@@ -198,22 +201,22 @@
 }
 
 impl Command {
-    /// The request's id, as its client words it.
+    /// The request's id as its client sent it.
     pub fn opaque(&self) -> Bytes {
         self.line.slice(self.opaque.clone())
     }
 
-    /// Bytes that the command holds in memory, about.
+    /// Approximate size of the command in memory, in bytes.
     pub fn weight(&self) -> usize {
         self.line.len() + self.value.len()
     }
 
-    /// The command for a cache server: as it came, but for how long it is waited for.
+    /// Encodes the command for a cache server: unchanged except for how long the answer is waited for.
     pub fn forward(&self, wait: Duration) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.weight() + 16);
-        out.extend_from_slice(&self.line[..self.wait_at.start]);
+        out.extend_from_slice(&self.line[..self.wait_digits.start]);
         out.extend_from_slice(wait.as_millis().to_string().as_bytes());
-        out.extend_from_slice(&self.line[self.wait_at.end..]);
+        out.extend_from_slice(&self.line[self.wait_digits.end..]);
         out.extend_from_slice(b"\r\n");
         if self.verb == Verb::Set {
             out.extend_from_slice(&self.value);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! The memcache meta commands as pure functions: bytes in, commands and answers out, and back. No I/O.
+//! Encoding and decoding of the memcache meta commands as pure functions, without I/O.
 //!
-//! A node reads [`command`]s and writes what [`reply`] makes of cache servers' answers; a cache server reads the same
-//! commands and writes its answers with [`cache_server`]; a client writes commands with [`client`].
+//! A node decodes clients' [`command`]s and converts cache servers' answers to the client's with [`reply`]; a cache
+//! server decodes the same commands and encodes its answers with [`cache_server`]; a client encodes commands and
+//! decodes answers with [`client`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -21,14 +22,14 @@
     PROBE, READY, TOO_SLOW, UNKNOWN_CLASS,
 };
 
-/// Longest value of an answer, in bytes.
+/// Maximum length of an answer's value, in bytes.
 pub const MAX_VALUE: usize = 4 << 20;
-/// Longest value that is held as a whole, in bytes: of a command, and of an answer that is checked to its end before
-/// it goes on. Longer ones go on as they come.
+/// Maximum length of a value that is buffered completely, in bytes: the value of any command, and of an answer that is
+/// verified to its end before it is forwarded. Longer values of answers are streamed.
 pub const MAX_WHOLE: usize = 64 * 1024;
-/// Longest line, without its end, in bytes.
+/// Maximum length of a line without its line end, in bytes.
 pub const MAX_LINE: usize = 2048;
-/// Longest key, as everywhere in this protocol.
-const MAX_KEY: usize = 250;
-/// Longest opaque id.
-const MAX_OPAQUE: usize = 64;
+/// Maximum length of a key in bytes, as defined by the memcache protocol.
+const MAX_KEY_BYTES: usize = 250;
+/// Maximum length of an opaque id in bytes.
+const MAX_OPAQUE_BYTES: usize = 64;
--- a/crates/protocol/src/line.rs
+++ b/crates/protocol/src/line.rs
@@ -1,10 +1,11 @@
-//! Lines and figures, as both sides read them.
+//! Line framing and number parsing for both sides of a connection.
 
 use std::str::FromStr;
 
 use crate::MAX_LINE;
 
-/// A line at the start of `buf`: its length without the line feed. `Err` if it is longer than any may be.
+/// Length of the line at the start of `buf`, without its line feed; `Ok(None)` while it is incomplete, `Err` if it is
+/// longer than [`MAX_LINE`].
 pub(crate) fn line_length(buf: &[u8]) -> Result<Option<usize>, ()> {
     match buf.iter().take(MAX_LINE + 2).position(|&b| b == b'\n') {
         Some(at) => Ok(Some(at)),
@@ -13,7 +14,7 @@
     }
 }
 
-/// A number in digits alone: no sign, which the standard library's reading lets pass.
-pub(crate) fn figure<T: FromStr>(text: &str) -> Option<T> {
+/// Parses a number of digits only; unlike `str::parse`, rejects a sign.
+pub(crate) fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies: what cache servers answer, and what a client gets of it.
+//! Answers: decoding those of cache servers and encoding those for clients.
 
 use std::time::Duration;
 
@@ -7,55 +7,56 @@
 
 use crate::command::{Command, Verb};
 use crate::flags::{is_load_report, AnswerFlags};
-use crate::line::{figure, line_length};
+use crate::line::{line_length, parse_digits};
 use crate::{MAX_VALUE, MAX_WHOLE};
 
-/// What a cache server answered.
+/// A cache server's answer.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
-    /// Served, for the id that it names.
+    /// The command with this id was executed.
     Served {
-        /// The id, as the command worded it.
+        /// The id as the command contained it.
         opaque: Bytes,
-        /// What was served.
+        /// The value or the receipt.
         body: Body,
-        /// How the read went, where cache servers tell.
+        /// The result of a read's cache lookup, if the cache server reports it.
         note: Option<CacheNote>,
     },
-    /// Turned away: it never ran.
+    /// The cache server rejected the command: it was not executed.
     Busy,
-    /// Failed: it may have run.
+    /// The command failed: it may have been executed.
     Failed,
 }
 
-/// What was served.
+/// The value or the receipt of an answer.
 #[derive(Debug, PartialEq)]
 pub enum Body {
-    /// A whole value.
+    /// A complete value.
     Value(Bytes),
-    /// A value of this length, of which only the line was taken off.
+    /// The length of a value of which only the line was removed from the buffer.
     Long(usize),
     /// The receipt of a write.
     Receipt(Bytes),
 }
 
-/// Bytes that are no answer; nothing that follows on the connection can be trusted.
+/// The bytes are not a valid answer; nothing that follows on the connection can be trusted.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Takes the next answer off `buf`; `None` until it is whole, or its line if its value is long.
+/// Removes the next complete answer from `buf`, or only its line if its value is longer than [`MAX_WHOLE`]; `None`
+/// while the answer, or that line, is incomplete.
 pub fn next_reply(buf: &mut BytesMut) -> Result<Option<Reply>, Malformed> {
     let Some(end) = line_length(buf).map_err(|()| Malformed)? else { return Ok(None) };
     let line = buf[..end].strip_suffix(b"\r").ok_or(Malformed)?;
     let words: Vec<&[u8]> = line.split(|&b| b == b' ').collect();
     let (flags, length) = match words[..] {
         [b"VA", length, ref flags @ ..] => {
-            let length = std::str::from_utf8(length).ok().and_then(figure::<usize>);
-            (flags, Some(length.filter(|&l| l <= MAX_VALUE).ok_or(Malformed)?))
+            let length = std::str::from_utf8(length).ok().and_then(parse_digits::<usize>);
+            (flags, Some(length.filter(|&length| length <= MAX_VALUE).ok_or(Malformed)?))
         }
         [b"HD", ref flags @ ..] => (flags, None),
-        // It proves that nothing ran, so it must be that line, with nothing but a load report behind it.
-        [b"SERVER_ERROR", b"busy", ref rest @ ..] if may_end_line(rest) => {
+        // This answer proves that the command was not executed, so only a load report may follow the exact words.
+        [b"SERVER_ERROR", b"busy", ref rest @ ..] if is_empty_or_load_report(rest) => {
             buf.advance(end + 1);
             return Ok(Some(Reply::Busy));
         }
@@ -65,11 +66,11 @@
         }
         _ => return Err(Malformed),
     };
-    // Looked at before the value has come: what is no answer need not be waited for.
+    // Checked before the value has arrived, so that an invalid answer is rejected without waiting for it.
     let flags = AnswerFlags::parse(flags)?;
-    let long = length.is_some_and(|length| length > MAX_WHOLE);
-    let block = length.filter(|_| !long).map_or(0, |length| length + 2);
-    if buf.len() < end + 1 + block {
+    let is_long = length.is_some_and(|length| length > MAX_WHOLE);
+    let block_length = length.filter(|_| !is_long).map_or(0, |length| length + 2);
+    if buf.len() < end + 1 + block_length {
         return Ok(None);
     }
     let opaque = Bytes::copy_from_slice(flags.opaque);
@@ -77,9 +78,9 @@
     let note = flags.note;
     buf.advance(end + 1);
     let body = match length {
-        Some(length) if long => Body::Long(length),
+        Some(length) if is_long => Body::Long(length),
         Some(length) => {
-            let mut value = buf.split_to(block).freeze();
+            let mut value = buf.split_to(block_length).freeze();
             if &value[length..] != b"\r\n" {
                 return Err(Malformed);
             }
@@ -91,24 +92,25 @@
     Ok(Some(Reply::Served { opaque, body, note }))
 }
 
-/// Asks a cache server whether it is ready: a probe, where the settings allow one.
+/// Asks a cache server whether it is ready: the health check that is sent if the settings allow it.
 pub const PROBE: &[u8] = b"mn\r\n";
 
-/// Takes the answer to a probe off `buf`: whether the server is ready; `None` until it is whole.
+/// Removes the answer to a health check from `buf` and returns whether the server is ready; `None` while it is
+/// incomplete.
 pub fn next_probed(buf: &mut BytesMut) -> Result<Option<bool>, Malformed> {
     let Some(end) = line_length(buf).map_err(|()| Malformed)? else { return Ok(None) };
     let line = buf.split_to(end + 1);
     let line = line[..end].strip_suffix(b"\r").ok_or(Malformed)?;
     let words: Vec<&[u8]> = line.split(|&b| b == b' ').collect();
     match words[..] {
-        [b"MN", ref rest @ ..] if may_end_line(rest) => Ok(Some(true)),
+        [b"MN", ref rest @ ..] if is_empty_or_load_report(rest) => Ok(Some(true)),
         [b"SERVER_ERROR", ..] => Ok(Some(false)),
         _ => Err(Malformed),
     }
 }
 
-/// Whether what stands behind an answer's own words is nothing, or one load report.
-fn may_end_line(rest: &[&[u8]]) -> bool {
+/// Whether the words after an answer's fixed part are none, or a single load report.
+fn is_empty_or_load_report(rest: &[&[u8]]) -> bool {
     match rest {
         [] => true,
         [word] => is_load_report(word),
@@ -116,8 +118,8 @@
     }
 }
 
-/// The client's answer out of a cache server's; of one with a long value its line. `None` if that is not an answer to
-/// this command: passing it on would serve one client what was made for another.
+/// Converts a cache server's answer to the client's; of a long value only the line. Returns `None` if it is not an
+/// answer to this command: forwarding it would give one client the answer to another.
 pub fn served(command: &Command, opaque: &[u8], body: &Body) -> Option<Bytes> {
     let mut out = Vec::new();
     match (command.verb, body) {
@@ -144,7 +146,7 @@
     Some(out.into())
 }
 
-/// A refusal, with the time after which to come again.
+/// Encodes a rejection, with the time after which the client may retry.
 pub fn busy(retry_after: Option<Duration>) -> Bytes {
     match retry_after {
         Some(after) => format!("SERVER_ERROR busy {}\r\n", after.as_micros().div_ceil(1000)).into(),
@@ -152,20 +154,20 @@
     }
 }
 
-/// To a command of a class that the settings do not have.
+/// Answer to a command whose class is not in the settings.
 pub const UNKNOWN_CLASS: Bytes = Bytes::from_static(b"CLIENT_ERROR unknown class\r\n");
-/// To a command under the id of one that is open.
+/// Answer to a command whose id another open command uses.
 pub const ID_IN_USE: Bytes = Bytes::from_static(b"CLIENT_ERROR id in use\r\n");
-/// To a command that stays unfinished.
+/// Answer to a command that was not received completely in time.
 pub const TOO_SLOW: Bytes = Bytes::from_static(b"CLIENT_ERROR command not whole in time\r\n");
-/// Failed; nothing is promised of its effect.
+/// Answer to a failed command, which may have been executed or not.
 pub const FAILED: Bytes = Bytes::from_static(b"SERVER_ERROR failed\r\n");
-/// To `mn`: the node wants clients.
+/// Answer to `mn`: the node accepts clients.
 pub const READY: Bytes = Bytes::from_static(b"MN\r\n");
-/// To `mn`: it does not.
+/// Answer to `mn`: the node does not accept clients.
 pub const NOT_READY: Bytes = Bytes::from_static(b"SERVER_ERROR not ready\r\n");
 
-/// Whether an answer tells its client that the command itself is at fault.
+/// Whether an answer says that the client's command is invalid.
 pub fn turns_away(answer: &[u8]) -> bool {
     answer.starts_with(b"CLIENT_ERROR") || answer.starts_with(b"ERROR")
 }
--- a/crates/protocol/src/tests/spoilt_replies.rs
+++ b/crates/protocol/src/tests/corrupt_replies.rs
@@ -1,22 +1,23 @@
-//! What is left of one answer ahead of another, and bytes of any kind: nothing is served that was not sent so.
+//! Truncated answers followed by other answers, and random bytes: nothing is returned that was not sent in that form.
 
 use super::*;
 use crate::cache_server::{self, next_call, Remarks};
 use crate::client::next_answer;
 
-/// So much of a long answer is cut at every byte: its line, and some of its value.
-const CUT_FROM_START: usize = 64;
+/// Each answer is truncated at every byte below this one, which covers its line and some of its value, and at its last
+/// byte.
+const MAX_CUT: usize = 64;
 
-/// An answer's bytes, and what it serves.
-struct Sample {
+/// An encoded answer, and the body that it is decoded to.
+struct EncodedAnswer {
     text: Vec<u8>,
-    /// Where its value begins.
-    line: usize,
+    /// Position of the value's first byte.
+    value_start: usize,
     body: Option<Body>,
 }
 
 /// Answers of each kind to the command with this id.
-fn samples(id: &str) -> Vec<Sample> {
+fn samples(id: &str) -> Vec<EncodedAnswer> {
     let load = vec![("inflight".to_string(), 7.0), ("util".to_string(), 0.61)];
     let remarks = [
         Remarks::default(),
@@ -29,12 +30,12 @@
     for remarks in &remarks {
         for value in values {
             let text = cache_server::value(id, value, remarks);
-            let line = text.len() - value.len() - 2;
+            let value_start = text.len() - value.len() - 2;
             let body = match value.len() {
                 length if length > MAX_WHOLE => Body::Long(length),
                 _ => Body::Value(Bytes::copy_from_slice(value)),
             };
-            samples.push(Sample { text, line, body: Some(body) });
+            samples.push(EncodedAnswer { text, value_start, body: Some(body) });
         }
         let receipt = Some(Body::Receipt("77".into()));
         let lines = [
@@ -42,13 +43,13 @@
             (cache_server::busy(remarks), None),
             (cache_server::failed(remarks), None),
         ];
-        samples.extend(lines.map(|(text, body)| Sample { line: text.len(), text, body }));
+        samples.extend(lines.map(|(text, body)| EncodedAnswer { value_start: text.len(), text, body }));
     }
     samples
 }
 
-/// All that is read off these bytes, up to what cannot be read or follows a long value's line.
-fn replies_in(mut buf: BytesMut) -> Vec<Reply> {
+/// Decodes answers up to the first that cannot be decoded, and up to a long value's line, whose value is not decoded.
+fn decode_all(mut buf: BytesMut) -> Vec<Reply> {
     let mut replies = Vec::new();
     while let Ok(Some(reply)) = next_reply(&mut buf) {
         let is_long = matches!(reply, Reply::Served { body: Body::Long(_), .. });
@@ -60,50 +61,50 @@
     replies
 }
 
-/// Reads what is left of an earlier answer and then a whole one to command `b`, which is served as it is or not at all;
-/// that nothing ran is believed of a whole answer alone.
-fn check(left: &[u8], answer: &Sample) {
-    let mut text = BytesMut::from(left);
+/// Decodes the rest of an earlier answer followed by a complete one to command `b`. That answer must be returned
+/// unchanged or not at all, and `Busy`, which proves that nothing was executed, only for a real `busy` answer.
+fn check_decoded(remainder: &[u8], answer: &EncodedAnswer) {
+    let mut text = BytesMut::from(remainder);
     text.extend_from_slice(&answer.text);
-    let shown = String::from_utf8_lossy(&text[..text.len().min(2 * CUT_FROM_START)]).into_owned();
-    for reply in replies_in(text) {
+    let input = String::from_utf8_lossy(&text[..text.len().min(2 * MAX_CUT)]).into_owned();
+    for reply in decode_all(text) {
         match reply {
             Reply::Served { opaque, body, .. } if opaque == "b" => {
-                assert_eq!(Some(&body), answer.body.as_ref(), "{shown:?}");
+                assert_eq!(Some(&body), answer.body.as_ref(), "{input:?}");
             }
-            Reply::Busy => assert!(answer.text.starts_with(b"SERVER_ERROR busy"), "{shown:?}"),
+            Reply::Busy => assert!(answer.text.starts_with(b"SERVER_ERROR busy"), "{input:?}"),
             Reply::Served { .. } | Reply::Failed => {}
         }
     }
 }
 
 #[test]
-fn an_answer_behind_what_is_left_of_another_is_served_as_it_is_or_not_at_all() {
+fn an_answer_after_the_rest_of_another_is_returned_unchanged_or_not_at_all() {
     let answers = samples("b");
     for earlier in samples("a") {
-        let whole = earlier.text.len();
-        let cuts = (1..whole.min(CUT_FROM_START)).chain([whole - 1]);
+        let length = earlier.text.len();
+        let cuts = (1..length.min(MAX_CUT)).chain([length - 1]);
         for cut in cuts {
-            answers.iter().for_each(|answer| check(&earlier.text[..cut], answer));
+            answers.iter().for_each(|answer| check_decoded(&earlier.text[..cut], answer));
         }
     }
 }
 
-/// The same where the half line names the command that is answered.
+/// As above, with a truncated line that names the answered command itself.
 #[test]
-fn an_answer_behind_half_of_its_own_line_is_served_as_it_is_or_not_at_all() {
+fn an_answer_after_half_of_its_own_line_is_returned_unchanged_or_not_at_all() {
     let answers = samples("b");
     for earlier in &answers {
-        for cut in 1..earlier.line {
-            let mut half = BytesMut::from(&earlier.text[..cut]);
-            assert_eq!(next_reply(&mut half), Ok(None));
-            answers.iter().for_each(|answer| check(&earlier.text[..cut], answer));
+        for cut in 1..earlier.value_start {
+            let mut truncated = BytesMut::from(&earlier.text[..cut]);
+            assert_eq!(next_reply(&mut truncated), Ok(None));
+            answers.iter().for_each(|answer| check_decoded(&earlier.text[..cut], answer));
         }
     }
 }
 
 #[test]
-fn half_a_line_is_no_flags_of_the_next() {
+fn a_truncated_line_is_not_parsed_as_flags_of_the_next() {
     for text in [
         "VA 1 VA 3 Ob\r\nh\r\n\r\n",
         "VA 1 OVA 3 Ob\r\nh\r\n\r\n",
@@ -125,12 +126,12 @@
         assert_eq!(reply(text.as_bytes()), Err(Malformed), "{text:?}");
     }
     assert_eq!(reply(b"SERVER_ERROR busy L SERVER_ERROR busy\r\n"), Ok(Some(Reply::Failed)));
-    let probed = |text: &str| next_probed(&mut BytesMut::from(text));
-    assert_eq!(probed("MN SERVER_ERROR not ready\r\n"), Err(Malformed));
+    let decode_health = |text: &str| next_probed(&mut BytesMut::from(text));
+    assert_eq!(decode_health("MN SERVER_ERROR not ready\r\n"), Err(Malformed));
 }
 
 #[test]
-fn other_flags_of_the_meta_commands_cost_no_answer() {
+fn other_flags_of_the_meta_commands_are_accepted() {
     for flags in ["Ob f0 s1 t-1", "t30 l5 c9 Ob W", "Ob h0 Z X", "Ob h1 ", " Ob h1 Lqps=140"] {
         let served = reply(format!("VA 1 {flags}\r\nh\r\n").as_bytes());
         let Ok(Some(Reply::Served { opaque, body, .. })) = served else { panic!("{flags}: {served:?}") };
@@ -138,7 +139,7 @@
     }
 }
 
-/// A generator of Marsaglia's, so that a failure can be repeated.
+/// Marsaglia's xorshift generator, seeded so that a failure can be reproduced.
 struct Xorshift(u64);
 
 impl Xorshift {
@@ -150,8 +151,8 @@
     }
 }
 
-/// Bytes of any kind among pieces of the protocol.
-fn noise(random: &mut Xorshift) -> BytesMut {
+/// Random bytes mixed with pieces of the protocol.
+fn random_input(random: &mut Xorshift) -> BytesMut {
     const PIECES: [&[u8]; 16] = [
         b"VA ",
         b"HD ",
@@ -181,8 +182,8 @@
     text
 }
 
-/// Reads with one decoder until it wants more or gives up; each of its messages takes bytes off.
-fn read_all(text: &BytesMut, mut has_more: impl FnMut(&mut BytesMut) -> bool) {
+/// Calls one decoder until it has no further message or fails; each message must remove bytes from the buffer.
+fn decode_until_end(text: &BytesMut, mut has_more: impl FnMut(&mut BytesMut) -> bool) {
     let mut buf = text.clone();
     let mut left = buf.len();
     while has_more(&mut buf) {
@@ -192,18 +193,18 @@
 }
 
 #[test]
-fn no_bytes_make_a_decoder_panic() {
+fn no_input_makes_a_decoder_panic() {
     let mut random = Xorshift(0x9e37_79b9_7f4a_7c15);
     for _ in 0..200_000 {
-        let text = noise(&mut random);
-        read_all(&text, |buf| matches!(next_reply(buf), Ok(Some(_))));
-        read_all(&text, |buf| matches!(next_probed(buf), Ok(Some(_))));
-        read_all(&text, |buf| matches!(next_answer(buf), Ok(Some(_))));
-        read_all(&text, |buf| match next_input(buf) {
+        let text = random_input(&mut random);
+        decode_until_end(&text, |buf| matches!(next_reply(buf), Ok(Some(_))));
+        decode_until_end(&text, |buf| matches!(next_probed(buf), Ok(Some(_))));
+        decode_until_end(&text, |buf| matches!(next_answer(buf), Ok(Some(_))));
+        decode_until_end(&text, |buf| match next_input(buf) {
             Some(Input::Bad { close, .. }) => !close,
             input => input.is_some(),
         });
-        read_all(&text, |buf| match next_call(buf) {
+        decode_until_end(&text, |buf| match next_call(buf) {
             Some(cache_server::Call::Bad { close, .. }) => !close,
             call => call.is_some(),
         });
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Adapter: many balancers behind one text wire on standard input and output. It translates and decides
-//! nothing.
+//! Runs many balancers behind a line protocol on standard input and output. The adapter only translates and makes no
+//! decisions.
 
 mod wire;
 
@@ -8,20 +8,22 @@
 use std::process::ExitCode;
 
 use hallpin_balancer::{Action, Balancer, Event, Names};
-use wire::Line;
+use wire::Message;
 
+/// The balancer of one node, and the class and tenant names of its settings.
 struct Instance {
     balancer: Balancer,
     names: Names,
 }
 
+/// The balancers of all attached nodes, by node number.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: BTreeMap<u64, Instance>,
 }
 
-impl Host {
-    fn handle(&mut self, now: f64, node: u64, event: Event, reply: &mut String) -> Result<(), String> {
+impl Adapter {
+    fn handle_event(&mut self, now: f64, node: u64, event: Event, reply: &mut String) -> Result<(), String> {
         let instance = self.instances.get_mut(&node).ok_or("a node that is attached expected")?;
         let mut actions: Vec<Action> = Vec::new();
         instance.balancer.handle(now, event, &mut actions);
@@ -31,8 +33,12 @@
         Ok(())
     }
 
-    /// Plays one batch, whose lines carry their numbers, and returns the reply.
-    fn batch(&mut self, now: f64, lines: &mut wire::Lines<impl BufRead>) -> Result<String, String> {
+    /// Handles the lines of one batch up to `go`, and returns the reply.
+    fn handle_batch(
+        &mut self,
+        now: f64,
+        lines: &mut wire::LineReader<impl BufRead>,
+    ) -> Result<String, String> {
         let mut reply = String::new();
         loop {
             let line = lines.next()?.ok_or("`go` expected before the input ends")?;
@@ -40,30 +46,35 @@
                 reply.push_str("ack\n");
                 return Ok(reply);
             }
-            match wire::parse(&line, lines, |node| self.instances.get(&node).map(|i| &i.names))? {
-                Line::Attach { node, seed, settings } => {
+            match wire::parse_message(&line, lines, |node| {
+                self.instances.get(&node).map(|instance| &instance.names)
+            })? {
+                Message::Attach { node, seed, settings } => {
                     let names = Names::of(&settings);
-                    let balancer = Balancer::new(settings, seed).map_err(|e| e.to_string())?;
+                    let balancer = Balancer::new(settings, seed).map_err(|error| error.to_string())?;
                     self.instances.insert(node, Instance { balancer, names });
                 }
-                Line::Down { node } => {
+                Message::Down { node } => {
                     self.instances.remove(&node);
                 }
-                Line::Event { node, event } => self.handle(now, node, event, &mut reply)?,
+                Message::Event { node, event } => self.handle_event(now, node, event, &mut reply)?,
             }
         }
     }
 }
 
 fn serve(
-    lines: &mut wire::Lines<impl BufRead>,
+    lines: &mut wire::LineReader<impl BufRead>,
     stdout: &mut impl Write,
-    host: &mut Host,
+    adapter: &mut Adapter,
 ) -> Result<(), String> {
     while let Some(line) = lines.next()? {
         let now = wire::parse_sync(&line)?;
-        let reply = host.batch(now, lines)?;
-        stdout.write_all(reply.as_bytes()).and_then(|()| stdout.flush()).map_err(|e| e.to_string())?;
+        let reply = adapter.handle_batch(now, lines)?;
+        stdout
+            .write_all(reply.as_bytes())
+            .and_then(|()| stdout.flush())
+            .map_err(|error| error.to_string())?;
     }
     Ok(())
 }
@@ -71,16 +82,16 @@
 fn run() -> Result<(), String> {
     let stdin = io::stdin();
     let mut stdout = io::stdout().lock();
-    let mut lines = wire::Lines::new(stdin.lock());
-    let mut host = Host::default();
-    serve(&mut lines, &mut stdout, &mut host).map_err(|what| format!("line {}: {what}", lines.number()))
+    let mut lines = wire::LineReader::new(stdin.lock());
+    let mut adapter = Adapter::default();
+    serve(&mut lines, &mut stdout, &mut adapter).map_err(|error| format!("line {}: {error}", lines.number()))
 }
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("hallpin-sim-adapter: {what}");
+        Err(error) => {
+            eprintln!("hallpin-sim-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -1,25 +1,27 @@
-//! The wire's words and the interface's types, one to the other.
+//! Translation between the lines of the protocol and the balancer's events and actions.
 
 use std::fmt::Write;
 use std::io::BufRead;
 
 use hallpin_balancer::*;
 
-/// Input lines and the number of the last one read.
-pub struct Lines<R> {
+/// Reads input lines and counts them.
+pub struct LineReader<R> {
     input: R,
     number: u64,
 }
 
-impl<R: BufRead> Lines<R> {
+impl<R: BufRead> LineReader<R> {
     pub fn new(input: R) -> Self {
-        Lines { input, number: 0 }
+        LineReader { input, number: 0 }
     }
 
+    /// The number of the line read last, from 1.
     pub fn number(&self) -> u64 {
         self.number
     }
 
+    /// Reads a line without its line end; `None` at the end of the input.
     pub fn next(&mut self) -> Result<Option<String>, String> {
         let mut line = String::new();
         self.number += 1;
@@ -35,13 +37,16 @@
 }
 
 /// One message of a batch.
-pub enum Line {
+pub enum Message {
+    /// Starts a balancer for a node.
     Attach { node: u64, seed: u64, settings: Settings },
+    /// Removes a node's balancer with its state.
     Down { node: u64 },
+    /// Passes an event to a node's balancer.
     Event { node: u64, event: Event },
 }
 
-/// The values of a line, taken in their order. A missing or `-` value is `None`.
+/// The space-separated values of a line, read in order. A missing or `-` value is `None`.
 struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -57,26 +62,29 @@
         (value != "-" && !value.is_empty()).then_some(value)
     }
 
-    fn opt<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
-        self.text().map(|v| v.parse().map_err(|_| format!("{what} expected, got `{v}`"))).transpose()
+    fn optional<T: std::str::FromStr>(&mut self, expected: &str) -> Result<Option<T>, String> {
+        self.text()
+            .map(|value| value.parse().map_err(|_| format!("{expected} expected, got `{value}`")))
+            .transpose()
     }
 
-    fn need<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
-        self.opt(what)?.ok_or_else(|| format!("{what} expected"))
+    fn required<T: std::str::FromStr>(&mut self, expected: &str) -> Result<T, String> {
+        self.optional(expected)?.ok_or_else(|| format!("{expected} expected"))
     }
 
-    fn seconds(&mut self, what: &str) -> Result<Option<Seconds>, String> {
-        match self.opt::<f64>(what)? {
-            Some(v) if !v.is_finite() => Err(format!("{what} expected, got `{v}`")),
-            v => Ok(v),
+    fn seconds(&mut self, expected: &str) -> Result<Option<Seconds>, String> {
+        match self.optional::<f64>(expected)? {
+            Some(value) if !value.is_finite() => Err(format!("{expected} expected, got `{value}`")),
+            value => Ok(value),
         }
     }
 
     fn server(&mut self) -> Result<ServerId, String> {
-        self.text().map(|v| ServerId(v.into())).ok_or_else(|| "server address expected".into())
+        self.text().map(|value| ServerId(value.into())).ok_or_else(|| "server address expected".into())
     }
 }
 
+/// Parses the first line of a batch: `sync` and the clock time in seconds.
 pub fn parse_sync(line: &str) -> Result<Seconds, String> {
     let mut fields = Fields { rest: Some(line) };
     if fields.text() != Some("sync") {
@@ -85,7 +93,7 @@
     fields.seconds("clock time")?.ok_or_else(|| "clock time expected".into())
 }
 
-fn status(word: Option<&str>) -> Status {
+fn parse_status(word: Option<&str>) -> Status {
     match word {
         Some("success") => Status::Success,
         Some("failure") => Status::Error,
@@ -100,31 +108,33 @@
     }
 }
 
-pub fn parse<'n, R: BufRead>(
+/// Parses a message from its line and, for `roster_change`, from the list entries in the lines after it. `names`
+/// returns the class and tenant names of an attached node.
+pub fn parse_message<'n, R: BufRead>(
     line: &str,
-    lines: &mut Lines<R>,
+    lines: &mut LineReader<R>,
     names: impl Fn(u64) -> Option<&'n Names>,
-) -> Result<Line, String> {
-    let mut f = Fields { rest: Some(line) };
-    let word = f.text().ok_or("a message name expected")?;
-    let node: u64 = f.need("node number")?;
+) -> Result<Message, String> {
+    let mut fields = Fields { rest: Some(line) };
+    let name = fields.text().ok_or("a message name expected")?;
+    let node: u64 = fields.required("node number")?;
     let names = || names(node).ok_or_else(|| format!("an attached node expected, got {node}"));
-    let event = match word {
+    let event = match name {
         "attach" => {
-            let seed = f.need("random seed")?;
-            let setup = serde_json::from_str(f.rest.unwrap_or(""))
-                .map_err(|e| format!("settings as a JSON object expected: {e}"))?;
-            let settings = Settings::from_json(&setup).map_err(|e| e.to_string())?;
-            return Ok(Line::Attach { node, seed, settings });
+            let seed = fields.required("random seed")?;
+            let json = serde_json::from_str(fields.rest.unwrap_or(""))
+                .map_err(|error| format!("settings as a JSON object expected: {error}"))?;
+            let settings = Settings::from_json(&json).map_err(|error| error.to_string())?;
+            return Ok(Message::Attach { node, seed, settings });
         }
-        "down" => return Ok(Line::Down { node }),
+        "down" => return Ok(Message::Down { node }),
         "roster_change" => {
-            let mode = f.text();
-            f.opt::<u64>("list version")?;
-            let count = f.opt::<usize>("number of entries")?.unwrap_or(0);
+            let mode = fields.text();
+            fields.optional::<u64>("list version")?;
+            let count = fields.optional::<usize>("number of entries")?.unwrap_or(0);
             let mut entries = Vec::new();
             for _ in 0..count {
-                entries.push(entry(&lines.next()?.ok_or("a list entry expected")?)?);
+                entries.push(parse_entry(&lines.next()?.ok_or("a list entry expected")?)?);
             }
             Event::Roster(match mode {
                 Some("delta") => RosterNews::Delta(entries),
@@ -135,30 +145,30 @@
             })
         }
         "arrival" => {
-            let id = RequestId(f.need("request id")?);
-            let left = f.seconds("time left")?.unwrap_or(0.0);
-            let work = f.seconds("work hint")?;
-            let bits = f.opt::<u64>("bitmap")?.unwrap_or(0);
+            let id = RequestId(fields.required("request id")?);
+            let left = fields.seconds("time left")?.unwrap_or(0.0);
+            let work = fields.seconds("work hint")?;
+            let flags = fields.optional::<u64>("bitmap")?.unwrap_or(0);
             let names = names()?;
-            let tenant = f.text().and_then(|name| names.tenant(name));
-            let class = f.text().and_then(|name| names.class(name));
-            f.seconds("object size")?;
-            let key = f.opt("key")?.map(Key);
-            let work = work.filter(|_| bits & 1 != 0);
-            Event::Request(NewRequest { id, left, class, tenant, key, write: bits & 4 != 0, work })
+            let tenant = fields.text().and_then(|name| names.tenant(name));
+            let class = fields.text().and_then(|name| names.class(name));
+            fields.seconds("object size")?;
+            let key = fields.optional("key")?.map(Key);
+            let work = work.filter(|_| flags & 1 != 0);
+            Event::Request(NewRequest { id, left, class, tenant, key, write: flags & 4 != 0, work })
         }
         "head_received" => Event::StreamStarted {
-            request: RequestId(f.need("request id")?),
-            attempt: AttemptId(f.need("attempt number")?),
+            request: RequestId(fields.required("request id")?),
+            attempt: AttemptId(fields.required("attempt number")?),
         },
         "outcome" => {
-            let request = RequestId(f.need("request id")?);
-            let elapsed = f.seconds("time spent")?.unwrap_or(0.0);
-            let finished = f.opt::<u8>("0 or 1")?.unwrap_or(0) != 0;
-            f.server()?;
-            let attempt = AttemptId(f.need("attempt number")?);
-            let status = status(f.text());
-            let note = match f.opt::<u64>("remark")? {
+            let request = RequestId(fields.required("request id")?);
+            let elapsed = fields.seconds("time spent")?.unwrap_or(0.0);
+            let finished = fields.optional::<u8>("0 or 1")?.unwrap_or(0) != 0;
+            fields.server()?;
+            let attempt = AttemptId(fields.required("attempt number")?);
+            let status = parse_status(fields.text());
+            let note = match fields.optional::<u64>("remark")? {
                 Some(1) => Some(CacheNote::Hit),
                 Some(2) => Some(CacheNote::Miss),
                 Some(3) => Some(CacheNote::MissFetching),
@@ -166,70 +176,75 @@
             };
             Event::Outcome(Outcome { request, attempt, status, elapsed, finished, note })
         }
-        "withdrawn" => Event::Withdrawn(RequestId(f.need("request id")?)),
-        "ring" => Event::Timer(TimerToken(f.need("timer label")?)),
+        "withdrawn" => Event::Withdrawn(RequestId(fields.required("request id")?)),
+        "ring" => Event::Timer(TimerToken(fields.required("timer label")?)),
         "checked" => {
-            let status = status(f.text());
-            f.seconds("time spent")?;
-            Event::Probed { server: f.server()?, status }
+            let status = parse_status(fields.text());
+            fields.seconds("time spent")?;
+            Event::Probed { server: fields.server()?, status }
         }
-        "message" => Event::Message { from: f.need("sender")?, bytes: hex(f.text().unwrap_or(""))? },
+        "message" => Event::Message {
+            from: fields.required("sender")?,
+            bytes: parse_hex(fields.text().unwrap_or(""))?,
+        },
         other => return Err(format!("a known message name expected, got `{other}`")),
     };
     names()?;
-    Ok(Line::Event { node, event })
+    Ok(Message::Event { node, event })
 }
 
-fn hex(digits: &str) -> Result<Vec<u8>, String> {
-    let wrong = || format!("hex digits expected, got `{digits}`");
+fn parse_hex(digits: &str) -> Result<Vec<u8>, String> {
+    let invalid = || format!("hex digits expected, got `{digits}`");
     if !digits.len().is_multiple_of(2) || !digits.is_ascii() {
-        return Err(wrong());
+        return Err(invalid());
     }
     (0..digits.len())
         .step_by(2)
-        .map(|i| u8::from_str_radix(&digits[i..i + 2], 16).map_err(|_| wrong()))
+        .map(|i| u8::from_str_radix(&digits[i..i + 2], 16).map_err(|_| invalid()))
         .collect()
 }
 
-fn entry(line: &str) -> Result<RosterEntry, String> {
-    let mut f = Fields { rest: Some(line) };
-    if f.text() != Some("m") {
+fn parse_entry(line: &str) -> Result<RosterEntry, String> {
+    let mut fields = Fields { rest: Some(line) };
+    if fields.text() != Some("m") {
         return Err("a list entry (`m`) expected".into());
     }
-    let state = match f.text() {
+    let state = match fields.text() {
         Some("Ready") => ServerState::Ready,
         Some("Gone") => ServerState::Gone,
         _ => ServerState::Draining,
     };
     Ok(RosterEntry {
         state,
-        server: f.server()?,
-        zone: f.text().unwrap_or("").into(),
-        weight: f.seconds("size")?.unwrap_or(1.0),
-        kind: f.text().unwrap_or("").into(),
-        started: f.seconds("start time")?.filter(|&at| at > 0.0),
-        cell: f.opt("cell")?.unwrap_or(0),
+        server: fields.server()?,
+        zone: fields.text().unwrap_or("").into(),
+        weight: fields.seconds("size")?.unwrap_or(1.0),
+        kind: fields.text().unwrap_or("").into(),
+        started: fields.seconds("start time")?.filter(|&at| at > 0.0),
+        cell: fields.optional("cell")?.unwrap_or(0),
     })
 }
 
-/// Writes one action as a line.
+/// Appends one action to `out` as a line.
 pub fn write_action(node: u64, action: &Action, out: &mut String) {
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = match action {
-        Action::Send { request, server, timeout: Some(t) } => {
-            writeln!(out, "hand_off {node} {} {t:.6} {}", request.0, server.0)
+        Action::Send { request, server, timeout: Some(timeout) } => {
+            writeln!(out, "hand_off {node} {} {timeout:.6} {}", request.0, server.0)
         }
         Action::Send { request, server, timeout: None } => {
             writeln!(out, "hand_off {node} {} - {}", request.0, server.0)
         }
         Action::Cancel { request, attempt } => writeln!(out, "call_off {node} {} {}", request.0, attempt.0),
-        Action::Refuse { request, retry_after: Some(t) } => writeln!(out, "busy {node} {} {t:.6}", request.0),
+        Action::Refuse { request, retry_after: Some(retry_after) } => {
+            writeln!(out, "busy {node} {} {retry_after:.6}", request.0)
+        }
         Action::Refuse { request, retry_after: None } => writeln!(out, "busy {node} {} -", request.0),
         Action::Fail(request) => writeln!(out, "respond_error {node} {}", request.0),
         Action::SetTimer { token, after } => writeln!(out, "set_timer {node} {} {after:.6}", token.0),
         Action::Probe(server) => writeln!(out, "sample {node} {}", server.0),
         Action::Tell(bytes) => {
-            let digits: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+            let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
             writeln!(out, "write_peer {node} -1 {digits}")
         }
         Action::Subscribe => writeln!(out, "keep_informed {node} 1"),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Persists the state of a node that stays valid after its process ends, in an embedded database: decides which parts
 //! of a stored state may be used again, and which incarnation a node may use.
 //!
-//! The decisions are pure modules: [`validity`] checks which parts of a state may be used, [`incarnation`] chooses the
+//! Decisions are made without I/O: [`validity`] checks which parts of a state may be used, [`incarnation`] chooses the
 //! next incarnation. [`row_database`] holds rows in a database over any storage backend, and [`Store`] combines them
 //! over a folder. Leases are void after a restart, so only types that implement [`Outlives`] can be stored.
 #![forbid(unsafe_code)]
--- a/crates/store/src/names.rs
+++ b/crates/store/src/names.rs
@@ -22,7 +22,7 @@
     View,
     /// The placement table in force, with its epoch and version.
     Table,
-    /// Learnt limits of boxes and planner.
+    /// Learnt limits of the cache servers and the origin.
     Limits,
     /// Granted quota that this node had in use, and that other nodes may still count as used by it.
     Debts,
--- a/crates/store/src/row_database.rs
+++ b/crates/store/src/row_database.rs
@@ -39,8 +39,8 @@
     Other(String),
 }
 
-/// An open database. After an error of [`RowDatabase::write`] it must be dropped and opened again: the transaction is in
-/// the file either completely or not at all.
+/// An open database. After an error of [`RowDatabase::write`] it must be dropped and opened again: the transaction is
+/// in the file either completely or not at all.
 #[derive(Debug)]
 pub struct RowDatabase {
     /// `None` only during drop.
--- a/crates/store/tests/lives.rs
+++ b/crates/store/tests/lives.rs
@@ -7,11 +7,13 @@
 use hallpin_store::incarnation::{Past, Start};
 use stateright::{Checker, Model, Property};
 
-/// In the model: how far the clock may step back (ms), how long time runs (ms), and the number of processes.
+/// How far the clock may step back in the model.
 const MAX_STEP_BACK_MS: u64 = 2;
+/// Length of the model's time.
 const END_MS: u64 = 16;
+/// Maximum number of processes that run one after another.
 const MAX_PROCESSES: u8 = 4;
-/// Wall time at the start of the model, in ms.
+/// Wall time at the start of the model.
 const START_WALL_MS: u64 = 100;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -29,16 +31,17 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    /// Real time in ms, and by how much the wall clock is behind the furthest that it can be ahead; at most
-    /// `MAX_STEP_BACK_MS`.
+    /// Real time in ms.
     now: u64,
+    /// How far the wall clock is behind the furthest that it can be ahead, in ms; at most `MAX_STEP_BACK_MS`.
     behind: u64,
     processes: u8,
     stage: Stage,
     /// The stored row.
     stored: Past,
-    /// The greatest incarnation used, and whether one was used that was not above all earlier ones.
+    /// The greatest incarnation used.
     highest_used: Option<Incarnation>,
+    /// Whether an incarnation was used that is not above all earlier ones.
     is_violated: bool,
 }
 
@@ -49,11 +52,11 @@
         behind: u64,
     },
     ProcessStarts,
-    /// ChoosesIncarnation an incarnation, with a store or while none can be opened.
+    /// The process chooses an incarnation, with a store or while none can be opened.
     ChoosesIncarnation {
         has_store: bool,
     },
-    /// WritesRow the row, acknowledged or not; without acknowledgement it may or may not be in the file.
+    /// The process writes its row. If the write is not acknowledged, the row may or may not be in the file.
     WritesRow {
         acknowledged: bool,
         durable: bool,
@@ -69,7 +72,7 @@
     variant: Variant,
 }
 
-/// The part of the algorithm that is removed, which must make the check fail.
+/// The algorithm, complete or with one part removed, which must make the check fail.
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
     Complete,
