--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -6,10 +6,10 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::line::{line_length, parse_digits};
-use crate::{Malformed, MAX_VALUE};
+use crate::{Malformed, MAX_VALUE_BYTES};
 
-/// A client's command. The names and the key must not contain spaces, and the names no commas either, because they
-/// stand in one word of the line.
+/// A client's command. No string may contain a space, and class, tenant and idempotency key no comma either, because
+/// the line is split at spaces and its parameters at commas.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
     /// The key.
@@ -89,7 +89,7 @@
     let number = |word: &[u8]| std::str::from_utf8(word).ok().and_then(parse_digits::<usize>);
     let answer = match words[..] {
         [b"VA", length, ..] => {
-            let length = number(length).filter(|&length| length <= MAX_VALUE).ok_or(Malformed)?;
+            let length = number(length).filter(|&length| length <= MAX_VALUE_BYTES).ok_or(Malformed)?;
             if buf.len() < end + 1 + length + 2 {
                 return Ok(None);
             }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -23,7 +23,7 @@
 };
 
 /// Maximum length of an answer's value, in bytes.
-pub const MAX_VALUE: usize = 4 << 20;
+pub const MAX_VALUE_BYTES: usize = 4 << 20;
 /// Maximum length of a value that is buffered completely, in bytes: the value of any command, and of an answer that is
 /// verified to its end before it is forwarded. Longer values of answers are streamed.
 pub const MAX_WHOLE: usize = 64 * 1024;
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -8,7 +8,7 @@
 use crate::command::{Command, Verb};
 use crate::flags::{is_load_report, AnswerFlags};
 use crate::line::{line_length, parse_digits};
-use crate::{MAX_VALUE, MAX_WHOLE};
+use crate::{MAX_VALUE_BYTES, MAX_WHOLE};
 
 /// A cache server's answer.
 #[derive(Debug, PartialEq)]
@@ -52,7 +52,7 @@
     let (flags, length) = match words[..] {
         [b"VA", length, ref flags @ ..] => {
             let length = std::str::from_utf8(length).ok().and_then(parse_digits::<usize>);
-            (flags, Some(length.filter(|&length| length <= MAX_VALUE).ok_or(Malformed)?))
+            (flags, Some(length.filter(|&length| length <= MAX_VALUE_BYTES).ok_or(Malformed)?))
         }
         [b"HD", ref flags @ ..] => (flags, None),
         // This answer proves that the command was not executed, so only a load report may follow the exact words.
--- a/crates/store/src/names.rs
+++ b/crates/store/src/names.rs
@@ -49,7 +49,7 @@
 
 impl Limits {
     /// Maximum length of an encoded snapshot in bytes, header included.
-    pub fn max_snapshot(&self) -> u64 {
+    pub fn max_snapshot_bytes(&self) -> u64 {
         self.max_bytes / 16
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -107,8 +107,8 @@
         (start, written)
     }
 
-    /// Takes over the incarnation of a process that started while the store could not be opened, from
-    /// [`Start::unwritten`]. The next commit stores it. `quiet_is_over` says whether its silence is over.
+    /// Takes over the incarnation that this process chose by [`Start::unwritten`] while the store could not be opened.
+    /// The next commit stores it. `quiet_is_over` says whether its silence is over.
     ///
     /// # Errors
     /// A later incarnation is stored: it must not be overwritten, so this one cannot be written.
@@ -147,7 +147,7 @@
             sections: snapshot.sections.clone(),
         };
         let bytes = frame::encode(FORMAT, &row).ok_or(StoreError::Encoding)?;
-        let (found, bound) = (bytes.len() as u64, self.limits.max_snapshot());
+        let (found, bound) = (bytes.len() as u64, self.limits.max_snapshot_bytes());
         if found > bound {
             return Err(StoreError::TooLarge { found, bound });
         }
@@ -192,9 +192,9 @@
         }
     }
 
-    /// Preserves sections that were set aside as a copy of the file, and removes them from the file, so that the next
-    /// open finds only the usable rest. If that fails, the rest is used all the same, the incarnation above all, and
-    /// the next commit tries again.
+    /// If sections were set aside, preserves a copy of the file and removes them from it, so that the next open finds
+    /// only the usable rest. If that fails, the rest is used all the same, the incarnation above all, and the next
+    /// commit tries again.
     fn remove_set_aside(&mut self, mut restored: Restored, now_unix_ms: u64) -> Restored {
         if restored.has_unpreserved() {
             let removed =
--- a/crates/store/tests/growth.rs
+++ b/crates/store/tests/growth.rs
@@ -44,7 +44,7 @@
     {
         let limits = Limits { max_bytes, ..Limits::default() };
         let folder = Folder::new();
-        let max_values = limits.max_snapshot() as usize - 64;
+        let max_values = limits.max_snapshot_bytes() as usize - 64;
         let longest = run_commits(&folder.file(), &limits, count, || match random.random_range(0..4) {
             0 => max_values,
             _ => random.random_range(0..max_values),
--- a/crates/store/tests/state.rs
+++ b/crates/store/tests/state.rs
@@ -179,12 +179,12 @@
     }
 }
 
-const OPENED_BY_ANOTHER: &str = "HALLPIN_STORE_TEST_FILE";
+const STATE_FILE_VARIABLE: &str = "HALLPIN_STORE_TEST_FILE";
 
 /// Body of the other process that the test below starts; does nothing without its environment variable.
 #[test]
 fn another_process() {
-    if let Some(path) = std::env::var_os(OPENED_BY_ANOTHER) {
+    if let Some(path) = std::env::var_os(STATE_FILE_VARIABLE) {
         match Store::open(Path::new(&path), NODE_4, NOW, &Limits::default()) {
             Ok(_) => println!("another process: open"),
             Err(error) => println!("another process: {error}"),
@@ -197,7 +197,7 @@
     let folder = folder_with_state();
     let other = || {
         let mut command = std::process::Command::new(std::env::current_exe().unwrap());
-        command.args(["--exact", "another_process", "--nocapture"]).env(OPENED_BY_ANOTHER, folder.file());
+        command.args(["--exact", "another_process", "--nocapture"]).env(STATE_FILE_VARIABLE, folder.file());
         String::from_utf8(command.output().unwrap().stdout).unwrap()
     };
     let (store, _) = open(&folder);
