--- a/crates/protocol/src/cache_server.rs
+++ b/crates/protocol/src/cache_server.rs
@@ -25,12 +25,12 @@
     },
 }
 
-const LOAD: &[u8] = b"stats load\r\n";
+const LOAD_REQUEST: &[u8] = b"stats load\r\n";
 
 /// Removes the next complete request from `buf`; `None` while it is incomplete.
 pub fn next_call(buf: &mut BytesMut) -> Option<Call> {
-    if buf.starts_with(LOAD) {
-        buf.advance(LOAD.len());
+    if buf.starts_with(LOAD_REQUEST) {
+        buf.advance(LOAD_REQUEST.len());
         return Some(Call::Load);
     }
     next_input(buf).map(|input| match input {
--- a/crates/protocol/src/tests/corrupt_replies.rs
+++ b/crates/protocol/src/tests/corrupt_replies.rs
@@ -185,10 +185,10 @@
 /// Calls one decoder until it has no further message or fails; each message must remove bytes from the buffer.
 fn decode_until_end(text: &BytesMut, mut has_more: impl FnMut(&mut BytesMut) -> bool) {
     let mut buf = text.clone();
-    let mut left = buf.len();
+    let mut remaining = buf.len();
     while has_more(&mut buf) {
-        assert!(buf.len() < left, "{text:?}");
-        left = buf.len();
+        assert!(buf.len() < remaining, "{text:?}");
+        remaining = buf.len();
     }
 }
 
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -148,6 +148,7 @@
             let id = RequestId(fields.required("request id")?);
             let left = fields.seconds("time left")?.unwrap_or(0.0);
             let work = fields.seconds("work hint")?;
+            // Bit 0: the work hint is valid. Bit 2: the request is a write.
             let flags = fields.optional::<u64>("bitmap")?.unwrap_or(0);
             let names = names()?;
             let tenant = fields.text().and_then(|name| names.tenant(name));
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -9,9 +9,10 @@
 use hallpin_membership::names::Incarnation;
 use hallpin_store::incarnation::{Past, Start};
 use hallpin_store::{Limits, SetAsideReason, Store};
-use support::faulty::{Fault, Faulty};
+use support::faulty::{Fault, FaultyFileSystem};
 use support::*;
 
+/// The default of [`Limits::clock_step_back`].
 const STEP_BACK_MS: u64 = 500;
 const ERROR_KINDS: [ErrorKind; 3] = [ErrorKind::StorageFull, ErrorKind::Other, ErrorKind::PermissionDenied];
 /// How many calls in a row fail; with the last value the file system stays broken.
@@ -19,6 +20,7 @@
 /// Generations that a run commits, after those stored before it.
 const FIRST_GENERATION: u64 = 10;
 const LAST_GENERATION: u64 = 13;
+/// Attempts of each commit.
 const MAX_ATTEMPTS: u64 = 40;
 
 /// The incarnation that a process used, and the commits that were acknowledged to it.
@@ -42,7 +44,7 @@
 }
 
 /// Runs a process on the store as the node does, with up to `attempts` attempts for each commit, and kills it.
-fn run_process(folder: &Folder, files: &Faulty, now: u64, attempts: u64) -> ProcessRun {
+fn run_process(folder: &Folder, files: &FaultyFileSystem, now: u64, attempts: u64) -> ProcessRun {
     let mut run = ProcessRun::default();
     let limits = Limits::default();
     let opened = Store::open_on(Arc::new(files.clone()), &folder.file(), NODE_4, now, &limits);
@@ -72,8 +74,8 @@
     let is_corrupt = restored.set_aside.iter().any(|reason| matches!(reason, SetAsideReason::Corrupt(_)));
     assert!(!is_corrupt, "{context}: {:?}", restored.set_aside);
     let found = generation(&mut restored);
-    let least = run.committed.or(before);
-    assert!(found >= least && found <= run.attempted.max(before), "{context}: {found:?} of {run:?}");
+    let minimum = run.committed.or(before);
+    assert!(found >= minimum && found <= run.attempted.max(before), "{context}: {found:?} of {run:?}");
     let (start, written) = store.next_incarnation(now);
     written.unwrap();
     assert!(Some(start.incarnation) > run.incarnation, "{context}: {start:?} after {run:?}");
@@ -81,21 +83,21 @@
 
 /// The number of calls that opening a state makes if nothing of it is set aside.
 fn calls_to_open() -> u64 {
-    let (folder, files) = (folder_with_state(), Faulty::default());
+    let (folder, files) = (folder_with_state(), FaultyFileSystem::default());
     let limits = Limits::default();
     let opened = Store::open_on(Arc::new(files.clone()), &folder.file(), NODE_4, NOW, &limits).unwrap();
-    let made = files.made();
+    let call_count = files.call_count();
     // Closing makes more calls.
     drop(opened);
-    made
+    call_count
 }
 
 /// The number of calls that a run makes if none fails.
 fn calls_of_a_run() -> u64 {
-    let (folder, files) = (folder_with_state(), Faulty::default());
+    let (folder, files) = (folder_with_state(), FaultyFileSystem::default());
     let run = run_process(&folder, &files, NOW + 1_000, 1);
     assert_eq!(run.committed, Some(LAST_GENERATION));
-    files.made()
+    files.call_count()
 }
 
 /// Faults that start at each call of a run in turn, for each of `lengths` calls.
@@ -115,10 +117,10 @@
 fn temporarily_failing_calls_lose_no_state_and_no_incarnation() {
     let (mut unopened, mut failed) = (0, 0);
     for fault in faults(&FAILED_CALLS) {
-        let (folder, files) = (folder_with_state(), Faulty::with(fault));
+        let (folder, files) = (folder_with_state(), FaultyFileSystem::with(fault));
         let run = run_process(&folder, &files, NOW + 1_000, MAX_ATTEMPTS);
         let context = format!("{fault:?}");
-        failed += u64::from(files.failed() > 0);
+        failed += u64::from(files.failed_count() > 0);
         unopened += u64::from(run.attempted.is_none());
         // Once calls succeed again, the last generation must have been committed.
         let has_recovered = fault.calls < u64::MAX && run.attempted.is_some();
@@ -132,7 +134,7 @@
 #[test]
 fn a_kill_at_each_call_leaves_the_last_acknowledged_state_or_a_later_one() {
     for fault in faults(&[u64::MAX]) {
-        let (folder, files) = (folder_with_state(), Faulty::with(fault));
+        let (folder, files) = (folder_with_state(), FaultyFileSystem::with(fault));
         let run = run_process(&folder, &files, NOW + 1_000, 1);
         check_next_process(&folder, &run, Some(1), NOW + 1_000 + 2 * STEP_BACK_MS, &format!("{fault:?}"));
     }
@@ -144,7 +146,7 @@
     let now = NOW - 3_600_000;
     let to_open = calls_to_open();
     for fault in faults(&[1, 3]) {
-        let (folder, files) = (folder_with_state(), Faulty::with(fault));
+        let (folder, files) = (folder_with_state(), FaultyFileSystem::with(fault));
         let limits = Limits::default();
         let store = Store::open_on(Arc::new(files.clone()), &folder.file(), NODE_4, now, &limits);
         let Ok((mut store, mut restored)) = store else {
--- a/crates/store/tests/growth.rs
+++ b/crates/store/tests/growth.rs
@@ -17,7 +17,7 @@
     let (mut longest, mut durations) = (0, Vec::new());
     for generation in 0..count {
         let mut snapshot = Snapshot::new(NOW, u64::from(generation));
-        assert!(snapshot.put(&Stored::new(Seen(vec![1; length()]))));
+        assert!(snapshot.put(&Stored::new(ViewValue(vec![1; length()]))));
         let start = Instant::now();
         store.commit(&snapshot).unwrap();
         durations.push(start.elapsed());
--- a/crates/store/tests/state.rs
+++ b/crates/store/tests/state.rs
@@ -37,8 +37,8 @@
     let (mut store, mut restored) = Store::open(&folder.file(), NODE_4, later, &Limits::default()).unwrap();
     assert_eq!(restored.past, Past::Settled(Incarnation(NOW)));
     assert_eq!(restored.sections().collect::<Vec<_>>(), [Section::View, Section::Debts]);
-    let debt = restored.take::<Owed>().unwrap();
-    assert_eq!((&debt.value, debt.age), (&Owed(1), Duration::from_secs(7)));
+    let debt = restored.take::<DebtValue>().unwrap();
+    assert_eq!((&debt.value, debt.age), (&DebtValue(1), Duration::from_secs(7)));
     assert_eq!(restored.set_aside, []);
     // The clock has stepped back behind the stored incarnation.
     assert_eq!(store.next_incarnation(NOW - 400).0.incarnation, Incarnation(NOW + 1));
@@ -53,7 +53,7 @@
     store.commit(&again).unwrap();
     drop(store);
     let (_, mut restored) = Store::open(&folder.file(), NODE_4, later + 1_000, &Limits::default()).unwrap();
-    assert_eq!(restored.take::<Owed>().unwrap().age, Duration::from_secs(8));
+    assert_eq!(restored.take::<DebtValue>().unwrap().age, Duration::from_secs(8));
 }
 
 #[test]
@@ -108,9 +108,9 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct Newer(u64);
+struct NewerDebtValue(u64);
 
-impl Outlives for Newer {
+impl Outlives for NewerDebtValue {
     const SECTION: Section = Section::Debts;
     const FORMAT: u16 = 2;
 
@@ -123,13 +123,13 @@
 fn a_section_of_a_newer_format_is_preserved_and_its_owner_decodes_an_older_one() {
     let folder = folder_with_state();
     let (mut store, mut restored) = open(&folder);
-    assert_eq!(restored.take::<Newer>().unwrap().value, Newer(1));
+    assert_eq!(restored.take::<NewerDebtValue>().unwrap().value, NewerDebtValue(1));
     let mut newer = Snapshot::new(NOW, 1);
-    assert!(newer.put(&Stored::new(Newer(9))));
+    assert!(newer.put(&Stored::new(NewerDebtValue(9))));
     store.commit(&newer).unwrap();
     drop(store);
     let (mut store, mut restored) = open(&folder);
-    assert_eq!(restored.take::<Owed>(), None);
+    assert_eq!(restored.take::<DebtValue>(), None);
     let section = Some(Section::Debts);
     assert_eq!(restored.set_aside, [SetAsideReason::NewerFormat { section, found: 2, supported: 1 }]);
     store.keep_aside(&mut restored).unwrap();
@@ -154,7 +154,7 @@
 fn a_snapshot_or_a_file_over_its_limit_leaves_the_stored_state_unchanged() {
     let folder = folder_with_state();
     let mut large = Snapshot::new(NOW, 2);
-    assert!(large.put(&Stored::new(Seen(vec![u64::MAX; 20_000]))));
+    assert!(large.put(&Stored::new(ViewValue(vec![u64::MAX; 20_000]))));
     let (mut store, _) = open(&folder);
     assert!(matches!(store.commit(&large), Err(StoreError::TooLarge { .. })));
     drop(store);
--- a/crates/store/tests/support/faulty.rs
+++ b/crates/store/tests/support/faulty.rs
@@ -30,18 +30,18 @@
 
 /// A file system with a fault. Clones share the call counter and the fault.
 #[derive(Clone, Debug, Default)]
-pub struct Faulty(Arc<Mutex<Calls>>);
+pub struct FaultyFileSystem(Arc<Mutex<Calls>>);
 
-impl Faulty {
+impl FaultyFileSystem {
     pub fn with(fault: Fault) -> Self {
-        Faulty(Arc::new(Mutex::new(Calls { fault: Some(fault), ..Calls::default() })))
+        FaultyFileSystem(Arc::new(Mutex::new(Calls { fault: Some(fault), ..Calls::default() })))
     }
 
-    pub fn made(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.0.lock().unwrap().made
     }
 
-    pub fn failed(&self) -> u64 {
+    pub fn failed_count(&self) -> u64 {
         self.0.lock().unwrap().failed
     }
 
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 struct FaultyFile {
     file: Box<dyn StorageBackend>,
-    calls: Faulty,
+    calls: FaultyFileSystem,
 }
 
 impl StorageBackend for FaultyFile {
@@ -110,7 +110,7 @@
     }
 }
 
-impl FileSystem for Faulty {
+impl FileSystem for FaultyFileSystem {
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageBackend>> {
         self.check_call()?;
         Ok(Box::new(FaultyFile { file: Disk.open(path)?, calls: self.clone() }))
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -13,17 +13,17 @@
 pub const NOW: u64 = 1_700_000_000_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen(pub Vec<u64>);
+pub struct ViewValue(pub Vec<u64>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owed(pub u64);
+pub struct DebtValue(pub u64);
 
-impl Outlives for Seen {
+impl Outlives for ViewValue {
     const SECTION: Section = Section::View;
     const FORMAT: u16 = 1;
 }
 
-impl Outlives for Owed {
+impl Outlives for DebtValue {
     const SECTION: Section = Section::Debts;
     const FORMAT: u16 = 1;
 }
@@ -61,21 +61,21 @@
 /// A snapshot of a generation. Its length differs from one generation to the next.
 pub fn snapshot(generation: u64) -> Snapshot {
     let mut snapshot = Snapshot::new(NOW, generation);
-    assert!(snapshot.put(&Stored::new(Seen(vec![generation; (generation as usize % 7) * 300 + 1]))));
-    assert!(snapshot.put(&Stored::new(Owed(generation))));
+    assert!(snapshot.put(&Stored::new(ViewValue(vec![generation; (generation as usize % 7) * 300 + 1]))));
+    assert!(snapshot.put(&Stored::new(DebtValue(generation))));
     snapshot
 }
 
 /// The generation that was restored, or `None` if nothing was. Panics if values of two generations are mixed.
 pub fn generation(restored: &mut Restored) -> Option<u64> {
-    let (seen, owed) = (restored.take::<Seen>(), restored.take::<Owed>());
-    let (Some(seen), Some(owed)) = (&seen, &owed) else {
-        assert_eq!((&seen, &owed), (&None, &None), "part of a state is missing");
+    let (view, debt) = (restored.take::<ViewValue>(), restored.take::<DebtValue>());
+    let (Some(view), Some(debt)) = (&view, &debt) else {
+        assert_eq!((&view, &debt), (&None, &None), "part of a state is missing");
         return None;
     };
-    assert!(seen.value.0.iter().all(|generation| *generation == owed.value.0), "values of two generations");
-    assert_eq!(restored.epoch, owed.value.0, "values of two generations");
-    Some(owed.value.0)
+    assert!(view.value.0.iter().all(|generation| *generation == debt.value.0), "values of two generations");
+    assert_eq!(restored.epoch, debt.value.0, "values of two generations");
+    Some(debt.value.0)
 }
 
 pub fn open(folder: &Folder) -> (Store, Restored) {
