--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -1,133 +1,141 @@
-//! A box that accepts four connections, and clients that ask for more.
+//! A cache server (box) that accepts four connections, and clients that demand more than that.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use crate::node::{config, fleet_file, sum, Node, ON};
-use crate::rig::{member, read, served, write_config, Act, CacheServer, Client, List, Saw, LONG};
+use crate::harness::{
+    member, read_command, served_answer, write_config, Client, FakeCacheServer, FakeDiscovery, ServerAction,
+    ServerEvent, TEST_TIMEOUT,
+};
+use crate::node::{config, fleet_file, sum, Node, MINIMAL_FLEET_FILE};
 
-const WHOLE: u64 = 4;
+/// Connections that the box accepts.
+const BOX_CONNECTIONS: u64 = 4;
 const CONTRACTS: &str =
     "version = 1\nrevision = 1\n[others]\nshare = 1\n[[tenants]]\nname = \"acme\"\nshare = 3\n";
 
-/// The most connections that the box had open at once, by its own count.
-fn most_open(server: &CacheServer) -> u64 {
-    let (mut open, mut most) = (0, 0);
-    for saw in server.saw.try_iter() {
-        match saw {
-            Saw::Opened(_) => open += 1,
-            Saw::Closed(_) => open -= 1,
-            Saw::Command(..) => {}
+/// The highest number of connections that the box had open at once, by its own count.
+fn peak_open_connections(server: &FakeCacheServer) -> u64 {
+    let (mut open, mut peak) = (0, 0);
+    for event in server.events.try_iter() {
+        match event {
+            ServerEvent::Opened(_) => open += 1,
+            ServerEvent::Closed(_) => open -= 1,
+            ServerEvent::Command(..) => {}
         }
-        most = most.max(open);
+        peak = peak.max(open);
     }
-    most
+    peak
 }
 
-/// A node that has the whole of this box to give.
-fn budgeted(server: &CacheServer) -> (Node, List) {
+/// Starts a single node, which may allot the box's full capacity to its tenants.
+fn start_node_with_budgets(server: &FakeCacheServer) -> (Node, FakeDiscovery) {
     let known = member("s-1", server.address, "ready");
-    let (list, discovery) = List::start(std::slice::from_ref(&known));
-    let own: SocketAddr = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let number = own.port();
+    let (list, discovery) = FakeDiscovery::start(std::slice::from_ref(&known));
+    let own_address: SocketAddr = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let number = own_address.port();
     let contracts = fleet_file(&format!("contracts-{number}"), CONTRACTS);
     let name = contracts.file_name().unwrap().to_str().unwrap();
-    let budgets =
-        format!("[budgets]\ncontracts = \"{name}\"\nconnections_per_box = {WHOLE}\nlease = \"400ms\"\n");
-    let fleet = fleet_file(&format!("budgets-{number}"), &format!("{ON}{budgets}"));
-    (Node::start(&write_config(&config(discovery, known, own, &[own])), &fleet), list)
+    let budgets = format!(
+        "[budgets]\ncontracts = \"{name}\"\nconnections_per_box = {BOX_CONNECTIONS}\nlease = \"400ms\"\n"
+    );
+    let fleet = fleet_file(&format!("budgets-{number}"), &format!("{MINIMAL_FLEET_FILE}{budgets}"));
+    (Node::start(&write_config(&config(discovery, known, own_address, &[own_address])), &fleet), list)
 }
 
-/// Asks until it is served; how often it was refused.
-fn insist(client: &mut Client, line: &str, id: &str) -> u64 {
-    let mut refused = 0;
+/// Repeats the request until it is served; returns how often it was rejected.
+fn request_until_served(client: &mut Client, line: &str, id: &str) -> u64 {
+    let mut rejected = 0;
     loop {
-        let answer = client.ask(line);
-        if answer == served(id) {
-            return refused;
+        let answer = client.request(line);
+        if answer == served_answer(id) {
+            return rejected;
         }
         assert!(answer.starts_with("SERVER_ERROR busy"), "{answer}");
-        refused += 1;
+        rejected += 1;
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What is beyond the part is refused while the box still holds the others' answers back, and so waits for nothing; in
-/// the end everyone is served, and the box never had more open than it accepts.
+/// Requests beyond the tenant's quota are rejected while the box still withholds the answers to the others, so they
+/// wait for nothing. In the end each client is served, and the box never had more connections open than it accepts.
 #[test]
-fn what_is_beyond_its_part_is_refused_at_once_and_the_box_keeps_to_its_whole() {
+fn requests_beyond_the_quota_are_rejected_at_once_and_the_box_limit_is_kept() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
-    let held = gate.clone();
-    let server = CacheServer::start(move |_| {
-        let open = held.1.wait_timeout_while(held.0.lock().unwrap(), LONG, |open| !*open);
+    let handler_gate = gate.clone();
+    let server = FakeCacheServer::start(move |_| {
+        let open =
+            handler_gate.1.wait_timeout_while(handler_gate.0.lock().unwrap(), TEST_TIMEOUT, |open| !*open);
         drop(open.unwrap());
-        Act::Serve
+        ServerAction::Serve
     });
-    let (node, _list) = budgeted(&server);
+    let (node, _list) = start_node_with_budgets(&server);
     let address = node.address;
     let clients: Vec<_> = (0..12)
         .map(|n| {
             std::thread::spawn(move || {
-                let mut client = Client::over(TcpStream::connect(address).unwrap());
+                let mut client = Client::new(TcpStream::connect(address).unwrap());
                 let id = format!("a{n}");
-                insist(&mut client, &read(&format!("k{n}"), &id, 20_000), &id)
+                request_until_served(&mut client, &read_command(&format!("k{n}"), &id, 20_000), &id)
             })
         })
         .collect();
-    // The whole is had, and the rest were refused, before the box has answered any.
+    // The full capacity is in use, and the other requests were rejected, before the box has answered any.
     let start = Instant::now();
     loop {
-        let figures = node.figures();
-        let (used, refused) = (sum(&figures, "app_budget_in_use"), sum(&figures, "app_rejected_total"));
-        if used == WHOLE && refused >= 12 - WHOLE {
-            assert_eq!(sum(&figures, "app_completed_total"), 0);
+        let metrics = node.metrics();
+        let (used, rejected) = (sum(&metrics, "app_budget_in_use"), sum(&metrics, "app_rejected_total"));
+        if used == BOX_CONNECTIONS && rejected >= 12 - BOX_CONNECTIONS {
+            assert_eq!(sum(&metrics, "app_completed_total"), 0);
             break;
         }
-        assert!(start.elapsed() < LONG, "{used} of {WHOLE} used, {refused} refused");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{used} of {BOX_CONNECTIONS} used, {rejected} rejected");
     }
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
-    let refused: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    let figures = node.figures();
-    assert_eq!((sum(&figures, "app_completed_total"), sum(&figures, "app_failed_total")), (12, 0));
-    assert_eq!(sum(&figures, "app_rejected_total"), refused);
-    assert!(sum(&figures, "app_budget_refused_total{tenant=\"acme\"}") > 0, "{figures:?}");
-    assert_eq!(most_open(&server), WHOLE);
+    let rejected: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let metrics = node.metrics();
+    assert_eq!((sum(&metrics, "app_completed_total"), sum(&metrics, "app_failed_total")), (12, 0));
+    assert_eq!(sum(&metrics, "app_rejected_total"), rejected);
+    assert!(sum(&metrics, "app_budget_refused_total{tenant=\"acme\"}") > 0, "{metrics:?}");
+    assert_eq!(peak_open_connections(&server), BOX_CONNECTIONS);
 }
 
-/// Twelve clients of one tenant ask for all the time; one of another tenant, which stays in its share, is hardly refused
-/// once its part has come back.
+/// Twelve clients of one tenant send without pause; a client of another tenant, which stays within its share, is
+/// rarely rejected once its quota has been returned.
 #[test]
-fn who_overdrives_takes_nothing_from_who_stays_in_its_share() {
-    let server = CacheServer::start(|_| {
+fn a_tenant_over_its_share_takes_nothing_from_one_within_its_share() {
+    let server = FakeCacheServer::start(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        Act::Serve
+        ServerAction::Serve
     });
-    let (node, _list) = budgeted(&server);
-    let (address, over) = (node.address, Arc::new(AtomicBool::new(false)));
+    let (node, _list) = start_node_with_budgets(&server);
+    let (address, stop) = (node.address, Arc::new(AtomicBool::new(false)));
     let crowd: Vec<_> = (0..12)
         .map(|n| {
-            let over = over.clone();
+            let stop = stop.clone();
             std::thread::spawn(move || {
-                let mut client = Client::over(TcpStream::connect(address).unwrap());
+                let mut client = Client::new(TcpStream::connect(address).unwrap());
                 let id = format!("a{n}");
-                let mut refused = 0;
-                while !over.load(Ordering::Relaxed) {
-                    refused += insist(&mut client, &read(&format!("k{n}"), &id, 20_000), &id);
+                let mut rejected = 0;
+                while !stop.load(Ordering::Relaxed) {
+                    rejected +=
+                        request_until_served(&mut client, &read_command(&format!("k{n}"), &id, 20_000), &id);
                 }
-                refused
+                rejected
             })
         })
         .collect();
-    let mut client = Client::over(TcpStream::connect(address).unwrap());
-    let line = read("other", "b", 20_000).replace("t=acme", "t=nobody");
-    let mut served = |count: usize| (0..count).map(|_| insist(&mut client, &line, "b")).sum::<u64>();
-    let (before, after) = (served(20), served(60));
-    over.store(true, Ordering::Relaxed);
+    let mut client = Client::new(TcpStream::connect(address).unwrap());
+    let line = read_command("other", "b", 20_000).replace("t=acme", "t=nobody");
+    let mut rejections =
+        |count: usize| (0..count).map(|_| request_until_served(&mut client, &line, "b")).sum::<u64>();
+    let (before, after) = (rejections(20), rejections(60));
+    stop.store(true, Ordering::Relaxed);
     let crowd: u64 = crowd.into_iter().map(|client| client.join().unwrap()).sum();
-    assert!(after <= 20, "refused {after} times in 60 requests, {before} times in 20 before");
-    assert!(crowd > 60, "refused {crowd} times: the crowd asked for more than it had");
-    assert!(most_open(&server) <= WHOLE);
+    assert!(after <= 20, "rejected {after} times in 60 requests, {before} times in the 20 before");
+    assert!(crowd > 60, "rejected {crowd} times: the crowd demanded more than its quota");
+    assert!(peak_open_connections(&server) <= BOX_CONNECTIONS);
 }
--- a/crates/node/tests/fleet/flood.rs
+++ b/crates/node/tests/fleet/flood.rs
@@ -1,70 +1,73 @@
-//! Hard case 12: datagrams of anybody's, at 10,000 a second.
+//! Hard case 12: a flood of invalid datagrams from a peer's address and from an unknown one, 10,000 per second.
 
 use std::net::{TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
-use crate::node::{config, fleet_file, sum, Node, ON};
-use crate::rig::{member, read, served, write_config, Act, CacheServer, Client, List};
+use crate::harness::{
+    member, read_command, served_answer, write_config, Client, FakeCacheServer, FakeDiscovery, ServerAction,
+};
+use crate::node::{config, fleet_file, sum, Node, MINIMAL_FLEET_FILE};
 
-/// Datagrams that no peer sent, or no peer of this version: each must be dropped for a reason of its own.
-fn no_peers_words() -> Vec<Vec<u8>> {
+/// Datagrams that are no valid message of a peer of this version; each must be dropped for a different reason.
+fn invalid_datagrams() -> Vec<Vec<u8>> {
     let newer = [&b"HP\x02\x01"[..], &[0; 40]].concat();
     let garbled = [&b"HP\x01\x01"[..], &[7; 40]].concat();
     vec![vec![0; 300], vec![1; 5], vec![2; 100], newer, garbled]
 }
 
-/// Hard case 12: dropped and counted, told of once a second at most, and requests are served as before.
+/// Hard case 12: the datagrams are dropped and counted, logged once per second at most, and requests are served as
+/// before.
 #[test]
-fn a_flood_of_what_is_no_peers_word_leaves_requests_unharmed() {
-    let server = CacheServer::start(|_| Act::Serve);
+fn a_flood_of_invalid_datagrams_does_not_affect_requests() {
+    let server = FakeCacheServer::start(|_| ServerAction::Serve);
     let known = member("s-1", server.address, "ready");
-    let (_list, discovery) = List::start(std::slice::from_ref(&known));
-    // Half of it comes from the address of a peer, half from a stranger's.
+    let (_list, discovery) = FakeDiscovery::start(std::slice::from_ref(&known));
+    // Half of the datagrams come from the address of a peer, half from an unknown address.
     let (peer, stranger) = (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
     let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let text = config(discovery, known, own, &[own, peer.local_addr().unwrap()]);
-    let node = Node::start(&write_config(&text), &fleet_file("flood", ON));
+    let node = Node::start(&write_config(&text), &fleet_file("flood", MINIMAL_FLEET_FILE));
     let start = Instant::now();
     let flood = std::thread::spawn(move || {
-        let words = no_peers_words();
+        let datagrams = invalid_datagrams();
         let mut sent = 0u64;
-        // 10,000 a second for two seconds.
+        // 10,000 datagrams per second for two seconds.
         for tick in 0..200 {
             for n in 0..100 {
                 let from = if n % 2 == 0 { &peer } else { &stranger };
-                sent += u64::from(from.send_to(&words[n / 2 % words.len()], own).is_ok());
+                sent += u64::from(from.send_to(&datagrams[n / 2 % datagrams.len()], own).is_ok());
             }
             let next = start + Duration::from_millis(10) * (tick + 1);
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
         }
         (sent, peer)
     });
-    let mut client = Client::over(TcpStream::connect(node.address).unwrap());
-    let mut asked = 0;
-    while !flood.is_finished() || asked == 0 {
-        let id = format!("a{asked}");
-        assert_eq!(client.ask(&read("k", &id, 20_000)), served(&id));
-        asked += 1;
+    let mut client = Client::new(TcpStream::connect(node.address).unwrap());
+    let mut requests = 0;
+    while !flood.is_finished() || requests == 0 {
+        let id = format!("a{requests}");
+        assert_eq!(client.request(&read_command("k", &id, 20_000)), served_answer(&id));
+        requests += 1;
     }
     let (sent, _peer) = flood.join().unwrap();
-    let figures = node.figures();
+    let metrics = node.metrics();
     let seconds = start.elapsed().as_secs();
-    assert_eq!(sum(&figures, "app_completed_total"), asked);
-    assert_eq!(sum(&figures, "app_failed_total") + sum(&figures, "app_rejected_total"), 0);
-    let (came, refused) =
-        (sum(&figures, "app_plane_datagrams_total{way=\"in\"}"), sum(&figures, "app_plane_refused_total"));
-    // The kernel drops what does not fit its buffer, and counts nothing of it here.
+    assert_eq!(sum(&metrics, "app_completed_total"), requests);
+    assert_eq!(sum(&metrics, "app_failed_total") + sum(&metrics, "app_rejected_total"), 0);
+    let (received, dropped) =
+        (sum(&metrics, "app_plane_datagrams_total{way=\"in\"}"), sum(&metrics, "app_plane_refused_total"));
+    // Datagrams that don't fit the socket buffer are dropped by the kernel and not counted by the node.
     assert!(
-        came <= sent && refused == came && came > sent / 2,
-        "{sent} sent, {came} came, {refused} refused"
+        received <= sent && dropped == received && received > sent / 2,
+        "{sent} sent, {received} received, {dropped} dropped"
     );
-    for why in ["too_long", "short", "foreign", "version", "garbled"] {
+    for reason in ["too_long", "short", "foreign", "version", "garbled"] {
         assert!(
-            sum(&figures, &format!("app_plane_refused_total{{why=\"{why}\"}}")) > 0,
-            "{why}: {figures:?}"
+            sum(&metrics, &format!("app_plane_refused_total{{why=\"{reason}\"}}")) > 0,
+            "{reason}: {metrics:?}"
         );
     }
-    assert_eq!(sum(&figures, "app_peers_alive"), 1);
+    assert_eq!(sum(&metrics, "app_peers_alive"), 1);
     let lines = node.log.try_iter().filter(|line| line.contains("datagrams dropped")).count() as u64;
-    assert!((1..=seconds + 1).contains(&lines), "{lines} lines in {seconds} s");
+    assert!((1..=seconds + 1).contains(&lines), "{lines} log lines in {seconds} s");
 }
--- a/crates/node/tests/rig/setup.rs
+++ b/crates/node/tests/harness/setup.rs
@@ -1,4 +1,4 @@
-//! What a node is given: its configuration, and a folder of the test's own.
+//! Configuration of a node under test, and temporary directories.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,42 +6,49 @@
 
 use super::Node;
 
-/// Values of the configuration that tests change.
+/// Configuration values that tests vary.
 pub struct Setup {
+    /// Limit on the node's sockets (`limits.sockets`).
     pub sockets: usize,
-    pub probes: bool,
-    pub round_s: f64,
+    /// Whether ejected servers are checked (`probes`).
+    pub health_checks: bool,
+    /// Interval at which the balancer runs (`round-s`).
+    pub processing_quantum_s: f64,
+    /// Idle time after which the node closes a connection to a cache server.
     pub idle_close_s: f64,
+    /// JSON entries of the endpoint list that the node starts with.
     pub known: String,
-    /// Descriptors that the system allows.
+    /// Limit on open file descriptors (`ulimit -n`); the inherited one if `None`.
     pub ulimit: Option<usize>,
-    /// The classes' deadline.
+    /// Deadline (`hard-limit-s`) of all request classes.
     pub deadline_s: f64,
-    /// For how long a connection to a cache server may take to come up.
-    pub dial_s: f64,
+    /// Timeout for connecting to a cache server.
+    pub dial_timeout_s: f64,
+    /// Address at which clients connect.
     pub listen: String,
-    /// The node's `$TMPDIR`.
-    pub folder: Option<PathBuf>,
+    /// The node's `$TMPDIR`; unset if `None`.
+    pub temp_dir: Option<PathBuf>,
 }
 
 impl Default for Setup {
     fn default() -> Self {
         Setup {
             sockets: 1024,
-            probes: false,
-            round_s: 0.005,
+            health_checks: false,
+            processing_quantum_s: 0.005,
             idle_close_s: 60.0,
             known: String::new(),
             ulimit: None,
             deadline_s: 20.0,
-            dial_s: 0.2,
+            dial_timeout_s: 0.2,
             listen: "127.0.0.1:0".into(),
-            folder: None,
+            temp_dir: None,
         }
     }
 }
 
 impl Setup {
+    /// The configuration as JSON.
     pub fn config(&self, discovery: SocketAddr) -> String {
         let deadline_s = self.deadline_s;
         let settings = format!(
@@ -54,7 +61,7 @@
                 "drain-grace-s":0.5,"fall-multiple":3,"fall-s":1}},
             "limits":{{"cancel":true,"probes":{},"max-attempts":4,"parallel-tries":true,"retry-after":true,
                 "dial-timeout-s":{},"idle-close-s":{}}}}}"#,
-            self.round_s, self.probes, self.dial_s, self.idle_close_s
+            self.processing_quantum_s, self.health_checks, self.dial_timeout_s, self.idle_close_s
         );
         format!(
             r#"{{"name":"n0","listen":"{}","operator":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -64,11 +71,13 @@
         )
     }
 
+    /// Starts a node with this setup.
     pub fn start(&self, discovery: SocketAddr) -> Node {
-        Node::start(&write_config(&self.config(discovery)), self.ulimit, self.folder.as_deref())
+        Node::start(&write_config(&self.config(discovery)), self.ulimit, self.temp_dir.as_deref())
     }
 }
 
+/// Writes a configuration to a new file.
 pub fn write_config(text: &str) -> PathBuf {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let name = format!("node-{}-{}.json", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
@@ -77,20 +86,21 @@
     path
 }
 
-/// A folder of its own, with a path short enough for sockets in it, that goes with the test.
-pub struct Folder(pub PathBuf);
+/// Temporary directory, removed on drop. Its path is short enough for the Unix sockets in it.
+pub struct TempDir(pub PathBuf);
 
-impl Folder {
+impl TempDir {
+    /// Creates a directory with a unique name.
     pub fn new() -> Self {
         static NUMBER: AtomicU64 = AtomicU64::new(0);
         let name = format!("hallpin-{}-{}", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path).unwrap();
-        Folder(path)
+        TempDir(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -1,10 +1,10 @@
-//! The node's log: its two forms, its filter, and what becomes of the node when nobody takes its lines.
+//! The node's log: its two formats, its filter, and a reader of the log that goes away.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// A node without servers, ended with the test.
+/// A node without cache servers, killed when the test ends.
 struct Node {
     child: Child,
     config: std::path::PathBuf,
@@ -19,13 +19,13 @@
 }
 
 fn start(name: &str, arguments: &[&str], filter: Option<&str>) -> (Node, BufReader<ChildStderr>) {
-    let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let config = std::env::temp_dir().join(format!("hallpin-log-{}-{name}.json", std::process::id()));
     let settings = r#"{"balancers":1,"grades":[{"name":"read","hard-limit-s":1.0}],"membership-mode":"pushed",
         "limits":{"max-attempts":3,"dial-timeout-s":0.2},"guarantees":{"grace-to-answer-s":0.02,"ask-every-s":10,"cold-from":0.12,
         "ramp-time-s":23,"drain-grace-s":1,"fall-multiple":3,"fall-s":3}}"#;
     let text = format!(
-        r#"{{"listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":"{nowhere}","seed":"1","settings":{settings}}}"#
+        r#"{{"listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":"{unused_address}","seed":"1","settings":{settings}}}"#
     );
     std::fs::write(&config, text).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallpin-node"));
@@ -37,7 +37,7 @@
     (Node { child, config }, log)
 }
 
-fn call(operator: SocketAddr, text: &str) -> String {
+fn operator_call(operator: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(operator).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     let mut answer = String::new();
@@ -45,11 +45,14 @@
     answer
 }
 
-/// The operators' address, from the line that tells it.
-fn operator(log: &mut BufReader<ChildStderr>) -> SocketAddr {
+/// Reads the operators' address from the log line that names it.
+fn read_operator_address(log: &mut BufReader<ChildStderr>) -> SocketAddr {
     loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "the node says where operators call");
+        assert!(
+            log.read_line(&mut line).unwrap() > 0,
+            "the log ended before the line with the operators' address"
+        );
         if let Some((_, rest)) = line.split_once("operators call at ") {
             return rest
                 .trim_end()
@@ -63,15 +66,15 @@
     }
 }
 
-/// A reader that is gone, as a full disk, loses the lines and not the node.
+/// When the reader of the log is gone (or the disk is full), lines are lost and the node goes on serving.
 #[test]
-fn a_log_that_nobody_takes_costs_lines_and_nothing_else() {
+fn a_log_without_a_reader_loses_only_its_lines() {
     let (_node, mut log) = start("gone", &[], None);
-    let operator = operator(&mut log);
+    let operator = read_operator_address(&mut log);
     drop(log);
     for _ in 0..3 {
-        assert_eq!(call(operator, "drain\n"), "ok draining\n");
-        assert_eq!(call(operator, "ready\n"), "fail draining\n");
+        assert_eq!(operator_call(operator, "drain\n"), "ok draining\n");
+        assert_eq!(operator_call(operator, "ready\n"), "fail draining\n");
     }
 }
 
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn a_filter_that_cannot_be_read_is_named() {
+fn an_invalid_filter_is_reported() {
     let (mut node, mut log) = start("filter", &[], Some("hallpin_node=loud"));
     let mut text = String::new();
     log.read_to_string(&mut text).unwrap();
@@ -95,7 +98,7 @@
 }
 
 #[test]
-fn the_filter_says_what_is_told() {
+fn the_filter_selects_the_lines() {
     let (_node, mut log) = start("quiet", &[], Some("hallpin_node=warn"));
     let mut line = String::new();
     log.read_line(&mut line).unwrap();
--- a/crates/node/tests/node/configuration.rs
+++ b/crates/node/tests/node/configuration.rs
@@ -1,44 +1,44 @@
-//! What the node is given, and how it says what is wrong with that.
+//! Errors in the node's configuration and how they are reported.
 
 use std::io::{BufRead, BufReader, Read};
 use std::process::{Command, Stdio};
 
-use crate::nowhere;
-use crate::rig::*;
+use crate::harness::*;
+use crate::unused_address;
 
-/// The one line of a node that does not start, and starts nothing before it says so.
-fn refused(mut command: Command) -> String {
+/// Runs a node that must refuse to start; returns its only log line, written before it starts anything.
+fn startup_error(mut command: Command) -> String {
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-    let mut said = BufReader::new(child.stderr.take().unwrap());
+    let mut stderr = BufReader::new(child.stderr.take().unwrap());
     let mut text = String::new();
-    said.read_line(&mut text).unwrap();
-    // Ended here, or a node that starts would run on.
-    let listens = text.contains("listening on");
-    if listens {
+    stderr.read_line(&mut text).unwrap();
+    // Killed here, as a node that starts would run on.
+    let is_listening = text.contains("listening on");
+    if is_listening {
         child.kill().unwrap();
     }
-    said.read_to_string(&mut text).unwrap();
+    stderr.read_to_string(&mut text).unwrap();
     let code = child.wait().unwrap().code();
-    assert_eq!((code, text.lines().count(), listens), (Some(2), 1, false), "{text}");
+    assert_eq!((code, text.lines().count(), is_listening), (Some(2), 1, false), "{text}");
     text
 }
 
 #[test]
-fn a_bad_configuration_is_named_in_one_line() {
-    let good = Setup::default().config(nowhere());
+fn an_invalid_configuration_is_reported_in_one_line() {
+    let valid = Setup::default().config(unused_address());
     let run = |path: Option<&std::path::Path>| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_hallpin-node"));
         command.env_remove("RELAY_CONFIG");
-        path.map(|p| command.env("RELAY_CONFIG", p));
-        refused(command)
+        path.map(|path| command.env("RELAY_CONFIG", path));
+        startup_error(command)
     };
     let mut unset = Command::new(env!("CARGO_BIN_EXE_hallpin-node"));
-    unset.env("RELAY_CONFIG", write_config(&good.replace("\"operator\":\"127.0.0.1:0\",", "")));
+    unset.env("RELAY_CONFIG", write_config(&valid.replace("\"operator\":\"127.0.0.1:0\",", "")));
     unset.env("RELAY_OPERATOR", "here");
-    assert!(refused(unset).contains("RELAY_OPERATOR"));
+    assert!(startup_error(unset).contains("RELAY_OPERATOR"));
     assert!(run(None).contains("RELAY_CONFIG"));
     assert!(run(Some("no/such/file".as_ref())).contains("no/such/file"));
-    for (from, to, names) in [
+    for (from, to, expected) in [
         ("\"name\"", "name", "line 1 column 2"),
         ("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"xyz\"", "seed"),
         ("\"seed\":\"8c1f30d27a5be964\",", "", "seed"),
@@ -64,13 +64,13 @@
         ("\"hard-limit-s\":20", "\"hard-limit-s\":1e300", "hard-limit-s"),
         ("\"members\":[]", "\"members\":[1]", "known"),
     ] {
-        let text = good.replace(from, to);
-        assert_ne!(text, good, "{from}");
+        let text = valid.replace(from, to);
+        assert_ne!(text, valid, "{from}");
         let path = write_config(&text);
-        let said = run(Some(&path));
-        assert!(said.contains(names), "{from}: {said}");
-        // An address of this machine is no matter of the file's alone.
-        let of_the_file = !names.contains("192.0.2.1");
-        assert!(!of_the_file || said.contains(path.to_str().unwrap()), "{from}: {said}");
+        let error = run(Some(&path));
+        assert!(error.contains(expected), "{from}: {error}");
+        // An address that this machine lacks is not an error of the file alone.
+        let is_file_error = !expected.contains("192.0.2.1");
+        assert!(!is_file_error || error.contains(path.to_str().unwrap()), "{from}: {error}");
     }
 }
--- a/crates/node/tests/node/kill.rs
+++ b/crates/node/tests/node/kill.rs
@@ -1,279 +1,305 @@
-//! A planned stop against the kill that ends its time: the longest deadline, 3 s at most counted, and 0.7 s after
-//! SIGTERM. Clients send until then on every connection that stays open.
+//! A planned stop up to the SIGKILL, which comes after SIGTERM by the longest class deadline (counted as 3 s at most)
+//! plus 0.7 s. Clients send until then on every connection that stays open.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use crate::rig::steady::{on_a_steady_machine, LatenessProbe};
-use crate::rig::talk::{Asked, Manner, Talk, Talker};
-use crate::rig::*;
+use crate::harness::scheduling_delay::{retry_on_scheduling_delay, SchedulingDelayMonitor};
+use crate::harness::traffic::{SendMode, SentRequest, TrafficClient, TrafficSettings};
+use crate::harness::*;
 use crate::takeover::start_offering;
 
 const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// Counted from SIGTERM: what is sent before this on an open connection is read. Connections end 0.05 s later at the
-/// earliest.
+/// Time after SIGTERM up to which requests sent on an open connection are read. Connections are closed 0.05 s later
+/// at the earliest.
 const READ_UNTIL: Duration = ms(550);
-/// Connections that are opened later than this after SIGTERM may find that nobody listens any more.
-const NEWCOMERS: Duration = ms(400);
-/// Before SIGTERM, so that requests are out and the balancer has met the servers.
-const BEFORE: Duration = ms(300);
-/// The last answer comes at least so long before the kill: connections that are open for longer would be cut off.
-const AHEAD: Duration = ms(50);
-/// A final answer may come so long after its client's time.
+/// Time after SIGTERM from which new connections may be refused, as the node no longer listens.
+const ACCEPTING_UNTIL: Duration = ms(400);
+/// Time of traffic before SIGTERM, so that requests are in flight and the balancer has used the servers.
+const WARM_UP: Duration = ms(300);
+/// The attempt answer comes at least this long before the kill; connections open for longer would be cut off.
+const KILL_MARGIN: Duration = ms(50);
+/// Tolerance by which a final answer may come after its client's deadline.
 const ANSWER_GRACE: Duration = ms(500);
-/// What the told time of an attempt may be over the kill by: its way to the server's thread.
-const TOLD_SLACK: Duration = ms(50);
+/// Tolerance by which an attempt's remaining time may reach beyond the kill: its way to the server's thread.
+const DELIVERY_SLACK: Duration = ms(50);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Servers {
     Hang,
-    /// They hang on the keys with an even number.
-    HangOnHalf,
+    /// The servers answer nothing for keys that end in an even digit.
+    HangOnEvenKeys,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Play {
-    /// The classes' deadline, and what clients wait for.
-    longest: Duration,
+struct StopScenario {
+    /// Deadline of the classes and of the clients' requests.
+    deadline: Duration,
+    /// Time from SIGTERM to SIGKILL.
     kill: Duration,
     servers: Servers,
-    discovery: Pace,
-    /// SIGHUP with a new place of discovery comes just before SIGTERM.
-    reloaded: bool,
-    /// Another process serves at the address by then.
-    relieved: bool,
-    /// Clients that talk from before SIGTERM; otherwise they begin behind it.
-    early: bool,
+    /// How promptly both the old and the new discovery answer.
+    discovery: Responsiveness,
+    /// SIGHUP with a new discovery address is sent just before SIGTERM.
+    moves_discovery: bool,
+    /// Another process has taken over the address before SIGTERM.
+    taken_over: bool,
+    /// Clients start before SIGTERM; otherwise after it.
+    clients_before_sigterm: bool,
 }
 
-impl Play {
-    const fn of(longest: Duration, kill: Duration) -> Self {
-        Play {
-            longest,
+impl StopScenario {
+    const fn new(deadline: Duration, kill: Duration) -> Self {
+        StopScenario {
+            deadline,
             kill,
             servers: Servers::Hang,
-            discovery: Pace::Prompt,
-            reloaded: false,
-            relieved: false,
-            early: true,
+            discovery: Responsiveness::Prompt,
+            moves_discovery: false,
+            taken_over: false,
+            clients_before_sigterm: true,
         }
     }
 }
 
-/// A command as a cache server got it: its id, when, and the time that it told.
+/// A command as received by a cache server: its id, the time of receipt, and the remaining time in its `d=`.
 struct Attempt {
     id: String,
-    at: Instant,
-    told: Duration,
+    received_at: Instant,
+    remaining: Duration,
 }
 
 type Attempts = Arc<Mutex<Vec<Attempt>>>;
 
-fn cache_server(servers: Servers, attempts: &Attempts) -> CacheServer {
+fn cache_server(servers: Servers, attempts: &Attempts) -> FakeCacheServer {
     let attempts = attempts.clone();
-    CacheServer::start(move |line| {
-        let told = line.split("d=").nth(1).and_then(|rest| rest.split(',').next()).unwrap().parse().unwrap();
-        let attempt = Attempt { id: opaque(line).into(), at: Instant::now(), told: ms(told) };
+    FakeCacheServer::start(move |line| {
+        let remaining =
+            line.split("d=").nth(1).and_then(|rest| rest.split(',').next()).unwrap().parse().unwrap();
+        let attempt =
+            Attempt { id: opaque(line).into(), received_at: Instant::now(), remaining: ms(remaining) };
         attempts.lock().unwrap().push(attempt);
         let key = line.split(' ').nth(1).unwrap();
-        let even = key.ends_with(['0', '2', '4', '6', '8']);
+        let is_even = key.ends_with(['0', '2', '4', '6', '8']);
         match servers {
-            Servers::HangOnHalf if !even => Act::Serve,
-            _ => Act::Silence,
+            Servers::HangOnEvenKeys if !is_even => ServerAction::Serve,
+            _ => ServerAction::Ignore,
         }
     })
 }
 
-/// What is done with a node, and what clients and servers saw of it.
-struct Seen {
-    /// When SIGTERM was about to be sent.
-    told: Instant,
-    /// When the node had said that it stops.
-    stopping: Instant,
-    /// Since when another process takes all connections.
-    relieved: Option<Instant>,
-    asked: Vec<Asked>,
+/// What clients and servers observed of a stop.
+struct Observations {
+    /// Time just before SIGTERM was sent.
+    sigterm_at: Instant,
+    /// Time at which the node had logged that it is stopping.
+    stopping_logged_at: Instant,
+    /// Time since which another process accepts all new connections.
+    taken_over_at: Option<Instant>,
+    requests: Vec<SentRequest>,
     attempts: HashMap<String, Vec<Attempt>>,
 }
 
-fn talkers(play: &Play, seed: u64, address: std::net::SocketAddr) -> Vec<Talker> {
-    let manners = [
-        Manner::InTurn { rest: ms(5) },
-        Manner::InTurn { rest: ms(60) },
-        Manner::InTurn { rest: ms(250) },
-        Manner::InTurn { rest: ms(1500) },
-        Manner::Ahead { every: ms(40) },
+fn start_clients(scenario: &StopScenario, seed: u64, address: std::net::SocketAddr) -> Vec<TrafficClient> {
+    let modes = [
+        SendMode::ClosedLoop { max_pause: ms(5) },
+        SendMode::ClosedLoop { max_pause: ms(60) },
+        SendMode::ClosedLoop { max_pause: ms(250) },
+        SendMode::ClosedLoop { max_pause: ms(1500) },
+        SendMode::OpenLoop { interval: ms(40) },
     ];
-    let talk = |(n, manner): (u64, Manner)| {
-        let (name, wait_ms) = (format!("k{n}"), play.longest.as_millis() as u32);
-        Talker::start(address, Talk { name, seed: seed * 100 + n, manner, wait_ms })
+    let start = |(n, mode): (u64, SendMode)| {
+        let (name, wait_ms) = (format!("k{n}"), scenario.deadline.as_millis() as u32);
+        TrafficClient::start(address, TrafficSettings { name, seed: seed * 100 + n, mode, wait_ms })
     };
-    (0..).zip(manners.into_iter().cycle()).take(10).map(talk).collect()
+    (0..).zip(modes.into_iter().cycle()).take(10).map(start).collect()
 }
 
-impl Play {
-    fn run(&self, seed: u64, probe: &LatenessProbe) -> Seen {
+impl StopScenario {
+    /// Runs the scenario with clients and servers around one node, up to the kill.
+    fn run(&self, seed: u64, monitor: &SchedulingDelayMonitor) -> Observations {
         let attempts = Attempts::default();
-        let servers: Vec<CacheServer> = (0..3).map(|_| cache_server(self.servers, &attempts)).collect();
+        let servers: Vec<FakeCacheServer> = (0..3).map(|_| cache_server(self.servers, &attempts)).collect();
         let known: Vec<String> = (1..)
             .zip(&servers)
             .map(|(n, server)| member(&format!("s-{n}"), server.address, "ready"))
             .collect();
-        let (list, discovery) = List::start(&known);
-        list.pace(self.discovery);
-        let (moved_list, moved) = List::start(&known);
-        moved_list.pace(self.discovery);
-        let folder = Folder::new();
+        let (list, discovery) = FakeDiscovery::start(&known);
+        list.set_responsiveness(self.discovery);
+        let (moved_list, moved_discovery) = FakeDiscovery::start(&known);
+        moved_list.set_responsiveness(self.discovery);
+        let temp_dir = TempDir::new();
         let mut setup = Setup {
             known: known.join(","),
-            deadline_s: self.longest.as_secs_f64(),
-            folder: Some(folder.0.clone()),
+            deadline_s: self.deadline.as_secs_f64(),
+            temp_dir: Some(temp_dir.0.clone()),
             ..Setup::default()
         };
         let mut node = start_offering(&setup, discovery);
-        probe.watch(&node);
-        let mut talkers = if self.early { talkers(self, seed, node.address) } else { Vec::new() };
-        std::thread::sleep(BEFORE);
+        monitor.monitor(&node);
+        let mut clients =
+            if self.clients_before_sigterm { start_clients(self, seed, node.address) } else { Vec::new() };
+        std::thread::sleep(WARM_UP);
         setup.listen = node.address.to_string();
-        let successor = self.relieved.then(|| setup.start(discovery));
-        let relieved = successor.as_ref().map(|_| {
-            node.logged("the successor serves");
+        let successor = self.taken_over.then(|| setup.start(discovery));
+        let taken_over_at = successor.as_ref().map(|_| {
+            node.wait_for_log("the successor serves");
             Instant::now()
         });
-        if self.reloaded {
-            node.reload(&setup.config(moved));
+        if self.moves_discovery {
+            node.reload(&setup.config(moved_discovery));
         }
-        let told = Instant::now();
+        let sigterm_at = Instant::now();
         node.signal("-TERM");
-        node.logged("stopping");
-        let stopping = Instant::now();
-        if !self.early {
-            talkers = self::talkers(self, seed, node.address);
+        node.wait_for_log("stopping");
+        let stopping_logged_at = Instant::now();
+        if !self.clients_before_sigterm {
+            clients = self::start_clients(self, seed, node.address);
         }
-        std::thread::sleep((told + self.kill).saturating_duration_since(Instant::now()));
+        std::thread::sleep((sigterm_at + self.kill).saturating_duration_since(Instant::now()));
         node.kill();
-        talkers.iter().for_each(Talker::tell_to_end);
-        let asked = talkers.into_iter().flat_map(Talker::asked).collect();
+        clients.iter().for_each(TrafficClient::request_stop);
+        let requests = clients.into_iter().flat_map(TrafficClient::finish).collect();
         let mut by_id: HashMap<String, Vec<Attempt>> = HashMap::new();
         for attempt in attempts.lock().unwrap().drain(..) {
             by_id.entry(attempt.id.clone()).or_default().push(attempt);
         }
-        Seen { told, stopping, relieved, asked, attempts: by_id }
+        Observations { sigterm_at, stopping_logged_at, taken_over_at, requests, attempts: by_id }
     }
 
-    /// Each request that the node has read has its final answer in time, nothing goes out that the kill cuts off, and
-    /// what is not answered is unread: its connection had ended.
-    fn judge(&self, seen: &Seen) -> Result<(), String> {
-        let kill = seen.told + self.kill;
-        // Where another process serves, connections end behind their first answer.
-        let read_until = if self.relieved { Duration::ZERO } else { READ_UNTIL };
-        // What came by connections of the other process is none of this one's.
-        let own = |request: &&Asked| seen.relieved.is_none_or(|at| request.connected < at);
-        let own: Vec<&Asked> = seen.asked.iter().filter(own).collect();
-        let after = own.iter().filter(|request| request.at >= seen.told).count();
-        if after == 0 {
+    /// Checks that each request the node has read got its final answer in time, that no attempt reaches beyond the
+    /// kill, and that a request without an answer was never read because its connection had ended.
+    fn check(&self, observed: &Observations) -> Result<(), String> {
+        let kill = observed.sigterm_at + self.kill;
+        // After a takeover, connections are closed after their first answer.
+        let read_until = if self.taken_over { Duration::ZERO } else { READ_UNTIL };
+        // Requests on connections to the other process don't concern this one.
+        let is_own =
+            |request: &&SentRequest| observed.taken_over_at.is_none_or(|at| request.connected_at < at);
+        let own_requests: Vec<&SentRequest> = observed.requests.iter().filter(is_own).collect();
+        let sent_after_sigterm =
+            own_requests.iter().filter(|request| request.sent_at >= observed.sigterm_at).count();
+        if sent_after_sigterm == 0 {
             return Err("no request came after SIGTERM".into());
         }
-        for request in own {
-            let at = request.at.checked_duration_since(seen.told);
-            let sent = at.map_or("before SIGTERM".into(), |at| format!("{at:?} after SIGTERM"));
-            let attempts = seen.attempts.get(&request.id).map_or(&[][..], Vec::as_slice);
+        for request in own_requests {
+            let since_sigterm = request.sent_at.checked_duration_since(observed.sigterm_at);
+            let sent = since_sigterm.map_or("before SIGTERM".into(), |at| format!("{at:?} after SIGTERM"));
+            let attempts = observed.attempts.get(&request.id).map_or(&[][..], Vec::as_slice);
             match &request.answer {
                 None if !attempts.is_empty() => {
-                    return Err(format!("{} sent {sent} went on and has no answer", request.id));
+                    return Err(format!("{} sent {sent} reached a server and has no answer", request.id));
                 }
-                None if at.is_none_or(|at| at < read_until) && request.connected < seen.told + NEWCOMERS => {
+                None if since_sigterm.is_none_or(|at| at < read_until)
+                    && request.connected_at < observed.sigterm_at + ACCEPTING_UNTIL =>
+                {
                     return Err(format!("{} sent {sent} has no answer", request.id));
                 }
-                Some((_, answered)) if *answered + AHEAD > kill => {
+                Some((_, answered)) if *answered + KILL_MARGIN > kill => {
                     let left = kill.saturating_duration_since(*answered);
                     return Err(format!(
-                        "{} sent {sent} was answered {left:?} ahead of the kill",
+                        "{} sent {sent} was answered only {left:?} before the kill",
                         request.id
                     ));
                 }
-                Some((_, answered)) if *answered > request.at + self.longest + ANSWER_GRACE => {
-                    let late = *answered - request.at;
-                    return Err(format!("{} sent {sent} was answered after {late:?}", request.id));
+                Some((_, answered)) if *answered > request.sent_at + self.deadline + ANSWER_GRACE => {
+                    let latency = *answered - request.sent_at;
+                    return Err(format!("{} sent {sent} was answered after {latency:?}", request.id));
                 }
                 _ => {}
             }
-            if let Some(last) = attempts.iter().find(|attempt| attempt.at + attempt.told > kill + TOLD_SLACK)
+            if let Some(attempt) = attempts
+                .iter()
+                .find(|attempt| attempt.received_at + attempt.remaining > kill + DELIVERY_SLACK)
             {
-                let over = last.at + last.told - kill;
-                // What was begun before the stop was told in good faith.
-                if last.at > seen.stopping {
-                    return Err(format!("{} sent {sent} went on with {over:?} beyond the kill", request.id));
+                let excess = attempt.received_at + attempt.remaining - kill;
+                // Attempts sent before the stop began couldn't take the kill into account.
+                if attempt.received_at > observed.stopping_logged_at {
+                    return Err(format!(
+                        "{} sent {sent} reached a server with a deadline {excess:?} beyond the kill",
+                        request.id
+                    ));
                 }
             }
         }
         Ok(())
     }
 
-    /// The same on a machine that has time for it.
-    fn holds(self) {
+    /// Runs and checks the scenario with a new seed until no scheduling delay disturbs it.
+    fn assert_holds(self) {
         let seed = std::cell::Cell::new(1);
-        on_a_steady_machine(&format!("{self:?}"), |probe| {
-            let result = self.judge(&self.run(seed.get(), probe));
+        retry_on_scheduling_delay(&format!("{self:?}"), |monitor| {
+            let result = self.check(&self.run(seed.get(), monitor));
             seed.set(seed.get() + 1);
             result
         });
     }
 }
 
-/// Plays side by side, each with a node of its own.
-fn all_hold(plays: impl IntoIterator<Item = Play>) {
+/// Checks scenarios in parallel, each with a node of its own.
+fn assert_all_hold(scenarios: impl IntoIterator<Item = StopScenario>) {
     std::thread::scope(|scope| {
-        let plays: Vec<_> = plays.into_iter().map(|play| scope.spawn(move || play.holds())).collect();
-        for play in plays {
-            play.join().unwrap();
+        let scenarios: Vec<_> =
+            scenarios.into_iter().map(|scenario| scope.spawn(move || scenario.assert_holds())).collect();
+        for scenario in scenarios {
+            scenario.join().unwrap();
         }
     });
 }
 
-/// The ways in which a stop is played at each time of the kill.
-fn ways(longest: Duration, kill: Duration) -> [Play; 4] {
-    let play = Play::of(longest, kill);
+/// The scenarios of a stop for one deadline and time of the kill.
+fn stop_scenarios(deadline: Duration, kill: Duration) -> [StopScenario; 4] {
+    let scenario = StopScenario::new(deadline, kill);
     [
-        play,
-        Play { servers: Servers::HangOnHalf, reloaded: true, discovery: Pace::Crowded(ms(1000)), ..play },
-        Play { reloaded: true, discovery: Pace::Slow(ms(1000)), ..play },
-        Play { servers: Servers::HangOnHalf, relieved: true, ..play },
+        scenario,
+        StopScenario {
+            servers: Servers::HangOnEvenKeys,
+            moves_discovery: true,
+            discovery: Responsiveness::Overloaded(ms(1000)),
+            ..scenario
+        },
+        StopScenario { moves_discovery: true, discovery: Responsiveness::Slow(ms(1000)), ..scenario },
+        StopScenario { servers: Servers::HangOnEvenKeys, taken_over: true, ..scenario },
     ]
 }
 
 #[test]
-fn with_deadlines_of_100_ms_all_is_answered_before_a_kill_at_800_ms() {
-    all_hold(ways(ms(100), ms(800)));
+fn deadlines_of_100_ms_are_answered_before_a_kill_at_800_ms() {
+    assert_all_hold(stop_scenarios(ms(100), ms(800)));
 }
 
 #[test]
-fn with_deadlines_of_300_ms_all_is_answered_before_a_kill_at_1_s() {
-    all_hold(ways(ms(300), ms(1000)));
+fn deadlines_of_300_ms_are_answered_before_a_kill_at_1_s() {
+    assert_all_hold(stop_scenarios(ms(300), ms(1000)));
 }
 
 #[test]
-fn with_deadlines_of_1_s_all_is_answered_before_a_kill_at_1700_ms() {
-    all_hold(ways(ms(1000), ms(1700)));
+fn deadlines_of_1_s_are_answered_before_a_kill_at_1700_ms() {
+    assert_all_hold(stop_scenarios(ms(1000), ms(1700)));
 }
 
 #[test]
-fn with_deadlines_of_3_s_all_is_answered_before_a_kill_at_3700_ms() {
-    all_hold(ways(ms(3000), ms(3700)));
+fn deadlines_of_3_s_are_answered_before_a_kill_at_3700_ms() {
+    assert_all_hold(stop_scenarios(ms(3000), ms(3700)));
 }
 
-/// Of longer deadlines 3 s are counted: what is taken in the stop has only the time until then.
+/// Deadlines above 3 s count as 3 s: requests accepted during the stop have only the time up to the kill.
 #[test]
-fn with_deadlines_of_9_s_what_comes_in_a_stop_is_answered_before_a_kill_at_3700_ms() {
-    all_hold(ways(ms(9000), ms(3700)).map(|play| Play { early: false, relieved: false, ..play }));
+fn deadlines_of_9_s_sent_during_a_stop_are_answered_before_a_kill_at_3700_ms() {
+    assert_all_hold(stop_scenarios(ms(9000), ms(3700)).map(|scenario| StopScenario {
+        clients_before_sigterm: false,
+        taken_over: false,
+        ..scenario
+    }));
 }
 
-/// What was taken before SIGTERM would wait for longer than the kill: it has its answer by then all the same.
+/// The deadline of requests accepted before SIGTERM lies beyond the kill: they are answered before the kill all the
+/// same.
 #[test]
-fn with_deadlines_of_9_s_what_came_before_the_stop_is_answered_before_a_kill_at_3700_ms() {
-    all_hold(ways(ms(9000), ms(3700)));
+fn deadlines_of_9_s_sent_before_a_stop_are_answered_before_a_kill_at_3700_ms() {
+    assert_all_hold(stop_scenarios(ms(9000), ms(3700)));
 }
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,24 +1,25 @@
-//! The real node between cache servers, a list and clients of the tests' own, over loopback sockets.
+//! The node's real binary between fake cache servers, a fake service discovery and test clients, over loopback
+//! sockets.
 
-mod at_once;
+mod address_in_use;
+mod close_races;
 mod configuration;
-mod crossings;
-mod crowds;
-mod cut_short;
+mod connection_limits;
+mod discovery;
+mod discovery_outage;
+#[path = "../harness/mod.rs"]
+mod harness;
+mod immediate_failures;
+mod interrupted_requests;
 mod kill;
-mod lists;
 mod long_values;
 mod malformed;
 mod operators;
-mod outage;
 mod outcomes;
-mod partial;
-mod port;
+mod partial_requests;
 mod ready;
 mod reloads;
 mod requests;
-#[path = "../rig/mod.rs"]
-mod rig;
 mod stop;
 mod takeover;
 mod takeover_stop;
@@ -27,28 +28,31 @@
 use std::sync::mpsc::{channel, Sender};
 use std::sync::Mutex;
 
-use rig::*;
+use harness::*;
 
-/// A node with one cache server of this rule.
-fn with_one(rule: impl Fn(&str) -> Act + Send + Sync + 'static) -> (Node, CacheServer, List) {
-    let server = CacheServer::start(rule);
-    let (list, discovery) = List::start(&[member("s-1", server.address, "ready")]);
+/// Starts a node with one cache server that has this handler.
+fn start_with_one_server(
+    handler: impl Fn(&str) -> ServerAction + Send + Sync + 'static,
+) -> (Node, FakeCacheServer, FakeDiscovery) {
+    let server = FakeCacheServer::start(handler);
+    let (list, discovery) = FakeDiscovery::start(&[member("s-1", server.address, "ready")]);
     let known = member("s-1", server.address, "ready");
     (Setup { known, ..Setup::default() }.start(discovery), server, list)
 }
 
-/// Serves all but the first command for the key `slow`, and that once the sender has been dropped.
-fn slow_key() -> (Sender<()>, impl Fn(&str) -> Act + Send + Sync + 'static) {
-    let (open, gate) = channel();
+/// Handler that serves each command at once, except for the first with the key `slow`: that one is served when the
+/// returned sender is dropped.
+fn slow_key_handler() -> (Sender<()>, impl Fn(&str) -> ServerAction + Send + Sync + 'static) {
+    let (release, gate) = channel();
     let gate = Mutex::new(Some(gate));
-    let rule = move |line: &str| match line.contains("slow") {
-        true => Act::ServeAfter(gate.lock().unwrap().take().unwrap()),
-        false => Act::Serve,
+    let handler = move |line: &str| match line.contains("slow") {
+        true => ServerAction::ServeAfter(gate.lock().unwrap().take().unwrap()),
+        false => ServerAction::Serve,
     };
-    (open, rule)
+    (release, handler)
 }
 
 /// An address at which nothing listens.
-fn nowhere() -> std::net::SocketAddr {
+fn unused_address() -> std::net::SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
--- a/crates/node/tests/node/operators.rs
+++ b/crates/node/tests/node/operators.rs
@@ -1,14 +1,15 @@
-//! The operators' calls: figures, drains, and callers that say nothing.
+//! The operators' listener: metrics, drains, and callers that send nothing.
 
 use std::net::{Shutdown, TcpStream};
 
-use crate::rig::*;
-use crate::{nowhere, slow_key, with_one};
+use crate::harness::*;
+use crate::{slow_key_handler, start_with_one_server, unused_address};
 
-/// Whatever an operator's connection brings, it gets a line that says what came of it.
+/// Every call of an operator is answered with a line that states its result, also if it is malformed, too long or
+/// incomplete.
 #[test]
-fn each_operator_call_has_an_answer() {
-    let (node, _server, _list) = with_one(|_| Act::Serve);
+fn each_operator_call_is_answered() {
+    let (node, _server, _list) = start_with_one_server(|_| ServerAction::Serve);
     for (call, answer) in [
         ("ready\n", "ok ready\n"),
         ("ready\r\nrest", "ok ready\n"),
@@ -17,106 +18,118 @@
         (&"x".repeat(100_000), "fail call too long\n"),
         ("rea", "fail call not whole in time\n"),
     ] {
-        assert_eq!(node.call(call), answer, "{call:.20}");
+        assert_eq!(node.operator_call(call), answer, "{call:.20}");
     }
-    let mut half = Client::over(TcpStream::connect(node.operator).unwrap());
-    half.send("dra");
-    half.stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(half.answer(), "fail incomplete call\n");
-    let mut pieces = Client::over(TcpStream::connect(node.operator).unwrap());
+    let mut incomplete = Client::new(TcpStream::connect(node.operator).unwrap());
+    incomplete.send("dra");
+    incomplete.stream.shutdown(Shutdown::Write).unwrap();
+    assert_eq!(incomplete.read_answer(), "fail incomplete call\n");
+    let mut byte_by_byte = Client::new(TcpStream::connect(node.operator).unwrap());
     for byte in ["r", "e", "a", "d", "y", "\n"] {
-        pieces.send(byte);
+        byte_by_byte.send(byte);
     }
-    assert_eq!(pieces.answer(), "ok ready\n");
+    assert_eq!(byte_by_byte.read_answer(), "ok ready\n");
 }
 
-/// Callers that say nothing, however many, keep nobody from being heard, and take no descriptor of clients.
+/// Any number of operator connections that send nothing neither delays other calls nor takes file descriptors from
+/// clients.
 #[test]
 fn silent_operators_delay_no_call() {
-    let (node, _server, _list) = with_one(|_| Act::Serve);
+    let (node, _server, _list) = start_with_one_server(|_| ServerAction::Serve);
     let silent: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(node.operator).unwrap()).collect();
-    assert_eq!(node.call("ready\n"), "ok ready\n");
-    // All but a few have made room; the oldest is among them.
-    let mut oldest = Client::over(silent[0].try_clone().unwrap());
-    assert_eq!(oldest.answer(), "");
-    assert_eq!(node.connect().ask(&read("k", "o1", 9000)), served("o1"));
+    assert_eq!(node.operator_call("ready\n"), "ok ready\n");
+    // All but a few silent connections have been closed, the oldest first.
+    let mut oldest = Client::new(silent[0].try_clone().unwrap());
+    assert_eq!(oldest.read_answer(), "");
+    assert_eq!(node.connect().request(&read_command("k", "o1", 9000)), served_answer("o1"));
 }
 
 #[test]
 fn each_request_is_counted_as_it_ends() {
-    let (node, server, list) = with_one(|line| match line {
-        line if line.contains("held") => Act::Silence,
-        line if line.contains("bad") => Act::Say(b"SERVER_ERROR failed\r\n".to_vec()),
-        _ => Act::Serve,
+    let (node, server, list) = start_with_one_server(|line| match line {
+        line if line.contains("held") => ServerAction::Ignore,
+        line if line.contains("bad") => ServerAction::Reply(b"SERVER_ERROR failed\r\n".to_vec()),
+        _ => ServerAction::Serve,
     });
     let mut client = node.connect();
-    assert_eq!(client.ask(&read("k", "f1", 9000)), served("f1"));
-    assert_eq!(client.ask(&open_case("bad", "f2", 9000)), "SERVER_ERROR failed\r\n");
-    // Neither is a request.
-    client.ask("mn\r\n");
-    client.ask("mg k v Of3 Pc=odd,d=9000\r\n");
-    client.send(&read("held", "f4", 400));
-    assert_eq!(client.answer(), "SERVER_ERROR busy\r\n");
-    client.send(&read("held", "f5", 9000));
-    // On a busy machine the fourth may be over before it is sent on.
+    assert_eq!(client.request(&read_command("k", "f1", 9000)), served_answer("f1"));
+    assert_eq!(client.request(&open_command("bad", "f2", 9000)), "SERVER_ERROR failed\r\n");
+    // Neither of these counts as a request.
+    client.request("mn\r\n");
+    client.request("mg k v Of3 Pc=odd,d=9000\r\n");
+    client.send(&read_command("held", "f4", 400));
+    assert_eq!(client.read_answer(), "SERVER_ERROR busy\r\n");
+    client.send(&read_command("held", "f5", 9000));
+    // On a busy machine the deadline of f4 may pass before it is sent to the server.
     let mut sent = 1;
-    while !server.command().contains("Of5") {
+    while !server.next_command().contains("Of5") {
         sent += 1;
     }
     assert!(sent >= 3, "{sent}");
-    node.reaches("app_completed_total{lane=\"read\"}", 1);
-    node.reaches("app_failed_total{lane=\"open\"}", 1);
-    node.reaches("app_rejected_total{lane=\"read\"}", 1);
-    assert_eq!(node.figure("app_failed_total{lane=\"read\"}"), 0);
-    assert_eq!(node.figure("app_upstream_requests_total"), sent);
-    assert_eq!(node.figure("app_pending"), 1);
+    node.wait_for_metric("app_completed_total{lane=\"read\"}", 1);
+    node.wait_for_metric("app_failed_total{lane=\"open\"}", 1);
+    node.wait_for_metric("app_rejected_total{lane=\"read\"}", 1);
+    assert_eq!(node.metric("app_failed_total{lane=\"read\"}"), 0);
+    assert_eq!(node.metric("app_upstream_requests_total"), sent);
+    assert_eq!(node.metric("app_pending"), 1);
     drop(client);
-    node.reaches("app_pending", 0);
-    assert_eq!((node.figure("app_members"), node.figure("app_members_unavailable")), (1, 0));
-    list.set(&[member("s-1", server.address, "draining"), member("s-2", nowhere(), "ready")]);
-    node.reaches("app_members", 2);
-    assert_eq!(node.figure("app_members_unavailable"), 1);
+    node.wait_for_metric("app_pending", 0);
+    assert_eq!((node.metric("app_members"), node.metric("app_members_unavailable")), (1, 0));
+    list.update_and_wait(&[
+        member("s-1", server.address, "draining"),
+        member("s-2", unused_address(), "ready"),
+    ]);
+    node.wait_for_metric("app_members", 2);
+    assert_eq!(node.metric("app_members_unavailable"), 1);
 }
 
-/// A drained node says no and closes its connections between requests; called back it is as before.
+/// A draining node reports that it is not ready and closes its connections between requests; `resume` undoes that.
 #[test]
-fn a_drain_sends_clients_away_until_the_node_is_called_back() {
-    let (open, slow) = slow_key();
-    let (node, server, _list) = with_one(slow);
-    let mut holding = node.connect();
-    holding.send(&read("slow", "d1", 9000));
-    server.command();
+fn a_drain_closes_client_connections_until_resume() {
+    let (release, slow) = slow_key_handler();
+    let (node, server, _list) = start_with_one_server(slow);
+    let mut pending = node.connect();
+    pending.send(&read_command("slow", "d1", 9000));
+    server.next_command();
     let (mut idle, mut busy) = (node.connect(), node.connect());
-    assert_eq!(idle.ask("mn\r\n"), "MN\r\n");
-    assert_eq!(busy.ask("mn\r\n"), "MN\r\n");
+    assert_eq!(idle.request("mn\r\n"), "MN\r\n");
+    assert_eq!(busy.request("mn\r\n"), "MN\r\n");
     for _ in 0..2 {
-        assert_eq!(node.call("drain\n"), "ok draining\n");
+        assert_eq!(node.operator_call("drain\n"), "ok draining\n");
     }
     for id in ["d2", "d3"] {
-        assert_eq!(busy.ask(&read("k", id, 9000)), served(id), "a kept connection is used for a while");
+        assert_eq!(
+            busy.request(&read_command("k", id, 9000)),
+            served_answer(id),
+            "an open connection still serves at the start of a drain"
+        );
     }
-    assert_eq!(busy.answer(), "");
-    assert_eq!(node.call("ready\n"), "fail draining\n");
+    assert_eq!(busy.read_answer(), "");
+    assert_eq!(node.operator_call("ready\n"), "fail draining\n");
     let mut late = node.connect();
-    assert_eq!(late.ask("mn\r\n"), "SERVER_ERROR not ready\r\n");
-    assert_eq!(late.answer(), "", "closed behind its answer");
-    assert_eq!(idle.answer(), "", "one that asks for nothing is closed too");
-    drop(open);
-    assert_eq!(holding.answer(), served("d1"));
-    assert_eq!(holding.answer(), "");
+    assert_eq!(late.request("mn\r\n"), "SERVER_ERROR not ready\r\n");
+    assert_eq!(late.read_answer(), "", "closed after its answer");
+    assert_eq!(idle.read_answer(), "", "an idle connection is closed too");
+    drop(release);
+    assert_eq!(pending.read_answer(), served_answer("d1"));
+    assert_eq!(pending.read_answer(), "");
     for _ in 0..2 {
-        assert_eq!(node.call("resume\n"), "ok ready\n");
+        assert_eq!(node.operator_call("resume\n"), "ok ready\n");
     }
-    assert_eq!(node.call("ready\n"), "ok ready\n");
+    assert_eq!(node.operator_call("ready\n"), "ok ready\n");
     let mut client = node.connect();
-    assert_eq!(client.ask("mn\r\n"), "MN\r\n");
+    assert_eq!(client.request("mn\r\n"), "MN\r\n");
     for id in ["d4", "d5"] {
-        assert_eq!(client.ask(&read("k", id, 9000)), served(id), "kept open again");
+        assert_eq!(
+            client.request(&read_command("k", id, 9000)),
+            served_answer(id),
+            "connections stay open again"
+        );
     }
-    node.call("drain\n");
+    node.operator_call("drain\n");
     node.signal("-TERM");
-    node.logged("stopping");
-    assert_eq!(node.call("resume\n"), "fail already stopping\n");
-    drop((client, late, busy, idle, holding));
+    node.wait_for_log("stopping");
+    assert_eq!(node.operator_call("resume\n"), "fail already stopping\n");
+    drop((client, late, busy, idle, pending));
     assert_eq!(node.wait().code(), Some(0));
 }
