--- a/crates/node/tests/node/connection_limits.rs
+++ b/crates/node/tests/node/connection_limits.rs
@@ -92,7 +92,7 @@
             assert_eq!(client.request(&read_command("k", &id, 9000)), served_answer(&id));
             clients.push(client);
         }
-        assert_eq!(clients[0].read_answer(), "", "the longest idle connection was closed");
+        assert_eq!(clients[0].read_answer(), "", "the longest idle connection is still open");
         assert_eq!(clients[99].request("mn\r\n"), "MN\r\n");
     }
 }
--- a/crates/node/tests/node/malformed.rs
+++ b/crates/node/tests/node/malformed.rs
@@ -86,7 +86,7 @@
             std::thread::sleep(std::time::Duration::from_millis(50));
         }
     });
-    assert_eq!(silent.read_answer(), "", "closed without an answer");
+    assert_eq!(silent.read_answer(), "", "not closed without an answer");
     for slow in [&mut half, &mut late, &mut dripping] {
         assert!(slow.read_answer().starts_with("CLIENT_ERROR "));
     }
--- a/crates/node/tests/node/operators.rs
+++ b/crates/node/tests/node/operators.rs
@@ -101,15 +101,15 @@
         assert_eq!(
             busy.request(&read_command("k", id, 9000)),
             served_answer(id),
-            "an open connection still serves at the start of a drain"
+            "an open connection no longer serves at the start of a drain"
         );
     }
     assert_eq!(busy.read_answer(), "");
     assert_eq!(node.operator_call("ready\n"), "fail draining\n");
     let mut late = node.connect();
     assert_eq!(late.request("mn\r\n"), "SERVER_ERROR not ready\r\n");
-    assert_eq!(late.read_answer(), "", "closed after its answer");
-    assert_eq!(idle.read_answer(), "", "an idle connection is closed too");
+    assert_eq!(late.read_answer(), "", "still open after its answer");
+    assert_eq!(idle.read_answer(), "", "an idle connection is still open");
     drop(release);
     assert_eq!(pending.read_answer(), served_answer("d1"));
     assert_eq!(pending.read_answer(), "");
@@ -123,7 +123,7 @@
         assert_eq!(
             client.request(&read_command("k", id, 9000)),
             served_answer(id),
-            "connections stay open again"
+            "a connection does not stay open after resume"
         );
     }
     node.operator_call("drain\n");
--- a/crates/node/tests/node/stop.rs
+++ b/crates/node/tests/node/stop.rs
@@ -25,10 +25,10 @@
     if sigterm_at.elapsed().as_millis() < 400 {
         let mut late = Client::new(late.expect("connections are still accepted"));
         assert_eq!(late.request(&read_command("k", "q3", 9000)), served_answer("q3"));
-        assert_eq!(late.read_answer(), "", "closed between requests");
+        assert_eq!(late.read_answer(), "", "not closed between requests");
     }
     node.wait_for_log("stopping");
-    assert_eq!(idle.read_answer(), "", "closed between requests");
+    assert_eq!(idle.read_answer(), "", "not closed between requests");
     drop(release);
     assert_eq!(pending.read_answer(), served_answer("q1"));
     assert_eq!(pending.read_answer(), "");
@@ -122,11 +122,11 @@
     node.wait_for_log("stopping");
     assert_eq!(node.operator_call("resume\n"), "fail already stopping\n");
     node.signal("-TERM");
-    assert_eq!(requesting.read_answer(), "SERVER_ERROR busy\r\n", "rejected, as no server is known");
+    assert_eq!(requesting.read_answer(), "SERVER_ERROR busy\r\n", "not rejected though no server is known");
     assert_eq!(
         (idle.read_answer(), requesting.read_answer()),
         (String::new(), String::new()),
-        "closed between requests"
+        "not closed between requests"
     );
     drop((idle, requesting));
     assert_eq!(node.wait().code(), Some(0));
--- a/crates/node/tests/node/takeover.rs
+++ b/crates/node/tests/node/takeover.rs
@@ -56,11 +56,15 @@
         }
     };
     serves_new_connections(0);
-    assert_eq!(new.metric("app_completed_total{lane=\"read\"}"), 50, "the new process alone accepts");
+    assert_eq!(
+        new.metric("app_completed_total{lane=\"read\"}"),
+        50,
+        "the old process still accepts connections"
+    );
     let mut waiting: Vec<Client> = (0..50).map(|_| new.connect()).collect();
     old.signal("-TERM");
     assert_eq!(persistent.request(&read_command("k", "t3", 9000)), served_answer("t3"));
-    assert_eq!(persistent.read_answer(), "", "closed after its answer");
+    assert_eq!(persistent.read_answer(), "", "still open after its answer");
     // Without delay: connections that send no request for long are closed.
     let serves_all = |waiting: &mut [Client], name: &str| {
         for (n, client) in waiting.iter_mut().enumerate() {
--- a/crates/node/tests/node/takeover_stop.rs
+++ b/crates/node/tests/node/takeover_stop.rs
@@ -53,7 +53,7 @@
     old.signal("-TERM");
     new.wait_for_log("the predecessor accepts no more");
     assert_eq!(new.connect().request("mn\r\n"), "SERVER_ERROR not ready\r\n");
-    assert_eq!(old.operator_call("ready\n"), "fail stopping\n", "the old process still runs");
+    assert_eq!(old.operator_call("ready\n"), "fail stopping\n", "the old process no longer runs");
     drop(release);
     assert_eq!(pending.read_answer(), served_answer("b1"));
     assert_eq!(old.wait().code(), Some(0));
