--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -113,7 +113,7 @@
     });
     let (node, _list) = start_node_with_budgets(&server);
     let (address, stop) = (node.address, Arc::new(AtomicBool::new(false)));
-    let crowd: Vec<_> = (0..12)
+    let heavy_clients: Vec<_> = (0..12)
         .map(|n| {
             let stop = stop.clone();
             std::thread::spawn(move || {
@@ -134,8 +134,8 @@
         |count: usize| (0..count).map(|_| request_until_served(&mut client, &line, "b")).sum::<u64>();
     let (before, after) = (rejections(20), rejections(60));
     stop.store(true, Ordering::Relaxed);
-    let crowd: u64 = crowd.into_iter().map(|client| client.join().unwrap()).sum();
+    let heavy_client_rejections: u64 = heavy_clients.into_iter().map(|client| client.join().unwrap()).sum();
     assert!(after <= 20, "rejected {after} times in 60 requests, {before} times in the 20 before");
-    assert!(crowd > 60, "rejected {crowd} times: the crowd demanded more than its quota");
+    assert!(heavy_client_rejections > 60, "heavy clients rejected only {heavy_client_rejections} times");
     assert!(peak_open_connections(&server) <= BOX_CONNECTIONS);
 }
--- a/crates/node/tests/fleet/flood.rs
+++ b/crates/node/tests/fleet/flood.rs
@@ -23,9 +23,10 @@
     let known = member("s-1", server.address, "ready");
     let (_list, discovery) = FakeDiscovery::start(std::slice::from_ref(&known));
     // Half of the datagrams come from the address of a peer, half from an unknown address.
-    let (peer, stranger) = (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
-    let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let text = config(discovery, known, own, &[own, peer.local_addr().unwrap()]);
+    let (peer, unknown_sender) =
+        (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
+    let node_address = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let text = config(discovery, known, node_address, &[node_address, peer.local_addr().unwrap()]);
     let node = Node::start(&write_config(&text), &fleet_file("flood", MINIMAL_FLEET_FILE));
     let start = Instant::now();
     let flood = std::thread::spawn(move || {
@@ -34,8 +35,8 @@
         // 10,000 datagrams per second for two seconds.
         for tick in 0..200 {
             for n in 0..100 {
-                let from = if n % 2 == 0 { &peer } else { &stranger };
-                sent += u64::from(from.send_to(&datagrams[n / 2 % datagrams.len()], own).is_ok());
+                let from = if n % 2 == 0 { &peer } else { &unknown_sender };
+                sent += u64::from(from.send_to(&datagrams[n / 2 % datagrams.len()], node_address).is_ok());
             }
             let next = start + Duration::from_millis(10) * (tick + 1);
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
--- a/crates/node/tests/harness/client.rs
+++ b/crates/node/tests/harness/client.rs
@@ -48,14 +48,14 @@
     }
 }
 
-/// A `mg` command of class `read` with a deadline of `wait_ms`.
-pub fn read_command(key: &str, id: &str, wait_ms: u32) -> String {
-    format!("mg {key} v O{id} Pc=read,t=acme,d={wait_ms}\r\n")
+/// A `mg` command of class `read` with a deadline of `deadline_ms`.
+pub fn read_command(key: &str, id: &str, deadline_ms: u32) -> String {
+    format!("mg {key} v O{id} Pc=read,t=acme,d={deadline_ms}\r\n")
 }
 
-/// A `ms` command of class `open`, which must run at most once, with a deadline of `wait_ms`.
-pub fn open_command(key: &str, id: &str, wait_ms: u32) -> String {
-    format!("ms {key} 3 O{id} Pc=open,t=acme,d={wait_ms}\r\nnew\r\n")
+/// A `ms` command of class `open`, which must run at most once, with a deadline of `deadline_ms`.
+pub fn open_command(key: &str, id: &str, deadline_ms: u32) -> String {
+    format!("ms {key} 3 O{id} Pc=open,t=acme,d={deadline_ms}\r\nnew\r\n")
 }
 
 /// The node's answer to a read that a fake cache server served.
--- a/crates/node/tests/harness/server.rs
+++ b/crates/node/tests/harness/server.rs
@@ -42,7 +42,7 @@
 }
 
 /// The opaque id (`O...`) of a command, or `none`.
-pub fn opaque(line: &str) -> &str {
+pub fn opaque_id(line: &str) -> &str {
     line.split(' ').find_map(|token| token.strip_prefix('O')).unwrap_or("none")
 }
 
@@ -93,8 +93,8 @@
             }
             on_command(line.clone() + String::from_utf8_lossy(&data).trim_end());
             let served = match line.starts_with("ms ") {
-                true => format!("HD O{} c42 h0\r\n", opaque(&line)),
-                false => format!("VA 5 O{} h1\r\nhello\r\n", opaque(&line)),
+                true => format!("HD O{} c42 h0\r\n", opaque_id(&line)),
+                false => format!("VA 5 O{} h1\r\nhello\r\n", opaque_id(&line)),
             };
             match handler(&line) {
                 ServerAction::Serve => writer.write_all(served.as_bytes())?,
--- a/crates/node/tests/harness/traffic.rs
+++ b/crates/node/tests/harness/traffic.rs
@@ -60,7 +60,7 @@
     pub seed: u64,
     pub mode: SendMode,
     /// Deadline in the requests (`d=`), in milliseconds.
-    pub wait_ms: u32,
+    pub deadline_ms: u32,
 }
 
 impl TrafficClient {
@@ -180,8 +180,8 @@
         let id = format!("{}x{}", self.name, requests.len());
         let key = format!("key{}", rng.next_below(64));
         let text = match rng.next_below(3) {
-            0 => open_command(&key, &id, self.wait_ms),
-            _ => read_command(&key, &id, self.wait_ms),
+            0 => open_command(&key, &id, self.deadline_ms),
+            _ => read_command(&key, &id, self.deadline_ms),
         };
         let sent_at = Instant::now();
         requests.push(SentRequest { id, connected_at: connection.connected_at, sent_at, answer: None });
--- a/crates/node/tests/node/close_races.rs
+++ b/crates/node/tests/node/close_races.rs
@@ -69,7 +69,7 @@
         }
     }
     let received_ids: HashSet<String> =
-        server.take_commands().iter().map(|line| opaque(line).to_string()).collect();
+        server.take_commands().iter().map(|line| opaque_id(line).to_string()).collect();
     for id in &unanswered {
         assert!(!received_ids.contains(id), "{id} reached a server and has no answer");
     }
@@ -77,7 +77,7 @@
     outcomes
 }
 
-fn node_and_server(sockets: usize) -> (Node, FakeCacheServer, FakeDiscovery) {
+fn start_node_and_server(sockets: usize) -> (Node, FakeCacheServer, FakeDiscovery) {
     let server = FakeCacheServer::start(|_| ServerAction::Serve);
     let known = member("s-1", server.address, "ready");
     let (list, discovery) = FakeDiscovery::start(std::slice::from_ref(&known));
@@ -102,7 +102,7 @@
 #[test]
 fn requests_racing_with_the_close_of_idle_connections_in_a_stop_are_answered_or_unread() {
     repeat_until_both_outcomes("in a stop", || {
-        let (node, server, _list) = node_and_server(1024);
+        let (node, server, _list) = start_node_and_server(1024);
         let mut clients = idle_clients(&node, CLIENTS);
         node.signal("-TERM");
         node.wait_for_log("stopping");
@@ -117,7 +117,7 @@
 #[test]
 fn requests_racing_with_the_idle_timeout_are_answered_or_unread() {
     repeat_until_both_outcomes("idle", || {
-        let (node, server, _list) = node_and_server(1024);
+        let (node, server, _list) = start_node_and_server(1024);
         let mut clients = idle_clients(&node, CLIENTS);
         send_around_close(&mut clients, |idle| idle.since + IDLE_CLOSE_AFTER);
         check_outcomes(clients, &server)
@@ -129,10 +129,10 @@
 fn requests_racing_with_the_displacement_of_idle_connections_are_answered_or_unread() {
     repeat_until_both_outcomes("displaced", || {
         // Clients may use 40 of these sockets.
-        let (node, server, _list) = node_and_server(92);
+        let (node, server, _list) = start_node_and_server(92);
         let mut clients = idle_clients(&node, 30);
         let address = node.address;
-        let crowd = std::thread::spawn(move || {
+        let new_connections = std::thread::spawn(move || {
             let connect = |_| {
                 let stream = TcpStream::connect(address).unwrap();
                 std::thread::sleep(Duration::from_micros(300));
@@ -148,7 +148,7 @@
             );
         }
         let outcomes = check_outcomes(clients, &server);
-        drop(crowd.join().unwrap());
+        drop(new_connections.join().unwrap());
         outcomes
     });
 }
--- a/crates/node/tests/node/connection_limits.rs
+++ b/crates/node/tests/node/connection_limits.rs
@@ -7,10 +7,10 @@
 use crate::harness::*;
 use crate::start_with_one_server;
 
-/// A flood of connections that send nothing neither closes nor delays the connections of usual clients, and leaves
+/// A flood of connections that send nothing neither closes nor delays the connections of regular clients, and leaves
 /// descriptors for cache servers.
 #[test]
-fn a_flood_of_connections_does_not_displace_usual_clients() {
+fn a_flood_of_connections_does_not_displace_regular_clients() {
     let server = FakeCacheServer::start(|line| {
         if line.contains("held") {
             ServerAction::Ignore
@@ -26,10 +26,10 @@
     // Connections idle for 2 s are closed first as well, so a round that took about as long proves nothing.
     for round in 0.. {
         let node = Node::start(&write_config(&config), setup.ulimit, None);
-        let mut usual: Vec<Client> = (0..15).map(|_| node.connect()).collect();
+        let mut regular: Vec<Client> = (0..15).map(|_| node.connect()).collect();
         let start = Instant::now();
         let mut count_served = |name: &str| {
-            let answers = usual.iter_mut().enumerate().map(|(n, client)| {
+            let answers = regular.iter_mut().enumerate().map(|(n, client)| {
                 let id = format!("{name}{round}x{n}");
                 client.stream.write_all(read_command("k", &id, 9000).as_bytes()).is_ok()
                     && client.read_answer() == served_answer(&id)
@@ -40,7 +40,7 @@
         let _flood: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(node.address).unwrap()).collect();
         let after = count_served("x");
         if start.elapsed().as_millis() < 1900 {
-            assert_eq!((before, after), (15, 15), "served of 15 usual clients, before and after the flood");
+            assert_eq!((before, after), (15, 15), "served of 15 regular clients, before and after the flood");
             assert_eq!(node.connect().request(&read_command("k", "y", 9000)), served_answer("y"));
             break;
         }
@@ -50,10 +50,10 @@
 
 /// A client that doesn't read its answers must not hold up others.
 #[test]
-fn a_slow_reader_blocks_nobody() {
+fn a_slow_reader_blocks_no_other_client() {
     let value = "v".repeat(60_000);
     let (node, server, _list) = start_with_one_server(move |line| {
-        ServerAction::Reply(format!("VA 60000 O{}\r\n{value}\r\n", opaque(line)).into())
+        ServerAction::Reply(format!("VA 60000 O{}\r\n{value}\r\n", opaque_id(line)).into())
     });
     let mut slow = node.connect();
     let commands: String =
--- a/crates/node/tests/node/discovery.rs
+++ b/crates/node/tests/node/discovery.rs
@@ -57,8 +57,8 @@
 /// whose list is ignored because its revision is lower. Requests in flight go on.
 #[test]
 fn sighup_changes_the_discovery_address_and_nothing_else() {
-    let (release, slow) = slow_key_handler();
-    let (node, first, list) = start_with_one_server(slow);
+    let (release, handler) = slow_key_handler();
+    let (node, first, list) = start_with_one_server(handler);
     list.update_and_wait(&[member("s-1", first.address, "ready")]);
     let mut pending = node.connect();
     pending.send(&read_command("slow", "t1", 9000));
--- a/crates/node/tests/node/discovery_outage.rs
+++ b/crates/node/tests/node/discovery_outage.rs
@@ -9,12 +9,12 @@
 use crate::harness::*;
 
 /// Clients that send nothing, hold their connection for as long as it is open, and reconnect when it is closed.
-struct IdleCrowd {
+struct IdleClients {
     stop: Arc<AtomicBool>,
     clients: JoinHandle<()>,
 }
 
-impl IdleCrowd {
+impl IdleClients {
     const CLIENTS: usize = 300;
 
     fn connect_to(node: &Node) -> Self {
@@ -36,7 +36,7 @@
                 std::thread::sleep(std::time::Duration::from_millis(1));
             }
         });
-        IdleCrowd { stop, clients }
+        IdleClients { stop, clients }
     }
 
     fn leave(self) {
@@ -56,14 +56,14 @@
         let silent = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = silent.local_addr().unwrap();
         let node = Setup { sockets, ulimit: Some(ulimit), ..Setup::default() }.start(discovery);
-        let crowd = IdleCrowd::connect_to(&node);
+        let idle_clients = IdleClients::connect_to(&node);
         assert_eq!(node.operator_call("ready\n"), "fail starting\n");
         let (list, _) = FakeDiscovery::start_on(silent, &[member("s-1", server.address, "ready")]);
         list.wait_until_read();
         assert_eq!(node.operator_call("ready\n"), "ok ready\n");
         let answer = node.connect().request(&read_command("k", "o1", 9000));
         assert_eq!(answer, served_answer("o1"), "{sockets} sockets configured, ulimit of {ulimit}");
-        crowd.leave();
+        idle_clients.leave();
     }
 }
 
@@ -79,13 +79,13 @@
         let (list, discovery) = FakeDiscovery::start(std::slice::from_ref(&known));
         let node = Setup { known, sockets, ulimit: Some(ulimit), ..Setup::default() }.start(discovery);
         list.wait_until_read();
-        let crowd = IdleCrowd::connect_to(&node);
+        let idle_clients = IdleClients::connect_to(&node);
         list.inject_faults(&[Fault::NoAnswer, Fault::Reset, Fault::NoAnswer]);
         list.update_and_wait(&[member("s-2", second.address, "ready")]);
         assert_eq!(node.operator_call("ready\n"), "ok ready\n");
         let answer = node.connect().request(&read_command("k", "o2", 9000));
         assert_eq!(answer, served_answer("o2"), "{sockets} sockets configured, ulimit of {ulimit}");
         assert_eq!((first.take_commands().len(), second.take_commands().len()), (0, 1));
-        crowd.leave();
+        idle_clients.leave();
     }
 }
--- a/crates/node/tests/node/immediate_failures.rs
+++ b/crates/node/tests/node/immediate_failures.rs
@@ -53,7 +53,7 @@
 }
 
 /// Deadline of the clients' requests.
-const WAIT_MS: u32 = 2000;
+const DEADLINE_MS: u32 = 2000;
 const REQUESTS: usize = 60;
 
 /// Requests many keys of all classes; checks that each gets one final answer in time and is sent no more often than
@@ -80,9 +80,9 @@
     for n in 0..REQUESTS {
         let (id, key) = (format!("q{n}"), format!("key{n}"));
         let text = match n % 3 {
-            0 => read_command(&key, &id, WAIT_MS),
-            1 => open_command(&key, &id, WAIT_MS),
-            _ => format!("ms {key} 3 O{id} Pc=save,t=acme,d={WAIT_MS},k=77{n}\r\nnew\r\n"),
+            0 => read_command(&key, &id, DEADLINE_MS),
+            1 => open_command(&key, &id, DEADLINE_MS),
+            _ => format!("ms {key} 3 O{id} Pc=save,t=acme,d={DEADLINE_MS},k=77{n}\r\nnew\r\n"),
         };
         let sent_at = Instant::now();
         let answer = client.request(&text);
@@ -91,7 +91,7 @@
         let is_final =
             is_complete || ["SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n"].contains(&&*answer);
         assert!(is_final, "{failure:?}: {text:?} got {answer:?}");
-        if took > Duration::from_millis(u64::from(WAIT_MS) + 500) {
+        if took > Duration::from_millis(u64::from(DEADLINE_MS) + 500) {
             return Err(format!("{failure:?}: {id} was answered after {took:?}"));
         }
         answered += usize::from(is_complete);
@@ -189,11 +189,11 @@
         monitor.monitor(&node);
         let mut late_answers = Vec::new();
         let mut remaining_by_id: HashMap<String, u32> = HashMap::new();
-        for wait_ms in 1..=20 {
+        for deadline_ms in 1..=20 {
             for class in ["read", "open"] {
                 let text = |n: usize| match class {
-                    "read" => read_command("k", &format!("{class}{wait_ms}x{n}"), wait_ms),
-                    _ => open_command("k", &format!("{class}{wait_ms}x{n}"), wait_ms),
+                    "read" => read_command("k", &format!("{class}{deadline_ms}x{n}"), deadline_ms),
+                    _ => open_command("k", &format!("{class}{deadline_ms}x{n}"), deadline_ms),
                 };
                 let mut client = node.connect();
                 for pipelined in [1, 3] {
@@ -203,25 +203,28 @@
                         let answer = client.read_answer();
                         let is_final =
                             ["SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n"].contains(&&*answer);
-                        assert!(is_final, "{class} with {wait_ms} ms: {answer:?}");
+                        assert!(is_final, "{class} with {deadline_ms} ms: {answer:?}");
                     }
                     let lateness =
-                        sent_at.elapsed().saturating_sub(Duration::from_millis(u64::from(wait_ms)));
+                        sent_at.elapsed().saturating_sub(Duration::from_millis(u64::from(deadline_ms)));
                     if lateness > LATENESS_TOLERANCE {
                         late_answers
-                            .push(format!("{pipelined} of {class} with {wait_ms} ms: {lateness:?} late"));
+                            .push(format!("{pipelined} of {class} with {deadline_ms} ms: {lateness:?} late"));
                     }
                     remaining_by_id.extend(
-                        server.take_commands().iter().map(|line| (opaque(line).into(), remaining_ms(line))),
+                        server
+                            .take_commands()
+                            .iter()
+                            .map(|line| (opaque_id(line).into(), remaining_ms(line))),
                     );
                 }
                 assert_eq!(client.request("mn\r\n"), "MN\r\n");
             }
         }
         for (id, remaining) in remaining_by_id {
-            let wait: u32 =
+            let deadline_ms: u32 =
                 id.trim_start_matches(char::is_alphabetic).split('x').next().unwrap().parse().unwrap();
-            assert!(remaining <= wait, "{id} had {wait} ms and was sent with {remaining}");
+            assert!(remaining <= deadline_ms, "{id} had {deadline_ms} ms and was sent with {remaining}");
         }
         late_answers.is_empty().then_some(()).ok_or_else(|| late_answers.join("; "))
     });
--- a/crates/node/tests/node/interrupted_requests.rs
+++ b/crates/node/tests/node/interrupted_requests.rs
@@ -35,18 +35,18 @@
     interruption: Interruption,
     command: impl Fn(&str, &str, u32) -> String,
 ) -> Vec<String> {
-    let wait_ms = if interruption == Interruption::DeadlinePasses { 400 } else { 15_000 };
+    let deadline_ms = if interruption == Interruption::DeadlinePasses { 400 } else { 15_000 };
     (0..30)
-        .find_map(|_| try_interrupt(stage, interruption, &command, wait_ms))
+        .find_map(|_| try_interrupt(stage, interruption, &command, deadline_ms))
         .expect("the request reached no server at that stage")
 }
 
-/// One try with a deadline of `wait_ms`; `None` if the request was answered before it reached the stage.
+/// One try with a deadline of `deadline_ms`; `None` if the request was answered before it reached the stage.
 fn try_interrupt(
     stage: Stage,
     interruption: Interruption,
     command: impl Fn(&str, &str, u32) -> String,
-    wait_ms: u32,
+    deadline_ms: u32,
 ) -> Option<Vec<String>> {
     let (release, gate) = channel();
     let gate = Arc::new(Mutex::new((stage == Stage::Retried, Some(gate))));
@@ -78,7 +78,7 @@
     let (_list, discovery) = FakeDiscovery::start(&known);
     let node = Setup { known: known.join(","), ..Setup::default() }.start(discovery);
     let mut client = node.connect();
-    client.send(&command("k", "cut", wait_ms));
+    client.send(&command("k", "cut", deadline_ms));
     client.stream.set_nonblocking(true).unwrap();
     // Finds the server that has the request, and on which connection: that of the first command, or of the second if
     // one server is busy.
--- a/crates/node/tests/node/kill.rs
+++ b/crates/node/tests/node/kill.rs
@@ -20,7 +20,7 @@
 /// Time after SIGTERM from which new connections may be refused, as the node no longer listens.
 const ACCEPTING_UNTIL: Duration = ms(400);
 /// Time of traffic before SIGTERM, so that requests are in flight and the balancer has used the servers.
-const WARM_UP: Duration = ms(300);
+const TRAFFIC_BEFORE_SIGTERM: Duration = ms(300);
 /// The attempt answer comes at least this long before the kill; connections open for longer would be cut off.
 const KILL_MARGIN: Duration = ms(50);
 /// Tolerance by which a final answer may come after its client's deadline.
@@ -40,27 +40,27 @@
     /// Deadline of the classes and of the clients' requests.
     deadline: Duration,
     /// Time from SIGTERM to SIGKILL.
-    kill: Duration,
+    kill_after: Duration,
     servers: Servers,
     /// How promptly both the old and the new discovery answer.
     discovery: Responsiveness,
     /// SIGHUP with a new discovery address is sent just before SIGTERM.
     moves_discovery: bool,
     /// Another process has taken over the address before SIGTERM.
-    taken_over: bool,
+    has_successor: bool,
     /// Clients start before SIGTERM; otherwise after it.
     clients_before_sigterm: bool,
 }
 
 impl StopScenario {
-    const fn new(deadline: Duration, kill: Duration) -> Self {
+    const fn new(deadline: Duration, kill_after: Duration) -> Self {
         StopScenario {
             deadline,
-            kill,
+            kill_after,
             servers: Servers::Hang,
             discovery: Responsiveness::Prompt,
             moves_discovery: false,
-            taken_over: false,
+            has_successor: false,
             clients_before_sigterm: true,
         }
     }
@@ -81,7 +81,7 @@
         let remaining =
             line.split("d=").nth(1).and_then(|rest| rest.split(',').next()).unwrap().parse().unwrap();
         let attempt =
-            Attempt { id: opaque(line).into(), received_at: Instant::now(), remaining: ms(remaining) };
+            Attempt { id: opaque_id(line).into(), received_at: Instant::now(), remaining: ms(remaining) };
         attempts.lock().unwrap().push(attempt);
         let key = line.split(' ').nth(1).unwrap();
         let is_even = key.ends_with(['0', '2', '4', '6', '8']);
@@ -113,8 +113,8 @@
         SendMode::OpenLoop { interval: ms(40) },
     ];
     let start = |(n, mode): (u64, SendMode)| {
-        let (name, wait_ms) = (format!("k{n}"), scenario.deadline.as_millis() as u32);
-        TrafficClient::start(address, TrafficSettings { name, seed: seed * 100 + n, mode, wait_ms })
+        let (name, deadline_ms) = (format!("k{n}"), scenario.deadline.as_millis() as u32);
+        TrafficClient::start(address, TrafficSettings { name, seed: seed * 100 + n, mode, deadline_ms })
     };
     (0..).zip(modes.into_iter().cycle()).take(10).map(start).collect()
 }
@@ -143,9 +143,9 @@
         monitor.monitor(&node);
         let mut clients =
             if self.clients_before_sigterm { start_clients(self, seed, node.address) } else { Vec::new() };
-        std::thread::sleep(WARM_UP);
+        std::thread::sleep(TRAFFIC_BEFORE_SIGTERM);
         setup.listen = node.address.to_string();
-        let successor = self.taken_over.then(|| setup.start(discovery));
+        let successor = self.has_successor.then(|| setup.start(discovery));
         let taken_over_at = successor.as_ref().map(|_| {
             node.wait_for_log("the successor serves");
             Instant::now()
@@ -160,7 +160,7 @@
         if !self.clients_before_sigterm {
             clients = self::start_clients(self, seed, node.address);
         }
-        std::thread::sleep((sigterm_at + self.kill).saturating_duration_since(Instant::now()));
+        std::thread::sleep((sigterm_at + self.kill_after).saturating_duration_since(Instant::now()));
         node.kill();
         clients.iter().for_each(TrafficClient::request_stop);
         let requests = clients.into_iter().flat_map(TrafficClient::finish).collect();
@@ -174,9 +174,9 @@
     /// Checks that each request the node has read got its final answer in time, that no attempt reaches beyond the
     /// kill, and that a request without an answer was never read because its connection had ended.
     fn check(&self, observed: &Observations) -> Result<(), String> {
-        let kill = observed.sigterm_at + self.kill;
+        let kill_at = observed.sigterm_at + self.kill_after;
         // After a takeover, connections are closed after their first answer.
-        let read_until = if self.taken_over { Duration::ZERO } else { READ_UNTIL };
+        let read_until = if self.has_successor { Duration::ZERO } else { READ_UNTIL };
         // Requests on connections to the other process don't concern this one.
         let is_own =
             |request: &&SentRequest| observed.taken_over_at.is_none_or(|at| request.connected_at < at);
@@ -199,8 +199,8 @@
                 {
                     return Err(format!("{} sent {sent} has no answer", request.id));
                 }
-                Some((_, answered)) if *answered + KILL_MARGIN > kill => {
-                    let left = kill.saturating_duration_since(*answered);
+                Some((_, answered)) if *answered + KILL_MARGIN > kill_at => {
+                    let left = kill_at.saturating_duration_since(*answered);
                     return Err(format!(
                         "{} sent {sent} was answered only {left:?} before the kill",
                         request.id
@@ -214,9 +214,9 @@
             }
             if let Some(attempt) = attempts
                 .iter()
-                .find(|attempt| attempt.received_at + attempt.remaining > kill + DELIVERY_SLACK)
+                .find(|attempt| attempt.received_at + attempt.remaining > kill_at + DELIVERY_SLACK)
             {
-                let excess = attempt.received_at + attempt.remaining - kill;
+                let excess = attempt.received_at + attempt.remaining - kill_at;
                 // Attempts sent before the stop began couldn't take the kill into account.
                 if attempt.received_at > observed.stopping_logged_at {
                     return Err(format!(
@@ -252,8 +252,8 @@
 }
 
 /// The scenarios of a stop for one deadline and time of the kill.
-fn stop_scenarios(deadline: Duration, kill: Duration) -> [StopScenario; 4] {
-    let scenario = StopScenario::new(deadline, kill);
+fn stop_scenarios(deadline: Duration, kill_after: Duration) -> [StopScenario; 4] {
+    let scenario = StopScenario::new(deadline, kill_after);
     [
         scenario,
         StopScenario {
@@ -263,7 +263,7 @@
             ..scenario
         },
         StopScenario { moves_discovery: true, discovery: Responsiveness::Slow(ms(1000)), ..scenario },
-        StopScenario { servers: Servers::HangOnEvenKeys, taken_over: true, ..scenario },
+        StopScenario { servers: Servers::HangOnEvenKeys, has_successor: true, ..scenario },
     ]
 }
 
@@ -292,7 +292,7 @@
 fn deadlines_of_9_s_sent_during_a_stop_are_answered_before_a_kill_at_3700_ms() {
     assert_all_hold(stop_scenarios(ms(9000), ms(3700)).map(|scenario| StopScenario {
         clients_before_sigterm: false,
-        taken_over: false,
+        has_successor: false,
         ..scenario
     }));
 }
--- a/crates/node/tests/node/long_values.rs
+++ b/crates/node/tests/node/long_values.rs
@@ -24,7 +24,7 @@
         if !line.contains("long") {
             return ServerAction::Serve;
         }
-        let first = format!("VA {LONG_VALUE} O{} h1\r\n{head}", opaque(line)).into();
+        let first = format!("VA {LONG_VALUE} O{} h1\r\n{head}", opaque_id(line)).into();
         ServerAction::ReplyInTwo(first, gate.lock().unwrap().take().unwrap(), tail.clone().into())
     });
     let mut client = node.connect();
@@ -58,7 +58,7 @@
     let value = long_value();
     for malformed in [value[..90_000].to_string(), value.clone() + "xy", value.clone() + "\n\n"] {
         let (node, _server, _list) = start_with_one_server(move |line| {
-            ServerAction::ReplyAndClose(format!("VA {LONG_VALUE} O{}\r\n{malformed}", opaque(line)).into())
+            ServerAction::ReplyAndClose(format!("VA {LONG_VALUE} O{}\r\n{malformed}", opaque_id(line)).into())
         });
         let mut client = node.connect();
         client.send(&read_command("k", "b1", 9000));
@@ -82,7 +82,7 @@
     for malformed in ["VA 4194304 Oother\r\n", "VA 4194305 Og\r\n", "VA 4194304\r\n"] {
         let value = "x".repeat(LONG_VALUE);
         let (node, server, _list) = start_with_one_server(move |line| {
-            ServerAction::Reply((malformed.replace("Og", &format!("O{}", opaque(line))) + &value).into())
+            ServerAction::Reply((malformed.replace("Og", &format!("O{}", opaque_id(line))) + &value).into())
         });
         let answer = node.connect().request(&read_command("k", "c1", 2000));
         assert!(answer.starts_with("SERVER_ERROR "), "{answer:.40}");
@@ -95,7 +95,7 @@
 fn long_values_together_may_exceed_memory() {
     let value = long_value();
     let (node, _server, _list) = start_with_one_server(move |line| {
-        ServerAction::Reply(format!("VA {LONG_VALUE} O{}\r\n{value}\r\n", opaque(line)).into())
+        ServerAction::Reply(format!("VA {LONG_VALUE} O{}\r\n{value}\r\n", opaque_id(line)).into())
     });
     let mut clients: Vec<Client> = (0..24).map(|_| node.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
--- a/crates/node/tests/node/malformed.rs
+++ b/crates/node/tests/node/malformed.rs
@@ -66,12 +66,12 @@
 }
 
 /// A connection is closed if it brings no complete command in time: neither silence, nor half a command, nor single
-/// bytes now and then keep it open. A usual idle client keeps its connection meanwhile.
+/// bytes now and then keep it open. A regular idle client keeps its connection meanwhile.
 #[test]
 fn clients_without_a_complete_command_in_time_are_closed() {
     let (node, _server, _list) = start_with_one_server(|_| ServerAction::Serve);
-    let mut usual = node.connect();
-    assert_eq!(usual.request(&read_command("k", "v1", 9000)), served_answer("v1"));
+    let mut regular = node.connect();
+    assert_eq!(regular.request(&read_command("k", "v1", 9000)), served_answer("v1"));
     let start = Instant::now();
     let mut silent = node.connect();
     let mut half = node.connect();
@@ -91,7 +91,7 @@
         assert!(slow.read_answer().starts_with("CLIENT_ERROR "));
     }
     assert!(start.elapsed().as_secs() >= 1, "slow clients were closed too early");
-    assert_eq!(usual.request(&read_command("k", "v4", 9000)), served_answer("v4"));
+    assert_eq!(regular.request(&read_command("k", "v4", 9000)), served_answer("v4"));
 }
 
 /// Closing with unread input would reset the connection, and the client would never read the error.
--- a/crates/node/tests/node/operators.rs
+++ b/crates/node/tests/node/operators.rs
@@ -86,8 +86,8 @@
 /// A draining node reports that it is not ready and closes its connections between requests; `resume` undoes that.
 #[test]
 fn a_drain_closes_client_connections_until_resume() {
-    let (release, slow) = slow_key_handler();
-    let (node, server, _list) = start_with_one_server(slow);
+    let (release, handler) = slow_key_handler();
+    let (node, server, _list) = start_with_one_server(handler);
     let mut pending = node.connect();
     pending.send(&read_command("slow", "d1", 9000));
     server.next_command();
--- a/crates/node/tests/node/outcomes.rs
+++ b/crates/node/tests/node/outcomes.rs
@@ -23,7 +23,7 @@
     ] {
         let server = bad_answer.map(|text| {
             FakeCacheServer::start(move |line| {
-                let answer = text.replace("Og", &format!("O{}", opaque(line))).into();
+                let answer = text.replace("Og", &format!("O{}", opaque_id(line))).into();
                 // A connection closed after a valid answer might already be in use again.
                 if text.starts_with("SERVER_ERROR") {
                     ServerAction::Reply(answer)
@@ -95,7 +95,7 @@
 #[test]
 fn only_complete_answers_are_passed_on() {
     let bad = FakeCacheServer::start(|line| {
-        ServerAction::ReplyAndClose(format!("VA 9 O{}\r\nhel", opaque(line)).into())
+        ServerAction::ReplyAndClose(format!("VA 9 O{}\r\nhel", opaque_id(line)).into())
     });
     let good = FakeCacheServer::start(|_| ServerAction::Serve);
     let known = [member("s-1", good.address, "ready"), member("s-2", bad.address, "ready")];
--- a/crates/node/tests/node/partial_requests.rs
+++ b/crates/node/tests/node/partial_requests.rs
@@ -20,7 +20,7 @@
 
 /// What a client has sent on its connection before the incomplete command.
 #[derive(Clone, Copy, Debug)]
-enum Before {
+enum PriorTraffic {
     /// Nothing.
     Nothing,
     /// A request that was served.
@@ -31,7 +31,8 @@
     Error,
 }
 
-const ALL_BEFORE: [Before; 4] = [Before::Nothing, Before::Served, Before::Pipelined, Before::Error];
+const ALL_PRIOR_TRAFFIC: [PriorTraffic; 4] =
+    [PriorTraffic::Nothing, PriorTraffic::Served, PriorTraffic::Pipelined, PriorTraffic::Error];
 
 struct StoppedClient {
     connection: Client,
@@ -42,30 +43,30 @@
 }
 
 /// Connects a client that sends an incomplete command and then nothing more.
-fn send_incomplete(node: &Node, before: Before, incomplete: &'static str) -> StoppedClient {
+fn send_incomplete(node: &Node, prior: PriorTraffic, incomplete: &'static str) -> StoppedClient {
     let mut connection = node.connect();
-    match before {
-        Before::Nothing => connection.send(incomplete),
-        Before::Served => {
+    match prior {
+        PriorTraffic::Nothing => connection.send(incomplete),
+        PriorTraffic::Served => {
             assert_eq!(connection.request(&read_command("k", "s1", 9000)), served_answer("s1"));
             connection.send(incomplete);
         }
-        Before::Pipelined => {
+        PriorTraffic::Pipelined => {
             connection.send(&("mn\r\n".to_string() + incomplete));
             connection.read_answer();
         }
-        Before::Error => {
+        PriorTraffic::Error => {
             assert!(connection.request("mg k v Oa Pc=odd,d=9000\r\n").starts_with("CLIENT_ERROR "));
             connection.send(incomplete);
         }
     }
-    StoppedClient { connection, case: format!("{before:?}, {incomplete:?}"), since: Instant::now() }
+    StoppedClient { connection, case: format!("{prior:?}, {incomplete:?}"), since: Instant::now() }
 }
 
 fn send_all_incomplete(node: &Node) -> Vec<StoppedClient> {
-    ALL_BEFORE
+    ALL_PRIOR_TRAFFIC
         .iter()
-        .flat_map(|before| INCOMPLETE_COMMANDS.map(|incomplete| send_incomplete(node, *before, incomplete)))
+        .flat_map(|prior| INCOMPLETE_COMMANDS.map(|incomplete| send_incomplete(node, *prior, incomplete)))
         .collect()
 }
 
@@ -89,7 +90,7 @@
 fn check_closed_in_time(
     clients: Vec<StoppedClient>,
     allowed: AllowedAnswers,
-    within: impl Fn(&StoppedClient) -> Duration,
+    time_limit: impl Fn(&StoppedClient) -> Duration,
 ) -> Result<(), String> {
     for mut client in clients {
         let answer = client.connection.read_answer();
@@ -97,9 +98,9 @@
             assert!(allowed.contains(&answer), "{}: {answer}", client.case);
             assert_eq!(client.connection.read_answer(), "", "{}: open after its error", client.case);
         }
-        let (took, within) = (client.since.elapsed(), within(&client));
-        if took > within {
-            return Err(format!("{}: closed after {took:?}, allowed are {within:?}", client.case));
+        let (took, time_limit) = (client.since.elapsed(), time_limit(&client));
+        if took > time_limit {
+            return Err(format!("{}: closed after {took:?}, allowed are {time_limit:?}", client.case));
         }
     }
     Ok(())
@@ -136,9 +137,9 @@
 /// During a stop the connections are closed at least 0.05 s before the kill, however short the deadlines are.
 #[test]
 fn an_incomplete_request_is_closed_before_the_kill() {
-    for (deadline_s, kill) in [(0.1, 800), (1.0, 1700), (20.0, 3700)] {
-        let kill = Duration::from_millis(kill);
-        retry_on_scheduling_delay(&format!("in a stop with a kill after {kill:?}"), |monitor| {
+    for (deadline_s, kill_after_ms) in [(0.1, 800), (1.0, 1700), (20.0, 3700)] {
+        let kill_after = Duration::from_millis(kill_after_ms);
+        retry_on_scheduling_delay(&format!("in a stop with a kill after {kill_after:?}"), |monitor| {
             let server = FakeCacheServer::start(|_| ServerAction::Serve);
             let known = member("s-1", server.address, "ready");
             let (_list, discovery) = FakeDiscovery::start(std::slice::from_ref(&known));
@@ -149,7 +150,7 @@
             node.signal("-TERM");
             let margin = Duration::from_millis(50);
             check_closed_in_time(clients, AllowedAnswers::TooSlowOrStopping, |client| {
-                MAX_TIME_TO_CLOSE.min(sigterm_at + kill - margin - client.since)
+                MAX_TIME_TO_CLOSE.min(sigterm_at + kill_after - margin - client.since)
             })?;
             assert_eq!(node.wait().code(), Some(0));
             Ok(())
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -28,8 +28,8 @@
 /// own, and later ones reuse idle connections.
 #[test]
 fn pipelined_commands_are_answered_in_order_over_reused_connections() {
-    let (release, slow) = slow_key_handler();
-    let (node, server, _list) = start_with_one_server(slow);
+    let (release, handler) = slow_key_handler();
+    let (node, server, _list) = start_with_one_server(handler);
     let mut client = node.connect();
     client.send(&(read_command("slow", "a1", 9000) + &read_command("fast", "a2", 9000) + "mn\r\n"));
     let both = server.next_command() + &server.next_command();
--- a/crates/node/tests/node/stop.rs
+++ b/crates/node/tests/node/stop.rs
@@ -11,8 +11,8 @@
 /// Requests in flight are answered, new ones are served, and the node exits when no client is left.
 #[test]
 fn sigterm_ends_the_node_once_all_requests_are_answered() {
-    let (release, slow) = slow_key_handler();
-    let (node, server, _list) = start_with_one_server(slow);
+    let (release, handler) = slow_key_handler();
+    let (node, server, _list) = start_with_one_server(handler);
     let mut pending = node.connect();
     pending.send(&read_command("slow", "q1", 9000));
     server.next_command();
@@ -138,7 +138,7 @@
     const VALUE_LENGTH: usize = 4 << 20;
     let value = "v".repeat(VALUE_LENGTH);
     let (node, server, _list) = start_with_one_server(move |line| {
-        ServerAction::Reply(format!("VA {VALUE_LENGTH} O{}\r\n{value}\r\n", opaque(line)).into())
+        ServerAction::Reply(format!("VA {VALUE_LENGTH} O{}\r\n{value}\r\n", opaque_id(line)).into())
     });
     let mut client = node.connect();
     client.send(&read_command("long", "e1", 9000));
--- a/crates/node/tests/node/takeover.rs
+++ b/crates/node/tests/node/takeover.rs
@@ -12,8 +12,8 @@
 pub fn slow_key_setup(
     temp_dir: &TempDir,
 ) -> (Setup, std::net::SocketAddr, Sender<()>, FakeCacheServer, FakeDiscovery) {
-    let (release, slow) = slow_key_handler();
-    let server = FakeCacheServer::start(slow);
+    let (release, handler) = slow_key_handler();
+    let server = FakeCacheServer::start(handler);
     let known = member("s-1", server.address, "ready");
     let (list, discovery) = FakeDiscovery::start(std::slice::from_ref(&known));
     let setup = Setup { known, temp_dir: Some(temp_dir.0.clone()), ..Setup::default() };
@@ -37,7 +37,7 @@
 /// With an old and a new process at one address every new connection is served, before, while and after the old
 /// process leaves, and the old process answers its requests in flight.
 #[test]
-fn a_new_process_takes_over_and_loses_nothing() {
+fn a_new_process_takes_over_without_losing_a_request() {
     let temp_dir = TempDir::new();
     let (mut setup, discovery, release, server, _list) = slow_key_setup(&temp_dir);
     let old = start_offering(&setup, discovery);
