--- a/crates/balancer/benches/growth.rs
+++ b/crates/balancer/benches/growth.rs
@@ -3,9 +3,9 @@
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use hallpin_balancer::{
-    AttemptId, Balancer, CacheNote, Class, ClassId, Effect, Event, Group, Guarantees, Key, Limits,
-    NewRequest, Outcome, RequestId, RosterEntry, RosterNews, ServerId, ServerState, Settings, Status,
-    WeightSource,
+    AttemptId, Balancer, CacheNote, Class, ClassId, DeduplicationScope, Effect, EndpointEntry,
+    EndpointUpdate, Event, Guarantees, Key, Limits, NewRequest, Outcome, RequestId, ServerId, ServerState,
+    Settings, Status, WeightSource,
 };
 
 fn settings() -> Settings {
@@ -16,7 +16,7 @@
         worth: 1.0,
         late_worth: 0.0,
         effect: Effect::Safe,
-        group: Group::All,
+        group: DeduplicationScope::All,
         window: 0.0,
         streamed: false,
     };
@@ -37,24 +37,24 @@
     }
 }
 
-fn entry(n: usize, state: ServerState) -> RosterEntry {
-    RosterEntry {
+fn entry(n: usize, state: ServerState) -> EndpointEntry {
+    EndpointEntry {
         server: ServerId(format!("box-{n:05}").into()),
         state,
         zone: ["a", "b", "c", "d"][n % 4].into(),
         weight: 1.0 + (n % 2) as f64,
         kind: "k".into(),
-        ..RosterEntry::default()
+        ..EndpointEntry::default()
     }
 }
 
-fn list(servers: usize) -> Vec<RosterEntry> {
+fn list(servers: usize) -> Vec<EndpointEntry> {
     (0..servers).map(|n| entry(n, ServerState::Ready)).collect()
 }
 
 fn node(servers: usize) -> Balancer {
     let mut node = Balancer::new(settings(), 1).expect("valid settings");
-    node.handle(0.0, Event::Roster(RosterNews::Full(list(servers))), &mut Vec::new());
+    node.handle(0.0, Event::Roster(EndpointUpdate::Full(list(servers))), &mut Vec::new());
     node
 }
 
@@ -67,7 +67,7 @@
             b.iter_batched(
                 fresh,
                 |(mut node, list)| {
-                    node.handle(0.0, Event::Roster(RosterNews::Full(list)), &mut Vec::new());
+                    node.handle(0.0, Event::Roster(EndpointUpdate::Full(list)), &mut Vec::new());
                     node
                 },
                 BatchSize::LargeInput,
@@ -78,7 +78,11 @@
             b.iter(|| {
                 let state = if ready { ServerState::Ready } else { ServerState::Draining };
                 ready = !ready;
-                node.handle(1.0, Event::Roster(RosterNews::Delta(vec![entry(0, state)])), &mut Vec::new());
+                node.handle(
+                    1.0,
+                    Event::Roster(EndpointUpdate::Delta(vec![entry(0, state)])),
+                    &mut Vec::new(),
+                );
             });
         });
         group.bench_with_input(BenchmarkId::new("request", servers), &servers, |b, &servers| {
--- a/crates/balancer/src/balance/endpoints.rs
+++ b/crates/balancer/src/balance/endpoints.rs
@@ -1,7 +1,7 @@
 //! Handling of the endpoint list: its updates, and the calls to discovery.
 
 use super::state::BalancerState;
-use crate::interface::{Action, Membership, RosterEntry, RosterNews};
+use crate::interface::{Action, EndpointEntry, EndpointUpdate, Membership};
 
 impl BalancerState {
     /// Calls discovery where the list has to be polled and a call is due.
@@ -14,30 +14,30 @@
         }
     }
 
-    pub(super) fn on_endpoints(&mut self, update: RosterNews) {
+    pub(super) fn on_endpoints(&mut self, update: EndpointUpdate) {
         match update {
-            RosterNews::Failed => {
+            EndpointUpdate::Failed => {
                 let random = self.jitter.next();
                 self.subscription.failed(self.now, self.settings.guarantees.ask_every, random);
             }
-            RosterNews::Cached(entries) => self.apply_complete_list(entries),
-            RosterNews::Full(entries) => {
+            EndpointUpdate::Cached(entries) => self.apply_complete_list(entries),
+            EndpointUpdate::Full(entries) => {
                 self.subscription.succeeded();
                 self.apply_complete_list(entries);
             }
-            RosterNews::Delta(entries) => {
+            EndpointUpdate::Delta(entries) => {
                 self.subscription.succeeded();
                 self.apply_entries(entries);
             }
         }
     }
 
-    fn apply_complete_list(&mut self, entries: Vec<RosterEntry>) {
+    fn apply_complete_list(&mut self, entries: Vec<EndpointEntry>) {
         self.servers.mark_unlisted_gone(&entries);
         self.apply_entries(entries);
     }
 
-    fn apply_entries(&mut self, entries: Vec<RosterEntry>) {
+    fn apply_entries(&mut self, entries: Vec<EndpointEntry>) {
         for entry in entries {
             self.servers.apply(entry, &self.settings);
         }
--- a/crates/balancer/src/balance/peer_reports.rs
+++ b/crates/balancer/src/balance/peer_reports.rs
@@ -1,7 +1,7 @@
 //! Handling of what other nodes send: the placement table and their reports on servers.
 
 use super::state::BalancerState;
-use crate::interface::{FleetNews, Seconds, ServerEvidence};
+use crate::interface::{FleetUpdate, Seconds, ServerReport};
 
 /// Time for which a server stays suspected after peers reported it silent, and for which an answer to this
 /// node prevents suspicion.
@@ -11,15 +11,15 @@
 const MIN_REPORTERS: u16 = 3;
 
 impl BalancerState {
-    pub(super) fn on_fleet_update(&mut self, update: FleetNews) {
+    pub(super) fn on_fleet_update(&mut self, update: FleetUpdate) {
         match update {
-            FleetNews::Table { epoch, version, entries } => {
+            FleetUpdate::Table { epoch, version, entries } => {
                 if self.servers.apply_placement((epoch, version), entries) {
                     self.refresh_members();
                     self.dispatch_all_held();
                 }
             }
-            FleetNews::Servers(reports) => {
+            FleetUpdate::Servers(reports) => {
                 for report in &reports {
                     self.apply_report(report);
                 }
@@ -29,7 +29,7 @@
 
     /// Updates a server's suspicion. Reports alone eject no server; they only make one failure seen by this
     /// node enough.
-    fn apply_report(&mut self, report: &ServerEvidence) {
+    fn apply_report(&mut self, report: &ServerReport) {
         // A report on an earlier incarnation of the server is ignored.
         let server = self.servers.get_mut(&report.server);
         let Some(server) = server.filter(|server| server.is_current_start(report.started)) else { return };
--- a/crates/balancer/src/balance/retry_rules.rs
+++ b/crates/balancer/src/balance/retry_rules.rs
@@ -3,7 +3,7 @@
 use super::request::{Attempt, Request};
 use super::server::Server;
 use super::state::BalancerState;
-use crate::interface::{Class, Effect, Group, ServerId};
+use crate::interface::{Class, DeduplicationScope, Effect, ServerId};
 
 impl BalancerState {
     /// Whether one more attempt of a request may be sent to this server.
@@ -20,7 +20,7 @@
         match class.effect {
             Effect::Safe => true,
             Effect::Unsafe => may_have_run.next().is_none(),
-            Effect::Keyed => may_have_run.all(|attempt| {
+            Effect::Deduplicated => may_have_run.all(|attempt| {
                 let within_window = self.now + self.settings.round < attempt.sent_at + class.window;
                 within_window && self.drops_repeats(class, attempt, id, server)
             }),
@@ -30,10 +30,10 @@
     /// Whether this server deduplicates a repeat of an earlier attempt with an idempotency key.
     fn drops_repeats(&self, class: &Class, attempt: &Attempt, id: &ServerId, server: &Server) -> bool {
         match (class.group, self.servers.get(&attempt.server)) {
-            (Group::All, _) => true,
+            (DeduplicationScope::All, _) => true,
             (_, None) => attempt.server == *id,
-            (Group::Zone, Some(earlier)) => earlier.entry().zone == server.entry().zone,
-            (Group::Cell, Some(earlier)) => earlier.entry().cell == server.entry().cell,
+            (DeduplicationScope::Zone, Some(earlier)) => earlier.entry().zone == server.entry().zone,
+            (DeduplicationScope::Cell, Some(earlier)) => earlier.entry().cell == server.entry().cell,
         }
     }
 
@@ -41,7 +41,7 @@
     pub(super) fn may_reject(&self, request: &Request) -> bool {
         let class = self.class(request);
         class.effect == Effect::Safe
-            || (class.effect == Effect::Keyed && class.group == Group::All)
+            || (class.effect == Effect::Deduplicated && class.group == DeduplicationScope::All)
             || !request.may_have_run()
     }
 }
--- a/crates/balancer/src/balance/server.rs
+++ b/crates/balancer/src/balance/server.rs
@@ -3,7 +3,7 @@
 use super::concurrency_limit::{ConcurrencyLimit, CUT_FACTOR};
 use super::hash_ring::{point_count, Point};
 use super::slow_start::{admitted_share, slow_start_factor};
-use crate::interface::{CacheMode, Guarantees, RosterEntry, Seconds, ServerState, Settings};
+use crate::interface::{CacheMode, EndpointEntry, Guarantees, Seconds, ServerState, Settings};
 
 /// Weight of a new sample in the slowness of a server that is warming up: a node with little traffic sees
 /// only a few samples in all, and has to learn from those.
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub(super) struct Server {
     /// The entry as last listed, except that `started` is reset on readmission after an ejection.
-    entry: RosterEntry,
+    entry: EndpointEntry,
     /// Start time as last listed.
     listed_start: Option<Seconds>,
     in_flight: u32,
@@ -41,7 +41,7 @@
 }
 
 impl Server {
-    pub(super) fn entry(&self) -> &RosterEntry {
+    pub(super) fn entry(&self) -> &EndpointEntry {
         &self.entry
     }
 
@@ -122,7 +122,7 @@
 
     /// Applies a list entry. For a server that is new, is back after it was gone, or has restarted, the state
     /// of the previous process is reset.
-    pub(super) fn apply(&mut self, entry: RosterEntry, floor: f64) {
+    pub(super) fn apply(&mut self, entry: EndpointEntry, floor: f64) {
         let has_restarted =
             entry.started.is_some_and(|started| self.entry.started.is_none_or(|known| started > known));
         if has_restarted || !self.limit.is_set() || self.is_gone() {
@@ -134,7 +134,7 @@
             self.entry.started = entry.started;
         }
         self.listed_start = entry.started;
-        self.entry = RosterEntry { started: self.entry.started, ..entry };
+        self.entry = EndpointEntry { started: self.entry.started, ..entry };
     }
 
     pub(super) fn mark_gone(&mut self) {
--- a/crates/balancer/src/balance/servers.rs
+++ b/crates/balancer/src/balance/servers.rs
@@ -12,7 +12,7 @@
 use super::hash_ring::{HashRing, Point, Weights};
 use super::kind_latency::KindLatency;
 use super::server::Server;
-use crate::interface::{Key, RosterEntry, ServerId, Settings, TableEntry};
+use crate::interface::{EndpointEntry, Key, ServerId, Settings, TableEntry};
 
 /// The ε of the cap on a server's attempts in flight. Each jump to another server costs a miss at the slow
 /// origin, so the cap prevents overload and does not even out the load.
@@ -129,14 +129,14 @@
     }
 
     /// Marks the servers that are missing from a complete list as gone.
-    pub(super) fn mark_unlisted_gone(&mut self, listed: &[RosterEntry]) {
+    pub(super) fn mark_unlisted_gone(&mut self, listed: &[EndpointEntry]) {
         let listed: BTreeSet<&ServerId> = listed.iter().map(|entry| &entry.server).collect();
         let unlisted = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
         unlisted.for_each(|(_, server)| server.mark_gone());
     }
 
     /// Applies one entry of the list.
-    pub(super) fn apply(&mut self, entry: RosterEntry, settings: &Settings) {
+    pub(super) fn apply(&mut self, entry: EndpointEntry, settings: &Settings) {
         let server = self.servers.entry(entry.server.clone()).or_default();
         server.apply(entry, cap_floor(settings));
     }
--- a/crates/balancer/src/balance/state.rs
+++ b/crates/balancer/src/balance/state.rs
@@ -19,7 +19,7 @@
 use super::servers::ServerTable;
 use super::short_deadline_throttle::ShortDeadlineThrottle;
 use super::tenant_quota::TenantQuotas;
-use crate::interface::{Action, Class, Effect, Group, RequestId, Seconds, Settings, Sizes};
+use crate::interface::{Action, Class, DeduplicationScope, Effect, RequestId, Seconds, Settings, Sizes};
 
 /// Random jitter that spreads waits and probes over the nodes; it never decides the owners of keys.
 pub(super) struct Jitter(Pcg64Mcg);
@@ -122,7 +122,12 @@
 fn add_unknown_class(settings: &mut Settings) {
     let shortest = settings.classes.iter().min_by(|one, other| one.deadline.total_cmp(&other.deadline));
     if let Some(shortest) = shortest {
-        let unknown = Class { effect: Effect::Unsafe, group: Group::Cell, window: 0.0, ..shortest.clone() };
+        let unknown = Class {
+            effect: Effect::Unsafe,
+            group: DeduplicationScope::Cell,
+            window: 0.0,
+            ..shortest.clone()
+        };
         settings.classes.push(unknown);
     }
 }
--- a/crates/balancer/src/balance/tests/bounds.rs
+++ b/crates/balancer/src/balance/tests/bounds.rs
@@ -35,7 +35,7 @@
 fn after_the_last_probe_a_request_is_held_and_then_rejected_with_retry_after() {
     let mut limits = settings().limits;
     limits.max_retry_after = 1.0;
-    let cold = fleet(8).into_iter().map(|e| RosterEntry { started: Some(100.0), ..e }).collect();
+    let cold = fleet(8).into_iter().map(|e| EndpointEntry { started: Some(100.0), ..e }).collect();
     let mut node = common::Node::with(Settings { limits, ..settings() }, 1, cold);
     let keys: Vec<u64> =
         (1..=800).filter(|key| node.owner_if_sent(1000 + key, *key) == Some(id(3))).take(6).collect();
@@ -64,16 +64,18 @@
     let mut node = common::Node::with(settings(), 1, fleet(4));
     let (keys, owner) = (1..=40, node.owner(1000, 7));
     keys.for_each(|n| drop(node.request(read(n, 7 + n))));
-    node.event(Event::Roster(RosterNews::Full(fleet(5).into_iter().filter(|e| e.server != owner).collect())));
+    node.event(Event::Roster(EndpointUpdate::Full(
+        fleet(5).into_iter().filter(|e| e.server != owner).collect(),
+    )));
     check_invariants(&node);
     // Listed again under the same id: its attempts in flight still count.
-    node.event(Event::Roster(RosterNews::Full(fleet(5))));
+    node.event(Event::Roster(EndpointUpdate::Full(fleet(5))));
     check_invariants(&node);
-    node.event(Event::Roster(RosterNews::Full(vec![])));
+    node.event(Event::Roster(EndpointUpdate::Full(vec![])));
     for n in 1..=40 {
         end_attempt(&mut node, n, 0, Status::Success, true);
     }
-    node.event(Event::Roster(RosterNews::Full(vec![])));
+    node.event(Event::Roster(EndpointUpdate::Full(vec![])));
     assert_idle(&mut node);
     let servers = &node.balancer.0.servers;
     assert_eq!((servers.len(), servers.point_count()), (0, 0));
@@ -82,7 +84,7 @@
 #[test]
 fn a_kind_is_dropped_with_its_last_server_and_does_not_slow_other_kinds() {
     let mut node = common::Node::with(settings(), 1, fleet(4));
-    let entry_of_kind = |kind: &str, n| RosterEntry { kind: kind.into(), ..entry(n) };
+    let entry_of_kind = |kind: &str, n| EndpointEntry { kind: kind.into(), ..entry(n) };
     let mut request = 0;
     let mut send_reads = |node: &mut common::Node, answer_time: Seconds| {
         for _ in 0..200 {
@@ -93,12 +95,12 @@
         }
     };
     for generation in 0..50 {
-        node.event(Event::Roster(RosterNews::Full(
+        node.event(Event::Roster(EndpointUpdate::Full(
             (1..=4).map(|n| entry_of_kind(&format!("quick-{generation}"), n)).collect(),
         )));
         send_reads(&mut node, 0.001);
     }
-    node.event(Event::Roster(RosterNews::Full((1..=4).map(|n| entry_of_kind("slow", n)).collect())));
+    node.event(Event::Roster(EndpointUpdate::Full((1..=4).map(|n| entry_of_kind("slow", n)).collect())));
     send_reads(&mut node, 0.1);
     node.advance(2.0 * SWEEP_INTERVAL);
     check_invariants(&node);
--- a/crates/balancer/src/balance/tests/interruptions.rs
+++ b/crates/balancer/src/balance/tests/interruptions.rs
@@ -56,7 +56,7 @@
 fn bring_to_stage(node: &mut common::Node, class: ClassId, stage: Stage) -> Option<()> {
     let new = NewRequest { class: Some(class), write: class != READ, ..read(1, 7) };
     match stage {
-        Stage::Held => drop(node.event(Event::Roster(RosterNews::Full(vec![])))),
+        Stage::Held => drop(node.event(Event::Roster(EndpointUpdate::Full(vec![])))),
         Stage::Waiting if class == READ => drop(node.request(read(2, 7))),
         Stage::Waiting => return None,
         _ => {}
@@ -76,7 +76,7 @@
             let actions = node.event(Event::Timer(DUE_TIMER));
             assert!(rejected(&actions) || failed(&actions));
         }
-        Stage::Orphaned => drop(node.event(Event::Roster(RosterNews::Full(vec![])))),
+        Stage::Orphaned => drop(node.event(Event::Roster(EndpointUpdate::Full(vec![])))),
         Stage::Streaming => {
             node.event(Event::StreamStarted { request: RequestId(1), attempt: AttemptId(0) });
         }
--- a/crates/balancer/src/balance/tests/mod.rs
+++ b/crates/balancer/src/balance/tests/mod.rs
@@ -18,7 +18,7 @@
 use super::{BalancerState, TICK_INTERVAL};
 use crate::interface::*;
 
-pub(super) fn fleet(n: u64) -> Vec<RosterEntry> {
+pub(super) fn fleet(n: u64) -> Vec<EndpointEntry> {
     (1..=n).map(entry).collect()
 }
 
--- a/crates/balancer/src/balance/tests/recovery.rs
+++ b/crates/balancer/src/balance/tests/recovery.rs
@@ -39,17 +39,19 @@
     let mut node = common::Node::with(settings(), 1, fleet(8));
     let before = keys(&mut node, 1);
     // Gone and back cold, drained and ready again; then, below, ejected and readmitted.
-    let started = RosterEntry { started: Some(node.now), ..entry(3) };
-    let drained = RosterEntry { state: ServerState::Draining, ..entry(3) };
+    let started = EndpointEntry { started: Some(node.now), ..entry(3) };
+    let drained = EndpointEntry { state: ServerState::Draining, ..entry(3) };
     let absent = fleet(8).into_iter().filter(|e| e.server != id(3)).collect();
-    for (n, news) in [RosterNews::Full(absent), RosterNews::Delta(vec![drained])].into_iter().enumerate() {
+    for (n, news) in
+        [EndpointUpdate::Full(absent), EndpointUpdate::Delta(vec![drained])].into_iter().enumerate()
+    {
         node.event(Event::Roster(news));
         let owners_while_away = keys(&mut node, 1000 * (n as u64 + 1));
         assert!(
             !owners_while_away.contains(&id(3))
                 && owners_while_away.iter().zip(&before).all(|(a, b)| a == b || *b == id(3))
         );
-        node.event(Event::Roster(RosterNews::Delta(vec![started.clone()])));
+        node.event(Event::Roster(EndpointUpdate::Delta(vec![started.clone()])));
         node.advance(ramp + SWEEP_INTERVAL);
         assert_eq!(keys(&mut node, 1000 * (n as u64 + 1) + 500), before);
     }
--- a/crates/balancer/src/interface/classes.rs
+++ b/crates/balancer/src/interface/classes.rs
@@ -8,14 +8,14 @@
     /// Idempotent: repeats are harmless.
     Safe,
     /// Carries an idempotency key: the servers of one group drop its repeats for a while.
-    Keyed,
+    Deduplicated,
     /// Must never run twice. Unknown effects are handled as this one.
     Unsafe,
 }
 
 /// The servers among which repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All servers.
     All,
     /// The servers of one zone.
@@ -40,7 +40,7 @@
     /// Whether a request of the class may run again.
     pub effect: Effect,
     /// Where repeats are dropped, for keyed classes.
-    pub group: Group,
+    pub group: DeduplicationScope,
     /// Time for which repeats are dropped, from the first send that may have run.
     pub window: Seconds,
     /// Whether the answer is a stream.
--- a/crates/balancer/src/interface/endpoint_list.rs
+++ b/crates/balancer/src/interface/endpoint_list.rs
@@ -16,7 +16,7 @@
 
 /// One server in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RosterEntry {
+pub struct EndpointEntry {
     /// Address of the server.
     pub server: ServerId,
     /// State of the server.
@@ -35,13 +35,13 @@
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RosterNews {
+pub enum EndpointUpdate {
     /// The changed entries.
-    Delta(Vec<RosterEntry>),
+    Delta(Vec<EndpointEntry>),
     /// The complete list; a server that is absent has left.
-    Full(Vec<RosterEntry>),
+    Full(Vec<EndpointEntry>),
     /// The complete list as this node last stored it, possibly outdated.
-    Cached(Vec<RosterEntry>),
+    Cached(Vec<EndpointEntry>),
     /// A discovery call failed or the subscription broke; the current list stays in force.
     Failed,
 }
--- a/crates/balancer/src/interface/events.rs
+++ b/crates/balancer/src/interface/events.rs
@@ -1,7 +1,7 @@
 //! Events that a host passes to a balancer.
 
-use super::endpoint_list::RosterNews;
-use super::fleet::FleetNews;
+use super::endpoint_list::EndpointUpdate;
+use super::fleet::FleetUpdate;
 use super::identifiers::{AttemptId, ClassId, Key, RequestId, Seconds, ServerId, TenantId, TimerToken};
 
 /// A request that has just arrived.
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
-    Roster(RosterNews),
+    Roster(EndpointUpdate),
     /// A request arrived.
     Request(NewRequest),
     /// A streamed answer has begun.
@@ -117,7 +117,7 @@
         status: Status,
     },
     /// An update from the other nodes: a placement table or reports on servers.
-    Fleet(FleetNews),
+    Fleet(FleetUpdate),
     /// Another node sent a message.
     Message {
         /// Number of the sending node.
--- a/crates/balancer/src/interface/fleet.rs
+++ b/crates/balancer/src/interface/fleet.rs
@@ -5,7 +5,7 @@
 /// An update from the control plane between nodes. If none ever arrives, the balancer acts by its endpoint
 /// list and its own observations alone.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FleetNews {
+pub enum FleetUpdate {
     /// The placement table in force: the slot array consists of these entries instead of the ready entries of
     /// the endpoint list; whether a server may be sent to still depends on the list. A table that is not
     /// newer than the current one, by epoch and then by version, is ignored. The control plane bounds the
@@ -19,7 +19,7 @@
         entries: Vec<TableEntry>,
     },
     /// Merged reports of peers, on some servers or all. They expire after a few seconds.
-    Servers(Vec<ServerEvidence>),
+    Servers(Vec<ServerReport>),
 }
 
 /// One server of a placement table.
@@ -34,7 +34,7 @@
 
 /// What other nodes observed of one incarnation of a server, with each node counted once.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerEvidence {
+pub struct ServerReport {
     /// Address of the server.
     pub server: ServerId,
     /// Start time of the observed incarnation, as listed, on the host's clock.
--- a/crates/balancer/src/interface/mod.rs
+++ b/crates/balancer/src/interface/mod.rs
@@ -13,10 +13,10 @@
 mod sizes;
 
 pub use actions::Action;
-pub use classes::{Class, Effect, Group, Tenant};
-pub use endpoint_list::{RosterEntry, RosterNews, ServerState};
+pub use classes::{Class, DeduplicationScope, Effect, Tenant};
+pub use endpoint_list::{EndpointEntry, EndpointUpdate, ServerState};
 pub use events::{CacheNote, Event, NewRequest, Outcome, Status};
-pub use fleet::{FleetNews, ServerEvidence, TableEntry};
+pub use fleet::{FleetUpdate, ServerReport, TableEntry};
 pub use identifiers::{AttemptId, ClassId, Key, RequestId, Seconds, ServerId, TenantId, TimerToken};
 pub use settings::{CacheMode, Guarantees, Limits, Membership, Settings, WeightSource};
 pub use settings_error::SettingsError;
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -29,7 +29,7 @@
     },
 }
 
-/// Meaning of [`RosterEntry::weight`](crate::RosterEntry::weight).
+/// Meaning of [`EndpointEntry::weight`](crate::RosterEntry::weight).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
     #[default]
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -14,7 +14,7 @@
 //!     worth: 1.0,
 //!     late_worth: 0.2,
 //!     effect: Effect::Safe,
-//!     group: Group::All,
+//!     group: DeduplicationScope::All,
 //!     window: 0.0,
 //!     streamed: false,
 //! };
@@ -40,13 +40,13 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! let server = RosterEntry {
+//! let server = EndpointEntry {
 //!     server: ServerId("10.0.0.1:8080".into()),
 //!     state: ServerState::Ready,
 //!     weight: 1.0,
-//!     ..RosterEntry::default()
+//!     ..EndpointEntry::default()
 //! };
-//! balancer.handle(0.0, Event::Roster(RosterNews::Full(vec![server.clone()])), &mut actions);
+//! balancer.handle(0.0, Event::Roster(EndpointUpdate::Full(vec![server.clone()])), &mut actions);
 //!
 //! // A request arrives; the balancer asks the host to send it.
 //! let request = NewRequest {
@@ -97,4 +97,4 @@
 pub use balancer::Balancer;
 pub use interface::*;
 pub use key_owner::key_owner;
-pub use settings::Names;
+pub use settings::NameIndex;
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -5,8 +5,8 @@
 use serde_json::{Map, Value};
 
 use crate::interface::{
-    CacheMode, Class, ClassId, Effect, Group, Guarantees, Limits, Membership, Settings, SettingsError,
-    Tenant, TenantId, WeightSource,
+    CacheMode, Class, ClassId, DeduplicationScope, Effect, Guarantees, Limits, Membership, Settings,
+    SettingsError, Tenant, TenantId, WeightSource,
 };
 
 impl Settings {
@@ -21,17 +21,17 @@
 
 /// Maps the names of classes and tenants to their indices in the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameIndex {
     classes: HashMap<String, ClassId>,
     tenants: HashMap<String, TenantId>,
 }
 
-impl Names {
+impl NameIndex {
     /// The names in these settings.
     pub fn of(settings: &Settings) -> Self {
         let classes = settings.classes.iter().enumerate().map(|(i, c)| (c.name.clone(), ClassId(i)));
         let tenants = settings.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), TenantId(i)));
-        Names { classes: classes.collect(), tenants: tenants.collect() }
+        NameIndex { classes: classes.collect(), tenants: tenants.collect() }
     }
 
     /// The class of this name. `None` is handled like the most restrictive class.
@@ -168,13 +168,13 @@
         late_worth: number(from, "late-worth")?.unwrap_or(0.0),
         effect: match text(from, "effect")? {
             Some("free") => Effect::Safe,
-            Some("guarded") => Effect::Keyed,
+            Some("guarded") => Effect::Deduplicated,
             _ => Effect::Unsafe,
         },
         group: match text(from, "group")? {
-            Some("all") => Group::All,
-            Some("zone") => Group::Zone,
-            _ => Group::Cell,
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Cell,
         },
         window: number(from, "key-ttl-s")?.unwrap_or(0.0),
         streamed: boolean(from, "streamed")?.unwrap_or(false),
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub(super) const KEYED: ClassId = ClassId(1);
 pub(super) const UNSAFE: ClassId = ClassId(2);
 
-pub(super) fn class(name: &str, effect: Effect, group: Group) -> Class {
+pub(super) fn class(name: &str, effect: Effect, group: DeduplicationScope) -> Class {
     Class {
         name: name.into(),
         aim: 0.5,
@@ -27,9 +27,9 @@
     Settings {
         balancers: 2,
         classes: vec![
-            class("read", Effect::Safe, Group::All),
-            class("keyed", Effect::Keyed, Group::Zone),
-            class("unsafe", Effect::Unsafe, Group::All),
+            class("read", Effect::Safe, DeduplicationScope::All),
+            class("keyed", Effect::Deduplicated, DeduplicationScope::Zone),
+            class("unsafe", Effect::Unsafe, DeduplicationScope::All),
         ],
         tenants: vec![],
         membership: Membership::Pushed,
@@ -60,8 +60,8 @@
     ServerId(format!("10.0.{}.{}:80", n / 256, n % 256).as_str().into())
 }
 
-pub(super) fn entry(n: u64) -> RosterEntry {
-    RosterEntry {
+pub(super) fn entry(n: u64) -> EndpointEntry {
+    EndpointEntry {
         server: id(n),
         state: ServerState::Ready,
         zone: if n.is_multiple_of(2) { "here" } else { "there" }.into(),
@@ -72,8 +72,8 @@
     }
 }
 
-pub(super) fn origin() -> RosterEntry {
-    RosterEntry { server: id(998), kind: "origin".into(), ..entry(0) }
+pub(super) fn origin() -> EndpointEntry {
+    EndpointEntry { server: id(998), kind: "origin".into(), ..entry(0) }
 }
 
 pub(super) fn read(n: u64, key: u64) -> NewRequest {
@@ -102,9 +102,9 @@
         Node { balancer, now: 100.0, sends: BTreeMap::new(), flush_count: 0 }
     }
 
-    pub(crate) fn with(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
+    pub(crate) fn with(settings: Settings, seed: u64, entries: Vec<EndpointEntry>) -> Self {
         let mut node = Node::new(settings, seed);
-        node.event(Event::Roster(RosterNews::Full(entries)));
+        node.event(Event::Roster(EndpointUpdate::Full(entries)));
         node
     }
 
--- a/crates/balancer/tests/growth.rs
+++ b/crates/balancer/tests/growth.rs
@@ -32,8 +32,9 @@
 fn simulate_minute(node: &mut Node, last_id: &mut u64) {
     for second in 0..60 {
         let first = *last_id / 100;
-        let fleet = (first..first + 8).map(|n| RosterEntry { started: Some(n as f64), ..entry(n) }).collect();
-        node.event(Event::Roster(RosterNews::Full(fleet)));
+        let fleet =
+            (first..first + 8).map(|n| EndpointEntry { started: Some(n as f64), ..entry(n) }).collect();
+        node.event(Event::Roster(EndpointUpdate::Full(fleet)));
         for n in 0..100 {
             *last_id += 1;
             let key = if n % 2 == 0 { *last_id } else { n };
--- a/crates/balancer/tests/ramp/ejected_server_probes.rs
+++ b/crates/balancer/tests/ramp/ejected_server_probes.rs
@@ -19,7 +19,7 @@
 fn node_without_server_one(scenario: &Scenario, seed: u64) -> Node {
     let mut settings = scenario.settings();
     settings.limits.probes = false;
-    let started = |n| RosterEntry { started: (n == 1).then_some(100.0), ..entry(n) };
+    let started = |n| EndpointEntry { started: (n == 1).then_some(100.0), ..entry(n) };
     let mut node = Node::with(settings, seed, (1..=SERVERS).map(started).collect());
     for n in 0..20_000 {
         let first = sent(&node.request(read(n, n)));
--- a/crates/balancer/tests/ramp/simulation.rs
+++ b/crates/balancer/tests/ramp/simulation.rs
@@ -179,9 +179,9 @@
 
     fn send_list(&mut self, node: usize) {
         let entries = (0..self.scenario.servers)
-            .map(|n| RosterEntry { started: self.knows_start(node, n), ..entry(n) });
+            .map(|n| EndpointEntry { started: self.knows_start(node, n), ..entry(n) });
         let entries = entries.collect();
-        self.deliver(node, Event::Roster(RosterNews::Full(entries)));
+        self.deliver(node, Event::Roster(EndpointUpdate::Full(entries)));
     }
 
     /// A client sends a request to a random node; arrivals are Poisson.
--- a/crates/balancer/tests/rules/answers.rs
+++ b/crates/balancer/tests/rules/answers.rs
@@ -25,7 +25,7 @@
 
     let mut node = Node::new(settings(), 1);
     node.request(read(1, 1));
-    let actions = node.event(Event::Roster(RosterNews::Full(fleet(2))));
+    let actions = node.event(Event::Roster(EndpointUpdate::Full(fleet(2))));
     assert_eq!(sent(&actions).len(), 1);
 }
 
--- a/crates/balancer/tests/rules/ejection.rs
+++ b/crates/balancer/tests/rules/ejection.rs
@@ -88,8 +88,8 @@
         node.serve(1000 + n as u64);
     }
     assert!((0..200).all(|n| node.owner(2000 + n, n) != id(1)), "server 1 is ejected");
-    let started = RosterEntry { started: Some(node.now), ..entry(1) };
-    node.event(Event::Roster(RosterNews::Delta(vec![started])));
+    let started = EndpointEntry { started: Some(node.now), ..entry(1) };
+    node.event(Event::Roster(EndpointUpdate::Delta(vec![started])));
     assert!((0..400).any(|n| node.owner(3000 + n, n) == id(1)));
 }
 
--- a/crates/balancer/tests/rules/main.rs
+++ b/crates/balancer/tests/rules/main.rs
@@ -15,9 +15,9 @@
 mod throttling;
 
 use common::entry;
-use hallpin_balancer::RosterEntry;
+use hallpin_balancer::EndpointEntry;
 
 /// The entries of this many servers.
-pub fn fleet(n: u64) -> Vec<RosterEntry> {
+pub fn fleet(n: u64) -> Vec<EndpointEntry> {
     (1..=n).map(entry).collect()
 }
--- a/crates/balancer/tests/rules/origin.rs
+++ b/crates/balancer/tests/rules/origin.rs
@@ -155,7 +155,7 @@
             node.outcome(n, Status::TimedOut, None);
         }
     }
-    node.event(Event::Roster(RosterNews::Delta((1..64).map(entry).collect())));
+    node.event(Event::Roster(EndpointUpdate::Delta((1..64).map(entry).collect())));
     (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count()
 }
 
--- a/crates/balancer/tests/rules/peer_reports.rs
+++ b/crates/balancer/tests/rules/peer_reports.rs
@@ -15,7 +15,7 @@
 
 fn apply_table(node: &mut Node, epoch: u64, version: u64, entries: &[TableEntry]) -> Vec<Action> {
     let entries = entries.to_vec();
-    node.event(Event::Fleet(FleetNews::Table { epoch, version, entries }))
+    node.event(Event::Fleet(FleetUpdate::Table { epoch, version, entries }))
 }
 
 /// Whether each of many keys has the owner that an array of these entries gives it.
@@ -47,10 +47,14 @@
 fn an_unavailable_server_is_skipped_without_a_change_of_the_slot_array() {
     let weights = [(1, 1.0), (2, 0.5), (3, 5.0), (4, f64::NAN), (5, 0.0), (6, 1.5)];
     let all = entries(&weights);
-    let drained = RosterEntry { state: ServerState::Draining, ..entry(3) };
-    let gone = RosterEntry { state: ServerState::Gone, ..entry(3) };
+    let drained = EndpointEntry { state: ServerState::Draining, ..entry(3) };
+    let gone = EndpointEntry { state: ServerState::Gone, ..entry(3) };
     let unknown = fleet(6).into_iter().filter(|e| e.server != id(3)).collect();
-    for news in [RosterNews::Delta(vec![drained]), RosterNews::Delta(vec![gone]), RosterNews::Full(unknown)] {
+    for news in [
+        EndpointUpdate::Delta(vec![drained]),
+        EndpointUpdate::Delta(vec![gone]),
+        EndpointUpdate::Full(unknown),
+    ] {
         let mut node = Node::with(settings(), 1, fleet(6));
         apply_table(&mut node, 1, 1, &all);
         assert!(owners_follow(&mut node, 0, &all));
@@ -62,7 +66,7 @@
                 "key {n} at {owner:?}"
             );
         }
-        node.event(Event::Roster(RosterNews::Full(fleet(6))));
+        node.event(Event::Roster(EndpointUpdate::Full(fleet(6))));
         assert!(owners_follow(&mut node, 2000, &all), "ready again");
     }
 }
@@ -83,7 +87,7 @@
 fn held_requests_are_sent_when_the_table_switches() {
     // In a cold fleet no server takes overflow: a request for which the owner of its key has no capacity is
     // held.
-    let cold = fleet(8).into_iter().map(|e| RosterEntry { started: Some(100.0), ..e }).collect();
+    let cold = fleet(8).into_iter().map(|e| EndpointEntry { started: Some(100.0), ..e }).collect();
     let mut node = Node::with(settings(), 1, cold);
     apply_table(&mut node, 1, 1, &equal_weights(1..=8));
     let keys: Vec<u64> =
@@ -110,8 +114,8 @@
 }
 
 fn apply_report(node: &mut Node, started: Option<Seconds>, silent: u16, answering: u16) {
-    let evidence = ServerEvidence { server: id(1), started, silent, answering, in_flight: 0 };
-    let actions = node.event(Event::Fleet(FleetNews::Servers(vec![evidence])));
+    let evidence = ServerReport { server: id(1), started, silent, answering, in_flight: 0 };
+    let actions = node.event(Event::Fleet(FleetUpdate::Servers(vec![evidence])));
     assert!(actions.is_empty() && node.balancer.members().1 == 0, "reports alone eject no server");
 }
 
@@ -160,7 +164,10 @@
         }),
         ("it has restarted since", false, |n| {
             apply_report(n, Some(50.0), 9, 0);
-            n.event(Event::Roster(RosterNews::Delta(vec![RosterEntry { started: Some(60.0), ..entry(1) }])));
+            n.event(Event::Roster(EndpointUpdate::Delta(vec![EndpointEntry {
+                started: Some(60.0),
+                ..entry(1)
+            }])));
         }),
     ];
     for (description, is_ejected, before) in cases {
--- a/crates/balancer/tests/rules/placement.rs
+++ b/crates/balancer/tests/rules/placement.rs
@@ -7,7 +7,7 @@
 use crate::common::*;
 use crate::fleet;
 
-fn owners(entries: Vec<RosterEntry>, seed: u64) -> Vec<ServerId> {
+fn owners(entries: Vec<EndpointEntry>, seed: u64) -> Vec<ServerId> {
     let mut node = Node::with(settings(), seed, entries);
     (0..2000).map(|n| node.owner(n, n * 7919)).collect()
 }
@@ -104,7 +104,7 @@
 fn servers_of_a_slow_kind_own_fewer_keys_unless_weights_are_nominal() {
     let share_of_slow = |weights| {
         let slow = |n: u64| n.is_multiple_of(2);
-        let kind = |n| RosterEntry { kind: if slow(n) { "b" } else { "a" }.into(), ..entry(n) };
+        let kind = |n| EndpointEntry { kind: if slow(n) { "b" } else { "a" }.into(), ..entry(n) };
         let mut node = Node::with(Settings { weights, ..settings() }, 1, (1..=12).map(kind).collect());
         for n in 0..200 {
             let server = sent(&node.request(read(n, n * 7919)));
--- a/crates/balancer/tests/rules/slow_start.rs
+++ b/crates/balancer/tests/rules/slow_start.rs
@@ -37,7 +37,7 @@
 #[test]
 fn an_expensive_request_is_not_sent_to_a_warming_server() {
     let started = |all: bool| {
-        let cold = move |n| RosterEntry { started: (all || n == 3).then_some(100.0), ..entry(n) };
+        let cold = move |n| EndpointEntry { started: (all || n == 3).then_some(100.0), ..entry(n) };
         let mut node = Node::with(settings(), 1, (1..=8).map(cold).collect());
         for n in 0..50 {
             node.request(NewRequest { work: Some(0.05), ..read(n, n) });
@@ -98,7 +98,7 @@
 
 /// A fleet in which all servers have just started.
 fn all_cold(settings: Settings) -> Node {
-    let cold = |n| RosterEntry { started: Some(100.0), ..entry(n) };
+    let cold = |n| EndpointEntry { started: Some(100.0), ..entry(n) };
     Node::with(settings, 1, (1..=8).map(cold).collect())
 }
 
--- a/crates/baselines/src/boxes.rs
+++ b/crates/baselines/src/boxes.rs
@@ -1,6 +1,6 @@
 //! The boxes as a textbook policy knows them: the list, its own requests in flight, and which it leaves alone.
 
-use hallpin_balancer::{RequestId, RosterEntry, RosterNews, Seconds, ServerId, ServerState};
+use hallpin_balancer::{EndpointEntry, EndpointUpdate, RequestId, Seconds, ServerId, ServerState};
 use hallpin_simulation::policy::{Sight, TrueBox, TruePlanner};
 use rustc_hash::FxHashMap;
 
@@ -10,7 +10,7 @@
 
 #[derive(Default)]
 struct Listed {
-    entry: RosterEntry,
+    entry: EndpointEntry,
     /// Its number in the world, where that can be seen.
     true_at: Option<usize>,
     in_flight: u32,
@@ -30,11 +30,11 @@
 
 impl Boxes {
     /// Takes news of the list; false where they tell nothing.
-    pub(crate) fn listed(&mut self, news: RosterNews, world: &dyn Sight) -> bool {
+    pub(crate) fn listed(&mut self, news: EndpointUpdate, world: &dyn Sight) -> bool {
         let (whole, entries) = match news {
-            RosterNews::Failed => return false,
-            RosterNews::Cached(entries) | RosterNews::Full(entries) => (true, entries),
-            RosterNews::Delta(entries) => (false, entries),
+            EndpointUpdate::Failed => return false,
+            EndpointUpdate::Cached(entries) | EndpointUpdate::Full(entries) => (true, entries),
+            EndpointUpdate::Delta(entries) => (false, entries),
         };
         if whole {
             self.all.iter_mut().for_each(|l| l.entry.state = ServerState::Gone);
--- a/crates/baselines/src/textbook.rs
+++ b/crates/baselines/src/textbook.rs
@@ -66,7 +66,7 @@
         let first = ran.fold(f64::INFINITY, f64::min);
         let may = match class.effect {
             Effect::Safe => true,
-            Effect::Keyed => now + round < first + class.window,
+            Effect::Deduplicated => now + round < first + class.window,
             Effect::Unsafe => first.is_infinite(),
         };
         let left = live.deadline - now - 2.0 * round;
--- a/crates/baselines/src/textbook/tests.rs
+++ b/crates/baselines/src/textbook/tests.rs
@@ -1,6 +1,6 @@
 //! What every textbook policy does, whatever it picks by.
 
-use hallpin_balancer::{RosterEntry, RosterNews, ServerId, ServerState};
+use hallpin_balancer::{EndpointEntry, EndpointUpdate, ServerId, ServerState};
 
 use hallpin_simulation::policy::Blind;
 
@@ -12,12 +12,12 @@
     Settings::from_json(&day.settings(0)).unwrap()
 }
 
-fn fleet(n: usize) -> Vec<RosterEntry> {
-    let entry = |i| RosterEntry {
+fn fleet(n: usize) -> Vec<EndpointEntry> {
+    let entry = |i| EndpointEntry {
         server: ServerId(format!("b{i:02}").into()),
         state: ServerState::Ready,
         weight: 1.0 + (i % 2) as f64,
-        ..RosterEntry::default()
+        ..EndpointEntry::default()
     };
     (0..n).map(entry).collect()
 }
@@ -25,7 +25,7 @@
 fn homes(kind: Kind, n: usize) -> Vec<ServerId> {
     let mut policy = kind.starter()(settings(), 1).unwrap();
     let mut actions = Vec::new();
-    policy.handle(0.0, Event::Roster(RosterNews::Full(fleet(n))), &Blind, &mut actions);
+    policy.handle(0.0, Event::Roster(EndpointUpdate::Full(fleet(n))), &Blind, &mut actions);
     let home = |key: u64| {
         let id = RequestId(key + 1);
         let new = NewRequest {
@@ -67,7 +67,7 @@
     for kind in [Kind::Random, Kind::LeastOfTwo, Kind::Rendezvous, Kind::BoundedLoad, Kind::Maglev] {
         let mut policy = kind.starter()(settings(), 1).unwrap();
         let mut actions = Vec::new();
-        policy.handle(0.0, Event::Roster(RosterNews::Full(fleet(5))), &Blind, &mut actions);
+        policy.handle(0.0, Event::Roster(EndpointUpdate::Full(fleet(5))), &Blind, &mut actions);
         let new = NewRequest {
             id: RequestId(1),
             left: 1.0,
--- a/crates/control-plane/src/counters.rs
+++ b/crates/control-plane/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallpin_membership::envelope::Refused;
+use hallpin_membership::envelope::Rejection;
 
 /// Counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -16,36 +16,36 @@
     /// Payloads dropped because they exceed a datagram or are not for another configured node, which is a bug in a
     /// state machine.
     pub unsendable: u64,
-    refused: BTreeMap<Refused, u64>,
+    refused: BTreeMap<Rejection, u64>,
 }
 
 impl Counters {
     /// Each cause seen so far, with the number of datagrams refused for it.
-    pub fn refused(&self) -> impl Iterator<Item = (Refused, u64)> + '_ {
+    pub fn refused(&self) -> impl Iterator<Item = (Rejection, u64)> + '_ {
         self.refused.iter().map(|(cause, count)| (*cause, *count))
     }
 
     /// Number of datagrams refused for a cause.
-    pub fn refused_for(&self, cause: Refused) -> u64 {
+    pub fn refused_for(&self, cause: Rejection) -> u64 {
         self.refused.get(&cause).copied().unwrap_or(0)
     }
 
-    pub(crate) fn record_refusal(&mut self, cause: Refused) {
+    pub(crate) fn record_refusal(&mut self, cause: Rejection) {
         *self.refused.entry(cause).or_default() += 1;
     }
 }
 
 /// The name of a cause in metrics.
-pub fn cause_name(cause: Refused) -> &'static str {
+pub fn cause_name(cause: Rejection) -> &'static str {
     match cause {
-        Refused::TooLong => "too_long",
-        Refused::Short => "short",
-        Refused::Foreign => "foreign",
-        Refused::Version => "version",
-        Refused::Kind => "kind",
-        Refused::Garbled => "garbled",
-        Refused::Realm => "realm",
-        Refused::Stranger => "stranger",
-        Refused::Payload => "payload",
+        Rejection::TooLong => "too_long",
+        Rejection::Truncated => "short",
+        Rejection::Foreign => "foreign",
+        Rejection::Version => "version",
+        Rejection::Kind => "kind",
+        Rejection::Corrupt => "garbled",
+        Rejection::Realm => "realm",
+        Rejection::UnknownPeer => "stranger",
+        Rejection::Payload => "payload",
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -12,6 +12,6 @@
 mod token_bucket;
 
 pub use counters::Counters;
-pub use datagram_filter::Door;
+pub use datagram_filter::DatagramFilter;
 pub use file::FleetFile;
-pub use plane::{Plane, PlaneNews, PlaneOutput, Rate};
+pub use plane::{Plane, PlaneEvent, PlaneOutput, Rate};
--- a/crates/control-plane/src/plane.rs
+++ b/crates/control-plane/src/plane.rs
@@ -1,13 +1,13 @@
 //! Routes datagrams to the state machines and drives the machines in a fixed order.
 
-use hallpin_membership::envelope::{Envelope, Kind, Refused};
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::envelope::{Envelope, Kind, Rejection};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 use hallpin_membership::view::View;
-use hallpin_membership::{Peers, PeersNews};
+use hallpin_membership::{Peers, PeersEvent};
 
 use crate::counters::Counters;
-use crate::datagram_filter::Door;
+use crate::datagram_filter::DatagramFilter;
 use crate::token_bucket::TokenBucket;
 
 /// Outputs of the plane, to be carried out in order.
@@ -21,14 +21,14 @@
         bytes: Vec<u8>,
     },
     /// An event for the rest of the node.
-    News(PlaneNews<A, B>),
+    News(PlaneEvent<A, B>),
 }
 
 /// An event of one of the state machines; `A` is the event type of accord, `B` that of budgets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlaneNews<A, B> {
+pub enum PlaneEvent<A, B> {
     /// Membership has changed.
-    Peers(PeersNews),
+    Peers(PeersEvent),
     /// The placement table, or this node's lease on it, has changed.
     Accord(A),
     /// This node's allotments or its role as grantor have changed.
@@ -47,7 +47,7 @@
 /// The state machines of one node, which share a datagram format and a membership view: `A` agrees on placement tables,
 /// `B` divides capacities.
 pub struct Plane<A, B> {
-    filter: Door,
+    filter: DatagramFilter,
     rate_limit: TokenBucket,
     counters: Counters,
     peers: Peers,
@@ -59,10 +59,10 @@
     now: Moment,
 }
 
-impl<A: Machine, B: Machine> Plane<A, B> {
+impl<A: StateMachine, B: StateMachine> Plane<A, B> {
     /// A plane with the given state machines. Datagrams for a machine that is off are refused.
     pub fn new(
-        filter: Door,
+        filter: DatagramFilter,
         rate: Rate,
         now: Moment,
         peers: Peers,
@@ -88,7 +88,7 @@
     /// # Errors
     /// Returns the cause for which the datagram was dropped. The refusal has been counted, and nothing else
     /// has changed.
-    pub fn receive(&mut self, now: Moment, sender: Option<NodeId>, datagram: &[u8]) -> Result<(), Refused> {
+    pub fn receive(&mut self, now: Moment, sender: Option<NodeId>, datagram: &[u8]) -> Result<(), Rejection> {
         let now = self.advance_clock(now);
         self.counters.received += 1;
         let result = self.filter.accept(sender, datagram).and_then(|envelope| self.route(now, &envelope));
@@ -99,7 +99,7 @@
         result
     }
 
-    fn route(&mut self, now: Moment, envelope: &Envelope) -> Result<(), Refused> {
+    fn route(&mut self, now: Moment, envelope: &Envelope) -> Result<(), Rejection> {
         let Envelope { kind, from, payload, .. } = envelope;
         match kind {
             Kind::Peers => self.peers.receive(now, *from, payload),
@@ -117,8 +117,8 @@
 
     /// When [`Plane::tick`] must be called next.
     pub fn due(&self) -> Option<Moment> {
-        let of_accord = self.accord.as_ref().and_then(Machine::due);
-        let of_budgets = self.budgets.as_ref().and_then(Machine::due);
+        let of_accord = self.accord.as_ref().and_then(StateMachine::due);
+        let of_budgets = self.budgets.as_ref().and_then(StateMachine::due);
         [self.peers.due(), of_accord, of_budgets].into_iter().flatten().min()
     }
 
@@ -129,13 +129,13 @@
         self.follow_view(now);
         let mut out = Vec::new();
         for output in self.peers.take() {
-            out.extend(self.emit(now, Kind::Peers, output, PlaneNews::Peers));
+            out.extend(self.emit(now, Kind::Peers, output, PlaneEvent::Peers));
         }
-        for output in self.budgets.as_mut().map(Machine::take).unwrap_or_default() {
-            out.extend(self.emit(now, Kind::Budgets, output, PlaneNews::Budgets));
+        for output in self.budgets.as_mut().map(StateMachine::take).unwrap_or_default() {
+            out.extend(self.emit(now, Kind::Budgets, output, PlaneEvent::Budgets));
         }
-        for output in self.accord.as_mut().map(Machine::take).unwrap_or_default() {
-            out.extend(self.emit(now, Kind::Accord, output, PlaneNews::Accord));
+        for output in self.accord.as_mut().map(StateMachine::take).unwrap_or_default() {
+            out.extend(self.emit(now, Kind::Accord, output, PlaneEvent::Accord));
         }
         out
     }
@@ -193,7 +193,7 @@
         now: Moment,
         kind: Kind,
         output: Output<N>,
-        wrap: impl Fn(N) -> PlaneNews<A::News, B::News>,
+        wrap: impl Fn(N) -> PlaneEvent<A::News, B::News>,
     ) -> Option<PlaneOutput<A::News, B::News>> {
         let (to, payload) = match output {
             Output::News(event) => return Some(PlaneOutput::News(wrap(event))),
@@ -214,16 +214,16 @@
 
 /// Passes a payload to its state machine, unless that is off or the payload is from an earlier incarnation of its
 /// sender.
-fn deliver<M: Machine>(
+fn deliver<M: StateMachine>(
     machine: &mut Option<M>,
     now: Moment,
     view: &View,
-    from: Life,
+    from: NodeIncarnation,
     payload: &[u8],
-) -> Result<(), Refused> {
-    let machine = machine.as_mut().ok_or(Refused::Kind)?;
+) -> Result<(), Rejection> {
+    let machine = machine.as_mut().ok_or(Rejection::Kind)?;
     if view.incarnation(from.node).is_some_and(|newest| newest > from.incarnation) {
-        return Err(Refused::Stranger);
+        return Err(Rejection::UnknownPeer);
     }
     machine.receive(now, view, from, payload)
 }
--- a/crates/control-plane/tests/routing.rs
+++ b/crates/control-plane/tests/routing.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use hallpin_control_plane::{Door, Plane, PlaneNews, PlaneOutput, Rate};
-use hallpin_membership::envelope::{Envelope, Kind, Refused, MAX_DATAGRAM, MAX_PAYLOAD};
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_control_plane::{DatagramFilter, Plane, PlaneEvent, PlaneOutput, Rate};
+use hallpin_membership::envelope::{Envelope, Kind, Rejection, MAX_DATAGRAM, MAX_PAYLOAD};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::View;
 use hallpin_membership::{Peers, PeersConfig};
 use proptest::prelude::*;
@@ -17,19 +17,25 @@
 /// error.
 struct RecordingMachine<const KIND: u8> {
     ticks: u32,
-    out: Vec<Output<(Life, u8)>>,
+    out: Vec<Output<(NodeIncarnation, u8)>>,
 }
 
 fn recording_machine<const KIND: u8>() -> RecordingMachine<KIND> {
     RecordingMachine { ticks: 0, out: Vec::new() }
 }
 
-impl<const KIND: u8> Machine for RecordingMachine<KIND> {
-    type News = (Life, u8);
+impl<const KIND: u8> StateMachine for RecordingMachine<KIND> {
+    type News = (NodeIncarnation, u8);
     const KIND: Kind = if KIND == 2 { Kind::Accord } else { Kind::Budgets };
 
-    fn receive(&mut self, _: Moment, _: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
-        let count = *payload.first().filter(|count| **count > 0).ok_or(Refused::Payload)?;
+    fn receive(
+        &mut self,
+        _: Moment,
+        _: &View,
+        from: NodeIncarnation,
+        payload: &[u8],
+    ) -> Result<(), Rejection> {
+        let count = *payload.first().filter(|count| **count > 0).ok_or(Rejection::Payload)?;
         self.out.push(Output::News((from, count)));
         let send = |_| Output::Send { to: NodeId(1), payload: vec![count] };
         self.out.extend((0..count).map(send));
@@ -44,39 +50,39 @@
         None
     }
 
-    fn take(&mut self) -> Vec<Output<(Life, u8)>> {
+    fn take(&mut self) -> Vec<Output<(NodeIncarnation, u8)>> {
         std::mem::take(&mut self.out)
     }
 }
 
 type TestPlane = Plane<RecordingMachine<2>, RecordingMachine<3>>;
 
-fn life(node: u16, incarnation: u64) -> Life {
-    Life { node: NodeId(node), incarnation: Incarnation(incarnation) }
+fn life(node: u16, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId(node), incarnation: Incarnation(incarnation) }
 }
 
 /// Node 0 of three; `accord` and `budgets` say which machines are on.
 fn plane(accord: bool, budgets: bool, rate: Rate) -> TestPlane {
-    let filter = Door { realm: REALM, this: life(0, 9), configured: 3 };
+    let filter = DatagramFilter { realm: REALM, this: life(0, 9), configured: 3 };
     let peers = Peers::new(PeersConfig::new(filter.this, ZoneId(0), 3), 1, NOW, &[]).unwrap();
     Plane::new(filter, rate, NOW, peers, accord.then(recording_machine), budgets.then(recording_machine))
 }
 
 const HIGH_RATE: Rate = Rate { a_second: 1000, burst: 500 };
 
-fn datagram(kind: Kind, from: Life, to: u16, payload: &[u8]) -> Vec<u8> {
+fn datagram(kind: Kind, from: NodeIncarnation, to: u16, payload: &[u8]) -> Vec<u8> {
     let to = NodeId(to);
     Envelope { realm: REALM, kind, from, to, payload: payload.into() }.encode().unwrap()
 }
 
 /// Outputs of accord and budgets: events with the machine's kind, and the number of datagrams.
-fn take_outputs(plane: &mut TestPlane, now: Moment) -> (Vec<(Kind, Life)>, usize) {
+fn take_outputs(plane: &mut TestPlane, now: Moment) -> (Vec<(Kind, NodeIncarnation)>, usize) {
     let (mut news, mut sent) = (Vec::new(), 0);
     for output in plane.take(now) {
         match output {
-            PlaneOutput::News(PlaneNews::Accord((from, _))) => news.push((Kind::Accord, from)),
-            PlaneOutput::News(PlaneNews::Budgets((from, _))) => news.push((Kind::Budgets, from)),
-            PlaneOutput::News(PlaneNews::Peers(_)) => {}
+            PlaneOutput::News(PlaneEvent::Accord((from, _))) => news.push((Kind::Accord, from)),
+            PlaneOutput::News(PlaneEvent::Budgets((from, _))) => news.push((Kind::Budgets, from)),
+            PlaneOutput::News(PlaneEvent::Peers(_)) => {}
             PlaneOutput::Datagram { to, bytes } => {
                 assert!(bytes.len() <= MAX_DATAGRAM && to != NodeId(0));
                 let kind = Envelope::decode(&bytes).unwrap().kind;
@@ -114,19 +120,19 @@
     let from = |node| datagram(Kind::Accord, life(node, 9), 0, &[1]);
     let one = Some(NodeId(1));
     let cases = [
-        (one, other_realm, Refused::Realm),
-        (None, good.clone(), Refused::Stranger),
-        (Some(NodeId(2)), good.clone(), Refused::Stranger),
-        (Some(NodeId(0)), from(0), Refused::Stranger),
-        (Some(NodeId(3)), from(3), Refused::Stranger),
-        (one, datagram(Kind::Accord, life(1, 5), 2, &[1]), Refused::Stranger),
-        (one, datagram(Kind::Accord, life(1, 5), 0, &[0]), Refused::Payload),
-        (one, datagram(Kind::Budgets, life(1, 5), 0, &[1]), Refused::Kind),
-        (one, garbled, Refused::Garbled),
-        (one, newer, Refused::Version),
-        (one, long, Refused::TooLong),
-        (one, good[..9].into(), Refused::Short),
-        (one, vec![0; 100], Refused::Foreign),
+        (one, other_realm, Rejection::Realm),
+        (None, good.clone(), Rejection::UnknownPeer),
+        (Some(NodeId(2)), good.clone(), Rejection::UnknownPeer),
+        (Some(NodeId(0)), from(0), Rejection::UnknownPeer),
+        (Some(NodeId(3)), from(3), Rejection::UnknownPeer),
+        (one, datagram(Kind::Accord, life(1, 5), 2, &[1]), Rejection::UnknownPeer),
+        (one, datagram(Kind::Accord, life(1, 5), 0, &[0]), Rejection::Payload),
+        (one, datagram(Kind::Budgets, life(1, 5), 0, &[1]), Rejection::Kind),
+        (one, garbled, Rejection::Corrupt),
+        (one, newer, Rejection::Version),
+        (one, long, Rejection::TooLong),
+        (one, good[..9].into(), Rejection::Truncated),
+        (one, vec![0; 100], Rejection::Foreign),
     ];
     for (sender, bytes, cause) in cases {
         let mut plane = plane(true, false, HIGH_RATE);
@@ -142,7 +148,7 @@
 fn datagrams_of_an_earlier_incarnation_are_refused_once_a_newer_one_is_known() {
     let mut receiver = plane(true, true, HIGH_RATE);
     let mut restarted = TestPlane::new(
-        Door { realm: REALM, this: life(1, 6), configured: 3 },
+        DatagramFilter { realm: REALM, this: life(1, 6), configured: 3 },
         HIGH_RATE,
         NOW,
         Peers::new(PeersConfig::new(life(1, 6), ZoneId(0), 3), 2, NOW, &[]).unwrap(),
@@ -164,7 +170,7 @@
         }
     }
     assert_eq!(receiver.view().incarnation(NodeId(1)), Some(Incarnation(6)));
-    assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(5)), Err(Refused::Stranger));
+    assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(5)), Err(Rejection::UnknownPeer));
     assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(6)), Ok(()));
 }
 
--- a/crates/leader-lease/src/config.rs
+++ b/crates/leader-lease/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hallpin_membership::names::Life;
+use hallpin_membership::names::NodeIncarnation;
 
 use crate::clock_drift::ClockDrift;
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     /// This node and its incarnation.
-    pub this: Life,
+    pub this: NodeIncarnation,
     /// Number of configured nodes, this one included.
     pub configured: u16,
     /// How long a vote binds. A failed holder keeps the lease from others for this long.
--- a/crates/leader-lease/src/leader_lease.rs
+++ b/crates/leader-lease/src/leader_lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 
 use crate::candidate::{AbandonedBallot, Candidacy, Candidate, HeldLease};
 use crate::config::{ConfigError, LeaseConfig};
@@ -74,7 +74,7 @@
 
     /// Processes a message. `now` must have been read after the message arrived. A message from a node that is not
     /// configured, or with an implausible ballot, changes nothing.
-    pub fn receive(&mut self, now: Moment, from: Life, message: LeaseMessage) {
+    pub fn receive(&mut self, now: Moment, from: NodeIncarnation, message: LeaseMessage) {
         let known_peer = from.node.0 < self.config.configured && from.node != self.config.this.node;
         if !known_peer || !self.is_plausible(message.ballot()) {
             return;
@@ -153,7 +153,7 @@
         ballot <= self.config.this.incarnation.0.saturating_add(MAX_BALLOT_AHEAD)
     }
 
-    fn on_vote_request(&mut self, now: Moment, from: Life, ballot: u64, round: u32, held: bool) {
+    fn on_vote_request(&mut self, now: Moment, from: NodeIncarnation, ballot: u64, round: u32, held: bool) {
         self.candidate.raise(ballot);
         if held {
             self.note_holder(from.node, ballot);
--- a/crates/leader-lease/src/voter.rs
+++ b/crates/leader-lease/src/voter.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hallpin_membership::names::{Life, Moment};
+use hallpin_membership::names::{Moment, NodeIncarnation};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter {
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Vote {
-    candidate: Life,
+    candidate: NodeIncarnation,
     ballot: u64,
     expires_at: Moment,
 }
@@ -29,7 +29,7 @@
 }
 
 impl Voter {
-    pub(crate) fn new(this: Life, silent_until: Moment) -> Self {
+    pub(crate) fn new(this: NodeIncarnation, silent_until: Moment) -> Self {
         Voter { silent_until, highest_voted: this.incarnation.0, current: None }
     }
 
@@ -46,7 +46,7 @@
     pub(crate) fn decide(
         &mut self,
         now: Moment,
-        candidate: Life,
+        candidate: NodeIncarnation,
         ballot: u64,
         promise_length: Duration,
     ) -> VoteDecision {
@@ -66,18 +66,18 @@
     }
 
     /// Withdraws a vote when the incarnation that received it returns it.
-    pub(crate) fn release(&mut self, candidate: Life, ballot: u64) {
+    pub(crate) fn release(&mut self, candidate: NodeIncarnation, ballot: u64) {
         if self.voted_for(candidate, ballot) {
             self.current = None;
         }
     }
 
-    fn voted_for(&self, candidate: Life, ballot: u64) -> bool {
+    fn voted_for(&self, candidate: NodeIncarnation, ballot: u64) -> bool {
         self.current.as_ref().is_some_and(|vote| vote.candidate == candidate && vote.ballot == ballot)
     }
 
     /// Returns the time until which this candidate gets no vote.
-    fn bound_until(&self, candidate: Life) -> Moment {
+    fn bound_until(&self, candidate: NodeIncarnation) -> Moment {
         let other = self.current.as_ref().filter(|vote| vote.candidate != candidate);
         let promised_until = other.map_or(Moment::ZERO, |vote| vote.expires_at);
         self.silent_until.max(promised_until)
--- a/crates/leader-lease/tests/model_check.rs
+++ b/crates/leader-lease/tests/model_check.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hallpin_leader_lease::{Candidacy, ClockDrift, LeaderLease, LeaseConfig, LeaseMessage};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation};
 use stateright::{Checker, Model, Property};
 
 const TERM: Duration = Duration::from_millis(16);
@@ -28,11 +28,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     leases: Vec<LeaderLease>,
-    incarnations: Vec<Life>,
+    incarnations: Vec<NodeIncarnation>,
     time: u64,
     crashes: u8,
     /// Every message ever sent: each may be delivered never, late or several times.
-    sent: BTreeSet<(Life, NodeId, LeaseMessage)>,
+    sent: BTreeSet<(NodeIncarnation, NodeId, LeaseMessage)>,
 }
 
 impl State {
@@ -44,12 +44,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    Deliver(Life, NodeId, LeaseMessage),
+    Deliver(NodeIncarnation, NodeId, LeaseMessage),
     Crash(usize),
 }
 
-fn node_incarnation(node: usize, incarnation: u64) -> Life {
-    Life { node: NodeId(node as u16), incarnation: Incarnation(incarnation) }
+fn node_incarnation(node: usize, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId(node as u16), incarnation: Incarnation(incarnation) }
 }
 
 fn clock(node: usize, time: u64) -> Moment {
@@ -57,11 +57,11 @@
 }
 
 impl Fleet {
-    fn config(&self, this: Life) -> LeaseConfig {
+    fn config(&self, this: NodeIncarnation) -> LeaseConfig {
         LeaseConfig { this, configured: 3, term: TERM, drift_ppm: self.drift_ppm }
     }
 
-    fn start(&self, this: Life, at: Moment) -> LeaderLease {
+    fn start(&self, this: NodeIncarnation, at: Moment) -> LeaderLease {
         let mut lease = LeaderLease::new(self.config(this), at, this.incarnation.0).expect("valid settings");
         lease.set_candidacy(Candidacy::standing_if(this.node.0 == 0));
         lease
@@ -79,7 +79,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let incarnations: Vec<Life> = [300, 1, 600]
+        let incarnations: Vec<NodeIncarnation> = [300, 1, 600]
             .iter()
             .enumerate()
             .map(|(node, &started)| node_incarnation(node, started))
--- a/crates/leader-lease/tests/virtual_time.rs
+++ b/crates/leader-lease/tests/virtual_time.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hallpin_leader_lease::{Candidacy, LeaderLease, LeaseConfig, LeaseMessage};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -14,7 +14,7 @@
 
 struct Node {
     lease: LeaderLease,
-    node_incarnation: Life,
+    node_incarnation: NodeIncarnation,
     /// Nanoseconds that the node's clock advances per millisecond of true time, and when the node started.
     clock_rate: u64,
     started_at: u64,
@@ -25,7 +25,7 @@
     nodes: Vec<Node>,
     now: u64,
     sequence: u64,
-    in_flight: BTreeMap<(u64, u64), (Life, usize, LeaseMessage)>,
+    in_flight: BTreeMap<(u64, u64), (NodeIncarnation, usize, LeaseMessage)>,
     rng: Pcg64Mcg,
     loss: f64,
     late_share: f64,
@@ -38,8 +38,10 @@
 }
 
 fn start(node: usize, count: usize, drift: u32, now: u64, rng: &mut Pcg64Mcg) -> Node {
-    let node_incarnation =
-        Life { node: NodeId(node as u16), incarnation: Incarnation(1_000_000 + now / NANOS_PER_MS) };
+    let node_incarnation = NodeIncarnation {
+        node: NodeId(node as u16),
+        incarnation: Incarnation(1_000_000 + now / NANOS_PER_MS),
+    };
     let config =
         LeaseConfig { this: node_incarnation, configured: count as u16, term: TERM, drift_ppm: drift };
     let clock_rate = if rng.random() { 1_000_000 - u64::from(drift) } else { 1_000_000 + u64::from(drift) };
@@ -212,8 +214,8 @@
     assert!(postcard::to_stdvec(&max).unwrap().len() <= 41);
     let mut node = start(0, 3, 0, 0, &mut Pcg64Mcg::seed_from_u64(0));
     let before = node.lease.clone();
-    let stranger = Life { node: NodeId(3), incarnation: Incarnation(1) };
-    let peer = Life { node: NodeId(1), incarnation: Incarnation(1) };
+    let stranger = NodeIncarnation { node: NodeId(3), incarnation: Incarnation(1) };
+    let peer = NodeIncarnation { node: NodeId(1), incarnation: Incarnation(1) };
     node.lease.receive(
         TERM * 2,
         stranger,
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use crate::names::{Life, ZoneId};
+use crate::names::{NodeIncarnation, ZoneId};
 
 /// Settings of one node's [`Peers`](crate::Peers).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeersConfig {
     /// This node and its incarnation.
-    pub this: Life,
+    pub this: NodeIncarnation,
     /// The zone in which this node runs.
     pub zone: ZoneId,
     /// Number of nodes that the configuration lists, this one included.
@@ -120,7 +120,7 @@
 
 impl PeersConfig {
     /// Creates a configuration with the default durations and limits.
-    pub fn new(this: Life, zone: ZoneId, configured: u16) -> Self {
+    pub fn new(this: NodeIncarnation, zone: ZoneId, configured: u16) -> Self {
         PeersConfig { this, zone, configured, timing: Timing::default(), bounds: Bounds::default() }
     }
 
--- a/crates/membership/src/digest/own_facts.rs
+++ b/crates/membership/src/digest/own_facts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::facts::{BoxLife, Observation, OwnFact};
+use crate::facts::{BoxIncarnation, Observation, OwnObservation};
 use crate::message::Report;
 use crate::names::Moment;
 
@@ -48,7 +48,7 @@
     /// Counts an observation, and returns whether it changed how the box appears. Observations of an earlier
     /// incarnation of a box are dropped; one of a newer incarnation starts from zero. A change is sent in
     /// `retransmit_limit` gossip datagrams.
-    pub fn observe(&mut self, now: Moment, fact: OwnFact, retransmit_limit: u8) -> bool {
+    pub fn observe(&mut self, now: Moment, fact: OwnObservation, retransmit_limit: u8) -> bool {
         let held = self.boxes.get(&fact.of.id);
         if held.is_some_and(|held| held.started_unix_ms > fact.of.started_unix_ms) {
             return false;
@@ -148,7 +148,7 @@
     }
 }
 
-fn new_record(now: Moment, of: BoxLife) -> BoxRecord {
+fn new_record(now: Moment, of: BoxIncarnation) -> BoxRecord {
     let started_unix_ms = of.started_unix_ms;
     BoxRecord {
         started_unix_ms,
--- a/crates/membership/src/digest/peer_facts.rs
+++ b/crates/membership/src/digest/peer_facts.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::facts::{BoxEvidence, BoxLife, Observation, PeerFact};
+use crate::facts::{BoxEvidence, BoxIncarnation, Observation, PeerFact};
 use crate::message::Report;
-use crate::names::{Incarnation, Life, Moment, NodeId};
+use crate::names::{Incarnation, Moment, NodeId, NodeIncarnation};
 
 #[derive(Clone, Debug)]
 pub(crate) struct PeerFacts {
@@ -40,7 +40,7 @@
 
     /// Accepts a report about a box if it is the reporter's newest: by the reporter's incarnation, then by its sequence
     /// number.
-    pub fn accept(&mut self, now: Moment, from: Life, report: &Report) {
+    pub fn accept(&mut self, now: Moment, from: NodeIncarnation, report: &Report) {
         let Some(remaining) = self.recent.checked_sub(Duration::from_millis(report.age_ms.into())) else {
             return;
         };
@@ -59,7 +59,7 @@
                 reporter.boxes.iter().min_by_key(|(id, entry)| (entry.expires_at, **id)).map(|(id, _)| *id);
             oldest.and_then(|oldest| reporter.boxes.remove(&oldest));
         }
-        let of = BoxLife { id, started_unix_ms: report.started_unix_ms };
+        let of = BoxIncarnation { id, started_unix_ms: report.started_unix_ms };
         let observation = Observation::of(report.answered.into(), report.silent.into());
         let fact = PeerFact { by: from.node, of, observation, in_flight: report.in_flight };
         let entry = PeerEntry { fact, seq: report.seq, expires_at: now + remaining };
@@ -73,7 +73,7 @@
     }
 
     /// Drops the reports of an earlier incarnation of a node.
-    pub fn drop_older_incarnations(&mut self, current: Life) {
+    pub fn drop_older_incarnations(&mut self, current: NodeIncarnation) {
         if self.reporters.get(&current.node).is_some_and(|held| held.incarnation < current.incarnation) {
             self.reporters.remove(&current.node);
             self.dirty = true;
@@ -115,14 +115,16 @@
             let newest = own(id).max(started.get(1).copied()).unwrap_or(0);
             started.dedup();
             let incarnations = started.into_iter().filter(|started| *started >= newest);
-            out.extend(incarnations.map(|started_unix_ms| merge(BoxLife { id, started_unix_ms }, &facts)));
+            out.extend(
+                incarnations.map(|started_unix_ms| merge(BoxIncarnation { id, started_unix_ms }, &facts)),
+            );
         }
         out
     }
 }
 
 /// Merges the facts about one incarnation of a box. Each reporter occurs in `facts` once, so it counts once.
-fn merge(of: BoxLife, facts: &[PeerFact]) -> BoxEvidence {
+fn merge(of: BoxIncarnation, facts: &[PeerFact]) -> BoxEvidence {
     let mut out = BoxEvidence { of, silent: 0, answering: 0, in_flight: 0 };
     for fact in facts.iter().filter(|fact| fact.of == of) {
         match fact.observation {
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -3,7 +3,7 @@
 //! 28 bytes of header, big-endian: magic `HP` (2), version (1), kind (1), realm (4), sender (2), receiver (2), the
 //! sender's incarnation (8), payload length (2), reserved 0 (2), CRC-32 of all else (4). A payload follows.
 
-use crate::names::{Incarnation, Life, NodeId};
+use crate::names::{Incarnation, NodeId, NodeIncarnation};
 
 /// Greatest length of a datagram in bytes, header included; the deployment's protocol forbids longer ones.
 pub const MAX_DATAGRAM: usize = 256;
@@ -37,7 +37,7 @@
     /// The state machine that the payload is for.
     pub kind: Kind,
     /// The sending node and its incarnation.
-    pub from: Life,
+    pub from: NodeIncarnation,
     /// The node that the datagram is addressed to.
     pub to: NodeId,
     /// Payload in the format of that state machine; at most [`MAX_PAYLOAD`] bytes.
@@ -46,13 +46,13 @@
 
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
-pub enum Refused {
+pub enum Rejection {
     /// It is longer than [`MAX_DATAGRAM`].
     #[error("longer than {MAX_DATAGRAM} bytes")]
     TooLong,
     /// It is shorter than a header, or its payload has another length than the header states.
     #[error("cut short")]
-    Short,
+    Truncated,
     /// It does not start with this protocol's magic bytes.
     #[error("not a datagram of this program")]
     Foreign,
@@ -64,13 +64,13 @@
     Kind,
     /// The checksum does not match, or the reserved bytes are not 0.
     #[error("garbled")]
-    Garbled,
+    Corrupt,
     /// It is for another federation.
     #[error("of another realm")]
     Realm,
     /// It is not for this node, or not from a node of the federation.
     #[error("from or for no peer")]
-    Stranger,
+    UnknownPeer,
     /// The payload cannot be decoded as its kind.
     #[error("with a payload that does not read")]
     Payload,
@@ -111,33 +111,33 @@
     ///
     /// # Errors
     /// Returns why the datagram must be dropped. Nothing of a rejected datagram may be used.
-    pub fn decode(datagram: &[u8]) -> Result<Self, Refused> {
+    pub fn decode(datagram: &[u8]) -> Result<Self, Rejection> {
         if datagram.len() > MAX_DATAGRAM {
-            return Err(Refused::TooLong);
+            return Err(Rejection::TooLong);
         }
-        let (header, payload) = datagram.split_at_checked(HEADER).ok_or(Refused::Short)?;
+        let (header, payload) = datagram.split_at_checked(HEADER).ok_or(Rejection::Truncated)?;
         if header[..2] != MAGIC {
-            return Err(Refused::Foreign);
+            return Err(Rejection::Foreign);
         }
         if header[2] != VERSION {
-            return Err(Refused::Version);
+            return Err(Rejection::Version);
         }
         if checksum(datagram) != u32::from_be_bytes(take(header, CRC_AT)) || header[22..24] != [0; 2] {
-            return Err(Refused::Garbled);
+            return Err(Rejection::Corrupt);
         }
         if usize::from(u16::from_be_bytes(take(header, 20))) != payload.len() {
-            return Err(Refused::Short);
+            return Err(Rejection::Truncated);
         }
         let kind = match header[3] {
             1 => Kind::Peers,
             2 => Kind::Accord,
             3 => Kind::Budgets,
-            _ => return Err(Refused::Kind),
+            _ => return Err(Rejection::Kind),
         };
         Ok(Envelope {
             realm: u32::from_be_bytes(take(header, 4)),
             kind,
-            from: Life {
+            from: NodeIncarnation {
                 node: NodeId(u16::from_be_bytes(take(header, 8))),
                 incarnation: Incarnation(u64::from_be_bytes(take(header, 12))),
             },
@@ -165,7 +165,7 @@
     use super::*;
 
     fn envelope(payload: Vec<u8>) -> Envelope {
-        let from = Life { node: NodeId(7), incarnation: Incarnation(1 << 40) };
+        let from = NodeIncarnation { node: NodeId(7), incarnation: Incarnation(1 << 40) };
         Envelope { realm: 0xfeed, kind: Kind::Accord, from, to: NodeId(2), payload }
     }
 
@@ -191,6 +191,6 @@
         for length in 0..bytes.len() {
             assert!(Envelope::decode(&bytes[..length]).is_err(), "{length} bytes");
         }
-        assert_eq!(Envelope::decode(&[0; MAX_DATAGRAM + 1]), Err(Refused::TooLong));
+        assert_eq!(Envelope::decode(&[0; MAX_DATAGRAM + 1]), Err(Rejection::TooLong));
     }
 }
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -5,7 +5,7 @@
 
 /// One incarnation of one box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct BoxLife {
+pub struct BoxIncarnation {
     /// Hash of the box's id in the endpoint list.
     pub id: u64,
     /// Start time according to the list, in milliseconds since 1970.
@@ -14,9 +14,9 @@
 
 /// What this node observed of a box since its last observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnFact {
+pub struct OwnObservation {
     /// The box.
-    pub of: BoxLife,
+    pub of: BoxIncarnation,
     /// Attempts that were answered since the last fact.
     pub answered: u32,
     /// Attempts that were not answered in time since the last fact.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoxEvidence {
     /// The box.
-    pub of: BoxLife,
+    pub of: BoxIncarnation,
     /// Number of distinct peers that recently got no answer from the box at all.
     pub silent: u16,
     /// Number of distinct peers that the box recently answered.
@@ -41,7 +41,7 @@
 
 /// An event for the rest of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeersNews {
+pub enum PeersEvent {
     /// [`Peers::view`](crate::Peers::view) has changed.
     View,
     /// [`Peers::evidence`](crate::Peers::evidence) has changed.
@@ -55,7 +55,7 @@
 pub(crate) struct PeerFact {
     /// The reporting peer, which is always the sender of the datagram.
     pub by: NodeId,
-    pub of: BoxLife,
+    pub of: BoxIncarnation,
     pub observation: Observation,
     pub in_flight: u16,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -18,5 +18,5 @@
 pub mod view;
 
 pub use config::{Bounds, ConfigError, PeersConfig, Timing};
-pub use facts::{BoxEvidence, BoxLife, OwnFact, PeersNews};
+pub use facts::{BoxEvidence, BoxIncarnation, OwnObservation, PeersEvent};
 pub use peers::Peers;
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,8 +1,8 @@
 //! The interface of the state machines that talk to other nodes: payloads, time and the view go in, payloads and events
 //! come out.
 
-use crate::envelope::{Kind, Refused};
-use crate::names::{Life, Moment, NodeId};
+use crate::envelope::{Kind, Rejection};
+use crate::names::{Moment, NodeId, NodeIncarnation};
 use crate::view::View;
 
 /// An output of a state machine, in order.
@@ -21,23 +21,29 @@
 
 /// A state machine that reads the view and exchanges payloads of one kind. It has no clock: `now` never decreases from
 /// call to call, and every decision follows from the arguments alone.
-pub trait Machine {
+pub trait StateMachine {
     /// Type of its events for the rest of the node.
     type News;
 
     /// Kind of the payloads that it receives.
     const KIND: Kind;
 
-    /// Processes a payload from any sender that claims to be `from`. Outputs are queued for [`Machine::take`].
+    /// Processes a payload from any sender that claims to be `from`. Outputs are queued for [`StateMachine::take`].
     ///
     /// # Errors
-    /// [`Refused::Payload`] or [`Refused::Stranger`]; then nothing has changed.
-    fn receive(&mut self, now: Moment, view: &View, from: Life, payload: &[u8]) -> Result<(), Refused>;
-
-    /// Advances time. Must be called when [`Machine::due`] is reached, and may be called at any time.
+    /// [`Rejection::Payload`] or [`Rejection::UnknownPeer`]; then nothing has changed.
+    fn receive(
+        &mut self,
+        now: Moment,
+        view: &View,
+        from: NodeIncarnation,
+        payload: &[u8],
+    ) -> Result<(), Rejection>;
+
+    /// Advances time. Must be called when [`StateMachine::due`] is reached, and may be called at any time.
     fn tick(&mut self, now: Moment, view: &View);
 
-    /// Returns when [`Machine::tick`] is next needed.
+    /// Returns when [`StateMachine::tick`] is next needed.
     fn due(&self) -> Option<Moment>;
 
     /// Takes the outputs since the last call, in order.
--- a/crates/membership/src/membership/merge.rs
+++ b/crates/membership/src/membership/merge.rs
@@ -6,12 +6,12 @@
 
 use crate::membership::table::{Effect, MemberDetail, RumorKind, Table, MAX_REFUTATION_LEAD};
 use crate::message::{Claim, ClaimedState, SenderInfo};
-use crate::names::{Life, Moment, NodeId};
+use crate::names::{Moment, NodeId, NodeIncarnation};
 use crate::view::MemberState;
 
 impl Table {
     /// Applies what a node says about itself in its own datagram.
-    pub fn apply_direct(&mut self, now: Moment, from: Life, sender: &SenderInfo) -> Effect {
+    pub fn apply_direct(&mut self, now: Moment, from: NodeIncarnation, sender: &SenderInfo) -> Effect {
         let held = self.view.members.get(&from.node).copied().zip(self.details.get(&from.node).copied());
         let state = if sender.leaving { MemberState::Left } else { MemberState::Alive };
         let details = MemberDetail {
@@ -126,7 +126,7 @@
     }
 
     fn add_hint(&mut self, now: Moment, claim: &Claim, source: NodeId) -> Effect {
-        let node_incarnation = Life { node: claim.node, incarnation: claim.incarnation };
+        let node_incarnation = NodeIncarnation { node: claim.node, incarnation: claim.incarnation };
         let refutations = claim.refutations;
         let details = MemberDetail {
             refutations,
@@ -164,7 +164,7 @@
         };
         self.upsert(
             now,
-            Life { node: claim.node, incarnation: claim.incarnation },
+            NodeIncarnation { node: claim.node, incarnation: claim.incarnation },
             claim.zone,
             state,
             details,
--- a/crates/membership/src/membership/model.rs
+++ b/crates/membership/src/membership/model.rs
@@ -10,7 +10,7 @@
 
 use crate::membership::table::{Effect, MemberDetail, Table};
 use crate::message::{Claim, ClaimedState, SenderInfo};
-use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use crate::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use crate::view::MemberState;
 
 const NODES: [NodeId; 3] = [NodeId(0), NodeId(1), NodeId(2)];
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Datagram {
     to: NodeId,
-    from: Life,
+    from: NodeIncarnation,
     refutations: u32,
     claim: Option<Claim>,
 }
@@ -112,7 +112,7 @@
 }
 
 fn started(node: NodeId, incarnation: u64) -> Table {
-    Table::new(Life { node, incarnation: Incarnation(incarnation) }, ZoneId(node.0 / 2), 3, NOW)
+    Table::new(NodeIncarnation { node, incarnation: Incarnation(incarnation) }, ZoneId(node.0 / 2), 3, NOW)
 }
 
 impl Model for Federation {
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::message::{Claim, ClaimedState};
-use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use crate::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use crate::view::{Member, MemberState, View};
 
 /// Greatest number of refutations by which a claim may be ahead, so that one false claim cannot exhaust the counter.
@@ -58,7 +58,7 @@
 }
 
 impl Table {
-    pub fn new(this: Life, zone: ZoneId, configured: u16, now: Moment) -> Self {
+    pub fn new(this: NodeIncarnation, zone: ZoneId, configured: u16, now: Moment) -> Self {
         let own =
             MemberDetail { refutations: 0, confirmed: true, source: None, last_heard_at: None, rumor: None };
         Table {
@@ -100,7 +100,7 @@
             MemberState::Dead => ClaimedState::Dead,
             MemberState::Left => ClaimedState::Left,
         };
-        let Life { node, incarnation } = member.life;
+        let NodeIncarnation { node, incarnation } = member.life;
         let claim = Claim { node, incarnation, refutations: details.refutations, zone: member.zone, state };
         details.confirmed.then_some(claim)
     }
@@ -190,7 +190,7 @@
     pub(super) fn upsert(
         &mut self,
         now: Moment,
-        node_incarnation: Life,
+        node_incarnation: NodeIncarnation,
         zone: ZoneId,
         state: MemberState,
         details: MemberDetail,
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::envelope::{Refused, MAX_PAYLOAD};
+use crate::envelope::{Rejection, MAX_PAYLOAD};
 use crate::names::{Incarnation, NodeId, ZoneId};
 
 /// A decoded payload.
@@ -111,11 +111,11 @@
 impl Message {
     /// Decodes a payload from any sender. A payload that cannot be read to its end, or that names nodes that are not
     /// configured, is rejected as a whole.
-    pub fn decode(payload: &[u8], configured: u16) -> Result<Message, Refused> {
+    pub fn decode(payload: &[u8], configured: u16) -> Result<Message, Rejection> {
         if payload.len() > MAX_PAYLOAD {
-            return Err(Refused::Payload);
+            return Err(Rejection::Payload);
         }
-        let read = |_| Refused::Payload;
+        let read = |_| Rejection::Payload;
         let (sender, rest) = postcard::take_from_bytes::<SenderInfo>(payload).map_err(read)?;
         let (purpose, mut rest) = postcard::take_from_bytes::<Purpose>(rest).map_err(read)?;
         let mut items = Vec::new();
@@ -126,7 +126,7 @@
         }
         let message = Message { sender, purpose, items };
         let listed = message.nodes().all(|node| node.0 < configured);
-        listed.then_some(message).ok_or(Refused::Payload)
+        listed.then_some(message).ok_or(Rejection::Payload)
     }
 
     fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
--- a/crates/membership/src/names.rs
+++ b/crates/membership/src/names.rs
@@ -23,7 +23,7 @@
 
 /// One incarnation of one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct NodeIncarnation {
     /// The node.
     pub node: NodeId,
     /// The start of its process.
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -13,7 +13,7 @@
 use crate::config::{ConfigError, PeersConfig};
 use crate::digest::own_facts::OwnFacts;
 use crate::digest::peer_facts::PeerFacts;
-use crate::facts::{BoxEvidence, OwnFact, PeersNews};
+use crate::facts::{BoxEvidence, OwnObservation, PeersEvent};
 use crate::machine::Output;
 use crate::membership::awareness::Awareness;
 use crate::membership::gossip::Gossip;
@@ -22,7 +22,7 @@
 use crate::membership::search::MissingNodeSearch;
 use crate::membership::suspicion::Suspicions;
 use crate::membership::table::Table;
-use crate::names::{Life, Moment, NodeId};
+use crate::names::{Moment, NodeId, NodeIncarnation};
 use crate::rate::TokenBucket;
 use crate::view::View;
 
@@ -55,7 +55,7 @@
     send_limiter: TokenBucket,
     answer_limiters: BTreeMap<NodeId, TokenBucket>,
     reported_version: u64,
-    outputs: Vec<Output<PeersNews>>,
+    outputs: Vec<Output<PeersEvent>>,
 }
 
 /// Greatest number of nodes that are sent a changed observation of a box at once.
@@ -78,7 +78,12 @@
     ///
     /// # Errors
     /// Names the setting that the protocol cannot work with.
-    pub fn new(config: PeersConfig, seed: u64, now: Moment, known: &[Life]) -> Result<Peers, ConfigError> {
+    pub fn new(
+        config: PeersConfig,
+        seed: u64,
+        now: Moment,
+        known: &[NodeIncarnation],
+    ) -> Result<Peers, ConfigError> {
         config.check()?;
         let (timing, bounds) = (&config.timing, &config.bounds);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -118,12 +123,12 @@
     }
 
     /// Takes the outputs since the last call, in order.
-    pub fn take(&mut self) -> Vec<Output<PeersNews>> {
+    pub fn take(&mut self) -> Vec<Output<PeersEvent>> {
         std::mem::take(&mut self.outputs)
     }
 
     /// Records an own observation of a box. It is sent to peers, and never mixed with their reports.
-    pub fn observe(&mut self, now: Moment, fact: OwnFact) {
+    pub fn observe(&mut self, now: Moment, fact: OwnObservation) {
         let others = self.table.active().take(MAX_INITIAL_TARGETS).count() as u8;
         let retransmit_limit = self.retransmit_limit().max(others);
         if self.own_facts.observe(now, fact, retransmit_limit) {
@@ -168,10 +173,10 @@
     fn emit_events(&mut self) {
         if self.reported_version != self.table.view.version {
             self.reported_version = self.table.view.version;
-            self.outputs.push(Output::News(PeersNews::View));
+            self.outputs.push(Output::News(PeersEvent::View));
         }
         if std::mem::take(&mut self.peer_facts.dirty) {
-            self.outputs.push(Output::News(PeersNews::Evidence));
+            self.outputs.push(Output::News(PeersEvent::Evidence));
         }
     }
 }
--- a/crates/membership/src/peers/receive.rs
+++ b/crates/membership/src/peers/receive.rs
@@ -4,27 +4,27 @@
 
 use super::send::Urgency;
 use super::{Peers, Relay};
-use crate::envelope::Refused;
+use crate::envelope::Rejection;
 use crate::machine::Output;
 use crate::membership::table::Effect;
 use crate::message::{Claim, ClaimedState, Item, Message, Purpose};
-use crate::names::{Life, Moment, NodeId};
+use crate::names::{Moment, NodeId, NodeIncarnation};
 use crate::view::MemberState;
-use crate::PeersNews;
+use crate::PeersEvent;
 
 impl Peers {
     /// Processes a payload from any sender that claims to be `from`.
     ///
     /// # Errors
-    /// [`Refused::Stranger`] from a node that is not configured, from this node, or from an earlier incarnation of a
-    /// node; [`Refused::Payload`] if the payload cannot be decoded. Then nothing has changed.
-    pub fn receive(&mut self, now: Moment, from: Life, payload: &[u8]) -> Result<(), Refused> {
+    /// [`Rejection::UnknownPeer`] from a node that is not configured, from this node, or from an earlier incarnation of a
+    /// node; [`Rejection::Payload`] if the payload cannot be decoded. Then nothing has changed.
+    pub fn receive(&mut self, now: Moment, from: NodeIncarnation, payload: &[u8]) -> Result<(), Rejection> {
         if from.node.0 >= self.config.configured || from.node == self.config.this.node {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownPeer);
         }
         let message = Message::decode(payload, self.config.configured)?;
         match self.table.apply_direct(now, from, &message.sender) {
-            Effect::Stale => return Err(Refused::Stranger),
+            Effect::Stale => return Err(Rejection::UnknownPeer),
             effect => self.apply_effect(now, from.node, effect),
         }
         self.peer_facts.drop_older_incarnations(from);
@@ -54,7 +54,7 @@
         let cut_off = self.config.configured > 1 && silent >= self.config.timing.heard_within;
         if cut_off != self.table.view.cut_off {
             self.table.set_cut_off(cut_off);
-            self.outputs.push(Output::News(PeersNews::CutOff(cut_off)));
+            self.outputs.push(Output::News(PeersEvent::CutOff(cut_off)));
         }
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use crate::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 
 /// State of a node in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The newest known incarnation of the node.
-    pub life: Life,
+    pub life: NodeIncarnation,
     /// The zone in which the node runs.
     pub zone: ZoneId,
     /// Its state.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// The viewing node.
-    pub this: Life,
+    pub this: NodeIncarnation,
     /// The zone in which the viewing node runs.
     pub zone: ZoneId,
     /// Number of nodes in the federation's configuration, this one included; the same at every node.
@@ -51,7 +51,7 @@
 
 impl View {
     /// Creates the view of a node that has heard no other node yet.
-    pub fn alone(this: Life, zone: ZoneId, configured: u16, now: Moment) -> Self {
+    pub fn alone(this: NodeIncarnation, zone: ZoneId, configured: u16, now: Moment) -> Self {
         let member = Member { life: this, zone, state: MemberState::Alive, since: now };
         let members = BTreeMap::from([(this.node, member)]);
         View { this, zone, configured, members, cut_off: false, version: 0 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -7,9 +7,9 @@
 
 use hallpin_membership::envelope::{Envelope, Kind};
 use hallpin_membership::machine::Output;
-use hallpin_membership::names::{Incarnation, Life, NodeId, ZoneId};
+use hallpin_membership::names::{Incarnation, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::MemberState;
-use hallpin_membership::{BoxLife, OwnFact, Peers, PeersConfig, PeersNews};
+use hallpin_membership::{BoxIncarnation, OwnObservation, Peers, PeersConfig, PeersEvent};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -17,16 +17,16 @@
     Duration::from_millis(ms)
 }
 
-pub fn node_incarnation(node: u16, incarnation: u64) -> Life {
-    Life { node: NodeId(node), incarnation: Incarnation(incarnation) }
+pub fn node_incarnation(node: u16, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId(node), incarnation: Incarnation(incarnation) }
 }
 
 pub fn config(node: u16, incarnation: u64, configured: u16) -> PeersConfig {
     PeersConfig::new(node_incarnation(node, incarnation), ZoneId(node % 3), configured)
 }
 
-pub fn fact(id: u64, started_unix_ms: u64, answered: u32, silent: u32, in_flight: u32) -> OwnFact {
-    OwnFact { of: BoxLife { id, started_unix_ms }, answered, silent, in_flight }
+pub fn fact(id: u64, started_unix_ms: u64, answered: u32, silent: u32, in_flight: u32) -> OwnObservation {
+    OwnObservation { of: BoxIncarnation { id, started_unix_ms }, answered, silent, in_flight }
 }
 
 pub struct Node {
@@ -35,7 +35,7 @@
     due: Option<Duration>,
     pub paused: bool,
     waiting: Vec<Vec<u8>>,
-    pub events: Vec<(Duration, PeersNews)>,
+    pub events: Vec<(Duration, PeersEvent)>,
 }
 
 pub struct World {
@@ -156,7 +156,7 @@
 
     /// Returns whether every running node sees exactly the running nodes alive, in their current incarnations.
     pub fn all_agree(&self) -> bool {
-        let truth: Vec<Life> = self.nodes.values().map(|node| node.peers.view().this).collect();
+        let truth: Vec<NodeIncarnation> = self.nodes.values().map(|node| node.peers.view().this).collect();
         self.nodes
             .values()
             .all(|node| node.peers.view().alive().map(|member| member.life).eq(truth.iter().copied()))
@@ -231,7 +231,7 @@
         }
     }
 
-    fn send(&mut self, from: Life, to: NodeId, payload: Vec<u8>) {
+    fn send(&mut self, from: NodeIncarnation, to: NodeId, payload: Vec<u8>) {
         assert!(to != from.node);
         let datagram = Envelope { realm: 7, kind: Kind::Peers, from, to, payload }.encode().unwrap();
         *self.sent.entry(from.node.0).or_default() += 1;
--- a/crates/membership/tests/digests.rs
+++ b/crates/membership/tests/digests.rs
@@ -6,9 +6,9 @@
 use common::{config, fact, ms, node_incarnation, World};
 use hallpin_membership::machine::Output;
 use hallpin_membership::names::NodeId;
-use hallpin_membership::{BoxEvidence, BoxLife, Peers};
+use hallpin_membership::{BoxEvidence, BoxIncarnation, Peers};
 
-const BOX: BoxLife = BoxLife { id: 0xb0c5, started_unix_ms: 1000 };
+const BOX: BoxIncarnation = BoxIncarnation { id: 0xb0c5, started_unix_ms: 1000 };
 
 /// Returns the payloads that a node sends to node 0 while it observes a box.
 fn payloads(node: u16, incarnation: u64, facts: &[(u64, (u32, u32, u32))]) -> Vec<Vec<u8>> {
@@ -82,7 +82,8 @@
     world.call(4, |peers, now| peers.observe(now, fact(BOX.id, u64::MAX, 1, 0, 0)));
     world.run(ms(700));
     let merged = world.call(0, |peers, now| peers.evidence(now));
-    let of_box = |of: BoxLife| merged.iter().find(|evidence| evidence.of == of).map(|found| found.silent);
+    let of_box =
+        |of: BoxIncarnation| merged.iter().find(|evidence| evidence.of == of).map(|found| found.silent);
     assert_eq!(of_box(BOX), Some(3), "{merged:?}");
 }
 
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{config, ms, node_incarnation, World};
-use hallpin_membership::envelope::{Envelope, Refused, MAX_PAYLOAD};
+use hallpin_membership::envelope::{Envelope, Rejection, MAX_PAYLOAD};
 use hallpin_membership::view::MemberState;
 use hallpin_membership::Peers;
 use proptest::prelude::*;
@@ -55,15 +55,15 @@
     let view = world.peers(0).view().clone();
     let good = gossip_payload(1, 1, &[0], &[0]);
     for (from, payload, expected) in [
-        (node_incarnation(3, 1), good.clone(), Refused::Stranger),
-        (node_incarnation(0, 1), good.clone(), Refused::Stranger),
-        (node_incarnation(1, 0), good.clone(), Refused::Stranger),
-        (node_incarnation(1, 1), good[..good.len() - 1].to_vec(), Refused::Payload),
-        (node_incarnation(1, 1), [good.clone(), vec![77]].concat(), Refused::Payload),
-        (node_incarnation(1, 1), gossip_payload(3, 1, &[0], &[0]), Refused::Payload),
-        (node_incarnation(1, 1), gossip_payload(1, 1, &[0], &[1, 3]), Refused::Payload),
-        (node_incarnation(1, 1), vec![0; MAX_PAYLOAD + 1], Refused::Payload),
-        (node_incarnation(1, 1), vec![], Refused::Payload),
+        (node_incarnation(3, 1), good.clone(), Rejection::UnknownPeer),
+        (node_incarnation(0, 1), good.clone(), Rejection::UnknownPeer),
+        (node_incarnation(1, 0), good.clone(), Rejection::UnknownPeer),
+        (node_incarnation(1, 1), good[..good.len() - 1].to_vec(), Rejection::Payload),
+        (node_incarnation(1, 1), [good.clone(), vec![77]].concat(), Rejection::Payload),
+        (node_incarnation(1, 1), gossip_payload(3, 1, &[0], &[0]), Rejection::Payload),
+        (node_incarnation(1, 1), gossip_payload(1, 1, &[0], &[1, 3]), Rejection::Payload),
+        (node_incarnation(1, 1), vec![0; MAX_PAYLOAD + 1], Rejection::Payload),
+        (node_incarnation(1, 1), vec![], Rejection::Payload),
     ] {
         let got = world.call(0, |peers, now| peers.receive(now, from, &payload));
         assert_eq!(got, Err(expected), "{payload:?}");
--- a/crates/membership/tests/setup.rs
+++ b/crates/membership/tests/setup.rs
@@ -5,7 +5,7 @@
 use common::{config, ms, node_incarnation};
 use hallpin_membership::machine::Output;
 use hallpin_membership::view::MemberState;
-use hallpin_membership::{ConfigError, Peers, PeersNews};
+use hallpin_membership::{ConfigError, Peers, PeersEvent};
 
 /// A gossip payload from zone 0, from a node that stays or that leaves.
 fn payload(leaving: bool) -> [u8; 8] {
@@ -66,6 +66,6 @@
             _ => {}
         }
     }
-    let cut_off = peers.take().into_iter().filter(|output| *output == Output::News(PeersNews::CutOff(true)));
+    let cut_off = peers.take().into_iter().filter(|output| *output == Output::News(PeersEvent::CutOff(true)));
     assert_eq!(cut_off.count(), 1);
 }
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 
-use crate::figures::{End, Ticket};
-use crate::upstream::{BodyStream, Served};
+use crate::figures::{RequestGuard, RequestOutcome};
+use crate::upstream::{BodyStream, ServedAnswer};
 
 /// The answer to a command, and the request that it ends.
 pub struct Answer {
@@ -11,12 +11,12 @@
     /// The remainder of a long value, which follows `text`.
     pub body: Option<BodyStream>,
     /// The request that ends once the last byte is written, for a command that started one.
-    pub request_end: Option<(Ticket, End)>,
+    pub request_end: Option<(RequestGuard, RequestOutcome)>,
 }
 
 impl Answer {
     /// The final answer of a request.
-    pub fn of(ticket: Ticket, Served { text, body }: Served, end: End) -> Self {
+    pub fn of(ticket: RequestGuard, ServedAnswer { text, body }: ServedAnswer, end: RequestOutcome) -> Self {
         Answer { text, body, request_end: Some((ticket, end)) }
     }
 
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use crate::config::{Limits, RESERVED};
+use crate::config::{Limits, RESERVED_DESCRIPTORS};
 
 /// Socket and memory limits of this process, with the memory reserved so far.
 pub struct Budget {
@@ -47,7 +47,7 @@
     }
 
     fn traffic_sockets(&self) -> usize {
-        self.process_sockets().saturating_sub(RESERVED)
+        self.process_sockets().saturating_sub(RESERVED_DESCRIPTORS)
     }
 
     /// Most open connections to cache servers.
@@ -83,16 +83,16 @@
 }
 
 /// A memory reservation that ends when this is dropped.
-pub struct Held {
+pub struct MemoryReservation {
     budget: Rc<Budget>,
     bytes: usize,
 }
 
-impl Held {
+impl MemoryReservation {
     /// Reserves `bytes`.
     pub fn new(budget: &Rc<Budget>, bytes: usize) -> Self {
         budget.hold(bytes);
-        Held { budget: budget.clone(), bytes }
+        MemoryReservation { budget: budget.clone(), bytes }
     }
 
     /// Changes the size of the reservation.
@@ -102,7 +102,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.budget.release(self.bytes);
     }
--- a/crates/node/src/budget/tests.rs
+++ b/crates/node/src/budget/tests.rs
@@ -6,9 +6,9 @@
 fn two_processes_stay_within_the_limits_of_one() {
     let limits = Limits { memory_mb: 48, sockets: 384 };
     let budget = Budget::new(&limits);
-    let total_sockets = |b: &Budget| b.servers() + b.clients() + RESERVED;
+    let total_sockets = |b: &Budget| b.servers() + b.clients() + RESERVED_DESCRIPTORS;
     assert_eq!(total_sockets(&budget), 384);
-    let mut reservation = Held::new(&budget, 1);
+    let mut reservation = MemoryReservation::new(&budget, 1);
     reservation.set(7 << 20);
     assert!(budget.has_room());
     budget.join();
@@ -24,7 +24,7 @@
 /// idle threshold must stay within the clients' limit.
 #[test]
 fn clients_wanted_stays_within_the_client_limit_with_few_descriptors() {
-    for sockets in [RESERVED + 1, RESERVED + 3, 40, 51, 64, 1024] {
+    for sockets in [RESERVED_DESCRIPTORS + 1, RESERVED_DESCRIPTORS + 3, 40, 51, 64, 1024] {
         let budget = Budget::new(&Limits { sockets, ..Limits::default() });
         assert!(budget.clients_wanted() <= budget.clients(), "of {sockets}");
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -17,7 +17,7 @@
 
 /// Descriptors reserved for everything but clients and cache servers: connections of operators, listeners, calls to
 /// discovery, a takeover, the control plane between nodes, and the runtime.
-pub const RESERVED: usize = 32;
+pub const RESERVED_DESCRIPTORS: usize = 32;
 
 /// The node's configuration file.
 #[derive(Deserialize)]
@@ -73,39 +73,44 @@
 /// An error in the options or the configuration, as one line that names the place.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub struct Wrong(pub String);
+pub struct NodeConfigError(pub String);
 
 /// Converts an error into a configuration error about `subject`.
-pub fn wrong<E: std::fmt::Display>(subject: &str) -> impl FnOnce(E) -> Wrong + '_ {
-    move |error| Wrong(format!("{subject}: {error}"))
+pub fn config_error<E: std::fmt::Display>(subject: &str) -> impl FnOnce(E) -> NodeConfigError + '_ {
+    move |error| NodeConfigError(format!("{subject}: {error}"))
 }
 
 impl Config {
     /// Path of the file: the command line's option, or else `RELAY_CONFIG`.
-    pub fn path(option: Option<PathBuf>) -> Result<PathBuf, Wrong> {
-        option
-            .map_or_else(|| std::env::var("RELAY_CONFIG").map(Into::into).map_err(wrong("RELAY_CONFIG")), Ok)
+    pub fn path(option: Option<PathBuf>) -> Result<PathBuf, NodeConfigError> {
+        option.map_or_else(
+            || std::env::var("RELAY_CONFIG").map(Into::into).map_err(config_error("RELAY_CONFIG")),
+            Ok,
+        )
     }
 
     /// Reads and checks the file. The settings are checked separately by [`Config::settings`].
-    pub fn read(path: &Path) -> Result<Self, Wrong> {
+    pub fn read(path: &Path) -> Result<Self, NodeConfigError> {
         let source = format!("configuration {}", path.display());
-        let text = std::fs::read(path).map_err(wrong(&source))?;
-        let config = Self::parse(&text).map_err(wrong(&source))?;
+        let text = std::fs::read(path).map_err(config_error(&source))?;
+        let config = Self::parse(&text).map_err(config_error(&source))?;
         Ok(Config { source, ..config })
     }
 
     /// Converts an error into a configuration error about a field of this file.
-    pub fn wrong<'a, E: std::fmt::Display>(&'a self, field: &'a str) -> impl FnOnce(E) -> Wrong + 'a {
-        move |error| Wrong(format!("{}: {field}: {error}", self.source))
+    pub fn config_error<'a, E: std::fmt::Display>(
+        &'a self,
+        field: &'a str,
+    ) -> impl FnOnce(E) -> NodeConfigError + 'a {
+        move |error| NodeConfigError(format!("{}: {field}: {error}", self.source))
     }
 
     /// Converts a time of the settings.
     ///
     /// # Errors
     /// If the time is negative, not finite or too long for a [`Duration`].
-    pub fn seconds(&self, name: &str, value: f64) -> Result<Duration, Wrong> {
-        Duration::try_from_secs_f64(value).map_err(self.wrong(&format!("settings: {name}")))
+    pub fn seconds(&self, name: &str, value: f64) -> Result<Duration, NodeConfigError> {
+        Duration::try_from_secs_f64(value).map_err(self.config_error(&format!("settings: {name}")))
     }
 
     fn parse(text: &[u8]) -> Result<Self, String> {
@@ -115,44 +120,44 @@
         if memory_mb == 0 || memory_mb > usize::MAX >> 20 {
             return Err(format!("limits.memory_mb: a size in MB expected, got {memory_mb}"));
         }
-        if sockets <= RESERVED {
-            return Err(format!("limits.sockets: more than {RESERVED} expected, got {sockets}"));
+        if sockets <= RESERVED_DESCRIPTORS {
+            return Err(format!("limits.sockets: more than {RESERVED_DESCRIPTORS} expected, got {sockets}"));
         }
         Ok(config)
     }
 
     /// Reads and checks the balancer's settings.
-    pub fn settings(&self) -> Result<Settings, Wrong> {
-        let settings = Settings::from_json(&self.settings).map_err(self.wrong("settings"))?;
-        settings.validate().map_err(self.wrong("settings"))?;
-        check_usable(&settings).map_err(self.wrong("settings"))?;
+    pub fn settings(&self) -> Result<Settings, NodeConfigError> {
+        let settings = Settings::from_json(&self.settings).map_err(self.config_error("settings"))?;
+        settings.validate().map_err(self.config_error("settings"))?;
+        check_usable(&settings).map_err(self.config_error("settings"))?;
         Ok(settings)
     }
 
     /// Reads the seed.
-    pub fn seed(&self) -> Result<u64, Wrong> {
+    pub fn seed(&self) -> Result<u64, NodeConfigError> {
         let invalid = |_| format!("up to 16 hexadecimal digits expected, got {:?}", self.seed);
-        u64::from_str_radix(&self.seed, 16).map_err(invalid).map_err(self.wrong("seed"))
+        u64::from_str_radix(&self.seed, 16).map_err(invalid).map_err(self.config_error("seed"))
     }
 
     /// Address for operators: from the file, or else from `RELAY_OPERATOR`; `None` if neither has it.
-    pub fn operator(&self) -> Result<Option<SocketAddr>, Wrong> {
+    pub fn operator(&self) -> Result<Option<SocketAddr>, NodeConfigError> {
         match (self.operator, std::env::var("RELAY_OPERATOR")) {
             (Some(address), _) => Ok(Some(address)),
-            (None, Ok(text)) => text.parse().map(Some).map_err(wrong("RELAY_OPERATOR")),
+            (None, Ok(text)) => text.parse().map(Some).map_err(config_error("RELAY_OPERATOR")),
             (None, Err(std::env::VarError::NotPresent)) => Ok(None),
-            (None, Err(error)) => Err(wrong("RELAY_OPERATOR")(error)),
+            (None, Err(error)) => Err(config_error("RELAY_OPERATOR")(error)),
         }
     }
 
     /// Time after which cache servers close an idle connection. The balancer does not use this setting, so it is read
     /// here.
-    pub fn idle_close(&self) -> Result<Duration, Wrong> {
+    pub fn idle_close(&self) -> Result<Duration, NodeConfigError> {
         const NAME: &str = "limits.idle-close-s";
         let number = |value: &Value| value.as_f64().ok_or_else(|| format!("a number expected, got {value}"));
         let seconds = match &self.settings["limits"]["idle-close-s"] {
             Value::Null => 60.0,
-            value => number(value).map_err(self.wrong(&format!("settings: setting {NAME}")))?,
+            value => number(value).map_err(self.config_error(&format!("settings: setting {NAME}")))?,
         };
         self.seconds(NAME, seconds)
     }
--- a/crates/node/src/discovery/tests/mod.rs
+++ b/crates/node/src/discovery/tests/mod.rs
@@ -81,7 +81,7 @@
         worth: 1.0,
         late_worth: 0.0,
         effect: Effect::Safe,
-        group: Group::All,
+        group: DeduplicationScope::All,
         window: 0.0,
         streamed: false,
     };
@@ -140,7 +140,7 @@
 ) {
     let start = Instant::now();
     let (mut actions, mut timer) = (Vec::new(), (start, TimerToken(0)));
-    let mut event = Event::Roster(RosterNews::Cached(Vec::new()));
+    let mut event = Event::Roster(EndpointUpdate::Cached(Vec::new()));
     loop {
         balancer.handle(start.elapsed().as_secs_f64(), event, &mut actions);
         for action in actions.drain(..) {
@@ -156,11 +156,11 @@
             biased;
             message = messages.recv() => match message {
                 Some(Message::Roster(roster)) => {
-                    let update = if roster.complete { RosterNews::Full } else { RosterNews::Delta };
+                    let update = if roster.complete { EndpointUpdate::Full } else { EndpointUpdate::Delta };
                     let _ = list_sender.send(roster);
                     Event::Roster(update(Vec::new()))
                 }
-                Some(_) => Event::Roster(RosterNews::Failed),
+                Some(_) => Event::Roster(EndpointUpdate::Failed),
                 None => return,
             },
             () = sleep_until(timer.0) => Event::Timer(timer.1),
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -18,23 +18,23 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-use crate::figures::{End, Members};
-use crate::log::Throttle;
+use crate::figures::{MemberCounts, RequestOutcome};
+use crate::log::LogThrottle;
 use crate::message::Message;
 use crate::roster::Roster;
 use state::Timer;
-pub use state::{Around, Driver};
+pub use state::{Driver, DriverContext};
 use timers::{duration, SchedulingDelays};
 
 impl Driver {
-    pub fn new(settings: &Settings, seed: u64, around: Around) -> Result<Self, SettingsError> {
-        let Around { clock, upstream, messages, calls, lifecycle, figures, fleet } = around;
+    pub fn new(settings: &Settings, seed: u64, around: DriverContext) -> Result<Self, SettingsError> {
+        let DriverContext { clock, upstream, messages, calls, lifecycle, figures, fleet } = around;
         let quantum = Duration::from_secs_f64(settings.round);
         upstream.rounds(quantum);
         Ok(Driver {
             balancer: Balancer::new(settings.clone(), seed)?,
             clock,
-            names: Names::of(settings),
+            names: NameIndex::of(settings),
             max_attempts: settings.limits.max_attempts as usize,
             retry_windows: attempts::retry_windows(settings),
             sends_retry_after: settings.limits.retry_after,
@@ -47,8 +47,8 @@
             events: VecDeque::new(),
             event_time: Instant::now(),
             scheduling_delays: SchedulingDelays::default(),
-            overdue_log: Throttle::default(),
-            balancer_log: Throttle::default(),
+            overdue_log: LogThrottle::default(),
+            balancer_log: LogThrottle::default(),
             messages,
             poll_requests: calls,
             lifecycle,
@@ -59,7 +59,7 @@
 
     /// Applies the last list that the node cached; called before any request.
     pub fn known(&mut self, roster: Roster) {
-        self.apply_roster(roster, RosterNews::Cached);
+        self.apply_roster(roster, EndpointUpdate::Cached);
     }
 
     /// Processes messages until the inbox closes. Lists from discovery go ahead of all other messages: a list is in
@@ -126,32 +126,33 @@
             }
             Message::Probed { server, status } => self.handle_event(Event::Probed { server, status }),
             Message::Roster(roster) => {
-                let update = if roster.complete { RosterNews::Full } else { RosterNews::Delta };
+                let update = if roster.complete { EndpointUpdate::Full } else { EndpointUpdate::Delta };
                 self.apply_roster(roster, update);
             }
             Message::Members(reply) => {
                 let (listed, unavailable) = self.balancer.members();
                 // Fails only if the operator's connection is closed, and then no answer is needed.
-                let _ = reply.send(Members { listed, unavailable });
+                let _ = reply.send(MemberCounts { listed, unavailable });
             }
             Message::Fleet(news) => self.handle_event(Event::Fleet(news)),
-            Message::RosterFailed => self.handle_event(Event::Roster(RosterNews::Failed)),
+            Message::RosterFailed => self.handle_event(Event::Roster(EndpointUpdate::Failed)),
         }
     }
 
-    fn apply_roster(&mut self, roster: Roster, update: fn(Vec<RosterEntry>) -> RosterNews) {
+    fn apply_roster(&mut self, roster: Roster, update: fn(Vec<EndpointEntry>) -> EndpointUpdate) {
         if let Some(fleet) = &self.fleet {
             fleet.learn(&roster);
         }
         // A server at a new address is a new process: the balancer drops the faults and the limit that it learnt for
         // the old one.
-        let gone_entry = |server| RosterEntry { server, state: ServerState::Gone, ..RosterEntry::default() };
-        let moved_servers: Vec<RosterEntry> =
+        let gone_entry =
+            |server| EndpointEntry { server, state: ServerState::Gone, ..EndpointEntry::default() };
+        let moved_servers: Vec<EndpointEntry> =
             self.upstream.learn(&roster).into_iter().map(gone_entry).collect();
         if !moved_servers.is_empty() {
-            self.handle_event(Event::Roster(RosterNews::Delta(moved_servers)));
+            self.handle_event(Event::Roster(EndpointUpdate::Delta(moved_servers)));
         }
-        let entries: Vec<RosterEntry> = roster.members.into_iter().map(|member| member.entry).collect();
+        let entries: Vec<EndpointEntry> = roster.members.into_iter().map(|member| member.entry).collect();
         if entries.iter().any(|entry| entry.state == ServerState::Ready) {
             self.lifecycle.mark_servers_known();
         }
@@ -180,11 +181,11 @@
             Action::Cancel { request, attempt } => self.abandon_attempt(request, attempt, Status::Cancelled),
             Action::Refuse { request, retry_after } => {
                 let advice = retry_after.filter(|_| self.sends_retry_after).map(duration);
-                self.answer(request, protocol::busy(advice).into(), End::Rejected);
+                self.answer(request, protocol::busy(advice).into(), RequestOutcome::Rejected);
                 self.clean_up(request);
             }
             Action::Fail(request) => {
-                self.answer(request, protocol::FAILED.into(), End::Failed);
+                self.answer(request, protocol::FAILED.into(), RequestOutcome::Failed);
                 self.clean_up(request);
             }
             Action::SetTimer { token, after } => {
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -11,9 +11,9 @@
 
 use super::state::{Attempt, Driver, Timer};
 use super::timers::duration;
-use crate::figures::End;
+use crate::figures::RequestOutcome;
 use crate::message::Message;
-use crate::upstream::{Ended, Errand};
+use crate::upstream::{AttemptResult, UpstreamCall};
 
 /// Retry window of each class: time after the first attempt that may have run within which another may be sent, `None`
 /// if unlimited. It is one quantum shorter than the window in which servers drop duplicates, as written bytes take time
@@ -21,7 +21,7 @@
 pub(super) fn retry_windows(settings: &Settings) -> Vec<Option<Duration>> {
     let limit = |class: &Class| match class.effect {
         Effect::Safe => None,
-        Effect::Keyed => Duration::try_from_secs_f64((class.window - settings.round).max(0.0)).ok(),
+        Effect::Deduplicated => Duration::try_from_secs_f64((class.window - settings.round).max(0.0)).ok(),
         Effect::Unsafe => Some(Duration::ZERO),
     };
     settings.classes.iter().map(limit).collect()
@@ -64,7 +64,7 @@
         let task = (!void).then(|| {
             let (upstream, messages) = (self.upstream.clone(), self.messages.clone());
             let class = self.names.class(&active.command.class);
-            let errand = Errand {
+            let errand = UpstreamCall {
                 command: active.command.clone(),
                 attempt,
                 until,
@@ -114,7 +114,7 @@
     }
 
     /// Completes an attempt whose task has ended, and answers its request if there is an answer.
-    pub(super) fn complete_attempt(&mut self, id: RequestId, attempt: AttemptId, ended: Ended) {
+    pub(super) fn complete_attempt(&mut self, id: RequestId, attempt: AttemptId, ended: AttemptResult) {
         let Some(active) = self.requests.get_mut(&id) else { return };
         let Some(entry) = active.attempts.get_mut(attempt.0 as usize) else { return };
         // An abandoned attempt already has its outcome.
@@ -122,11 +122,11 @@
             return;
         }
         if !ended.status.may_have_run() {
-            entry.executions.never_ran(attempt);
+            entry.executions.record_never_ran(attempt);
         }
         let started_at = entry.started_at;
         if let Some(answer) = ended.answer {
-            self.answer(id, answer, End::Completed);
+            self.answer(id, answer, RequestOutcome::Completed);
         }
         self.report_outcome(id, attempt, ended.status, ended.note, started_at);
         self.clean_up(id);
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -12,9 +12,9 @@
 
 use super::state::{ActiveRequest, Attempt, Driver, Timer};
 use crate::answer::Answer;
-use crate::figures::{End, Ticket};
-use crate::message::Gone;
-use crate::upstream::Served;
+use crate::figures::{RequestGuard, RequestOutcome};
+use crate::message::DisconnectFlag;
+use crate::upstream::ServedAnswer;
 
 /// Allowance for the time between the client's send and this node's read of a request.
 const MARGIN: Duration = Duration::from_millis(2);
@@ -27,7 +27,7 @@
         command: Command,
         at: Instant,
         reply: oneshot::Sender<Answer>,
-        gone: Gone,
+        gone: DisconnectFlag,
     ) {
         // Invalid requests are not forwarded: cache servers reject them or close the connection, which would count
         // as a server fault. An answer under an id that is in use could be taken for another request's.
@@ -41,9 +41,9 @@
         let deadline = self.deadline(&command, at);
         if deadline <= self.event_time {
             // The deadline passed while the client was writing the request. It gets an answer and no attempt.
-            log_answer(id, &command, End::Rejected, Duration::ZERO);
+            log_answer(id, &command, RequestOutcome::Rejected, Duration::ZERO);
             let busy = protocol::busy(None).into();
-            return drop(reply.send(Answer::of(ticket, busy, End::Rejected)));
+            return drop(reply.send(Answer::of(ticket, busy, RequestOutcome::Rejected)));
         }
         let new = NewRequest {
             id,
@@ -86,7 +86,7 @@
     }
 
     /// Gives the final answer unless it has been given; returns whether the client will get it.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Served, end: End) -> bool {
+    pub(super) fn answer(&mut self, id: RequestId, answer: ServedAnswer, end: RequestOutcome) -> bool {
         let Some((reply, ticket)) = self.take_reply(id) else { return false };
         if let Some(active) = self.requests.get(&id) {
             log_answer(id, &active.command, end, active.deadline.saturating_duration_since(self.event_time));
@@ -96,7 +96,7 @@
     }
 
     /// Takes the reply channel, after which no answer can be given, and frees the client's id.
-    pub(super) fn take_reply(&mut self, id: RequestId) -> Option<(oneshot::Sender<Answer>, Ticket)> {
+    pub(super) fn take_reply(&mut self, id: RequestId) -> Option<(oneshot::Sender<Answer>, RequestGuard)> {
         let active = self.requests.get_mut(&id)?;
         let reply = active.reply.take()?;
         self.open_opaques.remove(&active.command.opaque());
@@ -128,7 +128,7 @@
 }
 
 /// Logs the final answer of a request and the time left until its deadline.
-fn log_answer(id: RequestId, command: &Command, end: End, left: Duration) {
+fn log_answer(id: RequestId, command: &Command, end: RequestOutcome, left: Duration) {
     let opaque = command.opaque();
     let opaque = opaque.escape_ascii();
     debug!(request = id.0, %opaque, ?end, left = left.as_secs_f64(), "answer");
--- a/crates/node/src/driver/state.rs
+++ b/crates/node/src/driver/state.rs
@@ -17,25 +17,25 @@
 use super::timers::SchedulingDelays;
 use crate::answer::Answer;
 use crate::clock::Clock;
-use crate::figures::{Figures, Ticket};
+use crate::figures::{Metrics, RequestGuard};
 use crate::lifecycle::Lifecycle;
-use crate::log::Throttle;
-use crate::message::{Gone, Message};
-use crate::plane::{Fleet, Sent, Use};
-use crate::upstream::{Runs, Upstream};
+use crate::log::LogThrottle;
+use crate::message::{DisconnectFlag, Message};
+use crate::plane::{PlaneRuntime, QuotaUse, SentAttempt};
+use crate::upstream::{ExecutionTracker, Upstream};
 
 pub(super) struct Attempt {
     pub(super) started_at: Instant,
     /// Whether the command has been written completely, and so may have run.
     pub(super) written: Rc<Cell<bool>>,
     /// Which attempts may have run; shared by all attempts of the request.
-    pub(super) executions: Rc<Runs>,
+    pub(super) executions: Rc<ExecutionTracker>,
     /// Task that performs the attempt; `None` once the attempt has its outcome.
     pub(super) task: Option<AbortHandle>,
     /// Handle by which the outcome is reported to the control plane, if it is enabled.
-    pub(super) sent_attempt: Option<Sent>,
+    pub(super) sent_attempt: Option<SentAttempt>,
     /// Quota that the attempt holds, if quotas are enabled.
-    pub(super) quota_use: Option<Use>,
+    pub(super) quota_use: Option<QuotaUse>,
 }
 
 /// A request from its arrival until its answer is given and its last attempt has ended.
@@ -44,10 +44,10 @@
     /// When the client stops waiting.
     pub(super) deadline: Instant,
     /// Taken when the final answer is given or the client disconnects.
-    pub(super) reply: Option<(oneshot::Sender<Answer>, Ticket)>,
+    pub(super) reply: Option<(oneshot::Sender<Answer>, RequestGuard)>,
     pub(super) attempts: Vec<Attempt>,
     /// Set once the client has disconnected.
-    pub(super) gone: Gone,
+    pub(super) gone: DisconnectFlag,
 }
 
 /// Action of a timer, with the ids of its request and attempt or its token.
@@ -65,7 +65,7 @@
 pub struct Driver {
     pub(super) balancer: Balancer,
     pub(super) clock: Clock,
-    pub(super) names: Names,
+    pub(super) names: NameIndex,
     pub(super) max_attempts: usize,
     /// Retry window of each class: time after the first attempt that may have run within which another may be sent;
     /// `None` if unlimited.
@@ -89,19 +89,19 @@
     /// Recent times at which the node did not run.
     pub(super) scheduling_delays: SchedulingDelays,
     /// Limits log lines about requests without an answer near their deadline.
-    pub(super) overdue_log: Throttle,
+    pub(super) overdue_log: LogThrottle,
     /// Limits the balancer's own log lines.
-    pub(super) balancer_log: Throttle,
+    pub(super) balancer_log: LogThrottle,
     pub(super) messages: UnboundedSender<Message>,
     /// Asks discovery to poll the list.
     pub(super) poll_requests: Sender<()>,
     pub(super) lifecycle: Rc<Lifecycle>,
-    pub(super) metrics: Rc<Figures>,
-    pub(super) fleet: Option<Rc<Fleet>>,
+    pub(super) metrics: Rc<Metrics>,
+    pub(super) fleet: Option<Rc<PlaneRuntime>>,
 }
 
 /// Components that the driver uses and shares with the rest of the node.
-pub struct Around {
+pub struct DriverContext {
     pub clock: Clock,
     pub upstream: Rc<Upstream>,
     pub messages: UnboundedSender<Message>,
@@ -109,7 +109,7 @@
     pub calls: Sender<()>,
     /// Becomes ready once a server is known.
     pub lifecycle: Rc<Lifecycle>,
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// The control plane between nodes, if it is enabled.
-    pub fleet: Option<Rc<Fleet>>,
+    pub fleet: Option<Rc<PlaneRuntime>>,
 }
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -9,10 +9,10 @@
 use crate::answer::Answer;
 use crate::budget::Budget;
 use crate::clock::Clock;
-use crate::figures::Figures;
+use crate::figures::Metrics;
 use crate::lifecycle::Lifecycle;
-use crate::message::Gone;
-use crate::stop::Stop;
+use crate::message::DisconnectFlag;
+use crate::stop::ShutdownTimes;
 use crate::upstream::tests::{errand, READ};
 use crate::upstream::{Bounds, Upstream};
 use hallpin_protocol::{next_input, Input};
@@ -28,7 +28,7 @@
         worth: 1.0,
         late_worth: 0.0,
         effect: Effect::Safe,
-        group: Group::All,
+        group: DeduplicationScope::All,
         window: 0.0,
         streamed: false,
     };
@@ -47,8 +47,8 @@
     let second = Duration::from_secs(1);
     let bounds = Bounds { dial: second, idle: second, grace: second };
     let (messages, inbox) = unbounded_channel();
-    let (clock, figures) = (Clock::start(), Figures::new(["read"]));
-    let around = Around {
+    let (clock, figures) = (Clock::start(), Metrics::new(["read"]));
+    let around = DriverContext {
         clock,
         upstream: Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), figures.clone())),
         messages,
@@ -66,17 +66,21 @@
 
 /// Starts a request. Its attempt's task does not run, so the first attempt stays unsent.
 fn request(driver: &mut Driver, id: RequestId) -> oneshot::Receiver<Answer> {
-    request_of(driver, id, Gone::default())
+    request_of(driver, id, DisconnectFlag::default())
 }
 
-fn request_of(driver: &mut Driver, id: RequestId, gone: Gone) -> oneshot::Receiver<Answer> {
+fn request_of(driver: &mut Driver, id: RequestId, gone: DisconnectFlag) -> oneshot::Receiver<Answer> {
     let _inside = tokio::task::LocalSet::new().enter();
     let (message, answer) = request_message(id, "a", gone);
     driver.handle_message(message);
     answer
 }
 
-fn request_message(id: RequestId, opaque: &str, gone: Gone) -> (Message, oneshot::Receiver<Answer>) {
+fn request_message(
+    id: RequestId,
+    opaque: &str,
+    gone: DisconnectFlag,
+) -> (Message, oneshot::Receiver<Answer>) {
     let mut text = bytes::BytesMut::from(&format!("mg k v O{opaque} Pc=read,d=60000\r\n")[..]);
     let Some(Input::Command(command)) = next_input(&mut text) else { panic!("a command") };
     let (reply, answer) = oneshot::channel();
@@ -89,7 +93,7 @@
 async fn a_disconnect_takes_effect_ahead_of_the_queue() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (mut driver, _inbox, server) = driver(&settings(), listener.local_addr().unwrap());
-    let (gone, id) = (Gone::default(), RequestId(1));
+    let (gone, id) = (DisconnectFlag::default(), RequestId(1));
     let _answer = request_of(&mut driver, id, gone.clone());
     let local = tokio::task::LocalSet::new();
     let _inside = local.enter();
@@ -163,7 +167,7 @@
     drop(request(&mut driver, RequestId(1)));
     let full_deadline = driver.requests[&RequestId(1)].deadline;
     driver.execute(Action::Fail(RequestId(1)));
-    let times = Stop { part_after: Duration::ZERO, end_after: Duration::from_millis(500) };
+    let times = ShutdownTimes { part_after: Duration::ZERO, end_after: Duration::from_millis(500) };
     driver.lifecycle.stop(false, times);
     let ends = driver.lifecycle.phase().ends.unwrap();
     drop(request(&mut driver, RequestId(2)));
--- a/crates/node/src/driver/timers.rs
+++ b/crates/node/src/driver/timers.rs
@@ -10,7 +10,7 @@
 use tracing::warn;
 
 use super::state::{Driver, Timer};
-use crate::figures::End;
+use crate::figures::RequestOutcome;
 
 /// A timer that fires later than this indicates a scheduling delay. Input read within this time after a delay may have
 /// arrived during it.
@@ -83,7 +83,7 @@
                 }
                 Timer::Backstop(id) => {
                     let id = RequestId(id);
-                    if self.answer(id, protocol::FAILED.into(), End::Failed) {
+                    if self.answer(id, protocol::FAILED.into(), RequestOutcome::Failed) {
                         if let Some(suppressed) = self.overdue_log.pass(self.event_time) {
                             warn!(
                                 request = id.0,
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -1,4 +1,4 @@
-//! Metrics of the node. There is one registry; each request holds a [`Ticket`] that ends it in exactly one way,
+//! Metrics of the node. There is one registry; each request holds a [`RequestGuard`] that ends it in exactly one way,
 //! wherever it ends.
 
 use std::cell::{Cell, OnceCell};
@@ -9,14 +9,17 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     Completed,
     Rejected,
     Failed,
 }
 
-const ENDS: [(End, &str); 3] =
-    [(End::Completed, "completed"), (End::Rejected, "rejected"), (End::Failed, "failed")];
+const ENDS: [(RequestOutcome, &str); 3] = [
+    (RequestOutcome::Completed, "completed"),
+    (RequestOutcome::Rejected, "rejected"),
+    (RequestOutcome::Failed, "failed"),
+];
 
 /// Requests of one class by how they ended.
 struct ClassMetrics {
@@ -25,7 +28,7 @@
 }
 
 /// Counters of this process, starting at 0.
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<ClassMetrics>,
     /// Requests started; those that have not ended are pending.
     started: Cell<u64>,
@@ -39,7 +42,7 @@
 
 /// Number of listed cache servers, and of those among them that receive no new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Members {
+pub struct MemberCounts {
     pub listed: usize,
     pub unavailable: usize,
 }
@@ -48,10 +51,10 @@
     count.set(count.get() + 1);
 }
 
-impl Figures {
+impl Metrics {
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> Rc<Self> {
         let class = |name: &str| ClassMetrics { name: name.into(), ended: Default::default() };
-        Rc::new(Figures {
+        Rc::new(Metrics {
             classes: classes.into_iter().map(class).collect(),
             started: Cell::default(),
             upstream_requests: Cell::default(),
@@ -67,9 +70,9 @@
     }
 
     /// Counts a new request of this class.
-    pub fn take(self: &Rc<Self>, class: usize) -> Ticket {
+    pub fn take(self: &Rc<Self>, class: usize) -> RequestGuard {
         increment(&self.started);
-        Ticket { metrics: self.clone(), class, end: End::Failed }
+        RequestGuard { metrics: self.clone(), class, end: RequestOutcome::Failed }
     }
 
     /// Counts an attempt that was written completely to a cache server.
@@ -83,7 +86,7 @@
     }
 
     /// All metrics, one per line, in the Prometheus text format.
-    pub fn render(&self, members: Members) -> String {
+    pub fn render(&self, members: MemberCounts) -> String {
         let mut output = String::new();
         for (end, name) in ENDS {
             for class in &self.classes {
@@ -114,20 +117,20 @@
     text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-/// A request that was started. Dropping it counts the request as ended: as failed, unless [`Ticket::end`] was called.
-pub struct Ticket {
-    metrics: Rc<Figures>,
+/// A request that was started. Dropping it counts the request as ended: as failed, unless [`RequestGuard::end`] was called.
+pub struct RequestGuard {
+    metrics: Rc<Metrics>,
     class: usize,
-    end: End,
+    end: RequestOutcome,
 }
 
-impl Ticket {
-    pub fn end(mut self, end: End) {
+impl RequestGuard {
+    pub fn end(mut self, end: RequestOutcome) {
         self.end = end;
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if let Some(class) = self.metrics.classes.get(self.class) {
             increment(&class.ended[self.end as usize]);
@@ -141,15 +144,15 @@
 
     #[test]
     fn a_request_is_pending_until_it_ends_in_one_way() {
-        let metrics = Figures::new(["read", "save"]);
+        let metrics = Metrics::new(["read", "save"]);
         let (served, rejected, dropped) = (metrics.take(0), metrics.take(1), metrics.take(1));
         metrics.count_upstream_request();
         assert_eq!(metrics.pending(), 3);
-        served.end(End::Completed);
-        rejected.end(End::Rejected);
+        served.end(RequestOutcome::Completed);
+        rejected.end(RequestOutcome::Rejected);
         assert_eq!(metrics.pending(), 1);
         drop(dropped);
-        let text = metrics.render(Members { listed: 12, unavailable: 2 });
+        let text = metrics.render(MemberCounts { listed: 12, unavailable: 2 });
         let expected = "app_completed_total{lane=\"read\"} 1\napp_completed_total{lane=\"save\"} 0\n\
             app_rejected_total{lane=\"read\"} 0\napp_rejected_total{lane=\"save\"} 1\n\
             app_failed_total{lane=\"read\"} 0\napp_failed_total{lane=\"save\"} 1\n\
@@ -159,7 +162,7 @@
 
     #[test]
     fn label_values_are_escaped() {
-        let text = Figures::new(["a\"b\\c\nd"]).render(Members::default());
+        let text = Metrics::new(["a\"b\\c\nd"]).render(MemberCounts::default());
         assert!(text.starts_with("app_completed_total{lane=\"a\\\"b\\\\c\\nd\"} 0\n"), "{text}");
     }
 }
--- a/crates/node/src/frontend/client.rs
+++ b/crates/node/src/frontend/client.rs
@@ -14,10 +14,10 @@
 use super::input::InputBuffer;
 use super::shared::{Frontend, Rank};
 use crate::answer::Answer;
-use crate::budget::Held;
-use crate::figures::{End, Ticket};
+use crate::budget::MemoryReservation;
+use crate::figures::{RequestGuard, RequestOutcome};
 use crate::lifecycle::Phase;
-use crate::message::{Gone, Message};
+use crate::message::{DisconnectFlag, Message};
 use crate::upstream::BodyStream;
 
 /// The answer to a started command: available, or expected from the driver.
@@ -52,7 +52,7 @@
     pub(super) idle_since: Instant,
     pub(super) close: Rc<Notify>,
     /// Memory reserved for the buffered input.
-    pub(super) input_reservation: Held,
+    pub(super) input_reservation: MemoryReservation,
     pub(super) phases: watch::Receiver<Phase>,
     pub(super) opened_at: Instant,
     /// Time of the last answer.
@@ -69,12 +69,12 @@
     pub(super) unsent_since: (Instant, u64),
     /// Bytes written so far, and the requests that end once that many bytes are written.
     pub(super) bytes_written: u64,
-    pub(super) unfinished_requests: VecDeque<(u64, Ticket, End)>,
+    pub(super) unfinished_requests: VecDeque<(u64, RequestGuard, RequestOutcome)>,
     /// The remainder of a long value whose beginning ends the output. Later answers wait.
-    pub(super) body: Option<(BodyStream, Option<(Ticket, End)>)>,
+    pub(super) body: Option<(BodyStream, Option<(RequestGuard, RequestOutcome)>)>,
     pub(super) pending: VecDeque<PendingAnswer>,
     /// Set once the pending answers are no longer wanted.
-    pub(super) gone: Gone,
+    pub(super) gone: DisconnectFlag,
     /// No further input is accepted: the pending commands are answered, then the connection ends.
     pub(super) input_closed: bool,
     /// The connection ends as soon as all answers are sent.
@@ -115,7 +115,7 @@
     ) -> Self {
         Client {
             phases: frontend.lifecycle.follow(),
-            input_reservation: Held::new(&frontend.budget, 0),
+            input_reservation: MemoryReservation::new(&frontend.budget, 0),
             frontend,
             stream,
             sequence,
@@ -133,7 +133,7 @@
             unfinished_requests: VecDeque::new(),
             body: None,
             pending: VecDeque::new(),
-            gone: Gone::default(),
+            gone: DisconnectFlag::default(),
             input_closed: false,
             ending: false,
             making_room: false,
--- a/crates/node/src/frontend/closing.rs
+++ b/crates/node/src/frontend/closing.rs
@@ -14,7 +14,7 @@
 use super::client::{AbandonReason, Client, PendingAnswer};
 use super::input::MAX_READ_AHEAD_BYTES;
 use super::shared::{EvictionEntry, Rank};
-use crate::lifecycle::{Phase, State};
+use crate::lifecycle::{LifecycleState, Phase};
 
 /// How long, and how many bytes of, input is read and discarded after the last answer.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -31,8 +31,9 @@
             // If another process accepts the client at once, a close right after an answer crosses with no request.
             return Some(self.last_answer_at.filter(|at| *at >= drain_start).unwrap_or(closes_at));
         }
-        let is_new =
-            self.opened_at >= closes_at && phase.state == State::Draining && self.last_answer_at.is_none();
+        let is_new = self.opened_at >= closes_at
+            && phase.state == LifecycleState::Draining
+            && self.last_answer_at.is_none();
         (!is_new).then_some(closes_at)
     }
 
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -9,7 +9,7 @@
 use super::client::{AbandonReason, Client, PendingAnswer};
 use super::closing::MAX_LINGER_BYTES;
 use super::input::{MAX_READ_AHEAD_BYTES, MIN_READ_AHEAD_BYTES};
-use crate::lifecycle::State;
+use crate::lifecycle::LifecycleState;
 use crate::message::Message;
 
 /// Commands of one connection that may be in flight at once; further ones wait.
@@ -60,7 +60,7 @@
                 let _ = frontend.driver.send(Message::Request { id, command, at, reply, gone });
                 PendingAnswer::Waiting { id, weight, answer }
             }
-            Input::Ready if frontend.lifecycle.state() == State::Ready => {
+            Input::Ready if frontend.lifecycle.state() == LifecycleState::Ready => {
                 PendingAnswer::Ready(protocol::READY)
             }
             Input::Ready => PendingAnswer::Ready(protocol::NOT_READY),
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use client::Client;
-pub use output::{penance, STALLED};
+pub use output::{penance, STALL_TIMEOUT};
 pub use shared::Frontend;
 use shared::{EvictionCandidate, Rank};
 
@@ -57,9 +57,9 @@
                     self.admit(stream);
                 }
                 Err(error) => match retry.failed(&error) {
-                    NextAccept::AtOnce => {}
-                    next @ (NextAccept::AfterPause | NextAccept::AfterMakingRoom) => {
-                        if next == NextAccept::AfterMakingRoom {
+                    NextAccept::Immediately => {}
+                    next @ (NextAccept::AfterPause | NextAccept::AfterFreeingDescriptors) => {
+                        if next == NextAccept::AfterFreeingDescriptors {
                             self.free_descriptors();
                         }
                         pauses -= past_end;
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -10,7 +10,7 @@
 
 use super::client::{AbandonReason, Client};
 use crate::answer::Answer;
-use crate::figures::{End, Ticket};
+use crate::figures::{RequestGuard, RequestOutcome};
 use crate::upstream::BrokenBody;
 
 /// Delay before the next command of a client whose command was rejected as faulty: it would retry at once.
@@ -23,7 +23,7 @@
 }
 
 /// A client that reads nothing of its answers for this long is considered gone.
-pub const STALLED: Duration = Duration::from_secs(10);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Minimum rate, beyond the first stall timeout, at which a client reads its answers: one that reads a byte just
 /// within each timeout would otherwise hold its connection forever.
 const MIN_RATE_BYTES_PER_S: f64 = 16.0 * 1024.0;
@@ -56,7 +56,7 @@
     }
 
     /// Registers the request of a complete answer in the output; it ends when that is written.
-    pub(super) fn register_end(&mut self, ends: Option<(Ticket, End)>) {
+    pub(super) fn register_end(&mut self, ends: Option<(RequestGuard, RequestOutcome)>) {
         let at = self.bytes_written + self.output.len() as u64;
         self.unfinished_requests.extend(ends.map(|(ticket, end)| (at, ticket, end)));
     }
@@ -102,7 +102,7 @@
     pub(super) fn stall_deadline(&self) -> Instant {
         let (since, written) = self.unsent_since;
         let allowed = Duration::from_secs_f64((self.bytes_written - written) as f64 / MIN_RATE_BYTES_PER_S);
-        self.last_written_at.min(since + allowed) + STALLED
+        self.last_written_at.min(since + allowed) + STALL_TIMEOUT
     }
 
     /// Records that the client has read nothing, or too little, of its answers for too long.
--- a/crates/node/src/frontend/serve.rs
+++ b/crates/node/src/frontend/serve.rs
@@ -18,7 +18,7 @@
 use super::commands::MAX_UNSENT_BYTES;
 use super::shared::{EvictionEntry, Rank, STALL_EVICTION_DELAY};
 use crate::answer::Answer;
-use crate::figures::{End, Ticket};
+use crate::figures::{RequestGuard, RequestOutcome};
 use crate::upstream::{BodyStream, BrokenBody};
 
 /// Bytes that the kernel may hold for a client beyond the client's receive window. By default it holds some MiB: a
@@ -174,7 +174,7 @@
 
 /// The next piece of a long value.
 async fn next_body_piece(
-    body: &mut Option<(BodyStream, Option<(Ticket, End)>)>,
+    body: &mut Option<(BodyStream, Option<(RequestGuard, RequestOutcome)>)>,
 ) -> Result<Option<Bytes>, BrokenBody> {
     match body {
         None => std::future::pending().await,
--- a/crates/node/src/frontend/shared.rs
+++ b/crates/node/src/frontend/shared.rs
@@ -12,7 +12,7 @@
 use super::serve::COMMAND_TIMEOUT;
 use crate::budget::Budget;
 use crate::lifecycle::Lifecycle;
-use crate::log::Throttle;
+use crate::log::LogThrottle;
 use crate::message::Message;
 use crate::upstream::Upstream;
 
@@ -39,8 +39,8 @@
     /// Connections that may be closed to make room: first those that have sent no valid request yet, the oldest first.
     pub(super) candidates: RefCell<BTreeMap<(Rank, u64), EvictionCandidate>>,
     /// Rate limits of log lines: values that broke off, and clients that read nothing.
-    pub(super) broken_value_log: Throttle,
-    pub(super) stalled_client_log: Throttle,
+    pub(super) broken_value_log: LogThrottle,
+    pub(super) stalled_client_log: LogThrottle,
 }
 
 /// Order in which connections are closed to make room.
@@ -85,8 +85,8 @@
             open: Cell::new(0),
             closed: Notify::new(),
             candidates: RefCell::default(),
-            broken_value_log: Throttle::default(),
-            stalled_client_log: Throttle::default(),
+            broken_value_log: LogThrottle::default(),
+            stalled_client_log: LogThrottle::default(),
         })
     }
 
--- a/crates/node/src/frontend/tests/accept.rs
+++ b/crates/node/src/frontend/tests/accept.rs
@@ -15,7 +15,7 @@
 
 use super::{frontend, settle, with_clock_held, LONG};
 use crate::clock::Clock;
-use crate::config::{Limits, RESERVED};
+use crate::config::{Limits, RESERVED_DESCRIPTORS};
 use crate::frontend::Frontend;
 use crate::port::tests::FailingListener;
 use crate::roster::Roster;
@@ -46,7 +46,8 @@
 
 impl Harness {
     async fn with_idle_clients(count: usize) -> Self {
-        let limits = Limits { sockets: RESERVED + CLIENT_SLOTS + CLIENT_SLOTS / 2, ..Limits::default() };
+        let limits =
+            Limits { sockets: RESERVED_DESCRIPTORS + CLIENT_SLOTS + CLIENT_SLOTS / 2, ..Limits::default() };
         let frontend = frontend(&limits, unbounded_channel().0);
         let listener = Rc::new(TcpListener::bind("127.0.0.1:0").await.unwrap());
         let mut harness = Harness { frontend, listener, clients: Vec::new() };
--- a/crates/node/src/frontend/tests/bounds.rs
+++ b/crates/node/src/frontend/tests/bounds.rs
@@ -17,7 +17,7 @@
 use crate::config::Limits;
 use crate::frontend::closing::{LINGER_TIMEOUT, MAX_LINGER_BYTES};
 use crate::frontend::shared::{EvictionEntry, Rank, LONG_IDLE};
-use crate::frontend::STALLED;
+use crate::frontend::STALL_TIMEOUT;
 use crate::message::Message;
 
 /// The number of bytes that a client gets of an answer of `length` bytes if it reads nothing for `pause` and then all
@@ -57,8 +57,12 @@
 async fn a_client_that_reads_nothing_for_the_stall_timeout_is_closed() {
     const LENGTH: usize = 64 << 20;
     let second = Duration::from_secs(1);
-    assert_eq!(bytes_received_after(STALLED - second, LENGTH).await, LENGTH, "within the stall timeout");
-    let received = bytes_received_after(STALLED + second, LENGTH).await;
+    assert_eq!(
+        bytes_received_after(STALL_TIMEOUT - second, LENGTH).await,
+        LENGTH,
+        "within the stall timeout"
+    );
+    let received = bytes_received_after(STALL_TIMEOUT + second, LENGTH).await;
     assert!(received < LENGTH, "past the stall timeout {received} bytes of {LENGTH} arrived");
 }
 
--- a/crates/node/src/frontend/tests/closing.rs
+++ b/crates/node/src/frontend/tests/closing.rs
@@ -14,7 +14,7 @@
 use crate::answer::Answer;
 use crate::config::Limits;
 use crate::message::Message;
-use crate::stop::Stop;
+use crate::stop::ShutdownTimes;
 
 const SECOND: Duration = Duration::from_secs(1);
 const READ: &[u8] = b"mg k v Oa Pc=read,d=9000\r\n";
@@ -212,7 +212,7 @@
 async fn a_first_request_in_the_instant_of_a_stops_close_is_answered() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         settle().await;
-        let times = Stop::of(SECOND);
+        let times = ShutdownTimes::of(SECOND);
         frontend.lifecycle.stop(false, times);
         settle().await;
         advance(times.part_after).await;
@@ -238,7 +238,7 @@
             expect_answer(&mut client).await;
             let (first, second) = READ.split_at(10);
             // With so short a deadline the kill comes 0.9 s after SIGTERM.
-            frontend.lifecycle.stop(false, Stop::of(Duration::from_millis(200)));
+            frontend.lifecycle.stop(false, ShutdownTimes::of(Duration::from_millis(200)));
             client.write_all(first).await.unwrap();
             settle().await;
             sleep(resumes_after).await;
@@ -273,7 +273,7 @@
         };
         assert!(reply.send(Answer::untaken(vec![b'v'; LENGTH].into())).is_ok());
         settle().await;
-        frontend.lifecycle.stop(false, Stop::of(SECOND));
+        frontend.lifecycle.stop(false, ShutdownTimes::of(SECOND));
         sleep(3 * SECOND).await;
         client.write_all(READ).await.unwrap();
         settle().await;
--- a/crates/node/src/frontend/tests/disconnects.rs
+++ b/crates/node/src/frontend/tests/disconnects.rs
@@ -104,7 +104,7 @@
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
         client.write_all(READ).await.unwrap();
         let _replies = receive_requests(&mut inbox, 1).await;
-        frontend.lifecycle.stop(false, crate::stop::Stop::of(SECOND));
+        frontend.lifecycle.stop(false, crate::stop::ShutdownTimes::of(SECOND));
         sleep(SECOND).await;
         drop(client);
         expect_withdrawal(&mut inbox).await;
--- a/crates/node/src/frontend/tests/eviction.rs
+++ b/crates/node/src/frontend/tests/eviction.rs
@@ -11,7 +11,7 @@
 
 use super::{settle, with_client, with_clock_held};
 use crate::answer::Answer;
-use crate::config::{Limits, RESERVED};
+use crate::config::{Limits, RESERVED_DESCRIPTORS};
 use crate::frontend::shared::STALL_EVICTION_DELAY;
 use crate::message::Message;
 
@@ -54,7 +54,7 @@
 
 /// Limits with this many client slots.
 fn limits_for(clients: usize) -> Limits {
-    Limits { sockets: RESERVED + clients + clients / 2, ..Limits::default() }
+    Limits { sockets: RESERVED_DESCRIPTORS + clients + clients / 2, ..Limits::default() }
 }
 
 /// Descriptors that are not for clients are for cache servers: with all connections in use a new one is closed at
--- a/crates/node/src/frontend/tests/logs.rs
+++ b/crates/node/src/frontend/tests/logs.rs
@@ -12,7 +12,7 @@
 
 use super::node::Node;
 use super::{settle, with_clock_held};
-use crate::stop::Stop;
+use crate::stop::ShutdownTimes;
 
 const SECOND: Duration = Duration::from_secs(1);
 /// The start of a command, with its id.
@@ -95,7 +95,7 @@
                 "TooSlow" => sleep(3 * SECOND).await,
                 "MadeRoom" => assert!(node.frontend.make_room()),
                 "Stopping" => {
-                    node.frontend.lifecycle.stop(false, Stop::of(SECOND / 5));
+                    node.frontend.lifecycle.stop(false, ShutdownTimes::of(SECOND / 5));
                     sleep(SECOND).await;
                 }
                 _ => {}
--- a/crates/node/src/frontend/tests/mod.rs
+++ b/crates/node/src/frontend/tests/mod.rs
@@ -24,7 +24,7 @@
 use super::{penance, Frontend};
 use crate::budget::Budget;
 use crate::config::Limits;
-use crate::figures::Figures;
+use crate::figures::Metrics;
 use crate::lifecycle::Lifecycle;
 use crate::message::Message;
 use crate::upstream::{Bounds, Upstream};
@@ -40,7 +40,7 @@
     let second = Duration::from_secs(1);
     let bounds = Bounds { dial: second, idle: second, grace: second };
     let budget = Budget::new(limits);
-    let upstream = Rc::new(Upstream::new(bounds, budget.clone(), Figures::new([])));
+    let upstream = Rc::new(Upstream::new(bounds, budget.clone(), Metrics::new([])));
     Frontend::new(messages, upstream, Lifecycle::new(), budget, penance(shortest))
 }
 
--- a/crates/node/src/frontend/tests/node.rs
+++ b/crates/node/src/frontend/tests/node.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hallpin_balancer::{Class, Effect, Group, Guarantees, Settings};
+use hallpin_balancer::{Class, DeduplicationScope, Effect, Guarantees, Settings};
 use socket2::SockRef;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -18,8 +18,8 @@
 use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::driver::{Around, Driver};
-use crate::figures::Figures;
+use crate::driver::{Driver, DriverContext};
+use crate::figures::Metrics;
 use crate::frontend::Frontend;
 use crate::lifecycle::Lifecycle;
 use crate::roster::Roster;
@@ -61,7 +61,7 @@
         worth: 1.0,
         late_worth: 0.0,
         effect: Effect::Safe,
-        group: Group::All,
+        group: DeduplicationScope::All,
         window: 0.0,
         streamed: false,
     };
@@ -84,11 +84,11 @@
         let second = Duration::from_secs(1);
         let bounds = Bounds { dial: second, idle: second, grace: second };
         let budget = Budget::new(limits);
-        let (figures, lifecycle) = (Figures::new(["read"]), Lifecycle::new());
+        let (figures, lifecycle) = (Metrics::new(["read"]), Lifecycle::new());
         let upstream = Rc::new(Upstream::new(bounds, budget.clone(), figures.clone()));
         let (messages, inbox) = unbounded_channel();
         let clock = Clock::start();
-        let context = Around {
+        let context = DriverContext {
             clock,
             upstream: upstream.clone(),
             messages: messages.clone(),
--- a/crates/node/src/frontend/tests/slow_readers.rs
+++ b/crates/node/src/frontend/tests/slow_readers.rs
@@ -13,7 +13,7 @@
 use super::{frontend, settle, with_client, with_clock_held};
 use crate::answer::Answer;
 use crate::config::Limits;
-use crate::frontend::STALLED;
+use crate::frontend::STALL_TIMEOUT;
 use crate::message::Message;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -69,14 +69,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_that_only_sends_does_not_keep_its_connection() {
     let lifetime = connection_lifetime(100 * KIB, 1, Duration::from_secs(3600)).await;
-    assert!(lifetime <= STALLED + 3 * SECOND, "closed after {lifetime:?}");
+    assert!(lifetime <= STALL_TIMEOUT + 3 * SECOND, "closed after {lifetime:?}");
 }
 
 /// Neither is a few bytes read now and then.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_reads_its_answer_in_drips_does_not_keep_its_connection() {
     let lifetime = connection_lifetime(KIB * KIB, 16 * KIB, 3 * SECOND).await;
-    assert!(lifetime <= 3 * STALLED, "closed after {lifetime:?}");
+    assert!(lifetime <= 3 * STALL_TIMEOUT, "closed after {lifetime:?}");
 }
 
 /// A client that reads its answer steadily, above the minimum rate, keeps its connection, though the kernel could
--- a/crates/node/src/frontend/tests/stop.rs
+++ b/crates/node/src/frontend/tests/stop.rs
@@ -15,7 +15,7 @@
 use crate::answer::Answer;
 use crate::config::Limits;
 use crate::message::Message;
-use crate::stop::Stop;
+use crate::stop::ShutdownTimes;
 
 /// How long after a stop the last request was accepted from a client that sends again `pause` after each answer, on
 /// one connection for as long as it is open, if answers take `answer_time`; on the paused clock.
@@ -45,7 +45,7 @@
     let run = async {
         sleep(Duration::from_secs(1)).await;
         let stopped = Instant::now();
-        frontend.lifecycle.stop(false, Stop::of(Duration::from_secs(2)));
+        frontend.lifecycle.stop(false, ShutdownTimes::of(Duration::from_secs(2)));
         // The test ends by itself: by then the kill would have come.
         sleep(Duration::from_secs(3)).await;
         accepted.get().saturating_duration_since(stopped)
@@ -65,7 +65,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_a_stop_no_request_is_accepted_that_the_kill_would_cut_off() {
     let ms = Duration::from_millis;
-    let close_time = Stop::of(ms(2000)).part_after;
+    let close_time = ShutdownTimes::of(ms(2000)).part_after;
     for (pause, answer_time) in [(ms(0), ms(70)), (ms(50), ms(1)), (ms(250), ms(40)), (ms(5), ms(900))] {
         let last = last_accepted_after_a_stop(pause, answer_time).await;
         assert!(
@@ -100,7 +100,7 @@
             }
         });
         sleep(ms(1000)).await;
-        let (stopped, times) = (Instant::now(), Stop::of(ms(2000)));
+        let (stopped, times) = (Instant::now(), ShutdownTimes::of(ms(2000)));
         frontend.lifecycle.stop(false, times);
         let mut answers = Vec::new();
         let ended = timeout(times.end_after, reader.read_to_end(&mut answers)).await;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -32,7 +32,7 @@
 use tokio::task::LocalSet;
 use tracing::{error, info};
 
-use config::Wrong;
+use config::NodeConfigError;
 
 /// Command line options of a node.
 #[derive(Clone, Debug, Default, clap::Args)]
@@ -55,7 +55,7 @@
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error(transparent)]
-    Config(#[from] Wrong),
+    Config(#[from] NodeConfigError),
     #[error("runtime: {0}")]
     Runtime(#[source] std::io::Error),
     #[error("driver: its task ended unexpectedly")]
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::stop::Stop;
+use crate::stop::ShutdownTimes;
 
 /// Time from the start of a drain by an operator or a takeover until idle client connections are closed. Until the
 /// platform has moved clients to another node they go on using these connections, and may find no other.
@@ -18,7 +18,7 @@
 
 /// Lifecycle state of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum LifecycleState {
     /// No cache server is known yet.
     Starting,
     /// At least one cache server has been known, and clients are accepted.
@@ -29,14 +29,14 @@
     Stopping,
 }
 
-impl State {
+impl LifecycleState {
     /// Name of the state in answers to operators.
     pub fn name(self) -> &'static str {
         match self {
-            State::Starting => "starting",
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Stopping => "stopping",
+            LifecycleState::Starting => "starting",
+            LifecycleState::Ready => "ready",
+            LifecycleState::Draining => "draining",
+            LifecycleState::Stopping => "stopping",
         }
     }
 }
@@ -44,7 +44,7 @@
 /// A state, when it was entered, and the times that follow from it.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
-    pub state: State,
+    pub state: LifecycleState,
     pub since: Instant,
     /// Whether a cache server was ever known. It decides which state a resumed node returns to.
     servers_known: bool,
@@ -59,7 +59,7 @@
 impl Phase {
     /// Time since which clients have been asked to leave, if they are.
     pub fn sent_away(&self) -> Option<Instant> {
-        matches!(self.state, State::Draining | State::Stopping).then_some(self.since)
+        matches!(self.state, LifecycleState::Draining | LifecycleState::Stopping).then_some(self.since)
     }
 
     /// Time from which idle connections are closed, if clients are asked to leave.
@@ -80,7 +80,7 @@
 impl Lifecycle {
     pub fn new() -> Rc<Self> {
         let phase = Phase {
-            state: State::Starting,
+            state: LifecycleState::Starting,
             since: Instant::now(),
             servers_known: false,
             relieved: false,
@@ -94,7 +94,7 @@
         *self.phase.borrow()
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> LifecycleState {
         self.phase().state
     }
 
@@ -107,9 +107,9 @@
     pub fn mark_servers_known(&self) {
         self.phase.send_if_modified(|phase| {
             phase.servers_known = true;
-            let ready = phase.state == State::Starting;
+            let ready = phase.state == LifecycleState::Starting;
             if ready {
-                (phase.state, phase.since) = (State::Ready, Instant::now());
+                (phase.state, phase.since) = (LifecycleState::Ready, Instant::now());
             }
             ready
         });
@@ -117,18 +117,20 @@
 
     /// Asks clients to leave until the node is resumed.
     pub fn drain(&self) -> Result<(), AlreadyStopping> {
-        self.transition(|_| State::Draining)
+        self.transition(|_| LifecycleState::Draining)
     }
 
     /// Undoes a drain: the node becomes ready, or starting if no cache server has been known yet.
     pub fn resume(&self) -> Result<(), AlreadyStopping> {
-        self.transition(|phase| if phase.servers_known { State::Ready } else { State::Starting })
+        self.transition(
+            |phase| if phase.servers_known { LifecycleState::Ready } else { LifecycleState::Starting },
+        )
     }
 
     /// Starts the shutdown by `times`. `relieved` says whether another process accepts at this address.
-    pub fn stop(&self, relieved: bool, times: Stop) {
+    pub fn stop(&self, relieved: bool, times: ShutdownTimes) {
         // A second stop has no effect.
-        if self.transition(|_| State::Stopping).is_ok() {
+        if self.transition(|_| LifecycleState::Stopping).is_ok() {
             self.phase.send_modify(|phase| {
                 let close_idle_after = if relieved {
                     DRAIN_CLOSE_AFTER.min(times.close_after_with_successor())
@@ -142,9 +144,9 @@
     }
 
     /// Changes the state. If it stays the same, so does the time since which it has been in force.
-    fn transition(&self, to: impl FnOnce(&Phase) -> State) -> Result<(), AlreadyStopping> {
+    fn transition(&self, to: impl FnOnce(&Phase) -> LifecycleState) -> Result<(), AlreadyStopping> {
         let phase = self.phase();
-        if phase.state == State::Stopping {
+        if phase.state == LifecycleState::Stopping {
             return Err(AlreadyStopping);
         }
         let state = to(&phase);
--- a/crates/node/src/lifecycle/tests.rs
+++ b/crates/node/src/lifecycle/tests.rs
@@ -5,40 +5,40 @@
 #[test]
 fn a_resume_undoes_a_drain_and_repeated_calls_change_nothing() {
     let lifecycle = Lifecycle::new();
-    assert_eq!(lifecycle.state(), State::Starting);
+    assert_eq!(lifecycle.state(), LifecycleState::Starting);
     lifecycle.drain().unwrap();
     let since = lifecycle.phase().since;
     lifecycle.drain().unwrap();
-    assert_eq!((lifecycle.state(), lifecycle.phase().since), (State::Draining, since));
+    assert_eq!((lifecycle.state(), lifecycle.phase().since), (LifecycleState::Draining, since));
     assert_eq!(lifecycle.phase().sent_away(), Some(since));
     lifecycle.resume().unwrap();
-    assert_eq!(lifecycle.state(), State::Starting, "no server was known before the drain");
+    assert_eq!(lifecycle.state(), LifecycleState::Starting, "no server was known before the drain");
     lifecycle.drain().unwrap();
     lifecycle.mark_servers_known();
-    assert_eq!(lifecycle.state(), State::Draining, "a server that becomes known ends no drain");
+    assert_eq!(lifecycle.state(), LifecycleState::Draining, "a server that becomes known ends no drain");
     lifecycle.resume().unwrap();
     lifecycle.resume().unwrap();
-    assert_eq!((lifecycle.state(), lifecycle.phase().sent_away()), (State::Ready, None));
+    assert_eq!((lifecycle.state(), lifecycle.phase().sent_away()), (LifecycleState::Ready, None));
 }
 
 #[test]
 fn a_stop_is_final() {
     let lifecycle = Lifecycle::new();
     lifecycle.mark_servers_known();
-    let times = Stop::of(Duration::from_secs(2));
+    let times = ShutdownTimes::of(Duration::from_secs(2));
     lifecycle.stop(false, times);
     let since = lifecycle.phase().since;
     lifecycle.stop(true, times);
     assert_eq!((lifecycle.drain(), lifecycle.resume()), (Err(AlreadyStopping), Err(AlreadyStopping)));
     lifecycle.mark_servers_known();
-    assert_eq!((lifecycle.state(), lifecycle.phase().since), (State::Stopping, since));
+    assert_eq!((lifecycle.state(), lifecycle.phase().since), (LifecycleState::Stopping, since));
     assert!(!lifecycle.phase().relieved);
 }
 
 /// A drain and a takeover use the drain's delay; a stop uses the time that the platform leaves before the kill.
 #[test]
 fn the_delay_before_closing_depends_on_drain_stop_or_takeover() {
-    let times = Stop::of(Duration::from_secs(2));
+    let times = ShutdownTimes::of(Duration::from_secs(2));
     let after = |lifecycle: &Lifecycle| lifecycle.phase().parts().unwrap() - lifecycle.phase().since;
     let lifecycle = Lifecycle::new();
     assert_eq!(lifecycle.phase().parts(), None);
@@ -59,7 +59,7 @@
 fn a_process_with_a_successor_closes_idle_connections_before_the_kill() {
     let ms = Duration::from_millis;
     for longest in [100, 250, 480, 1000, 3000, 9000] {
-        let (lifecycle, times) = (Lifecycle::new(), Stop::of(ms(longest)));
+        let (lifecycle, times) = (Lifecycle::new(), ShutdownTimes::of(ms(longest)));
         lifecycle.stop(true, times);
         let after = lifecycle.phase().parts().unwrap() - lifecycle.phase().since;
         let kill = ms(longest.min(3000) + 700);
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -12,7 +12,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-use crate::config::{wrong, Wrong};
+use crate::config::{config_error, NodeConfigError};
 
 /// Environment variable with the log filter: a level, or comma-separated `TARGET=LEVEL` entries.
 pub const FILTER_VARIABLE: &str = "HALLPIN_LOG";
@@ -31,9 +31,9 @@
 ///
 /// # Errors
 /// Names `HALLPIN_LOG` if its value is not a valid filter.
-pub fn start(format: Format) -> Result<(), Wrong> {
+pub fn start(format: Format) -> Result<(), NodeConfigError> {
     let filter = match std::env::var(FILTER_VARIABLE) {
-        Ok(text) => text.parse().map_err(wrong(FILTER_VARIABLE))?,
+        Ok(text) => text.parse().map_err(config_error(FILTER_VARIABLE))?,
         Err(_) => Targets::new().with_default(Level::INFO),
     };
     let lines = tracing_subscriber::fmt::layer()
@@ -53,13 +53,13 @@
 /// Rate limiter for one kind of log line: passes a few lines per window and counts the others, so that a crowd of
 /// clients cannot flood the log.
 #[derive(Debug, Default)]
-pub struct Throttle {
+pub struct LogThrottle {
     window_start: Cell<Option<Instant>>,
     passed: Cell<u32>,
     suppressed: Cell<u64>,
 }
 
-impl Throttle {
+impl LogThrottle {
     const WINDOW: Duration = Duration::from_secs(1);
     const MAX_LINES: u32 = 10;
 
@@ -84,10 +84,10 @@
 
     #[test]
     fn a_flood_passes_a_few_times_a_second_and_the_rest_is_counted() {
-        let (throttle, start) = (Throttle::default(), Instant::now());
+        let (throttle, start) = (LogThrottle::default(), Instant::now());
         let passed = (0..1000).filter(|_| throttle.pass(start).is_some()).count();
-        assert_eq!(passed, Throttle::MAX_LINES as usize);
-        assert_eq!(throttle.pass(start + Throttle::WINDOW), Some(990));
-        assert_eq!(throttle.pass(start + Throttle::WINDOW), Some(0));
+        assert_eq!(passed, LogThrottle::MAX_LINES as usize);
+        assert_eq!(throttle.pass(start + LogThrottle::WINDOW), Some(990));
+        assert_eq!(throttle.pass(start + LogThrottle::WINDOW), Some(0));
     }
 }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -3,22 +3,22 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use hallpin_balancer::{AttemptId, FleetNews, RequestId, ServerId, Status};
+use hallpin_balancer::{AttemptId, FleetUpdate, RequestId, ServerId, Status};
 use hallpin_protocol::Command;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 use crate::answer::Answer;
-use crate::figures::Members;
+use crate::figures::MemberCounts;
 use crate::roster::Roster;
-use crate::upstream::Ended;
+use crate::upstream::AttemptResult;
 
 /// Whether a client has disconnected. The flag is shared, so whoever would still send for the client sees it at once,
 /// however many messages are queued.
 #[derive(Clone, Debug, Default)]
-pub struct Gone(Rc<Cell<bool>>);
+pub struct DisconnectFlag(Rc<Cell<bool>>);
 
-impl Gone {
+impl DisconnectFlag {
     /// Marks the client as disconnected.
     pub fn tell(&self) {
         self.0.set(true);
@@ -39,20 +39,20 @@
         /// When the first byte of the command was read. The client's deadline counts from here.
         at: Instant,
         reply: oneshot::Sender<Answer>,
-        gone: Gone,
+        gone: DisconnectFlag,
     },
     /// The client has disconnected.
     Withdrawn(RequestId),
     /// An attempt has ended.
-    Ended { request: RequestId, attempt: AttemptId, ended: Ended },
+    Ended { request: RequestId, attempt: AttemptId, ended: AttemptResult },
     /// A health check has ended.
     Probed { server: ServerId, status: Status },
     /// Discovery has delivered an endpoint list.
     Roster(Roster),
     /// An update from the control plane between nodes for the balancer.
-    Fleet(FleetNews),
+    Fleet(FleetUpdate),
     /// A call to discovery has failed.
     RosterFailed,
     /// The operators' listener asks for the number of listed cache servers.
-    Members(oneshot::Sender<Members>),
+    Members(oneshot::Sender<MemberCounts>),
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -19,9 +19,9 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-use crate::config::{wrong, Wrong};
-use crate::figures::{Figures, Members};
-use crate::lifecycle::{AlreadyStopping, Lifecycle, State};
+use crate::config::{config_error, NodeConfigError};
+use crate::figures::{MemberCounts, Metrics};
+use crate::lifecycle::{AlreadyStopping, Lifecycle, LifecycleState};
 use crate::message::Message;
 use crate::port::{self, Accept};
 use crate::system_error::{AcceptRetry, NextAccept, Operation, ACCEPT_PAUSE};
@@ -50,7 +50,7 @@
     TooLong,
     Incomplete,
     TooSlow,
-    NotReady(State),
+    NotReady(LifecycleState),
     Stopping,
 }
 
@@ -102,13 +102,13 @@
 /// The operators' listener and what its calls act on.
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
-    metrics: Rc<Figures>,
+    metrics: Rc<Metrics>,
     driver: UnboundedSender<Message>,
     callers: RefCell<VecDeque<AbortHandle>>,
 }
 
 impl Operator {
-    pub fn new(lifecycle: Rc<Lifecycle>, metrics: Rc<Figures>, driver: UnboundedSender<Message>) -> Rc<Self> {
+    pub fn new(lifecycle: Rc<Lifecycle>, metrics: Rc<Metrics>, driver: UnboundedSender<Message>) -> Rc<Self> {
         Rc::new(Operator { lifecycle, metrics, driver, callers: RefCell::default() })
     }
 
@@ -117,18 +117,18 @@
     ///
     /// # Errors
     /// Names the address if it can never be bound.
-    pub fn bind(address: SocketAddr) -> Result<Option<TcpListener>, Wrong> {
+    pub fn bind(address: SocketAddr) -> Result<Option<TcpListener>, NodeConfigError> {
         Self::listener_from(address, port::bind(address, false))
     }
 
     fn listener_from(
         address: SocketAddr,
         bound: io::Result<TcpListener>,
-    ) -> Result<Option<TcpListener>, Wrong> {
+    ) -> Result<Option<TcpListener>, NodeConfigError> {
         match bound {
             Ok(listener) => Ok(Some(listener)),
-            Err(error) if port::may_be_had_later(&error) => Ok(None),
-            Err(error) => Err(wrong(&format!("operator {address}"))(error)),
+            Err(error) if port::is_retryable_bind_error(&error) => Ok(None),
+            Err(error) => Err(config_error(&format!("operator {address}"))(error)),
         }
     }
 
@@ -171,9 +171,9 @@
                     self.admit(stream);
                 }
                 Err(error) => match retry.failed(&error) {
-                    NextAccept::AtOnce => {}
+                    NextAccept::Immediately => {}
                     // The callers have reserved descriptors, so a shortage passes.
-                    NextAccept::AfterPause | NextAccept::AfterMakingRoom => sleep(ACCEPT_PAUSE).await,
+                    NextAccept::AfterPause | NextAccept::AfterFreeingDescriptors => sleep(ACCEPT_PAUSE).await,
                     NextAccept::Never => return,
                 },
             }
@@ -226,7 +226,7 @@
         let outcome = match call {
             Call::ShowStat => return self.show_stat().await,
             Call::Ready => match self.lifecycle.state() {
-                State::Ready => Ok("ready"),
+                LifecycleState::Ready => Ok("ready"),
                 state => Err(Refusal::NotReady(state)),
             },
             Call::Drain => self.lifecycle.drain().map(|()| "draining").map_err(Refusal::from),
@@ -245,7 +245,7 @@
         let (reply, members) = oneshot::channel();
         // The driver ends only with the process.
         let _ = self.driver.send(Message::Members(reply));
-        let members: Members = members.await.unwrap_or_default();
+        let members: MemberCounts = members.await.unwrap_or_default();
         self.metrics.render(members) + "eof\n"
     }
 }
--- a/crates/node/src/operator/tests.rs
+++ b/crates/node/src/operator/tests.rs
@@ -39,11 +39,11 @@
 #[test]
 fn answers_begin_with_ok_or_fail() {
     assert_eq!(render(Ok("draining")), "ok draining\n");
-    assert_eq!(render(Err(Refusal::NotReady(State::Starting))), "fail starting\n");
+    assert_eq!(render(Err(Refusal::NotReady(LifecycleState::Starting))), "fail starting\n");
 }
 
 fn operator() -> Rc<Operator> {
-    Operator::new(Lifecycle::new(), Figures::new([]), unbounded_channel().0)
+    Operator::new(Lifecycle::new(), Metrics::new([]), unbounded_channel().0)
 }
 
 /// Sends `ready` to this address and returns the answer.
--- a/crates/node/src/plane.rs
+++ b/crates/node/src/plane.rs
@@ -19,7 +19,7 @@
 mod usage;
 mod weights;
 
-pub use boxes::Sent;
-pub use fleet::Fleet;
-pub use permits::{Opened, Use};
+pub use boxes::SentAttempt;
+pub use fleet::PlaneRuntime;
+pub use permits::{CountedConnection, QuotaUse};
 pub use setup::Setup;
--- a/crates/node/src/plane/boxes.rs
+++ b/crates/node/src/plane/boxes.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallpin_balancer::{Seconds, ServerEvidence, ServerId, ServerState, Status};
-use hallpin_membership::facts::{BoxEvidence, BoxLife, OwnFact};
+use hallpin_balancer::{Seconds, ServerId, ServerReport, ServerState, Status};
+use hallpin_membership::facts::{BoxEvidence, BoxIncarnation, OwnObservation};
 use hallpin_placement::TableEntry;
 use hallpin_quota::Resource;
 use twox_hash::XxHash3_64;
@@ -13,9 +13,9 @@
 
 /// An attempt in flight at one incarnation of a box.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentAttempt {
     server: ServerId,
-    life: BoxLife,
+    life: BoxIncarnation,
 }
 
 /// What the outcome of an attempt says about a box.
@@ -38,7 +38,7 @@
 /// One listed box.
 #[derive(Debug)]
 struct BoxRecord {
-    life: BoxLife,
+    life: BoxIncarnation,
     /// Start of this incarnation on the balancer's clock.
     started: Option<Seconds>,
     /// Weight in a placement table, in thousandths; `None` where the box belongs in no table.
@@ -86,7 +86,7 @@
                 self.records.remove(server);
                 continue;
             }
-            let life = BoxLife { id: hash(server), started_unix_ms: member.started_unix_ms };
+            let life = BoxIncarnation { id: hash(server), started_unix_ms: member.started_unix_ms };
             let (started, table_weight) =
                 (member.entry.started, self.table_weights.weight_milli(&member.entry));
             let new = || BoxRecord {
@@ -121,23 +121,23 @@
     }
 
     /// Converts evidence of peers about a box; `None` unless it concerns the listed incarnation.
-    pub fn evidence(&self, evidence: &BoxEvidence) -> Option<ServerEvidence> {
+    pub fn evidence(&self, evidence: &BoxEvidence) -> Option<ServerReport> {
         let server = self.by_id.get(&evidence.of.id)?;
         let record = self.records.get(server).filter(|record| record.life == evidence.of)?;
         let BoxEvidence { silent, answering, in_flight, .. } = *evidence;
-        Some(ServerEvidence { server: server.clone(), started: record.started, silent, answering, in_flight })
+        Some(ServerReport { server: server.clone(), started: record.started, silent, answering, in_flight })
     }
 
     /// Records that an attempt begins. `None` for a box that is not listed.
-    pub fn record_attempt(&mut self, server: &ServerId) -> Option<Sent> {
+    pub fn record_attempt(&mut self, server: &ServerId) -> Option<SentAttempt> {
         let record = self.records.get_mut(server)?;
         record.in_flight = record.in_flight.saturating_add(1);
         record.has_changes = true;
-        Some(Sent { server: server.clone(), life: record.life })
+        Some(SentAttempt { server: server.clone(), life: record.life })
     }
 
     /// Records an attempt's outcome. One at an earlier incarnation of the box is ignored.
-    pub fn record_outcome(&mut self, sent: &Sent, status: Status) {
+    pub fn record_outcome(&mut self, sent: &SentAttempt, status: Status) {
         let Some(record) = self.records.get_mut(&sent.server).filter(|record| record.life == sent.life)
         else {
             return;
@@ -152,10 +152,10 @@
     }
 
     /// Takes the observations since the last call.
-    pub fn take_facts(&mut self) -> Vec<OwnFact> {
+    pub fn take_facts(&mut self) -> Vec<OwnObservation> {
         let fact = |record: &mut BoxRecord| {
             record.has_changes = false;
-            OwnFact {
+            OwnObservation {
                 of: record.life,
                 answered: std::mem::take(&mut record.answered),
                 silent: std::mem::take(&mut record.silent),
@@ -185,12 +185,12 @@
         let (mut boxes, s) = (Boxes::default(), ServerId("s".into()));
         assert_eq!(boxes.record_attempt(&s), None, "not listed");
         boxes.apply_roster(&roster(true, &member("s", "ready", 5)));
-        let sent: Vec<Sent> = (0..4).filter_map(|_| boxes.record_attempt(&s)).collect();
+        let sent: Vec<SentAttempt> = (0..4).filter_map(|_| boxes.record_attempt(&s)).collect();
         boxes.record_outcome(&sent[0], Status::Success);
         boxes.record_outcome(&sent[1], Status::TimedOut);
         boxes.record_outcome(&sent[2], Status::Cancelled);
-        let of = BoxLife { id: hash(&s), started_unix_ms: 5 };
-        assert_eq!(boxes.take_facts(), [OwnFact { of, answered: 1, silent: 1, in_flight: 1 }]);
+        let of = BoxIncarnation { id: hash(&s), started_unix_ms: 5 };
+        assert_eq!(boxes.take_facts(), [OwnObservation { of, answered: 1, silent: 1, in_flight: 1 }]);
         assert_eq!(boxes.take_facts(), []);
     }
 
@@ -215,7 +215,7 @@
         boxes.apply_roster(&roster(true, &member("s", "ready", 5)));
         let id = hash(&ServerId("s".into()));
         let evidence = |since| BoxEvidence {
-            of: BoxLife { id, started_unix_ms: since },
+            of: BoxIncarnation { id, started_unix_ms: since },
             silent: 2,
             answering: 1,
             in_flight: 3,
--- a/crates/node/src/plane/fleet.rs
+++ b/crates/node/src/plane/fleet.rs
@@ -21,7 +21,7 @@
 use super::socket::{Addresses, Socket};
 use super::state::{CachedState, StateWriter, StoredTable, StoredView};
 use super::usage::Usage;
-use crate::log::Throttle;
+use crate::log::LogThrottle;
 use crate::message::Message;
 
 /// Interval at which this node's observations of boxes are passed to membership.
@@ -30,7 +30,7 @@
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// The plane of this node with its socket, timer and bookkeeping.
-pub struct Fleet {
+pub struct PlaneRuntime {
     pub(super) started: Instant,
     pub(super) listen: SocketAddr,
     pub(super) addresses: RefCell<Option<Addresses>>,
@@ -42,7 +42,7 @@
     /// Wakes the loop after a call from the node, as deadlines may have changed.
     pub(super) wake: Notify,
     pub(super) refusal_log: RefCell<RefusalLog>,
-    pub(super) log_throttle: Throttle,
+    pub(super) log_throttle: LogThrottle,
     /// Number of alive nodes in the last view.
     pub(super) alive: Cell<usize>,
     /// Schedules notifications of the balancer about peers' evidence.
@@ -64,7 +64,7 @@
     pub(super) lost_datagrams: Cell<u64>,
 }
 
-impl Fleet {
+impl PlaneRuntime {
     /// The time since the start by this node's monotonic clock, which continues while the process is paused.
     pub(super) fn now(&self) -> Moment {
         self.started.elapsed()
--- a/crates/node/src/plane/metrics.rs
+++ b/crates/node/src/plane/metrics.rs
@@ -1,34 +1,34 @@
 //! The plane's metrics in the output of `show-stat`; `docs/operators/processes.md` describes each.
 
 use hallpin_control_plane::counters::{cause_name, Counters};
-use hallpin_membership::envelope::Refused;
+use hallpin_membership::envelope::Rejection;
 use hallpin_membership::names::Moment;
 use hallpin_membership::view::View;
-use hallpin_placement::{Accord, AccordState};
+use hallpin_placement::{Accord, PlacementState};
 use hallpin_quota::{Budgets, Resource, TenantIndex};
 
 use super::usage::Usage;
 use crate::figures::{escape, line};
 
 /// All causes of refusals, in the order of their metrics.
-const REFUSAL_CAUSES: [Refused; 9] = [
-    Refused::TooLong,
-    Refused::Short,
-    Refused::Foreign,
-    Refused::Version,
-    Refused::Kind,
-    Refused::Garbled,
-    Refused::Realm,
-    Refused::Stranger,
-    Refused::Payload,
+const REFUSAL_CAUSES: [Rejection; 9] = [
+    Rejection::TooLong,
+    Rejection::Truncated,
+    Rejection::Foreign,
+    Rejection::Version,
+    Rejection::Kind,
+    Rejection::Corrupt,
+    Rejection::Realm,
+    Rejection::UnknownPeer,
+    Rejection::Payload,
 ];
 
 /// All states of placement agreement, with their values of the label `state`.
-const ACCORD_STATES: [(AccordState, &str); 4] = [
-    (AccordState::InForce, "in_force"),
-    (AccordState::Preparing, "preparing"),
-    (AccordState::Out, "out"),
-    (AccordState::CatchingUp, "catching_up"),
+const ACCORD_STATES: [(PlacementState, &str); 4] = [
+    (PlacementState::InForce, "in_force"),
+    (PlacementState::Preparing, "preparing"),
+    (PlacementState::Out, "out"),
+    (PlacementState::CatchingUp, "catching_up"),
 ];
 
 /// Writes the metrics of the placement table in force and of this node's state towards it.
--- a/crates/node/src/plane/news.rs
+++ b/crates/node/src/plane/news.rs
@@ -1,46 +1,46 @@
 //! Handles events of the plane: notifies the balancer through the driver, and writes log lines.
 
-use hallpin_balancer::{FleetNews, ServerId, TableEntry};
-use hallpin_control_plane::PlaneNews;
-use hallpin_membership::facts::{BoxEvidence, PeersNews};
-use hallpin_placement::{AccordNews, Table};
+use hallpin_balancer::{FleetUpdate, ServerId, TableEntry};
+use hallpin_control_plane::PlaneEvent;
+use hallpin_membership::facts::{BoxEvidence, PeersEvent};
+use hallpin_placement::{PlacementEvent, Table};
 use hallpin_quota::BudgetsEvent;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 
-use super::fleet::Fleet;
+use super::fleet::PlaneRuntime;
 use crate::message::Message;
 
 /// The events of this node's plane.
-type PlaneEvent = PlaneNews<AccordNews, BudgetsEvent>;
+type NodePlaneEvent = PlaneEvent<PlacementEvent, BudgetsEvent>;
 
-impl Fleet {
+impl PlaneRuntime {
     /// Acts on an event of the plane.
-    pub(super) fn handle_event(&self, event: PlaneEvent) {
+    pub(super) fn handle_event(&self, event: NodePlaneEvent) {
         match event {
-            PlaneNews::Peers(PeersNews::CutOff(true)) => warn!("cut off: no other node is heard"),
-            PlaneNews::Peers(PeersNews::CutOff(false)) => {
+            PlaneEvent::Peers(PeersEvent::CutOff(true)) => warn!("cut off: no other node is heard"),
+            PlaneEvent::Peers(PeersEvent::CutOff(false)) => {
                 info!("no longer cut off: other nodes are heard again")
             }
-            PlaneNews::Peers(PeersNews::View) => self.log_view(),
+            PlaneEvent::Peers(PeersEvent::View) => self.log_view(),
             // Sent with the next gathering, as evidence may change with every datagram.
-            PlaneNews::Peers(PeersNews::Evidence) => self.evidence_timer.trigger(),
-            PlaneNews::Accord(AccordNews::Switch(table)) => self.switch(&table),
-            PlaneNews::Accord(AccordNews::Out) => {
+            PlaneEvent::Peers(PeersEvent::Evidence) => self.evidence_timer.trigger(),
+            PlaneEvent::Accord(PlacementEvent::Switch(table)) => self.switch(&table),
+            PlaneEvent::Accord(PlacementEvent::Out) => {
                 warn!("out: the lease on the placement table is over; other nodes may switch tables without this one");
             }
-            PlaneNews::Accord(AccordNews::Back) => {
+            PlaneEvent::Accord(PlacementEvent::Back) => {
                 info!("back: the lease on the placement table was regained")
             }
-            PlaneNews::Accord(AccordNews::Prepared { version }) => {
+            PlaneEvent::Accord(PlacementEvent::Prepared { version }) => {
                 debug!(version, "a table is prepared, not yet in force")
             }
-            PlaneNews::Accord(AccordNews::Dropped { version }) => info!(version, "a table was dropped"),
-            PlaneNews::Budgets(BudgetsEvent::AllotmentsChanged) => self.close_all_excess(),
-            PlaneNews::Budgets(BudgetsEvent::GrantingStarted { epoch }) => {
+            PlaneEvent::Accord(PlacementEvent::Dropped { version }) => info!(version, "a table was dropped"),
+            PlaneEvent::Budgets(BudgetsEvent::AllotmentsChanged) => self.close_all_excess(),
+            PlaneEvent::Budgets(BudgetsEvent::GrantingStarted { epoch }) => {
                 info!(epoch, "grants parts of budgets")
             }
-            PlaneNews::Budgets(BudgetsEvent::GrantingStopped) => info!("grants parts of budgets no longer"),
+            PlaneEvent::Budgets(BudgetsEvent::GrantingStopped) => info!("grants parts of budgets no longer"),
         }
     }
 
@@ -62,7 +62,7 @@
             weight: f64::from(entry.weight_milli) / 1000.0,
         };
         let entries = table.entries.iter().map(entry).collect();
-        self.notify_balancer(FleetNews::Table { epoch, version, entries });
+        self.notify_balancer(FleetUpdate::Table { epoch, version, entries });
     }
 
     /// Notifies the balancer of peers' evidence about listed boxes.
@@ -72,10 +72,10 @@
         if servers.is_empty() {
             return;
         }
-        self.notify_balancer(FleetNews::Servers(servers));
+        self.notify_balancer(FleetUpdate::Servers(servers));
     }
 
-    fn notify_balancer(&self, event: FleetNews) {
+    fn notify_balancer(&self, event: FleetUpdate) {
         // The receiver is dropped only when the program ends.
         let _ = self.messages.send(Message::Fleet(event));
     }
--- a/crates/node/src/plane/permits.rs
+++ b/crates/node/src/plane/permits.rs
@@ -7,25 +7,25 @@
 use hallpin_quota::{Allotment, Budgets, Resource, TenantIndex};
 
 use super::boxes::resource;
-use super::fleet::Fleet;
+use super::fleet::PlaneRuntime;
 use super::usage::{ConnectionPermit, CLOSING};
 
 /// A use of a box's quota by one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Use {
+pub struct QuotaUse {
     resource: Resource,
     tenant: TenantIndex,
 }
 
 /// A connection counted against a box's quota until this is dropped.
-pub struct Opened {
-    fleet: Rc<Fleet>,
+pub struct CountedConnection {
+    fleet: Rc<PlaneRuntime>,
     resource: Resource,
     /// The state of the connection, shared with its user.
     pub mark: Rc<ConnectionPermit>,
 }
 
-impl Opened {
+impl CountedConnection {
     /// Whether the connection is still within the node's allotment at this moment. This detects, before a write, that
     /// the node was paused past the end of its lease.
     pub fn holds(&self) -> bool {
@@ -34,7 +34,7 @@
     }
 }
 
-impl Drop for Opened {
+impl Drop for CountedConnection {
     fn drop(&mut self) {
         let now = self.fleet.now();
         self.fleet.usage.borrow_mut().record_close(now, self.resource);
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsedUp;
 
-impl Fleet {
+impl PlaneRuntime {
     /// The allotment for a use or connection that begins now: looked up [`CLOSING`] ahead, as the use must have ended
     /// at the box when the lease ends.
     fn allotment(budgets: &Budgets, now: Moment, resource: Resource, tenant: TenantIndex) -> Allotment {
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// Returns [`UsedUp`] where the tenant's allotment at the box is used up.
-    pub fn begin(&self, server: &ServerId, tenant: Option<&str>) -> Result<Option<Use>, UsedUp> {
+    pub fn begin(&self, server: &ServerId, tenant: Option<&str>) -> Result<Option<QuotaUse>, UsedUp> {
         let (now, resource, mut plane) = (self.now(), resource(server), self.plane.borrow_mut());
         let Some(budgets) = plane.budgets() else { return Ok(None) };
         let tenant = budgets.in_force().tenant(tenant.unwrap_or_default());
@@ -65,11 +65,11 @@
         budgets.record_demand(now, resource, tenant, usage.demand(now, resource, tenant));
         let allotment = Self::allotment(budgets, now, resource, tenant);
         let admitted = usage.admit(now, resource, tenant, allotment);
-        admitted.then_some(Some(Use { resource, tenant })).ok_or(UsedUp)
+        admitted.then_some(Some(QuotaUse { resource, tenant })).ok_or(UsedUp)
     }
 
     /// Ends a use.
-    pub fn finish(&self, used: Use) {
+    pub fn finish(&self, used: QuotaUse) {
         self.usage.borrow_mut().release(used.resource, used.tenant);
     }
 
@@ -79,14 +79,14 @@
     }
 
     /// Counts a connection to a box; `None` where the node's allotment is used up.
-    pub fn open(self: &Rc<Self>, server: &ServerId) -> Option<Opened> {
+    pub fn open(self: &Rc<Self>, server: &ServerId) -> Option<CountedConnection> {
         let (now, resource, mut plane) = (self.now(), resource(server), self.plane.borrow_mut());
         let allotment = Self::allotment(plane.budgets()?, now, resource, TenantIndex(0));
         let mark = self.usage.borrow_mut().open(now, resource, allotment)?;
         if let Some(expires_at) = allotment.expires_at {
             self.schedule_check(expires_at);
         }
-        Some(Opened { fleet: self.clone(), resource, mark })
+        Some(CountedConnection { fleet: self.clone(), resource, mark })
     }
 
     /// Closes the connections beyond the node's allotment of one box.
--- a/crates/node/src/plane/setup.rs
+++ b/crates/node/src/plane/setup.rs
@@ -5,15 +5,15 @@
 
 use hallpin_control_plane::file::Membership;
 use hallpin_control_plane::FleetFile;
-use hallpin_membership::names::{Life, NodeId, ZoneId};
+use hallpin_membership::names::{NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::{PeersConfig, Timing};
-use hallpin_placement::AccordConfig;
+use hallpin_placement::PlacementConfig;
 use hallpin_quota::{BudgetsConfig, Contracts};
 use hallpin_store::Identity;
 use serde_json::Value;
 
 use super::state::{self, RestoredState, StateFile};
-use crate::config::{wrong, Config, Wrong};
+use crate::config::{config_error, Config, NodeConfigError};
 
 /// Most nodes in a federation.
 const MAX_NODES: usize = 1024;
@@ -40,16 +40,18 @@
 
 impl Setup {
     /// Reads the fleet file and the configuration fields that the plane requires.
-    pub fn read(path: &Path, config: &Config) -> Result<Self, Wrong> {
-        let text = std::fs::read_to_string(path).map_err(wrong(&path.display().to_string()))?;
-        let file = FleetFile::parse(&text).map_err(|error| Wrong(format!("{}:{error}", path.display())))?;
+    pub fn read(path: &Path, config: &Config) -> Result<Self, NodeConfigError> {
+        let text = std::fs::read_to_string(path).map_err(config_error(&path.display().to_string()))?;
+        let file = FleetFile::parse(&text)
+            .map_err(|error| NodeConfigError(format!("{}:{error}", path.display())))?;
         let resolve = |named: &PathBuf| path.parent().unwrap_or(Path::new("")).join(named);
         let contracts = file.budgets.as_ref().map(|budgets| resolve(&budgets.contracts));
         let contracts = contracts.map(|path| read_contracts(&path).map(|read| (path, read))).transpose()?;
         let listen = required_field(&config.peer_listen, "peer_listen", "an address")?;
         let peers: Vec<SocketAddr> = required_field(&config.peers, "peers", "a list of addresses")?;
         let count = u16::try_from(peers.len()).ok().filter(|n| (1..=MAX_NODES as u16).contains(n));
-        let count = count.ok_or_else(|| Wrong(format!("peers: 1 to {MAX_NODES} addresses expected")))?;
+        let count =
+            count.ok_or_else(|| NodeConfigError(format!("peers: 1 to {MAX_NODES} addresses expected")))?;
         let this = own_number(listen, &peers, &config.settings["me"])?;
         let state =
             file.state.as_ref().map(|state| resolve(&state.folder).join(format!("node-{}.state", this.0)));
@@ -75,15 +77,15 @@
     }
 
     /// Settings of placement agreement, if on.
-    pub fn accord_config(&self, this: Life) -> Option<AccordConfig> {
+    pub fn accord_config(&self, this: NodeIncarnation) -> Option<PlacementConfig> {
         let (configured, drift_ppm) = (self.configured(), self.file.drift_ppm);
         let with =
-            |lease| AccordConfig::with_lease(this, self.zone, self.zones, configured, lease, drift_ppm);
+            |lease| PlacementConfig::with_lease(this, self.zone, self.zones, configured, lease, drift_ppm);
         self.file.table.as_ref().map(|table| with(table.lease.0))
     }
 
     /// Settings of budgets, if on.
-    pub fn budgets_config(&self, this: Life) -> Option<BudgetsConfig> {
+    pub fn budgets_config(&self, this: NodeIncarnation) -> Option<BudgetsConfig> {
         let with = |lease| BudgetsConfig {
             drift_ppm: self.file.drift_ppm,
             ..BudgetsConfig::new(this, self.configured(), lease)
@@ -92,7 +94,7 @@
     }
 
     /// Settings of membership.
-    pub fn peers_config(&self, this: Life) -> PeersConfig {
+    pub fn peers_config(&self, this: NodeIncarnation) -> PeersConfig {
         let Membership { probe_every, probe_timeout, suspicion_min, suspicion_max, recent, .. } =
             self.file.membership;
         let mut config = PeersConfig::new(this, self.zone, self.configured());
@@ -110,41 +112,41 @@
 }
 
 /// Reads a contracts file.
-pub fn read_contracts(path: &Path) -> Result<Contracts, Wrong> {
-    let text = std::fs::read_to_string(path).map_err(wrong(&path.display().to_string()))?;
-    Contracts::parse(&text).map_err(|error| Wrong(format!("{}:{error}", path.display())))
+pub fn read_contracts(path: &Path) -> Result<Contracts, NodeConfigError> {
+    let text = std::fs::read_to_string(path).map_err(config_error(&path.display().to_string()))?;
+    Contracts::parse(&text).map_err(|error| NodeConfigError(format!("{}:{error}", path.display())))
 }
 
 fn required_field<T: serde::de::DeserializeOwned>(
     from: &Value,
     name: &str,
     expected: &str,
-) -> Result<T, Wrong> {
-    let config_error = |error| Wrong(format!("{name}: {expected} expected with --fleet: {error}"));
+) -> Result<T, NodeConfigError> {
+    let config_error = |error| NodeConfigError(format!("{name}: {expected} expected with --fleet: {error}"));
     T::deserialize(from).map_err(config_error)
 }
 
 /// This node's number: the position of its address among the peers, or else `me` of the settings.
-fn own_number(listen: SocketAddr, peers: &[SocketAddr], me: &Value) -> Result<NodeId, Wrong> {
+fn own_number(listen: SocketAddr, peers: &[SocketAddr], me: &Value) -> Result<NodeId, NodeConfigError> {
     let by_address = peers.iter().position(|peer| *peer == listen);
     let by_settings = || me.as_u64().and_then(|me| usize::try_from(me).ok()).filter(|me| *me < peers.len());
     let number = by_address.or_else(by_settings).and_then(|at| u16::try_from(at).ok()).map(NodeId);
     number.ok_or_else(|| {
-        Wrong("peers: peer_listen among them expected, or settings.me below their number".into())
+        NodeConfigError("peers: peer_listen among them expected, or settings.me below their number".into())
     })
 }
 
 /// The position of the node's zone among the areas, and their number; one zone where the settings name no areas.
-fn own_zone(settings: &Value) -> Result<(ZoneId, u16), Wrong> {
+fn own_zone(settings: &Value) -> Result<(ZoneId, u16), NodeConfigError> {
     let Some(areas) = settings["areas"].as_array().filter(|areas| !areas.is_empty()) else {
         return Ok((ZoneId(0), 1));
     };
-    let zones = u16::try_from(areas.len()).map_err(wrong("settings.areas"))?;
+    let zones = u16::try_from(areas.len()).map_err(config_error("settings.areas"))?;
     let position = areas.iter().position(|area| *area == settings["locality"]);
     let position = position.and_then(|at| u16::try_from(at).ok()).map(ZoneId);
     position
         .map(|zone| (zone, zones))
-        .ok_or_else(|| Wrong("settings.locality: one of the areas expected".into()))
+        .ok_or_else(|| NodeConfigError("settings.locality: one of the areas expected".into()))
 }
 
 #[cfg(test)]
--- a/crates/node/src/plane/socket.rs
+++ b/crates/node/src/plane/socket.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-use crate::port::may_be_had_later;
+use crate::port::is_retryable_bind_error;
 use crate::system_error::{classify, report, ErrorClass, Operation, SystemCall};
 
 /// Most datagrams read in one batch, so that requests are processed in between.
@@ -85,7 +85,7 @@
     let mut logged = false;
     loop {
         match bind().await {
-            Err(error) if may_be_had_later(&error) => {
+            Err(error) if is_retryable_bind_error(&error) => {
                 if error.kind() != io::ErrorKind::AddrInUse {
                     report(Operation::Listen, &error, "retrying the bind");
                 } else if !std::mem::replace(&mut logged, true) {
@@ -111,7 +111,7 @@
             Err(error) => match classify(SystemCall::Transfer, &error) {
                 // Reports a datagram sent earlier, such as to a port without a listener; the next read is not affected.
                 ErrorClass::RetryNow | ErrorClass::PeerFault => {}
-                ErrorClass::OwnShortage | ErrorClass::Fatal => {
+                ErrorClass::LocalShortage | ErrorClass::Fatal => {
                     report(Operation::ReceiveDatagram, &error, "reading again after a pause");
                     return Some(ERROR_PAUSE);
                 }
