--- a/crates/node/src/plane/start.rs
+++ b/crates/node/src/plane/start.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use hallpin_balancer::Settings;
-use hallpin_control_plane::{Door, Rate};
-use hallpin_membership::names::{Life, Moment};
+use hallpin_control_plane::{DatagramFilter, Rate};
+use hallpin_membership::names::{Moment, NodeIncarnation};
 use hallpin_membership::Peers;
-use hallpin_placement::{Accord, AccordConfig, ConfigError};
+use hallpin_placement::{Accord, ConfigError, PlacementConfig};
 use hallpin_quota::Budgets;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
@@ -16,19 +16,19 @@
 
 use super::boxes::Boxes;
 use super::evidence_timer::EvidenceTimer;
-use super::fleet::{Fleet, GATHER_INTERVAL};
+use super::fleet::{PlaneRuntime, GATHER_INTERVAL};
 use super::machines::NodePlane;
 use super::setup::Setup;
 use super::socket::Addresses;
 use super::state::{CachedState, RestoredState, StoredTable};
 use super::weights::TableWeights;
-use crate::config::{wrong, Wrong};
-use crate::figures::Figures;
-use crate::log::Throttle;
+use crate::config::{config_error, NodeConfigError};
+use crate::figures::Metrics;
+use crate::log::LogThrottle;
 use crate::message::Message;
 
 /// Builds placement agreement. A stored table saves fetching it page by page; one that is not valid is ignored.
-fn accord(config: AccordConfig, cached: &CachedState, seed: u64) -> Result<Accord, Wrong> {
+fn accord(config: PlacementConfig, cached: &CachedState, seed: u64) -> Result<Accord, NodeConfigError> {
     let new = |stored| Accord::new(config.clone(), stored, Moment::ZERO, seed);
     let begun = match new(cached.table.as_ref().map(|StoredTable(stored)| stored.clone())) {
         Err(ConfigError::Restored) => {
@@ -37,27 +37,32 @@
         }
         begun => begun,
     };
-    begun.map_err(wrong("fleet: table"))
+    begun.map_err(config_error("fleet: table"))
 }
 
 /// Builds the plane with the state machines that the fleet file turns on.
-fn plane(setup: &Setup, this: Life, cached: &CachedState, seed: u64) -> Result<NodePlane, Wrong> {
+fn plane(
+    setup: &Setup,
+    this: NodeIncarnation,
+    cached: &CachedState,
+    seed: u64,
+) -> Result<NodePlane, NodeConfigError> {
     let now = Moment::ZERO;
     let peers = Peers::new(setup.peers_config(this), seed, now, &cached.view.0)
-        .map_err(wrong("fleet: membership"))?;
+        .map_err(config_error("fleet: membership"))?;
     let accord = setup.accord_config(this).map(|config| accord(config, cached, seed)).transpose()?;
     let contracts = setup.contracts.as_ref().map(|(_, contracts)| contracts.clone());
     let budgets = setup.budgets_config(this).zip(contracts);
     let budgets = budgets.map(|(config, contracts)| Budgets::new(config, contracts, now, seed));
-    let budgets = budgets.transpose().map_err(wrong("fleet: budgets"))?;
-    let filter = Door { realm: setup.file.realm_number(), this, configured: setup.configured() };
+    let budgets = budgets.transpose().map_err(config_error("fleet: budgets"))?;
+    let filter = DatagramFilter { realm: setup.file.realm_number(), this, configured: setup.configured() };
     let membership = &setup.file.membership;
     let rate = Rate { a_second: membership.datagrams_a_second, burst: membership.burst };
     Ok(NodePlane::new(filter, rate, now, peers, accord, budgets))
 }
 
-impl Fleet {
-    /// Builds the plane of this node, which sends nothing until [`Fleet::run`] has bound its socket.
+impl PlaneRuntime {
+    /// Builds the plane of this node, which sends nothing until [`PlaneRuntime::run`] has bound its socket.
     ///
     /// # Errors
     /// Returns the section of the fleet file with invalid settings.
@@ -65,12 +70,12 @@
         setup: Setup,
         settings: &Settings,
         seed: u64,
-        figures: &Figures,
+        figures: &Metrics,
         messages: UnboundedSender<Message>,
-    ) -> Result<Rc<Self>, Wrong> {
+    ) -> Result<Rc<Self>, NodeConfigError> {
         let RestoredState { incarnation, quiet_period, cached, state } = setup.restore();
-        let this = Life { node: setup.this, incarnation };
-        let fleet = Rc::new(Fleet {
+        let this = NodeIncarnation { node: setup.this, incarnation };
+        let fleet = Rc::new(PlaneRuntime {
             started: Instant::now(),
             listen: setup.listen,
             plane: RefCell::new(plane(&setup, this, &cached, seed)?),
@@ -80,7 +85,7 @@
             gather_at: Cell::new(GATHER_INTERVAL),
             wake: Notify::new(),
             refusal_log: RefCell::default(),
-            log_throttle: Throttle::default(),
+            log_throttle: LogThrottle::default(),
             alive: Cell::new(1),
             evidence_timer: EvidenceTimer::default(),
             contracts: setup.contracts.map(|(path, _)| path),
--- a/crates/node/src/plane/state.rs
+++ b/crates/node/src/plane/state.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use hallpin_membership::names::{Incarnation, Life};
+use hallpin_membership::names::{Incarnation, NodeIncarnation};
 use hallpin_store::incarnation::{Past, Start};
 use hallpin_store::{Outlives, Restored, Section, Store, Stored};
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
 
 /// The placement table and its fencing tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredTable(pub hallpin_placement::Stored);
+pub struct StoredTable(pub hallpin_placement::StoredPlacement);
 
 impl Outlives for StoredTable {
     const SECTION: Section = Section::Table;
@@ -29,7 +29,7 @@
 
 /// Nodes that were alive, with their incarnations: hints which nodes to contact first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredView(pub Vec<Life>);
+pub struct StoredView(pub Vec<NodeIncarnation>);
 
 impl Outlives for StoredView {
     const SECTION: Section = Section::View;
--- a/crates/node/src/plane/state/tests.rs
+++ b/crates/node/src/plane/state/tests.rs
@@ -28,8 +28,8 @@
 }
 
 fn contents(epoch: u64) -> CachedState {
-    let table = hallpin_placement::Stored { node: 0, epoch, ballot: 4, table: None };
-    let life = Life { node: NodeId(1), incarnation: Incarnation(9) };
+    let table = hallpin_placement::StoredPlacement { node: 0, epoch, ballot: 4, table: None };
+    let life = NodeIncarnation { node: NodeId(1), incarnation: Incarnation(9) };
     CachedState { table: Some(StoredTable(table)), view: StoredView(vec![life]) }
 }
 
--- a/crates/node/src/plane/tests.rs
+++ b/crates/node/src/plane/tests.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-use hallpin_balancer::{FleetNews, Settings};
+use hallpin_balancer::{FleetUpdate, Settings};
 use hallpin_control_plane::FleetFile;
 use hallpin_membership::names::{NodeId, ZoneId};
 use hallpin_quota::Contracts;
@@ -19,9 +19,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::{Fleet, Setup};
+use super::{PlaneRuntime, Setup};
 use crate::clock::Clock;
-use crate::figures::{Figures, Members};
+use crate::figures::{MemberCounts, Metrics};
 use crate::message::Message;
 use crate::roster::Roster;
 
@@ -37,8 +37,8 @@
 }
 
 struct Node {
-    fleet: Rc<Fleet>,
-    figures: Rc<Figures>,
+    fleet: Rc<PlaneRuntime>,
+    figures: Rc<Metrics>,
     task: JoinHandle<()>,
     messages: UnboundedReceiver<Message>,
 }
@@ -58,10 +58,10 @@
         let (this, zone, listen) = (NodeId(number), ZoneId(0), peers[usize::from(number)]);
         let setup =
             Setup { file, contracts, state: None, listen, peers: peers.to_vec(), this, zone, zones: 1 };
-        let figures = Figures::new([]);
+        let figures = Metrics::new([]);
         let (sender, messages) = unbounded_channel();
         let settings = Settings::default();
-        let fleet = Fleet::new(setup, &settings, u64::from(number), &figures, sender).unwrap();
+        let fleet = PlaneRuntime::new(setup, &settings, u64::from(number), &figures, sender).unwrap();
         let task = tokio::task::spawn_local(fleet.clone().run());
         Node { fleet, figures, task, messages }
     }
@@ -87,14 +87,14 @@
         loop {
             let message =
                 timeout(TEST_TIMEOUT, self.messages.recv()).await.expect("a table").expect("a message");
-            if let Message::Fleet(FleetNews::Table { epoch, version, entries }) = message {
+            if let Message::Fleet(FleetUpdate::Table { epoch, version, entries }) = message {
                 return (epoch, version, entries.len());
             }
         }
     }
 
     fn metric(&self, name: &str) -> u64 {
-        let text = self.figures.render(Members::default());
+        let text = self.figures.render(MemberCounts::default());
         let value = |line: &str| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok();
         text.lines().find_map(value).unwrap_or_else(|| panic!("no {name} in {text}"))
     }
--- a/crates/node/src/plane/tests/budgets.rs
+++ b/crates/node/src/plane/tests/budgets.rs
@@ -13,7 +13,7 @@
 
 use super::{addresses, Node, TEST_TIMEOUT};
 use crate::budget::Budget;
-use crate::plane::{Opened, Use};
+use crate::plane::{CountedConnection, QuotaUse};
 use crate::upstream::tests::{errand, READ};
 use crate::upstream::{Bounds, Upstream};
 
@@ -41,18 +41,18 @@
         let mut nodes: Vec<Node> = (0..5).map(start).collect();
         nodes.iter().for_each(|node| node.list(1, 1));
         let server = ServerId("s-0".into());
-        let mut connections: Vec<Vec<Opened>> = nodes.iter().map(|_| Vec::new()).collect();
+        let mut connections: Vec<Vec<CountedConnection>> = nodes.iter().map(|_| Vec::new()).collect();
         let mut highest = 0;
         // Until nearly all is in use, and then again without the busiest node.
         for wanted in [CAPACITY * 9 / 10, CAPACITY * 9 / 10] {
             let spend = async {
                 loop {
                     for (node, connections) in nodes.iter().zip(&mut connections) {
-                        connections.retain(Opened::holds);
+                        connections.retain(CountedConnection::holds);
                         // Requests make up the demand. Connections are opened beyond the uses, as with values that are
                         // still being forwarded.
                         let begin = |_| node.fleet.begin(&server, Some("a")).ok().flatten();
-                        let used: Vec<Use> = (0..CAPACITY).filter_map(begin).collect();
+                        let used: Vec<QuotaUse> = (0..CAPACITY).filter_map(begin).collect();
                         connections.extend(std::iter::from_fn(|| node.fleet.open(&server)));
                         used.into_iter().for_each(|used| node.fleet.finish(used));
                     }
--- a/crates/node/src/plane/tests/tables.rs
+++ b/crates/node/src/plane/tests/tables.rs
@@ -1,6 +1,6 @@
 //! Balancers are notified of tables that all nodes have, and of evidence from peers.
 
-use hallpin_balancer::{FleetNews, ServerId, Status};
+use hallpin_balancer::{FleetUpdate, ServerId, Status};
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
@@ -50,7 +50,7 @@
         let evidence = loop {
             let message =
                 timeout(TEST_TIMEOUT, other.messages.recv()).await.expect("evidence").expect("a message");
-            if let Message::Fleet(FleetNews::Servers(evidence)) = message {
+            if let Message::Fleet(FleetUpdate::Servers(evidence)) = message {
                 break evidence;
             }
         };
--- a/crates/node/src/plane/tests/utilization.rs
+++ b/crates/node/src/plane/tests/utilization.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
 use hallpin_quota::{Budgets, BudgetsConfig, Contracts, Resource, TenantIndex};
 
@@ -23,8 +23,8 @@
     ends: BTreeMap<u64, Vec<TenantIndex>>,
 }
 
-fn life(node: u16) -> Life {
-    Life { node: NodeId(node), incarnation: Incarnation(1) }
+fn life(node: u16) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId(node), incarnation: Incarnation(1) }
 }
 
 fn node(number: u16) -> Node {
--- a/crates/node/src/plane/told.rs
+++ b/crates/node/src/plane/told.rs
@@ -3,13 +3,13 @@
 use hallpin_balancer::{ServerId, Status};
 use tracing::{info, warn};
 
-use super::boxes::Sent;
-use super::fleet::Fleet;
+use super::boxes::SentAttempt;
+use super::fleet::PlaneRuntime;
 use super::setup::read_contracts;
-use crate::config::Wrong;
+use crate::config::NodeConfigError;
 use crate::roster::Roster;
 
-impl Fleet {
+impl PlaneRuntime {
     /// Applies an endpoint list.
     pub fn learn(&self, roster: &Roster) {
         let mut boxes = self.boxes.borrow_mut();
@@ -27,12 +27,12 @@
     }
 
     /// Records that an attempt begins. `None` for a box that is not listed.
-    pub fn sent(&self, server: &ServerId) -> Option<Sent> {
+    pub fn sent(&self, server: &ServerId) -> Option<SentAttempt> {
         self.boxes.borrow_mut().record_attempt(server)
     }
 
     /// Records an attempt's outcome.
-    pub fn ended(&self, sent: &Sent, status: Status) {
+    pub fn ended(&self, sent: &SentAttempt, status: Status) {
         self.boxes.borrow_mut().record_outcome(sent, status);
     }
 
@@ -48,7 +48,7 @@
                 }
                 self.wake.notify_one();
             }
-            Err(Wrong(what)) => warn!("{what}; the old contracts stand"),
+            Err(NodeConfigError(what)) => warn!("{what}; the old contracts stand"),
         }
     }
 
--- a/crates/node/src/plane/weights.rs
+++ b/crates/node/src/plane/weights.rs
@@ -1,6 +1,6 @@
 //! Decides which listed boxes belong in a placement table, and with which weight.
 
-use hallpin_balancer::{CacheMode, RosterEntry, ServerState, Settings, WeightSource};
+use hallpin_balancer::{CacheMode, EndpointEntry, ServerState, Settings, WeightSource};
 
 /// Rules for the weight of a list entry in a placement table.
 #[derive(Clone, Debug, Default)]
@@ -23,7 +23,7 @@
     }
 
     /// Weight in thousandths; `None` for an entry that is not in placement tables.
-    pub fn weight_milli(&self, entry: &RosterEntry) -> Option<u32> {
+    pub fn weight_milli(&self, entry: &EndpointEntry) -> Option<u32> {
         let is_placed = entry.state == ServerState::Ready && self.origin_kind.as_ref() != Some(&entry.kind);
         // The cast saturates, and NaN becomes 0.
         let milli = if self.uses_entry_weight { (entry.weight * 1000.0).round() as u32 } else { 1000 };
@@ -38,7 +38,7 @@
     #[test]
     fn a_table_has_ready_boxes_without_the_planner_and_uses_only_stable_weights() {
         let entry =
-            |state, kind: &str| RosterEntry { state, kind: kind.into(), weight: 2.5, ..Default::default() };
+            |state, kind: &str| EndpointEntry { state, kind: kind.into(), weight: 2.5, ..Default::default() };
         let boxes =
             [(ServerState::Ready, "m"), (ServerState::Draining, "m"), (ServerState::Ready, "planner")];
         let weights = |cache, weights| {
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -54,7 +54,7 @@
     let mut logged = false;
     loop {
         match bind() {
-            Err(error) if may_be_had_later(&error) && since.elapsed() < BIND_TIMEOUT => {
+            Err(error) if is_retryable_bind_error(&error) && since.elapsed() < BIND_TIMEOUT => {
                 if error.kind() != ErrorKind::AddrInUse {
                     report(Operation::Listen, &error, "trying again");
                 } else if !std::mem::replace(&mut logged, true) {
@@ -68,9 +68,9 @@
 }
 
 /// Whether binding an address that failed with this error may succeed later.
-pub fn may_be_had_later(error: &io::Error) -> bool {
+pub fn is_retryable_bind_error(error: &io::Error) -> bool {
     match classify(SystemCall::Listen, error) {
-        ErrorClass::RetryNow | ErrorClass::OwnShortage => true,
+        ErrorClass::RetryNow | ErrorClass::LocalShortage => true,
         ErrorClass::PeerFault | ErrorClass::Fatal => false,
     }
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -17,18 +17,18 @@
 
 use crate::budget::Budget;
 use crate::clock::Clock;
-use crate::config::{wrong, Config};
+use crate::config::{config_error, Config};
 use crate::discovery::Discovery;
-use crate::driver::{Around, Driver};
-use crate::figures::Figures;
+use crate::driver::{Driver, DriverContext};
+use crate::figures::Metrics;
 use crate::frontend::{self, Frontend};
 use crate::lifecycle::Lifecycle;
 use crate::message::Message;
 use crate::operator::Operator;
-use crate::plane::{Fleet, Setup};
+use crate::plane::{PlaneRuntime, Setup};
 use crate::reload::reload;
 use crate::roster::Roster;
-use crate::stop::Stop;
+use crate::stop::ShutdownTimes;
 use crate::succession::{accept, listen, wait_for_turn};
 use crate::takeover::{self, Offer, Predecessor, Successor};
 use crate::upstream::{Bounds, Upstream};
@@ -42,8 +42,8 @@
 /// Runs a node until it is asked to stop.
 pub(crate) async fn run(options: Options) -> Result<(), Failure> {
     // Installed first: until then either signal kills the process.
-    let mut terminate = signal(SignalKind::terminate()).map_err(wrong("SIGTERM"))?;
-    let hangup = signal(SignalKind::hangup()).map_err(wrong("SIGHUP"))?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(config_error("SIGTERM"))?;
+    let hangup = signal(SignalKind::hangup()).map_err(config_error("SIGHUP"))?;
     let configuration = Configuration::read(options)?;
     let (node, inboxes) = Node::build(&configuration)?;
     // The operators' listener takes no client requests. It is bound first, so that its errors show before clients come.
@@ -78,7 +78,7 @@
     operator_address: Option<SocketAddr>,
     fleet: Option<Setup>,
     clock: Clock,
-    shutdown_times: Stop,
+    shutdown_times: ShutdownTimes,
     error_delay: Duration,
 }
 
@@ -92,7 +92,7 @@
         let deadlines = settings.classes.iter().map(|class| class.deadline);
         let longest = deadlines.clone().fold(0.0, f64::max);
         let shortest = deadlines.fold(longest, f64::min);
-        let shutdown_times = Stop::of(config.seconds("hard-limit-s", longest)?);
+        let shutdown_times = ShutdownTimes::of(config.seconds("hard-limit-s", longest)?);
         let error_delay = frontend::penance(config.seconds("hard-limit-s", shortest)?);
         Ok(Configuration {
             path,
@@ -138,11 +138,11 @@
 /// Shared components of the node.
 struct Node {
     lifecycle: Rc<Lifecycle>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     budget: Rc<Budget>,
     upstream: Rc<Upstream>,
     frontend: Rc<Frontend>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<PlaneRuntime>>,
     messages: UnboundedSender<Message>,
 }
 
@@ -160,7 +160,7 @@
 
 impl ClientListener {
     fn on(listener: TcpListener, predecessor: Option<Predecessor>) -> Result<Self, Failure> {
-        let address = listener.local_addr().map_err(wrong("listen"))?;
+        let address = listener.local_addr().map_err(config_error("listen"))?;
         info!(target: LOG_TARGET, "listening on {address}");
         let (successor, successor_updates) = watch::channel(Successor::None);
         Ok(ClientListener {
@@ -189,19 +189,19 @@
     fn build(configuration: &Configuration) -> Result<(Self, Inboxes), Failure> {
         let Configuration { config, settings, seed, clock, .. } = configuration;
         let lifecycle = Lifecycle::new();
-        let figures = Figures::new(settings.classes.iter().map(|class| class.name.as_str()));
+        let figures = Metrics::new(settings.classes.iter().map(|class| class.name.as_str()));
         let budget = Budget::new(&config.limits.within_system_limits());
         let bounds = configuration.upstream_bounds()?;
         let upstream = Rc::new(Upstream::new(bounds, budget.clone(), figures.clone()));
         let (messages, inbox) = mpsc::unbounded_channel();
         let (call, calls) = mpsc::channel(1);
         let fleet = configuration.fleet.clone();
-        let fleet = fleet.map(|setup| Fleet::new(setup, settings, *seed, &figures, messages.clone()));
+        let fleet = fleet.map(|setup| PlaneRuntime::new(setup, settings, *seed, &figures, messages.clone()));
         let fleet = fleet.transpose()?;
         if let Some(fleet) = &fleet {
             upstream.budgeted(fleet.clone());
         }
-        let around = Around {
+        let around = DriverContext {
             clock: *clock,
             upstream: upstream.clone(),
             messages: messages.clone(),
@@ -210,9 +210,10 @@
             figures: figures.clone(),
             fleet: fleet.clone(),
         };
-        let mut driver = Driver::new(settings, *seed, around).map_err(config.wrong("settings"))?;
+        let mut driver = Driver::new(settings, *seed, around).map_err(config.config_error("settings"))?;
         if let Some(known) = &config.known {
-            let known = Roster::from_json(known.get().as_bytes(), clock).map_err(config.wrong("known"))?;
+            let known =
+                Roster::from_json(known.get().as_bytes(), clock).map_err(config.config_error("known"))?;
             driver.known(known);
         }
         let frontend = Frontend::new(
@@ -264,7 +265,7 @@
         self,
         client_listener: ClientListener,
         driver: JoinHandle<()>,
-        times: Stop,
+        times: ShutdownTimes,
     ) -> Result<(), Failure> {
         info!(target: LOG_TARGET, "stopping");
         let relieved = *client_listener.successor_updates.borrow() == Successor::Serving;
@@ -283,7 +284,7 @@
         tokio::select! {
             () = finish => {}
             // Slow clients may take longer than the platform waits, but answers cut off here would be lost.
-            () = sleep(times.end_after + frontend::STALLED) => warn!(target: LOG_TARGET, "exiting with clients still connected"),
+            () = sleep(times.end_after + frontend::STALL_TIMEOUT) => warn!(target: LOG_TARGET, "exiting with clients still connected"),
             _ = driver => return Err(Failure::DriverEnded),
         }
         // Left only after the last answer: until then the node uses the leases that it holds.
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 use tracing::warn;
 
-use crate::config::{Config, Wrong};
-use crate::plane::Fleet;
+use crate::config::{Config, NodeConfigError};
+use crate::plane::PlaneRuntime;
 
 /// Reads the configuration again at each SIGHUP and applies the address of discovery and the contracts. Everything else
 /// needs a restart.
@@ -17,14 +17,14 @@
     path: PathBuf,
     mut hangup: Signal,
     discovery: watch::Sender<SocketAddr>,
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<PlaneRuntime>>,
 ) {
     while hangup.recv().await.is_some() {
         match Config::read(&path).and_then(|config| config.settings().map(|_| config.discovery)) {
             Ok(address) => {
                 discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
             }
-            Err(Wrong(what)) => warn!("{what}; the old configuration stands"),
+            Err(NodeConfigError(what)) => warn!("{what}; the old configuration stands"),
         }
         if let Some(fleet) = &fleet {
             fleet.reload();
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use hallpin_balancer::{RosterEntry, ServerId, ServerState};
+use hallpin_balancer::{EndpointEntry, ServerId, ServerState};
 use serde::Deserialize;
 
 use crate::clock::{Clock, ListReading};
@@ -19,7 +19,7 @@
 /// A cache server in a list.
 #[derive(Debug)]
 pub struct Member {
-    pub entry: RosterEntry,
+    pub entry: EndpointEntry,
     pub address: SocketAddr,
     /// Last start of the server in milliseconds of Unix time, as listed; 0 if the list does not name it.
     pub started_unix_ms: u64,
@@ -84,7 +84,7 @@
             address: self.host_port,
             // A cast from a float saturates at the bounds of the integer.
             started_unix_ms: self.up_since_ms as u64,
-            entry: RosterEntry {
+            entry: EndpointEntry {
                 server,
                 state,
                 zone: self.locality,
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -17,20 +17,20 @@
 
 /// Times of a shutdown, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stop {
+pub struct ShutdownTimes {
     /// Time until idle client connections are closed.
     pub part_after: Duration,
     /// Time until the last answer must be given.
     pub end_after: Duration,
 }
 
-impl Stop {
+impl ShutdownTimes {
     /// Times for a node whose longest request deadline is `longest`.
     pub fn of(longest: Duration) -> Self {
         let counted = longest.min(MAX_COUNTED_DEADLINE);
         // Clients go on using an open connection. It is closed while a request that arrives last still has its full
         // deadline, limited to what the platform counts.
-        Stop { part_after: KILL_GRACE - KILL_MARGIN, end_after: counted + KILL_GRACE - KILL_MARGIN }
+        ShutdownTimes { part_after: KILL_GRACE - KILL_MARGIN, end_after: counted + KILL_GRACE - KILL_MARGIN }
     }
 
     /// Time until idle connections are closed if another process accepts at this address. A connection closed right
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -12,9 +12,9 @@
 use tracing::{info, warn};
 
 use crate::budget::Budget;
-use crate::config::{wrong, Wrong};
+use crate::config::{config_error, NodeConfigError};
 use crate::frontend::Frontend;
-use crate::lifecycle::{Lifecycle, State};
+use crate::lifecycle::{Lifecycle, LifecycleState};
 use crate::port::{bind_when_free, Accept};
 use crate::takeover::{self, Predecessor, Successor};
 
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// If there is no takeover and the address cannot be bound.
-pub async fn listen(address: SocketAddr) -> Result<(TcpListener, Option<Predecessor>), Wrong> {
+pub async fn listen(address: SocketAddr) -> Result<(TcpListener, Option<Predecessor>), NodeConfigError> {
     let path = takeover::socket_path(address).filter(|path| path.symlink_metadata().is_ok());
     if let Some(path) = path {
         match takeover::claim(&path, address).await {
@@ -31,7 +31,7 @@
         }
     }
     // The address is shared (SO_REUSEPORT): if a takeover fails, this process serves beside the running one.
-    let listener = bind_when_free(address, true).await.map_err(wrong(&format!("listen {address}")))?;
+    let listener = bind_when_free(address, true).await.map_err(config_error(&format!("listen {address}")))?;
     Ok((listener, None))
 }
 
@@ -42,7 +42,7 @@
     let mut phases = lifecycle.follow();
     tokio::select! {
         // Never fails, as the lifecycle outlives this call.
-        _ = phases.wait_for(|phase| phase.state == State::Ready) => predecessor.notify_serving().await,
+        _ = phases.wait_for(|phase| phase.state == LifecycleState::Ready) => predecessor.notify_serving().await,
         () = predecessor.wait_until_closed() => info!("the predecessor accepts no more"),
     }
     tokio::task::spawn_local(async move {
--- a/crates/node/src/system_error.rs
+++ b/crates/node/src/system_error.rs
@@ -48,7 +48,7 @@
     RetryNow,
     /// This machine is temporarily short of descriptors, memory, ports or a route. The error says nothing about the
     /// peer.
-    OwnShortage,
+    LocalShortage,
     /// The peer, or the network path to it, is at fault.
     PeerFault,
     /// The call cannot succeed on this socket or with these arguments.
@@ -76,8 +76,8 @@
 fn classify_listen(errno: Errno) -> ErrorClass {
     match errno {
         Errno::INTR => ErrorClass::RetryNow,
-        Errno::ADDRINUSE => ErrorClass::OwnShortage,
-        errno if is_out_of_resources(errno) => ErrorClass::OwnShortage,
+        Errno::ADDRINUSE => ErrorClass::LocalShortage,
+        errno if is_out_of_resources(errno) => ErrorClass::LocalShortage,
         _ => ErrorClass::Fatal,
     }
 }
@@ -88,7 +88,7 @@
 fn classify_accept(errno: Errno) -> ErrorClass {
     match errno {
         Errno::BADF | Errno::INVAL | Errno::NOTSOCK | Errno::FAULT => ErrorClass::Fatal,
-        errno if is_out_of_resources(errno) => ErrorClass::OwnShortage,
+        errno if is_out_of_resources(errno) => ErrorClass::LocalShortage,
         _ => ErrorClass::RetryNow,
     }
 }
@@ -99,11 +99,11 @@
 fn classify_connect(errno: Errno) -> ErrorClass {
     match errno {
         Errno::INTR => ErrorClass::RetryNow,
-        Errno::ADDRNOTAVAIL | Errno::ADDRINUSE | Errno::AGAIN | Errno::BUSY => ErrorClass::OwnShortage,
-        Errno::NETUNREACH | Errno::NETDOWN => ErrorClass::OwnShortage,
+        Errno::ADDRNOTAVAIL | Errno::ADDRINUSE | Errno::AGAIN | Errno::BUSY => ErrorClass::LocalShortage,
+        Errno::NETUNREACH | Errno::NETDOWN => ErrorClass::LocalShortage,
         Errno::BADF | Errno::INVAL | Errno::NOTSOCK | Errno::FAULT => ErrorClass::Fatal,
         Errno::AFNOSUPPORT | Errno::ACCESS | Errno::PERM => ErrorClass::Fatal,
-        errno if is_out_of_resources(errno) => ErrorClass::OwnShortage,
+        errno if is_out_of_resources(errno) => ErrorClass::LocalShortage,
         _ => ErrorClass::PeerFault,
     }
 }
@@ -112,9 +112,9 @@
 fn classify_transfer(errno: Errno) -> ErrorClass {
     match errno {
         Errno::INTR => ErrorClass::RetryNow,
-        Errno::NETUNREACH | Errno::NETDOWN | Errno::TOOMANYREFS => ErrorClass::OwnShortage,
+        Errno::NETUNREACH | Errno::NETDOWN | Errno::TOOMANYREFS => ErrorClass::LocalShortage,
         Errno::BADF | Errno::INVAL | Errno::NOTSOCK | Errno::FAULT => ErrorClass::Fatal,
-        errno if is_out_of_resources(errno) => ErrorClass::OwnShortage,
+        errno if is_out_of_resources(errno) => ErrorClass::LocalShortage,
         _ => ErrorClass::PeerFault,
     }
 }
@@ -278,11 +278,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAccept {
     /// Accept again at once.
-    AtOnce,
+    Immediately,
     /// Accept again after [`ACCEPT_PAUSE`].
     AfterPause,
     /// Free a descriptor if possible, then accept again after [`ACCEPT_PAUSE`].
-    AfterMakingRoom,
+    AfterFreeingDescriptors,
     /// The listener has failed for good.
     Never,
 }
@@ -290,9 +290,9 @@
 impl NextAccept {
     fn effect(self) -> &'static str {
         match self {
-            NextAccept::AtOnce => "retrying accept at once",
+            NextAccept::Immediately => "retrying accept at once",
             NextAccept::AfterPause => "retrying accept after a pause",
-            NextAccept::AfterMakingRoom => {
+            NextAccept::AfterFreeingDescriptors => {
                 "retrying accept after a pause, with descriptors freed where possible"
             }
             NextAccept::Never => "accepting no more on this listener",
@@ -334,12 +334,12 @@
     fn next(&mut self, class: ErrorClass) -> NextAccept {
         match class {
             ErrorClass::Fatal => return NextAccept::Never,
-            ErrorClass::OwnShortage => return NextAccept::AfterMakingRoom,
+            ErrorClass::LocalShortage => return NextAccept::AfterFreeingDescriptors,
             ErrorClass::RetryNow | ErrorClass::PeerFault => {}
         }
         if self.immediate_retries < MAX_IMMEDIATE_RETRIES {
             self.immediate_retries += 1;
-            return NextAccept::AtOnce;
+            return NextAccept::Immediately;
         }
         self.immediate_retries = 0;
         NextAccept::AfterPause
--- a/crates/node/src/system_error/tests.rs
+++ b/crates/node/src/system_error/tests.rs
@@ -27,7 +27,7 @@
         Errno::PERM,
     ];
     expect(SystemCall::Accept, ErrorClass::RetryNow, &pending);
-    expect(SystemCall::Accept, ErrorClass::OwnShortage, &SHORTAGES);
+    expect(SystemCall::Accept, ErrorClass::LocalShortage, &SHORTAGES);
     expect(SystemCall::Accept, ErrorClass::Fatal, &[Errno::BADF, Errno::INVAL, Errno::NOTSOCK]);
     assert_eq!(classify(SystemCall::Accept, &io::Error::other("the runtime ends")), ErrorClass::Fatal);
 }
@@ -35,9 +35,9 @@
 #[test]
 fn connect_distinguishes_local_errors_from_the_peers() {
     expect(SystemCall::Connect, ErrorClass::RetryNow, &[Errno::INTR]);
-    expect(SystemCall::Connect, ErrorClass::OwnShortage, &SHORTAGES);
+    expect(SystemCall::Connect, ErrorClass::LocalShortage, &SHORTAGES);
     let own = [Errno::ADDRNOTAVAIL, Errno::ADDRINUSE, Errno::AGAIN, Errno::NETUNREACH, Errno::NETDOWN];
-    expect(SystemCall::Connect, ErrorClass::OwnShortage, &own);
+    expect(SystemCall::Connect, ErrorClass::LocalShortage, &own);
     let peer = [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNREFUSED, Errno::CONNRESET];
     expect(SystemCall::Connect, ErrorClass::PeerFault, &peer);
     expect(SystemCall::Connect, ErrorClass::Fatal, &[Errno::BADF, Errno::INVAL, Errno::ACCESS]);
@@ -47,8 +47,8 @@
 #[test]
 fn listen_retries_only_temporary_errors() {
     expect(SystemCall::Listen, ErrorClass::RetryNow, &[Errno::INTR]);
-    expect(SystemCall::Listen, ErrorClass::OwnShortage, &SHORTAGES);
-    expect(SystemCall::Listen, ErrorClass::OwnShortage, &[Errno::ADDRINUSE]);
+    expect(SystemCall::Listen, ErrorClass::LocalShortage, &SHORTAGES);
+    expect(SystemCall::Listen, ErrorClass::LocalShortage, &[Errno::ADDRINUSE]);
     expect(SystemCall::Listen, ErrorClass::Fatal, &[Errno::ADDRNOTAVAIL, Errno::ACCESS, Errno::NOENT]);
     assert_eq!(classify(SystemCall::Listen, &io::Error::other("no address")), ErrorClass::Fatal);
 }
@@ -56,8 +56,8 @@
 #[test]
 fn transfer_distinguishes_local_errors_from_the_peers() {
     expect(SystemCall::Transfer, ErrorClass::RetryNow, &[Errno::INTR]);
-    expect(SystemCall::Transfer, ErrorClass::OwnShortage, &SHORTAGES);
-    expect(SystemCall::Transfer, ErrorClass::OwnShortage, &[Errno::NETUNREACH, Errno::TOOMANYREFS]);
+    expect(SystemCall::Transfer, ErrorClass::LocalShortage, &SHORTAGES);
+    expect(SystemCall::Transfer, ErrorClass::LocalShortage, &[Errno::NETUNREACH, Errno::TOOMANYREFS]);
     let peer = [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET, Errno::PIPE, Errno::CONNREFUSED];
     expect(SystemCall::Transfer, ErrorClass::PeerFault, &peer);
     expect(SystemCall::Transfer, ErrorClass::Fatal, &[Errno::BADF, Errno::NOTSOCK]);
@@ -97,25 +97,29 @@
 /// Failures on this thread appear in the metrics for operators, starting at 0 for each registry.
 #[test]
 fn failures_are_shown_to_operators() {
-    let shown = |figures: &crate::figures::Figures| figures.render(Default::default());
-    let before = crate::figures::Figures::new([]);
+    let shown = |figures: &crate::figures::Metrics| figures.render(Default::default());
+    let before = crate::figures::Metrics::new([]);
     report(Operation::AcceptOperator, &Errno::NFILE.into(), "trying again");
     assert!(shown(&before).contains("{operation=\"accept_operator\",errno=\"ENFILE\"} 1\n"));
-    assert!(!shown(&crate::figures::Figures::new([])).contains("system_call_errors"));
+    assert!(!shown(&crate::figures::Metrics::new([])).contains("system_call_errors"));
 }
 
 #[test]
 fn a_persistent_failure_leads_to_pauses() {
     let mut retry = AcceptRetry::new(Operation::AcceptClient);
     let mut steps = |count| (0..count).map(|_| retry.failed(&Errno::CONNABORTED.into())).collect::<Vec<_>>();
-    let at_once = vec![NextAccept::AtOnce; MAX_IMMEDIATE_RETRIES as usize];
+    let at_once = vec![NextAccept::Immediately; MAX_IMMEDIATE_RETRIES as usize];
     for _ in 0..3 {
         assert_eq!(steps(MAX_IMMEDIATE_RETRIES), at_once);
         assert_eq!(steps(1), [NextAccept::AfterPause]);
     }
     assert_eq!(steps(MAX_IMMEDIATE_RETRIES), at_once);
     retry.accepted();
-    assert_eq!(retry.failed(&Errno::CONNABORTED.into()), NextAccept::AtOnce, "a connection came between");
-    assert_eq!(retry.failed(&Errno::MFILE.into()), NextAccept::AfterMakingRoom);
+    assert_eq!(
+        retry.failed(&Errno::CONNABORTED.into()),
+        NextAccept::Immediately,
+        "a connection came between"
+    );
+    assert_eq!(retry.failed(&Errno::MFILE.into()), NextAccept::AfterFreeingDescriptors);
     assert_eq!(retry.failed(&Errno::BADF.into()), NextAccept::Never);
 }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -30,7 +30,7 @@
 use tracing::{info, warn};
 
 use crate::budget::Budget;
-use crate::port::{may_be_had_later, Accept};
+use crate::port::{is_retryable_bind_error, Accept};
 use crate::system_error::{
     classify, report, AcceptRetry, ErrorClass, NextAccept, Operation, SystemCall, ACCEPT_PAUSE,
 };
@@ -116,7 +116,7 @@
 
 /// Whether the same call may succeed soon: it was interrupted or failed for a shortage on this machine.
 fn is_transient(call: SystemCall, error: &io::Error) -> bool {
-    matches!(classify(call, error), ErrorClass::RetryNow | ErrorClass::OwnShortage)
+    matches!(classify(call, error), ErrorClass::RetryNow | ErrorClass::LocalShortage)
 }
 
 async fn claim_once(path: &Path, address: SocketAddr) -> io::Result<(TcpListener, Predecessor)> {
@@ -238,8 +238,8 @@
         match unix_listener.accept().await {
             Ok(stream) => return Some(stream),
             Err(error) => match retry.failed(&error) {
-                NextAccept::AtOnce => tokio::task::yield_now().await,
-                NextAccept::AfterPause | NextAccept::AfterMakingRoom => sleep(ACCEPT_PAUSE).await,
+                NextAccept::Immediately => tokio::task::yield_now().await,
+                NextAccept::AfterPause | NextAccept::AfterFreeingDescriptors => sleep(ACCEPT_PAUSE).await,
                 NextAccept::Never => return None,
             },
         }
@@ -268,7 +268,7 @@
         while self.socket.strong_count() > 0 {
             let unix_listener = match publish(&self.path) {
                 Ok(unix_listener) => unix_listener,
-                Err(error) if may_be_had_later(&error) => {
+                Err(error) if is_retryable_bind_error(&error) => {
                     report(Operation::OfferListener, &error, "retrying to offer the listening socket");
                     sleep(OFFER_RETRY_DELAY).await;
                     continue;
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-pub use attempt::{Ended, Served};
+pub use attempt::{AttemptResult, ServedAnswer};
 pub use body_stream::{BodyStream, BrokenBody};
-pub use call::{Errand, Runs};
+pub use call::{ExecutionTracker, UpstreamCall};
 pub use pool::{Bounds, Upstream};
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -11,36 +11,36 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::body_stream::{BodyStream, READ_CHUNK_BYTES};
-use super::call::Errand;
+use super::call::UpstreamCall;
 use super::connection::{Admission, Connection};
 use super::pool::Upstream;
 
 /// The client's answer, as far as it has been received.
 #[derive(Debug)]
-pub struct Served {
+pub struct ServedAnswer {
     /// The complete answer, or the beginning of one with a long value.
     pub text: Bytes,
     /// The remainder of a long value.
     pub body: Option<BodyStream>,
 }
 
-impl From<Bytes> for Served {
+impl From<Bytes> for ServedAnswer {
     fn from(text: Bytes) -> Self {
-        Served { text, body: None }
+        ServedAnswer { text, body: None }
     }
 }
 
 /// The result of an attempt, with the client's answer if it was served.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub status: Status,
     pub note: Option<CacheNote>,
-    pub answer: Option<Served>,
+    pub answer: Option<ServedAnswer>,
 }
 
-impl From<Status> for Ended {
+impl From<Status> for AttemptResult {
     fn from(status: Status) -> Self {
-        Ended { status, note: None, answer: None }
+        AttemptResult { status, note: None, answer: None }
     }
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Makes one attempt. Dropping the future closes the connection and thereby abandons the attempt.
-    pub async fn attempt(self: &Rc<Self>, server: &ServerId, call: &Errand) -> Ended {
+    pub async fn attempt(self: &Rc<Self>, server: &ServerId, call: &UpstreamCall) -> AttemptResult {
         // A connection that comes up after the write deadline is of no use.
         let connection = match self.acquire(server, call.write_deadline(), call.repeats.is_some()).await {
             Ok(connection) => connection,
@@ -109,7 +109,7 @@
     async fn write_command(
         &self,
         server: &ServerId,
-        call: &Errand,
+        call: &UpstreamCall,
         connection: &Connection,
     ) -> Result<(), Status> {
         let (mut text, mut sent) = (Bytes::new(), 0);
@@ -152,9 +152,9 @@
     async fn exchange(
         self: &Rc<Self>,
         server: &ServerId,
-        call: &Errand,
+        call: &UpstreamCall,
         mut connection: Connection,
-    ) -> Ended {
+    ) -> AttemptResult {
         // A command that must not run twice is sent again only if it certainly never ran.
         let busy_is_proof = call.repeats.is_none() || connection.is_unambiguous();
         if let Err(status) = self.write_command(server, call, &connection).await {
@@ -204,8 +204,11 @@
                 let Some(text) = protocol::served(&call.command, &opaque, &body) else {
                     return UNREADABLE_ANSWER.into();
                 };
-                let served =
-                    |body| Ended { status: Status::Success, note, answer: Some(Served { text, body }) };
+                let served = |body| AttemptResult {
+                    status: Status::Success,
+                    note,
+                    answer: Some(ServedAnswer { text, body }),
+                };
                 if let Body::Long(length) = body {
                     let body = BodyStream::new(self.clone(), server.clone(), connection, buf, length, call);
                     return served(Some(body));
--- a/crates/node/src/upstream/body_stream.rs
+++ b/crates/node/src/upstream/body_stream.rs
@@ -9,10 +9,10 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{timeout_at, Instant};
 
-use super::call::Errand;
+use super::call::UpstreamCall;
 use super::connection::Connection;
 use super::pool::Upstream;
-use crate::budget::Held;
+use crate::budget::MemoryReservation;
 use crate::lifecycle::Phase;
 
 /// Buffer space reserved for a read, so that a long value does not arrive in many small ones.
@@ -54,7 +54,7 @@
     /// time that the client takes between pieces is not counted.
     total_wait: Duration,
     received: usize,
-    _buffer_reservation: Held,
+    _buffer_reservation: MemoryReservation,
 }
 
 impl std::fmt::Debug for BodyStream {
@@ -70,9 +70,9 @@
         connection: Connection,
         buf: BytesMut,
         remaining: usize,
-        call: &Errand,
+        call: &UpstreamCall,
     ) -> Self {
-        let _buffer_reservation = Held::new(&upstream.budget, READ_CHUNK_BYTES);
+        let _buffer_reservation = MemoryReservation::new(&upstream.budget, READ_CHUNK_BYTES);
         BodyStream {
             upstream,
             server,
--- a/crates/node/src/upstream/call.rs
+++ b/crates/node/src/upstream/call.rs
@@ -12,20 +12,20 @@
 use tokio::time::Instant;
 
 use crate::lifecycle::Phase;
-use crate::message::Gone;
+use crate::message::DisconnectFlag;
 
 /// Which attempts of one request were written completely, and so may have run, and when.
 #[derive(Default)]
-pub struct Runs(RefCell<Vec<(AttemptId, Instant)>>);
+pub struct ExecutionTracker(RefCell<Vec<(AttemptId, Instant)>>);
 
-impl Runs {
+impl ExecutionTracker {
     /// Records that the last byte of an attempt was written.
     pub(super) fn record_written(&self, attempt: AttemptId, at: Instant) {
         self.0.borrow_mut().push((attempt, at));
     }
 
     /// The server has answered that the attempt never ran.
-    pub fn never_ran(&self, attempt: AttemptId) {
+    pub fn record_never_ran(&self, attempt: AttemptId) {
         self.0.borrow_mut().retain(|(written, _)| *written != attempt);
     }
 
@@ -35,7 +35,7 @@
 }
 
 /// The parameters of one attempt.
-pub struct Errand {
+pub struct UpstreamCall {
     pub command: Rc<Command>,
     pub attempt: AttemptId,
     /// When the node stops waiting for the answer.
@@ -43,17 +43,17 @@
     /// How long after the first attempt that may have run another one may go out; `None` means without limit.
     pub repeats: Option<Duration>,
     /// Shared by all attempts of the request, as a later attempt may be written before an earlier one.
-    pub runs: Rc<Runs>,
+    pub runs: Rc<ExecutionTracker>,
     /// Set once the last byte is written; from then on the command may have run.
     pub written: Rc<Cell<bool>>,
-    pub gone: Gone,
+    pub gone: DisconnectFlag,
     /// When the client stops waiting. A long value that is incomplete by then, or when the process ends (`phases`),
     /// is cut.
     pub deadline: Instant,
     pub phases: Receiver<Phase>,
 }
 
-impl Errand {
+impl UpstreamCall {
     /// Latest time to write the last byte, as far as is known now.
     pub(super) fn write_deadline(&self) -> Instant {
         let window = self.repeats.and_then(|repeats| self.runs.first_written_at()?.checked_add(repeats));
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::plane::Opened;
+use crate::plane::CountedConnection;
 
 /// How long after an answer without an opaque id a duplicate answer to the same command may arrive. Far longer than
 /// the milliseconds that a duplicate takes: a command that it would wrongly report as never run can use another
@@ -41,7 +41,7 @@
 }
 
 /// Waits until the quota that counts this connection is revoked, so that the connection has to be closed.
-pub(super) fn revoked(opened: Option<&Opened>) -> impl Future<Output = ()> {
+pub(super) fn revoked(opened: Option<&CountedConnection>) -> impl Future<Output = ()> {
     let mark = opened.map(|opened| opened.mark.clone());
     async move {
         match mark {
@@ -87,7 +87,7 @@
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     /// The connection's quota use, if quotas are configured.
-    pub(super) opened: Option<Opened>,
+    pub(super) opened: Option<CountedConnection>,
     /// The opaque id of the last command; a late answer to it may still arrive.
     pub(super) last_opaque: Option<Bytes>,
     /// From when on an answer without an opaque id can only belong to the next command. `None` until an answer that
@@ -100,7 +100,7 @@
 }
 
 impl Connection {
-    pub(super) fn new(stream: TcpStream, opened: Option<Opened>, slot: ConnectionSlot) -> Self {
+    pub(super) fn new(stream: TcpStream, opened: Option<CountedConnection>, slot: ConnectionSlot) -> Self {
         let now = Instant::now();
         let (unambiguous, admission) = (Some(now), Admission::Unknown);
         Connection { stream, opened, last_opaque: None, unambiguous, last_used: now, admission, _slot: slot }
@@ -140,7 +140,7 @@
 
     /// Whether the connection is within its quota at the current time.
     pub(super) fn is_within_quota(&self) -> bool {
-        self.opened.as_ref().is_none_or(Opened::holds)
+        self.opened.as_ref().is_none_or(CountedConnection::holds)
     }
 
     /// Whether the connection has to be closed.
--- a/crates/node/src/upstream/dial.rs
+++ b/crates/node/src/upstream/dial.rs
@@ -16,7 +16,7 @@
 
 /// Whether closing another connection frees what this machine lacks. Closing does not restore a route.
 fn is_eased_by_closing(error: &io::Error) -> bool {
-    let is_own = classify(SystemCall::Connect, error) == ErrorClass::OwnShortage;
+    let is_own = classify(SystemCall::Connect, error) == ErrorClass::LocalShortage;
     is_own && !matches!(Errno::from_io_error(error), Some(Errno::NETUNREACH | Errno::NETDOWN))
 }
 
@@ -39,7 +39,7 @@
         };
         match classify(SystemCall::Connect, &error) {
             ErrorClass::PeerFault | ErrorClass::Fatal => return Err(Status::Unreachable),
-            ErrorClass::RetryNow | ErrorClass::OwnShortage => {}
+            ErrorClass::RetryNow | ErrorClass::LocalShortage => {}
         }
         report(Operation::ConnectServer, &error, "connecting again, or ending the attempt as void");
         if is_eased_by_closing(&error) && close_oldest() {
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -14,8 +14,8 @@
 use super::dial::dial;
 use super::keep_alive::{KeepAlive, ObservedIdleTimeout};
 use crate::budget::Budget;
-use crate::figures::Figures;
-use crate::plane::Fleet;
+use crate::figures::Metrics;
+use crate::plane::PlaneRuntime;
 use crate::roster::Roster;
 
 /// A connection is reused only this long after its last answer: surplus bytes of that answer may still arrive and
@@ -62,18 +62,18 @@
     pub(super) open_connections: Rc<Cell<usize>>,
     pub(super) endpoints: RefCell<BTreeMap<ServerId, Endpoint>>,
     pub(super) budget: Rc<Budget>,
-    pub(super) metrics: Rc<Figures>,
+    pub(super) metrics: Rc<Metrics>,
     pub(super) keep_alive: KeepAlive,
     quantum: Cell<Duration>,
     /// Delay that a test injects between reading the clock and each write.
     #[cfg(test)]
     pub(super) injected_write_delay: Cell<Duration>,
     /// Counts the connections to each cache server, if quotas are configured.
-    fleet: OnceCell<Rc<Fleet>>,
+    fleet: OnceCell<Rc<PlaneRuntime>>,
 }
 
 impl Upstream {
-    pub fn new(bounds: Bounds, budget: Rc<Budget>, metrics: Rc<Figures>) -> Self {
+    pub fn new(bounds: Bounds, budget: Rc<Budget>, metrics: Rc<Metrics>) -> Self {
         Upstream {
             bounds,
             open_connections: Rc::default(),
@@ -104,7 +104,7 @@
     }
 
     /// From now on connections stay within this node's quotas.
-    pub fn budgeted(self: &Rc<Self>, fleet: Rc<Fleet>) {
+    pub fn budgeted(self: &Rc<Self>, fleet: Rc<PlaneRuntime>) {
         if fleet.has_budgets() {
             let keeper = Rc::downgrade(self);
             fleet.keeper(move || {
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -23,21 +23,21 @@
 use tokio::time::{advance, Instant};
 
 use super::keep_alive::KeepAlive;
-use super::{Bounds, Errand, Upstream};
+use super::{Bounds, Upstream, UpstreamCall};
 use crate::budget::Budget;
 use crate::clock::Clock;
-use crate::config::{Limits, RESERVED};
-use crate::figures::Figures;
+use crate::config::{Limits, RESERVED_DESCRIPTORS};
+use crate::figures::Metrics;
 use crate::lifecycle::Lifecycle;
-use crate::message::Gone;
+use crate::message::DisconnectFlag;
 use crate::roster::Roster;
 
 const LONG: Duration = Duration::from_secs(20);
 
 /// An upstream with at most `max_connections` connections.
 fn upstream(grace: Duration, max_connections: usize) -> Rc<Upstream> {
-    let limits = Limits { sockets: RESERVED + 3 * max_connections, ..Limits::default() };
-    Rc::new(Upstream::new(Bounds { dial: LONG, idle: LONG, grace }, Budget::new(&limits), Figures::new([])))
+    let limits = Limits { sockets: RESERVED_DESCRIPTORS + 3 * max_connections, ..Limits::default() };
+    Rc::new(Upstream::new(Bounds { dial: LONG, idle: LONG, grace }, Budget::new(&limits), Metrics::new([])))
 }
 
 fn roster(listener: &TcpListener, phase: &str) -> Roster {
@@ -55,15 +55,15 @@
 }
 
 /// The first attempt of a request that may be repeated at any time.
-pub(crate) fn errand(text: &str) -> Errand {
-    Errand {
+pub(crate) fn errand(text: &str) -> UpstreamCall {
+    UpstreamCall {
         command: Rc::new(command(text)),
         attempt: AttemptId(0),
         until: Instant::now() + LONG,
         repeats: None,
         runs: Rc::default(),
         written: Rc::default(),
-        gone: Gone::default(),
+        gone: DisconnectFlag::default(),
         deadline: Instant::now() + LONG * 10,
         phases: Lifecycle::new().follow(),
     }
--- a/crates/node/src/upstream/tests/blocked_writes.rs
+++ b/crates/node/src/upstream/tests/blocked_writes.rs
@@ -26,11 +26,11 @@
     let upstream = upstream(LONG, 9);
     upstream.learn(&roster(&listener, "ready"));
     let start = Instant::now();
-    let retry = Errand { attempt: AttemptId(1), repeats: Some(WINDOW), ..errand(READ) };
+    let retry = UpstreamCall { attempt: AttemptId(1), repeats: Some(WINDOW), ..errand(READ) };
     retry.runs.record_written(AttemptId(0), start);
     assert_eq!(upstream.attempt(&server(), &retry).await.status, Status::Void);
     assert_eq!(start.elapsed(), WINDOW);
-    let short_call = Errand { until: Instant::now() + WINDOW, ..errand(READ) };
+    let short_call = UpstreamCall { until: Instant::now() + WINDOW, ..errand(READ) };
     assert_eq!(upstream.attempt(&server(), &short_call).await.status, Status::Unreachable);
 }
 
--- a/crates/node/src/upstream/tests/budgeted.rs
+++ b/crates/node/src/upstream/tests/budgeted.rs
@@ -8,10 +8,10 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 use super::*;
-use crate::plane::{Fleet, Opened, Setup};
+use crate::plane::{CountedConnection, PlaneRuntime, Setup};
 
 /// A single node without a lease, which uses the quota that is safe without one.
-fn fleet() -> Rc<Fleet> {
+fn fleet() -> Rc<PlaneRuntime> {
     let file = "version = 1\nrealm = \"test\"\n[budgets]\ncontracts = \"c\"\nconnections_per_box = 40\n\
                 lease = \"400ms\"\n";
     let contracts = "version = 1\nrevision = 1\n[others]\nshare = 1\n[[tenants]]\nname = \"a\"\nshare = 3\n";
@@ -26,7 +26,7 @@
         zone: ZoneId(0),
         zones: 1,
     };
-    Fleet::new(setup, &Settings::default(), 0, &Figures::new([]), unbounded_channel().0).unwrap()
+    PlaneRuntime::new(setup, &Settings::default(), 0, &Metrics::new([]), unbounded_channel().0).unwrap()
 }
 
 /// The only connection was answered a moment ago. A command that must not run twice uses it, but a `busy` there does
@@ -44,8 +44,9 @@
         let mut peer = listener.accept().await.unwrap().0;
         connection.answered(true);
         upstream.cache_connection(&server, connection);
-        let _others: Vec<Opened> = std::iter::from_fn(|| fleet.open(&server)).collect();
-        let once = Errand { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
+        let _others: Vec<CountedConnection> = std::iter::from_fn(|| fleet.open(&server)).collect();
+        let once =
+            UpstreamCall { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
         let answering = async {
             assert!(peer.read(&mut [0; 256]).await.unwrap() > 0);
             peer.write_all(answer.as_bytes()).await.unwrap();
--- a/crates/node/src/upstream/tests/deadlines.rs
+++ b/crates/node/src/upstream/tests/deadlines.rs
@@ -20,9 +20,9 @@
     Duration::from_millis(forwarded.unwrap_or_else(|| panic!("{line:?}")))
 }
 
-fn call_with_time_left(left: Duration) -> Errand {
+fn call_with_time_left(left: Duration) -> UpstreamCall {
     let until = Instant::now() + left;
-    Errand { until, deadline: until, ..errand(READ) }
+    UpstreamCall { until, deadline: until, ..errand(READ) }
 }
 
 /// A cached connection that has just been answered, and the server's end of it.
@@ -102,7 +102,7 @@
     drop(listener);
     let (at, start) = (server(), Instant::now());
     let first = errand(READ);
-    let hedge = Errand { attempt: AttemptId(1), runs: first.runs.clone(), ..errand(READ) };
+    let hedge = UpstreamCall { attempt: AttemptId(1), runs: first.runs.clone(), ..errand(READ) };
     let (one, other) = tokio::join!(upstream.attempt(&at, &first), upstream.attempt(&at, &hedge));
     assert_eq!((one.status, other.status), (Status::Unreachable, Status::Unreachable));
     assert!(!first.written.get() && !hedge.written.get());
@@ -121,7 +121,7 @@
     let upstream = upstream(LONG, 9);
     upstream.learn(&roster(&listener, "ready"));
     reset(cached_peer(&upstream, &listener).await);
-    let once = Errand { repeats: Some(Duration::ZERO), ..errand(READ) };
+    let once = UpstreamCall { repeats: Some(Duration::ZERO), ..errand(READ) };
     let answered = async {
         let mut stream = listener.accept().await.unwrap().0;
         read_line(&mut stream).await;
--- a/crates/node/src/upstream/tests/dial.rs
+++ b/crates/node/src/upstream/tests/dial.rs
@@ -51,7 +51,7 @@
 }
 
 fn is_own_shortage(error: &io::Error) -> bool {
-    classify(SystemCall::Connect, error) == ErrorClass::OwnShortage
+    classify(SystemCall::Connect, error) == ErrorClass::LocalShortage
 }
 
 #[test]
--- a/crates/node/src/upstream/tests/duplicate_answers.rs
+++ b/crates/node/src/upstream/tests/duplicate_answers.rs
@@ -5,14 +5,14 @@
 
 use super::super::connection::{DUPLICATE_ANSWER_WINDOW, NAMED_DUPLICATE_WINDOW};
 use super::super::pool::SETTLE_TIME;
-use super::super::Ended;
+use super::super::AttemptResult;
 use super::*;
 
 const NEXT: &str = "mg k v Ob Pc=read,d=60000\r\n";
 const FIRST_ANSWER: &str = "VA 1 Oa\r\n1\r\n";
 
 /// Two reads over one connection; returns how the second ends if its command is answered with `bytes`.
-async fn answer_second_read(bytes: &str) -> Ended {
+async fn answer_second_read(bytes: &str) -> AttemptResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
     upstream.learn(&roster(&listener, "ready"));
@@ -73,7 +73,7 @@
 /// Runs these reads over one connection, each with its answer, and then, `pause` after the last, a command that must
 /// not run twice. The server runs that one too; on the same connection a duplicate `busy` of one of the reads comes
 /// before its answer.
-async fn unsafe_command_after(reads: &[(&str, &str)], pause: Duration) -> Ended {
+async fn unsafe_command_after(reads: &[(&str, &str)], pause: Duration) -> AttemptResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
     upstream.learn(&roster(&listener, "ready"));
@@ -94,7 +94,7 @@
     }
     tokio::time::advance(pause).await;
     let mut cached = cached.unwrap();
-    let once = Errand { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
+    let once = UpstreamCall { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
     let mut received = [0; 256];
     let peer = async {
         let (mut stream, text) = tokio::select! {
--- a/crates/node/src/upstream/tests/idle_closes.rs
+++ b/crates/node/src/upstream/tests/idle_closes.rs
@@ -24,7 +24,7 @@
     }
 
     /// Makes an attempt on a new connection that is answered with `answer`; returns its status and the server's end.
-    async fn attempt(&self, call: &Errand, answer: &str) -> (Status, TcpStream) {
+    async fn attempt(&self, call: &UpstreamCall, answer: &str) -> (Status, TcpStream) {
         let peer = async {
             let mut stream = self.listener.accept().await.unwrap().0;
             assert!(stream.read(&mut [0; 256]).await.unwrap() > 0);
--- a/crates/node/src/upstream/tests/last_byte.rs
+++ b/crates/node/src/upstream/tests/last_byte.rs
@@ -12,7 +12,7 @@
 
 use super::super::connection::IdleConnection;
 use super::super::pool::SETTLE_TIME;
-use super::super::Ended;
+use super::super::AttemptResult;
 use super::*;
 
 pub(super) const WINDOW: Duration = Duration::from_millis(300);
@@ -24,8 +24,8 @@
 }
 
 /// The second attempt of a request, which may go out until `WINDOW` after the first.
-fn second_attempt(text: &str) -> Errand {
-    Errand { attempt: AttemptId(1), repeats: Some(WINDOW), ..errand(text) }
+fn second_attempt(text: &str) -> UpstreamCall {
+    UpstreamCall { attempt: AttemptId(1), repeats: Some(WINDOW), ..errand(text) }
 }
 
 pub(super) fn write_command() -> String {
@@ -33,7 +33,7 @@
 }
 
 /// Polls the attempt once; it must not end.
-pub(super) async fn poll_once(attempt: &mut Pin<&mut impl Future<Output = Ended>>) {
+pub(super) async fn poll_once(attempt: &mut Pin<&mut impl Future<Output = AttemptResult>>) {
     tokio::select! {
         biased;
         ended = attempt => panic!("ended as {ended:?}"),
@@ -73,7 +73,7 @@
 }
 
 /// Starts connecting, then runs `event`, then lets the connection come up; returns how the attempt ends.
-async fn attempt_with_event_while_connecting(call: &Errand, event: impl AsyncFnOnce()) -> Status {
+async fn attempt_with_event_while_connecting(call: &UpstreamCall, event: impl AsyncFnOnce()) -> Status {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
     upstream.learn(&roster(&listener, "ready"));
@@ -107,7 +107,7 @@
     let status = attempt_with_event_while_connecting(&retry, async || advance(WINDOW).await).await;
     assert!(!status.may_have_run() && !retry.written.get(), "{status:?}");
 
-    let first = Errand { attempt: AttemptId(0), ..second_attempt(READ) };
+    let first = UpstreamCall { attempt: AttemptId(0), ..second_attempt(READ) };
     let overtake = async || {
         first.runs.record_written(AttemptId(1), Instant::now());
         advance(WINDOW).await;
@@ -119,7 +119,7 @@
 /// A command that must not run twice goes out once, whichever of two attempts gets its connection first.
 #[tokio::test(start_paused = true)]
 async fn of_two_attempts_that_must_not_both_run_one_is_written() {
-    let call = Errand { repeats: Some(Duration::ZERO), ..errand(READ) };
+    let call = UpstreamCall { repeats: Some(Duration::ZERO), ..errand(READ) };
     let overtake = async || call.runs.record_written(AttemptId(1), Instant::now());
     assert_eq!(attempt_with_event_while_connecting(&call, overtake).await, Status::Void);
 }
@@ -139,7 +139,7 @@
     let now = Instant::now();
     call.runs.record_written(AttemptId(0), now);
     assert_eq!(call.write_deadline(), now + WINDOW);
-    call.runs.never_ran(AttemptId(0));
+    call.runs.record_never_ran(AttemptId(0));
     assert_eq!(call.write_deadline(), call.until);
 }
 
--- a/crates/node/src/upstream/tests/scheduling_delays.rs
+++ b/crates/node/src/upstream/tests/scheduling_delays.rs
@@ -12,7 +12,7 @@
 async fn written_after(
     upstream: &Rc<Upstream>,
     listener: &TcpListener,
-    call: &Errand,
+    call: &UpstreamCall,
     delay: Duration,
 ) -> Option<(Duration, String)> {
     let at = server();
@@ -80,7 +80,7 @@
         let upstream = upstream(LONG, 9);
         upstream.learn(&roster(&listener, "ready"));
         let start = Instant::now();
-        let retry = Errand {
+        let retry = UpstreamCall {
             attempt: AttemptId(1),
             repeats: Some(WINDOW),
             until: start + until,
--- a/crates/placement/src/accord.rs
+++ b/crates/placement/src/accord.rs
@@ -2,14 +2,14 @@
 //! stream of payloads.
 
 use hallpin_leader_lease::{Candidacy, LeaderLease, LeaseConfig, LeaseMessage};
-use hallpin_membership::envelope::{Kind, Refused};
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::envelope::{Kind, Rejection};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 use hallpin_membership::view::View;
 use serde::{Deserialize, Serialize};
 
-use crate::config::{AccordConfig, ConfigError, Stored};
-use crate::events::{AccordNews, AccordState, Metrics, Outbox};
+use crate::config::{ConfigError, PlacementConfig, StoredPlacement};
+use crate::events::{Metrics, Outbox, PlacementEvent, PlacementState};
 use crate::message::{decode, encode, Message};
 use crate::protocol::TableProtocol;
 use crate::replica::Replica;
@@ -43,8 +43,8 @@
     /// # Errors
     /// The configuration or the stored state is invalid.
     pub fn new(
-        config: AccordConfig,
-        restored: Option<Stored>,
+        config: PlacementConfig,
+        restored: Option<StoredPlacement>,
         now: Moment,
         seed: u64,
     ) -> Result<Accord, ConfigError> {
@@ -56,7 +56,7 @@
         let restored = match restored {
             Some(stored) if !stored.is_sound(this.node.0) => return Err(ConfigError::Restored),
             Some(stored) => stored,
-            None => Stored { node: this.node.0, epoch: 0, ballot: 0, table: None },
+            None => StoredPlacement { node: this.node.0, epoch: 0, ballot: 0, table: None },
         };
         leader_lease.restore(restored.ballot);
         let replica = Replica::new(restored.epoch, restored.table.map(LocalTable::of));
@@ -94,7 +94,7 @@
     }
 
     /// Returns this node's state towards the table in force, by its own clock.
-    pub fn state(&self, now: Moment) -> AccordState {
+    pub fn state(&self, now: Moment) -> PlacementState {
         self.protocol.replica.state(&self.protocol.config, now)
     }
 
@@ -104,10 +104,10 @@
     }
 
     /// Returns the state to persist across restarts.
-    pub fn stored(&self) -> Stored {
+    pub fn stored(&self) -> StoredPlacement {
         let (epoch, ballot) = (self.protocol.replica.leader.epoch, self.leader_lease.highest_ballot());
         let table = self.protocol.replica.base().map(|held| held.table.clone());
-        Stored { node: self.protocol.config.this.node.0, epoch, ballot, table }
+        StoredPlacement { node: self.protocol.config.this.node.0, epoch, ballot, table }
     }
 
     /// Returns the counters since the start.
@@ -147,15 +147,21 @@
     }
 }
 
-impl Machine for Accord {
-    type News = AccordNews;
+impl StateMachine for Accord {
+    type News = PlacementEvent;
 
     const KIND: Kind = Kind::Accord;
 
-    fn receive(&mut self, now: Moment, view: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
+    fn receive(
+        &mut self,
+        now: Moment,
+        view: &View,
+        from: NodeIncarnation,
+        payload: &[u8],
+    ) -> Result<(), Rejection> {
         let this = self.protocol.config.this.node;
         if from.node == this || from.node.0 >= self.protocol.config.configured {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownPeer);
         }
         match decode(payload)? {
             Payload::Lease(message) => self.leader_lease.receive(now, from, message),
@@ -180,7 +186,7 @@
             .min()
     }
 
-    fn take(&mut self) -> Vec<Output<AccordNews>> {
+    fn take(&mut self) -> Vec<Output<PlacementEvent>> {
         let lease_messages =
             self.leader_lease.take_outbox().into_iter().map(|(to, message)| (to, Payload::Lease(message)));
         let tables = std::mem::take(&mut self.outbox.sends).into_iter();
--- a/crates/placement/src/config.rs
+++ b/crates/placement/src/config.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use hallpin_membership::names::{Life, ZoneId};
+use hallpin_membership::names::{NodeIncarnation, ZoneId};
 use serde::{Deserialize, Serialize};
 
 use crate::table::{is_sound, Table};
 
 /// Settings of a federation node. All but `this` and `zone` must be the same at every node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct AccordConfig {
+pub struct PlacementConfig {
     /// This node and its incarnation.
-    pub this: Life,
+    pub this: NodeIncarnation,
     /// The zone in which this node runs.
     pub zone: ZoneId,
     /// Number of zones.
@@ -29,11 +29,11 @@
     pub prepare_timeout: Duration,
 }
 
-impl AccordConfig {
+impl PlacementConfig {
     /// Creates a configuration with durations derived from the lease: `retry` is a fortieth of it, `prepare_timeout` a
     /// quarter.
     pub fn with_lease(
-        this: Life,
+        this: NodeIncarnation,
         zone: ZoneId,
         zones: u16,
         configured: u16,
@@ -41,7 +41,7 @@
         drift_ppm: u32,
     ) -> Self {
         let (retry, prepare_timeout) = (lease / 40, lease / 4);
-        AccordConfig { this, zone, zones, configured, lease, drift_ppm, retry, prepare_timeout }
+        PlacementConfig { this, zone, zones, configured, lease, drift_ppm, retry, prepare_timeout }
     }
 
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
@@ -127,7 +127,7 @@
 
 /// The state that may be persisted across restarts. Leases never are.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredPlacement {
     /// Number of the node that stored it.
     pub node: u16,
     /// Greatest fencing number of a coordinator that this node obeyed; it ignores coordinators with a lower one.
@@ -138,7 +138,7 @@
     pub table: Option<Table>,
 }
 
-impl Stored {
+impl StoredPlacement {
     pub(crate) fn is_sound(&self, node: u16) -> bool {
         self.node == node
             && self.table.as_ref().is_none_or(|table| is_sound(&table.entries) && table.epoch <= self.epoch)
--- a/crates/placement/src/coordinator.rs
+++ b/crates/placement/src/coordinator.rs
@@ -9,10 +9,10 @@
 mod grant;
 mod recovery;
 
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 use hallpin_membership::view::View;
 
-use crate::config::AccordConfig;
+use crate::config::PlacementConfig;
 use crate::events::Outbox;
 use crate::message::{Announcement, Grant, Message, Report};
 use crate::peer::Peer;
@@ -49,7 +49,7 @@
 impl Coordinator {
     /// Starts a holding at `now`. Leases of earlier coordinators were requested before it, so they end within one lease
     /// of it.
-    pub fn new(config: &AccordConfig, epoch: u64, now: Moment) -> Self {
+    pub fn new(config: &PlacementConfig, epoch: u64, now: Moment) -> Self {
         let peer = Peer::unknown(now + config.lease_length_at_coordinator());
         Coordinator {
             epoch,
@@ -70,9 +70,9 @@
     /// Processes a node's report, and answers if the node needs a lease or lacks something.
     pub fn on_report(
         &mut self,
-        config: &AccordConfig,
+        config: &PlacementConfig,
         now: Moment,
-        from: Life,
+        from: NodeIncarnation,
         report: Report,
         out: &mut Outbox,
     ) {
@@ -99,7 +99,7 @@
     /// Sends due announcements, decides a version that is ready, and starts the next one.
     pub fn tick(
         &mut self,
-        config: &AccordConfig,
+        config: &PlacementConfig,
         now: Moment,
         view: &View,
         newest: Option<(u64, &Array)>,
@@ -131,7 +131,7 @@
         self.preparing.as_ref().map(|preparing| preparing.header)
     }
 
-    fn reported_recently(&self, config: &AccordConfig, now: Moment, peer: &Peer) -> bool {
+    fn reported_recently(&self, config: &PlacementConfig, now: Moment, peer: &Peer) -> bool {
         peer.reported_at.is_some_and(|reported_at| now < reported_at + config.heartbeat_interval() * 2)
     }
 
--- a/crates/placement/src/coordinator/decide.rs
+++ b/crates/placement/src/coordinator/decide.rs
@@ -4,7 +4,7 @@
 use hallpin_membership::view::View;
 
 use super::{Coordinator, Preparing};
-use crate::config::AccordConfig;
+use crate::config::PlacementConfig;
 use crate::events::Outbox;
 use crate::peer::Peer;
 use crate::table::{Array, TableHeader, TableId};
@@ -15,7 +15,7 @@
 
 impl Coordinator {
     /// Puts the version being prepared in force once no node without it can have a lease.
-    pub(super) fn decide(&mut self, config: &AccordConfig, now: Moment, out: &mut Outbox) {
+    pub(super) fn decide(&mut self, config: &PlacementConfig, now: Moment, out: &mut Outbox) {
         let Some(Preparing { header, since }) = self.preparing.clone() else {
             return;
         };
@@ -46,7 +46,7 @@
         self.start_preparing(now, None);
     }
 
-    pub(super) fn own_replica_holds(&self, config: &AccordConfig, header: &TableHeader) -> bool {
+    pub(super) fn own_replica_holds(&self, config: &PlacementConfig, header: &TableHeader) -> bool {
         self.peers.get(usize::from(config.this.node.0)).is_some_and(|peer| peer.holds(header))
     }
 
@@ -54,7 +54,7 @@
     /// `prepare_timeout`.
     pub(super) fn propose(
         &mut self,
-        config: &AccordConfig,
+        config: &PlacementConfig,
         now: Moment,
         view: &View,
         newest: Option<(u64, &Array)>,
@@ -93,7 +93,12 @@
 
     /// Returns whether discovery has restarted its revisions: for `REVISION_RESET_LEASES` leases no reporting node has
     /// had a list as new as the last table.
-    fn is_revision_reset(&mut self, config: &AccordConfig, now: Moment, last: Option<TableHeader>) -> bool {
+    fn is_revision_reset(
+        &mut self,
+        config: &PlacementConfig,
+        now: Moment,
+        last: Option<TableHeader>,
+    ) -> bool {
         let last = last.map(|header| header.revision);
         if self.newest_list(config, now).map(|(revision, ..)| revision) >= last {
             self.lists_older_since = None;
--- a/crates/placement/src/coordinator/find.rs
+++ b/crates/placement/src/coordinator/find.rs
@@ -3,12 +3,12 @@
 use hallpin_membership::names::{Moment, NodeId};
 
 use super::Coordinator;
-use crate::config::AccordConfig;
+use crate::config::PlacementConfig;
 use crate::peer::Peer;
 
 impl Coordinator {
     /// Returns the newest reported list: its revision, its array's digest and the node that has it.
-    pub fn newest_list(&self, config: &AccordConfig, now: Moment) -> Option<(u64, u64, NodeId)> {
+    pub fn newest_list(&self, config: &PlacementConfig, now: Moment) -> Option<(u64, u64, NodeId)> {
         let lists =
             self.peers.iter().enumerate().filter(|(_, peer)| self.reported_recently(config, now, peer));
         let lists = lists.filter_map(|(node, peer)| {
@@ -21,7 +21,7 @@
     /// Returns the newest reported list if it is newer than `known` and than the table in force.
     pub fn newer_list(
         &self,
-        config: &AccordConfig,
+        config: &PlacementConfig,
         now: Moment,
         known: Option<u64>,
     ) -> Option<(u64, u64, NodeId)> {
--- a/crates/placement/src/coordinator/grant.rs
+++ b/crates/placement/src/coordinator/grant.rs
@@ -1,9 +1,9 @@
 //! Decides which nodes get a lease.
 
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 
 use super::Coordinator;
-use crate::config::AccordConfig;
+use crate::config::PlacementConfig;
 use crate::events::Outbox;
 use crate::message::Grant;
 
@@ -11,9 +11,9 @@
     /// Answers a report: grants a lease where that is safe, and otherwise announces what the node lacks.
     pub(super) fn reply(
         &mut self,
-        config: &AccordConfig,
+        config: &PlacementConfig,
         now: Moment,
-        from: Life,
+        from: NodeIncarnation,
         stamp: u64,
         out: &mut Outbox,
     ) {
@@ -38,7 +38,7 @@
     /// has waited for the node for longer than `prepare_timeout`. Any other node must first hold the decided table and
     /// the one being prepared, and gets no lease while a predecessor's version is undecided: an earlier incarnation of
     /// the node may have placed by that version.
-    fn may_grant(&self, config: &AccordConfig, now: Moment, node: NodeId) -> bool {
+    fn may_grant(&self, config: &PlacementConfig, now: Moment, node: NodeId) -> bool {
         let Some((peer, decided)) = self.peers.get(usize::from(node.0)).zip(self.decided) else {
             return false;
         };
--- a/crates/placement/src/events.rs
+++ b/crates/placement/src/events.rs
@@ -7,7 +7,7 @@
 
 /// A change of this node's table or lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum AccordNews {
+pub enum PlacementEvent {
     /// The node must place by this table from now on.
     Switch(Table),
     /// The node holds all of a version and waits until it is decided.
@@ -28,7 +28,7 @@
 
 /// This node's state towards the table in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum AccordState {
+pub enum PlacementState {
     /// The node has a lease and places by the table in force; no other node switches without it.
     InForce,
     /// As `InForce`, and the node knows of the next version.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Outbox {
     pub sends: Vec<(NodeId, Message)>,
-    pub events: Vec<AccordNews>,
+    pub events: Vec<PlacementEvent>,
 }
 
 impl Outbox {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -24,6 +24,6 @@
 mod tests;
 
 pub use accord::Accord;
-pub use config::{AccordConfig, ConfigError, Stored};
-pub use events::{AccordNews, AccordState, Metrics};
+pub use config::{ConfigError, PlacementConfig, StoredPlacement};
+pub use events::{Metrics, PlacementEvent, PlacementState};
 pub use table::{Table, TableEntry, TableId, MAX_ENTRIES, MAX_SERVER};
--- a/crates/placement/src/message.rs
+++ b/crates/placement/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages of the table protocol and their encoding.
 
-use hallpin_membership::envelope::{Refused, MAX_PAYLOAD};
+use hallpin_membership::envelope::{Rejection, MAX_PAYLOAD};
 use hallpin_membership::names::Moment;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -126,12 +126,12 @@
 }
 
 /// Decodes a payload from any sender: at most `MAX_PAYLOAD` bytes, and nothing may follow the message.
-pub(crate) fn decode<T: DeserializeOwned>(payload: &[u8]) -> Result<T, Refused> {
+pub(crate) fn decode<T: DeserializeOwned>(payload: &[u8]) -> Result<T, Rejection> {
     if payload.len() > MAX_PAYLOAD {
-        return Err(Refused::Payload);
+        return Err(Rejection::Payload);
     }
     match postcard::take_from_bytes(payload) {
         Ok((message, [])) => Ok(message),
-        _ => Err(Refused::Payload),
+        _ => Err(Rejection::Payload),
     }
 }
--- a/crates/placement/src/model.rs
+++ b/crates/placement/src/model.rs
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::config::AccordConfig;
+use crate::config::PlacementConfig;
 use crate::events::Outbox;
 use crate::message::Message;
 use crate::protocol::TableProtocol;
 use crate::replica::Replica;
 use crate::table::{TableEntry, TableId};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
 
 const NODES: u16 = 3;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     protocol: TableProtocol,
-    node_incarnation: Life,
+    node_incarnation: NodeIncarnation,
     started_at: u32,
     paused: bool,
 }
@@ -56,7 +56,7 @@
     now: u32,
     nodes: Vec<Node>,
     leader: (usize, u64),
-    in_flight: Vec<(Life, NodeId, Message)>,
+    in_flight: Vec<(NodeIncarnation, NodeId, Message)>,
     partitioned: bool,
     allowance: Allowance,
     digests_in_force: BTreeMap<TableId, u64>,
@@ -66,8 +66,8 @@
 
 impl Node {
     fn new(n: u16, incarnation: u64, started_at: u32, epoch: u64, old: Option<&TableProtocol>) -> Self {
-        let node_incarnation = Life { node: NodeId(n), incarnation: Incarnation(incarnation) };
-        let config = AccordConfig::with_lease(node_incarnation, ZoneId(n / 2), 2, NODES, STEP * 4, 0);
+        let node_incarnation = NodeIncarnation { node: NodeId(n), incarnation: Incarnation(incarnation) };
+        let config = PlacementConfig::with_lease(node_incarnation, ZoneId(n / 2), 2, NODES, STEP * 4, 0);
         let known = old.and_then(|protocol| protocol.replica.base().cloned());
         Node {
             protocol: TableProtocol::new(config, Replica::new(epoch, known), Duration::ZERO, 0),
--- a/crates/placement/src/peer.rs
+++ b/crates/placement/src/peer.rs
@@ -1,6 +1,6 @@
 //! The coordinator's record of one node: its last report and until when it may have a lease.
 
-use hallpin_membership::names::{Incarnation, Life, Moment};
+use hallpin_membership::names::{Incarnation, Moment, NodeIncarnation};
 
 use crate::message::Report;
 use crate::table::TableHeader;
@@ -37,7 +37,7 @@
     ///
     /// A node that reports having no lease can get none from an earlier coordinator any more, because it ignores those.
     /// A grant of this coordinator may still be on its way, so such a lease always counts until its end.
-    pub fn accept_report(&mut self, now: Moment, from: Life, report: Report) -> bool {
+    pub fn accept_report(&mut self, now: Moment, from: NodeIncarnation, report: Report) -> bool {
         if self.incarnation.is_some_and(|incarnation| from.incarnation < incarnation) {
             return false;
         }
--- a/crates/placement/src/protocol.rs
+++ b/crates/placement/src/protocol.rs
@@ -5,10 +5,10 @@
 
 mod pull;
 
-use hallpin_membership::names::{Life, Moment};
+use hallpin_membership::names::{Moment, NodeIncarnation};
 use hallpin_membership::view::View;
 
-use crate::config::AccordConfig;
+use crate::config::PlacementConfig;
 use crate::coordinator::Coordinator;
 use crate::events::Outbox;
 use crate::fetch::{pages_for, Fetch};
@@ -25,7 +25,7 @@
 /// State of the table protocol at one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TableProtocol {
-    pub config: AccordConfig,
+    pub config: PlacementConfig,
     pub replica: Replica,
     pub coordinator: Option<Coordinator>,
     fetch: Option<Fetch>,
@@ -45,7 +45,7 @@
 }
 
 impl TableProtocol {
-    pub fn new(config: AccordConfig, replica: Replica, now: Moment, seed: u64) -> Self {
+    pub fn new(config: PlacementConfig, replica: Replica, now: Moment, seed: u64) -> Self {
         TableProtocol {
             config,
             replica,
@@ -79,7 +79,7 @@
         now: Moment,
         epoch: Option<u64>,
         view: &View,
-        from: Life,
+        from: NodeIncarnation,
         message: Message,
         out: &mut Outbox,
     ) {
@@ -135,7 +135,14 @@
         self.next_tick_at = Some(now + self.config.retry);
     }
 
-    fn handle(&mut self, now: Moment, view: &View, from: Life, message: Message, out: &mut Outbox) {
+    fn handle(
+        &mut self,
+        now: Moment,
+        view: &View,
+        from: NodeIncarnation,
+        message: Message,
+        out: &mut Outbox,
+    ) {
         match message {
             Message::Report(report) => {
                 if let Some(coordinator) = &mut self.coordinator {
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -3,10 +3,10 @@
 //! A node switches only while it has a lease, only to a table that a coordinator announced as decided, and only to a
 //! newer one. It ignores coordinators with a lower fencing number than one that it has reported to.
 
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 
-use crate::config::AccordConfig;
-use crate::events::{AccordNews, AccordState, Metrics};
+use crate::config::PlacementConfig;
+use crate::events::{Metrics, PlacementEvent, PlacementState};
 use crate::message::{micros, Announcement, Report};
 use crate::table::{Array, LocalTable, NewerOf, TableHeader, TableId};
 
@@ -15,7 +15,7 @@
 pub(crate) struct Leader {
     pub epoch: u64,
     /// `None` after a start from stored state, when only the fencing number is known.
-    pub node_incarnation: Option<Life>,
+    pub node_incarnation: Option<NodeIncarnation>,
     /// Number of its newest announcement.
     pub number: u64,
 }
@@ -39,7 +39,7 @@
     /// An array that has just been fetched, until it is stored with its table.
     fetched_array: Option<Array>,
     expiry_reported: bool,
-    pub events: Vec<AccordNews>,
+    pub events: Vec<PlacementEvent>,
     pub metrics: Metrics,
 }
 
@@ -85,15 +85,15 @@
         self.lease_until.filter(|_| !self.expiry_reported)
     }
 
-    pub fn state(&self, config: &AccordConfig, now: Moment) -> AccordState {
+    pub fn state(&self, config: &PlacementConfig, now: Moment) -> PlacementState {
         let has_coordinator = self
             .last_announced_at
             .is_some_and(|announced_at| now < announced_at + config.heartbeat_interval() * 2);
         match (self.is_leased(now), self.preparing.is_some()) {
-            (true, true) => AccordState::Preparing,
-            (true, false) => AccordState::InForce,
-            (false, _) if self.in_force.is_some() && !has_coordinator => AccordState::Out,
-            (false, _) => AccordState::CatchingUp,
+            (true, true) => PlacementState::Preparing,
+            (true, false) => PlacementState::InForce,
+            (false, _) if self.in_force.is_some() && !has_coordinator => PlacementState::Out,
+            (false, _) => PlacementState::CatchingUp,
         }
     }
 
@@ -141,9 +141,9 @@
     /// implausible.
     pub fn on_announcement(
         &mut self,
-        config: &AccordConfig,
+        config: &PlacementConfig,
         now: Moment,
-        from: Life,
+        from: NodeIncarnation,
         announcement: &Announcement,
     ) -> bool {
         let leader = &mut self.leader;
@@ -184,7 +184,7 @@
         let base = self.base().map(|held| held.header.id);
         if let Some(held) = self.prepared.take_if(|held| Some(held.header.id) <= base) {
             if Some(held.header.id) != base {
-                self.events.push(AccordNews::Dropped { version: held.header.id.version });
+                self.events.push(PlacementEvent::Dropped { version: held.header.id.version });
             }
         }
         self.prepare(history_known, base);
@@ -218,7 +218,7 @@
         let superseded =
             |held: &mut LocalTable| history_known && Some(held.header.id) != next.map(|header| header.id);
         if let Some(held) = self.prepared.take_if(superseded) {
-            self.events.push(AccordNews::Dropped { version: held.header.id.version });
+            self.events.push(PlacementEvent::Dropped { version: held.header.id.version });
         }
         let Some(header) =
             next.filter(|_| self.prepared.is_none() && base >= self.decided.map(|header| header.id))
@@ -227,7 +227,7 @@
         };
         if let Some(array) = self.find_array(header.digest) {
             self.prepared = Some(LocalTable::new(header, &array));
-            self.events.push(AccordNews::Prepared { version: header.id.version });
+            self.events.push(PlacementEvent::Prepared { version: header.id.version });
         }
     }
 
@@ -236,11 +236,11 @@
             return;
         }
         if std::mem::take(&mut self.expiry_reported) {
-            self.events.push(AccordNews::Back);
+            self.events.push(PlacementEvent::Back);
         }
         if let Some(held) = self.awaiting_lease.take() {
             self.metrics.switches += 1;
-            self.events.push(AccordNews::Switch(held.table.clone()));
+            self.events.push(PlacementEvent::Switch(held.table.clone()));
             self.in_force = Some(held);
         }
     }
@@ -250,7 +250,7 @@
         if !self.expiry_reported && self.lease_until.is_some_and(|until| until <= now) {
             self.expiry_reported = true;
             self.metrics.outs += 1;
-            self.events.push(AccordNews::Out);
+            self.events.push(PlacementEvent::Out);
         }
     }
 
--- a/crates/placement/src/tests.rs
+++ b/crates/placement/src/tests.rs
@@ -2,8 +2,8 @@
 //! input changes nothing.
 
 use hallpin_membership::envelope::MAX_PAYLOAD;
-use hallpin_membership::machine::Machine;
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::machine::StateMachine;
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::View;
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 use crate::message::{decode, encode, Announcement, Grant, Message, Page, PageRequest, Report};
 use crate::pages::{apply, changes, pack};
 use crate::table::{is_sound, Array, TableEntry, TableHeader, TableId, MAX_SERVER};
-use crate::{Accord, AccordConfig};
+use crate::{Accord, PlacementConfig};
 
 fn entries() -> impl Strategy<Value = Vec<TableEntry>> {
     let entry = |(server, weight_milli)| TableEntry { server, weight_milli };
@@ -22,8 +22,8 @@
 }
 
 fn accord_and_view() -> (Accord, View) {
-    let this = Life { node: NodeId(0), incarnation: Incarnation(7) };
-    let config = AccordConfig::with_lease(this, ZoneId(0), 2, 3, Moment::from_secs(2), 20_000);
+    let this = NodeIncarnation { node: NodeId(0), incarnation: Incarnation(7) };
+    let config = PlacementConfig::with_lease(this, ZoneId(0), 2, 3, Moment::from_secs(2), 20_000);
     let accord = Accord::new(config, None, Moment::ZERO, 1).unwrap();
     (accord, View::alone(this, ZoneId(0), 3, Moment::ZERO))
 }
@@ -67,7 +67,7 @@
 #[test]
 fn an_implausible_announcement_does_not_shut_out_the_coordinator() {
     let (accord, _) = accord_and_view();
-    let from = |node| Life { node: NodeId(node), incarnation: Incarnation(1) };
+    let from = |node| NodeIncarnation { node: NodeId(node), incarnation: Incarnation(1) };
     let announcement = |epoch, header: Option<u64>| {
         let header =
             header.map(|epoch| TableHeader { id: TableId { epoch, version: 1 }, revision: 1, digest: 1 });
@@ -103,7 +103,7 @@
         replica.on_announcement(
             config,
             now,
-            Life { node: NodeId(1), incarnation: Incarnation(1) },
+            NodeIncarnation { node: NodeId(1), incarnation: Incarnation(1) },
             &announcement,
         );
         replica.is_leased(now)
@@ -123,7 +123,7 @@
         let mut out = Outbox::default();
         protocol.tick(Moment::from_secs(epoch), Some(3), &view, &mut out);
         for node in 1..3 {
-            let from = Life { node: NodeId(node), incarnation: Incarnation(1) };
+            let from = NodeIncarnation { node: NodeId(node), incarnation: Incarnation(1) };
             let report = Report {
                 epoch,
                 number: epoch,
@@ -160,7 +160,7 @@
         (0..999).map(|n| TableEntry { server: format!("{n:04}"), weight_milli: n }).collect(),
     );
     let digest = accord.protocol.replica.endpoint_list.as_ref().map(|(_, array)| array.digest).unwrap();
-    let from = Life { node: NodeId(1), incarnation: Incarnation(1) };
+    let from = NodeIncarnation { node: NodeId(1), incarnation: Incarnation(1) };
     let request = PageRequest { target: digest, base: 0, first: 0, mask: u16::MAX };
     let request = encode(&Payload::Tables(Message::PageRequest(request))).unwrap();
     (0..1000).for_each(|_| accord.receive(Moment::ZERO, &view, from, &request).unwrap());
@@ -171,7 +171,7 @@
     #[test]
     fn arbitrary_payloads_are_harmless(payload in vec(any::<u8>(), 0..300), tag in 0u8..4, node in 0u16..5) {
         let (mut accord, view) = accord_and_view();
-        let from = Life { node: NodeId(node), incarnation: Incarnation(1) };
+        let from = NodeIncarnation { node: NodeId(node), incarnation: Incarnation(1) };
         let mut with_valid_tag = vec![1, tag];
         with_valid_tag.extend(&payload);
         for payload in [payload, with_valid_tag] {
--- a/crates/placement/tests/federation/failures.rs
+++ b/crates/placement/tests/federation/failures.rs
@@ -1,6 +1,6 @@
 //! Nodes that crash, pause or are partitioned at critical moments.
 
-use hallpin_placement::AccordNews;
+use hallpin_placement::PlacementEvent;
 
 use crate::checker::check_history;
 use crate::world::{array, World, LEASE};
@@ -11,7 +11,7 @@
 }
 
 fn reported_lease_expiry(world: &World, n: u16) -> bool {
-    world.nodes[usize::from(n)].events.iter().any(|(_, events)| *events == AccordNews::Out)
+    world.nodes[usize::from(n)].events.iter().any(|(_, events)| *events == PlacementEvent::Out)
 }
 
 #[test]
@@ -31,7 +31,7 @@
             let placed = |n: u16| -> Vec<_> {
                 let tables =
                     world.nodes[usize::from(n)].events.iter().filter_map(|(_, events)| match events {
-                        AccordNews::Switch(table) => Some(table.id()),
+                        PlacementEvent::Switch(table) => Some(table.id()),
                         _ => None,
                     });
                 tables.collect()
--- a/crates/placement/tests/federation/network.rs
+++ b/crates/placement/tests/federation/network.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use hallpin_membership::names::{Life, NodeId};
+use hallpin_membership::names::{NodeId, NodeIncarnation};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -12,7 +12,7 @@
 
 /// One datagram in flight.
 pub struct InFlight {
-    pub from: Life,
+    pub from: NodeIncarnation,
     pub to: NodeId,
     pub payload: Vec<u8>,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    pub fn send(&mut self, now: Duration, from: Life, to: NodeId, payload: Vec<u8>) {
+    pub fn send(&mut self, now: Duration, from: NodeIncarnation, to: NodeId, payload: Vec<u8>) {
         self.sent += 1;
         self.longest = self.longest.max(payload.len());
         let copies = 1 + u64::from(self.rng.random_bool(self.duplication));
--- a/crates/placement/tests/federation/world.rs
+++ b/crates/placement/tests/federation/world.rs
@@ -2,10 +2,12 @@
 
 use std::time::Duration;
 
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
-use hallpin_placement::{Accord, AccordConfig, AccordNews, AccordState, Stored, TableEntry, TableId};
+use hallpin_placement::{
+    Accord, PlacementConfig, PlacementEvent, PlacementState, StoredPlacement, TableEntry, TableId,
+};
 
 use crate::checker::Sample;
 use crate::network::Network;
@@ -15,13 +17,13 @@
 
 pub struct Node {
     pub accord: Option<Accord>,
-    pub stored: Option<Stored>,
-    pub node_incarnation: Life,
+    pub stored: Option<StoredPlacement>,
+    pub node_incarnation: NodeIncarnation,
     started_at: Duration,
     rate_ppm: i64,
     pub paused: bool,
     view: View,
-    pub events: Vec<(Duration, AccordNews)>,
+    pub events: Vec<(Duration, PlacementEvent)>,
 }
 
 impl Node {
@@ -61,7 +63,7 @@
     pub fn new(count: u16, zones: u16, seed: u64) -> Self {
         println!("seed {seed}");
         let node = |n: u16| {
-            let node_incarnation = Life { node: NodeId(n), incarnation: Incarnation(0) };
+            let node_incarnation = NodeIncarnation { node: NodeId(n), incarnation: Incarnation(0) };
             let view = View::alone(node_incarnation, ZoneId(n % zones), count, Duration::ZERO);
             let (accord, stored, events) = (None, None, Vec::new());
             Node {
@@ -90,7 +92,7 @@
             let (node_incarnation, zone) = (node.node_incarnation, ZoneId(n % self.zones));
             node.view = View::alone(node_incarnation, zone, count, Duration::ZERO);
             let config =
-                AccordConfig::with_lease(node_incarnation, zone, self.zones, count, LEASE, self.drift_ppm);
+                PlacementConfig::with_lease(node_incarnation, zone, self.zones, count, LEASE, self.drift_ppm);
             node.accord =
                 Some(Accord::new(config, node.stored.take(), Duration::ZERO, u64::from(n)).unwrap());
         }
@@ -133,13 +135,13 @@
         self.now - started_at
     }
 
-    pub fn states(&self) -> Vec<(Option<AccordState>, Option<TableId>)> {
+    pub fn states(&self) -> Vec<(Option<PlacementState>, Option<TableId>)> {
         let state = |node: &Node| Some(node.accord.as_ref()?.state(node.local_clock(self.now)));
         self.nodes.iter().map(|node| (state(node), node.in_force())).collect()
     }
 
     pub fn is_leased(&self, n: u16) -> bool {
-        use AccordState::{InForce, Preparing};
+        use PlacementState::{InForce, Preparing};
         matches!(self.states()[usize::from(n)].0, Some(InForce | Preparing))
     }
 
--- a/crates/quota/src/budgets/exchange.rs
+++ b/crates/quota/src/budgets/exchange.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hallpin_membership::machine::Output;
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 use hallpin_membership::view::View;
 
 use super::{Budgets, BudgetsEvent, GrantorRole, KnownGrantor};
@@ -95,7 +95,7 @@
     pub(super) fn handle_demand(
         &mut self,
         now: Moment,
-        from: Life,
+        from: NodeIncarnation,
         request_id: u32,
         contracts: u32,
         demand: &QuotaPage,
--- a/crates/quota/src/budgets/machine.rs
+++ b/crates/quota/src/budgets/machine.rs
@@ -3,24 +3,30 @@
 use std::time::Duration;
 
 use hallpin_leader_lease::Candidacy;
-use hallpin_membership::envelope::{Kind, Refused};
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Life, Moment};
+use hallpin_membership::envelope::{Kind, Rejection};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Moment, NodeIncarnation};
 use hallpin_membership::view::View;
 
 use super::exchange::{lowest_alive, Grant};
 use super::{Budgets, BudgetsEvent};
 use crate::message::Message;
 
-impl Machine for Budgets {
+impl StateMachine for Budgets {
     type News = BudgetsEvent;
 
     const KIND: Kind = Kind::Budgets;
 
-    fn receive(&mut self, now: Moment, view: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
+    fn receive(
+        &mut self,
+        now: Moment,
+        view: &View,
+        from: NodeIncarnation,
+        payload: &[u8],
+    ) -> Result<(), Rejection> {
         let this = self.quota.config.this;
         if from.node.0 >= self.quota.config.configured || from.node == this.node {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownPeer);
         }
         match Message::decode(payload)? {
             Message::Lease(message) => self.leader_lease.receive(now, from, message),
--- a/crates/quota/src/budgets/tests.rs
+++ b/crates/quota/src/budgets/tests.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
 
 use crate::message::Message;
@@ -16,8 +16,8 @@
 #[test]
 fn a_grant_counts_only_for_the_incarnation_and_the_request_that_it_answers() {
     let second = Duration::from_secs(1);
-    let this = Life { node: NodeId(1), incarnation: Incarnation(5) };
-    let other = Life { node: NodeId(0), incarnation: Incarnation(5) };
+    let this = NodeIncarnation { node: NodeId(1), incarnation: Incarnation(5) };
+    let other = NodeIncarnation { node: NodeId(0), incarnation: Incarnation(5) };
     let contracts = Contracts::parse("version = 1\nrevision = 1\n[others]\nshare = 1\n").unwrap();
     let digest = contracts.digest();
     let mut budgets =
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use hallpin_leader_lease::{ClockDrift, LeaseConfig};
-use hallpin_membership::names::Life;
+use hallpin_membership::names::NodeIncarnation;
 
 /// Settings of budgets. All fields except `this` must be the same at every node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetsConfig {
     /// This node and its incarnation.
-    pub this: Life,
+    pub this: NodeIncarnation,
     /// Number of nodes in the configuration, this one included.
     pub configured: u16,
     /// Longest time until lent quota returns, and the term of the grantor's leader lease. A grant lasts at most half of
@@ -40,7 +40,7 @@
 
 impl BudgetsConfig {
     /// Default settings: clocks within 2% of true time, a quarter of each capacity for safe minimums.
-    pub fn new(this: Life, configured: u16, lease: Duration) -> Self {
+    pub fn new(this: NodeIncarnation, configured: u16, lease: Duration) -> Self {
         BudgetsConfig { this, configured, lease, drift_ppm: 20_000, minimum_ppm: 250_000 }
     }
 
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hallpin_membership::names::{Life, Moment, NodeId};
+use hallpin_membership::names::{Moment, NodeId, NodeIncarnation};
 
 use crate::config::BudgetsConfig;
 use crate::contracts::Contracts;
@@ -67,7 +67,7 @@
     pub(crate) fn record_demands(
         &mut self,
         now: Moment,
-        from: Life,
+        from: NodeIncarnation,
         contracts: (&Contracts, u32),
         page: &QuotaPage,
     ) -> bool {
--- a/crates/quota/src/grantor/account.rs
+++ b/crates/quota/src/grantor/account.rs
@@ -1,6 +1,6 @@
 //! One node's entry in the grantor's ledger: its demand, its targets and its grants in force.
 
-use hallpin_membership::names::{Life, Moment};
+use hallpin_membership::names::{Moment, NodeIncarnation};
 
 use super::slots::SlotSources;
 use crate::quota_page::Row;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Account {
-    pub(crate) life: Life,
+    pub(crate) life: NodeIncarnation,
     /// When the node last reported its demand.
     pub(crate) last_report_at: Moment,
     /// Requests of the node in this round.
@@ -33,7 +33,7 @@
 }
 
 impl Account {
-    pub(crate) fn new(life: Life, now: Moment, slots: usize) -> Self {
+    pub(crate) fn new(life: NodeIncarnation, now: Moment, slots: usize) -> Self {
         let (demands, targets) = (vec![Row::new(); slots], vec![Row::new(); slots]);
         Account {
             life,
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,7 +1,7 @@
 //! Payloads of the quota protocol: demand reports, grants, redirects to the grantor, and the grantor's leader lease.
 
 use hallpin_leader_lease::LeaseMessage;
-use hallpin_membership::envelope::{Refused, MAX_PAYLOAD};
+use hallpin_membership::envelope::{Rejection, MAX_PAYLOAD};
 use hallpin_membership::names::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
@@ -52,12 +52,12 @@
         postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MAX_PAYLOAD)
     }
 
-    pub(crate) fn decode(payload: &[u8]) -> Result<Self, Refused> {
-        let (message, rest) = postcard::take_from_bytes(payload).map_err(|_| Refused::Payload)?;
+    pub(crate) fn decode(payload: &[u8]) -> Result<Self, Rejection> {
+        let (message, rest) = postcard::take_from_bytes(payload).map_err(|_| Rejection::Payload)?;
         let fits = match &message {
             Message::Lease(_) | Message::Elsewhere { .. } => true,
             Message::Wants { page, .. } | Message::Grant { page, .. } => page.longest_row() <= MAX_ROW_LENGTH,
         };
-        (rest.is_empty() && fits).then_some(message).ok_or(Refused::Payload)
+        (rest.is_empty() && fits).then_some(message).ok_or(Rejection::Payload)
     }
 }
--- a/crates/quota/tests/fleet/mod.rs
+++ b/crates/quota/tests/fleet/mod.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
 use hallpin_quota::{Budgets, BudgetsConfig, Contracts, Resource, TenantIndex};
 use rand::{RngExt, SeedableRng};
@@ -26,7 +26,7 @@
 pub struct Node {
     pub budgets: Budgets,
     pub view: View,
-    pub life: Life,
+    pub life: NodeIncarnation,
     /// Nanoseconds that the node's clock advances in a million nanoseconds of true time.
     pub clock_rate_ppm: u64,
     started: u64,
@@ -57,12 +57,12 @@
     /// True drift of the clocks, in millionths.
     pub true_drift_ppm: u32,
     sequence: u64,
-    in_flight: BTreeMap<(u64, u64), (Life, usize, Vec<u8>)>,
+    in_flight: BTreeMap<(u64, u64), (NodeIncarnation, usize, Vec<u8>)>,
 }
 
 impl SimulatedFleet {
     pub fn new(node_count: u16, lease: Duration, capacities: BTreeMap<Resource, u32>, seed: u64) -> Self {
-        let this = Life { node: NodeId(0), incarnation: Incarnation(0) };
+        let this = NodeIncarnation { node: NodeId(0), incarnation: Incarnation(0) };
         let config = BudgetsConfig::new(this, node_count, lease);
         let (rng, sent) = (Pcg64Mcg::seed_from_u64(seed), vec![(0, 0); node_count.into()]);
         let (now, loss_probability, late_probability, partition_below, sequence, true_drift_ppm) =
@@ -90,7 +90,10 @@
     }
 
     fn start(&mut self, node: u16) -> Node {
-        let life = Life { node: NodeId(node), incarnation: Incarnation(1_000_000 + self.now / NS_PER_MS) };
+        let life = NodeIncarnation {
+            node: NodeId(node),
+            incarnation: Incarnation(1_000_000 + self.now / NS_PER_MS),
+        };
         let config = BudgetsConfig { this: life, ..self.config };
         let seed = self.rng.random();
         let mut budgets = Budgets::new(config, contracts(2, 1), Moment::ZERO, seed).unwrap();
@@ -110,7 +113,8 @@
 
     /// Gives every node the true view of the running nodes.
     pub fn refresh_views(&mut self) {
-        let running: Vec<Life> = self.nodes.iter().filter(|node| !node.down).map(|node| node.life).collect();
+        let running: Vec<NodeIncarnation> =
+            self.nodes.iter().filter(|node| !node.down).map(|node| node.life).collect();
         for node in &mut self.nodes {
             refresh_views(node, &running);
         }
@@ -118,8 +122,9 @@
 
     /// Gives a node a view that misses about half of the nodes.
     pub fn corrupt_view(&mut self, node: usize) {
-        let running: Vec<Life> = self.nodes.iter().map(|node| node.life).collect();
-        let visible: Vec<Life> = running.into_iter().filter(|_| self.rng.random_bool(0.5)).collect();
+        let running: Vec<NodeIncarnation> = self.nodes.iter().map(|node| node.life).collect();
+        let visible: Vec<NodeIncarnation> =
+            running.into_iter().filter(|_| self.rng.random_bool(0.5)).collect();
         refresh_views(&mut self.nodes[node], &visible);
     }
 
@@ -212,7 +217,7 @@
     }
 }
 
-fn refresh_views(node: &mut Node, running: &[Life]) {
+fn refresh_views(node: &mut Node, running: &[NodeIncarnation]) {
     let mut view = View::alone(node.life, ZoneId(0), node.view.configured, Moment::ZERO);
     for &life in running {
         let member = Member { life, zone: ZoneId(0), state: MemberState::Alive, since: Moment::ZERO };
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -6,8 +6,8 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
 use hallpin_quota::{Budgets, BudgetsConfig, Contracts, Resource, TenantIndex};
 use stateright::{Checker, Model, Property};
@@ -38,11 +38,11 @@
 
 #[derive(Clone, Debug)]
 struct State {
-    nodes: Vec<(Life, View, Budgets)>,
+    nodes: Vec<(NodeIncarnation, View, Budgets)>,
     true_ms: u64,
     crashes: u8,
     /// Messages that may still arrive, any number of times or never, with their age in ticks.
-    in_flight: BTreeSet<(u8, Life, NodeId, Vec<u8>)>,
+    in_flight: BTreeSet<(u8, NodeIncarnation, NodeId, Vec<u8>)>,
 }
 
 impl State {
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     AdvanceTime,
-    Deliver(u8, Life, NodeId, Vec<u8>),
+    Deliver(u8, NodeIncarnation, NodeId, Vec<u8>),
     Crash(usize),
 }
 
@@ -85,7 +85,7 @@
     Duration::from_secs(1) + Duration::from_micros(250) * (true_ms * CLOCK_RATES[node]) as u32
 }
 
-fn view(this: Life, seen: &[Life]) -> View {
+fn view(this: NodeIncarnation, seen: &[NodeIncarnation]) -> View {
     let mut view = View::alone(this, ZoneId(this.node.0 / 2), 3, Moment::ZERO);
     for &life in seen {
         let member =
@@ -96,7 +96,7 @@
 }
 
 impl FleetModel {
-    fn start(&self, this: Life, at: Moment) -> Budgets {
+    fn start(&self, this: NodeIncarnation, at: Moment) -> Budgets {
         let config = BudgetsConfig { drift_ppm: self.drift_ppm, ..BudgetsConfig::new(this, 3, LEASE) };
         let text = "version = 1\nrevision = 1\n[others]\nshare = 1\n";
         let mut budgets = Budgets::new(config, Contracts::parse(text).unwrap(), at, 1).unwrap();
@@ -132,7 +132,7 @@
         }
     }
 
-    fn deliver(&self, state: &mut State, from: Life, to: NodeId, payload: &[u8]) {
+    fn deliver(&self, state: &mut State, from: NodeIncarnation, to: NodeId, payload: &[u8]) {
         let to = usize::from(to.0);
         let now = clock(to, state.true_ms);
         let (_, view, budgets) = &mut state.nodes[to];
@@ -146,8 +146,8 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let lives: Vec<Life> =
-            (0..3).map(|node| Life { node: NodeId(node), incarnation: Incarnation(1) }).collect();
+        let lives: Vec<NodeIncarnation> =
+            (0..3).map(|node| NodeIncarnation { node: NodeId(node), incarnation: Incarnation(1) }).collect();
         let nodes =
             lives.iter().map(|&life| (life, view(life, &lives), self.start(life, Moment::ZERO))).collect();
         let mut state = State { nodes, true_ms: 0, crashes: 0, in_flight: BTreeSet::new() };
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -7,12 +7,12 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use hallpin_balancer::{Action, Balancer, Event, Names};
+use hallpin_balancer::{Action, Balancer, Event, NameIndex};
 use wire::Line;
 
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    names: NameIndex,
 }
 
 #[derive(Default)]
@@ -42,7 +42,7 @@
             }
             match wire::parse(&line, lines, |node| self.instances.get(&node).map(|i| &i.names))? {
                 Line::Attach { node, seed, settings } => {
-                    let names = Names::of(&settings);
+                    let names = NameIndex::of(&settings);
                     let balancer = Balancer::new(settings, seed).map_err(|e| e.to_string())?;
                     self.instances.insert(node, Instance { balancer, names });
                 }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -103,7 +103,7 @@
 pub fn parse<'n, R: BufRead>(
     line: &str,
     lines: &mut Lines<R>,
-    names: impl Fn(u64) -> Option<&'n Names>,
+    names: impl Fn(u64) -> Option<&'n NameIndex>,
 ) -> Result<Line, String> {
     let mut f = Fields { rest: Some(line) };
     let word = f.text().ok_or("a message name expected")?;
@@ -127,10 +127,10 @@
                 entries.push(entry(&lines.next()?.ok_or("a list entry expected")?)?);
             }
             Event::Roster(match mode {
-                Some("delta") => RosterNews::Delta(entries),
-                Some("full") => RosterNews::Full(entries),
-                Some("cached") => RosterNews::Cached(entries),
-                Some("failed") => RosterNews::Failed,
+                Some("delta") => EndpointUpdate::Delta(entries),
+                Some("full") => EndpointUpdate::Full(entries),
+                Some("cached") => EndpointUpdate::Cached(entries),
+                Some("failed") => EndpointUpdate::Failed,
                 _ => return Err("delta, full, cached or failed expected".into()),
             })
         }
@@ -191,7 +191,7 @@
         .collect()
 }
 
-fn entry(line: &str) -> Result<RosterEntry, String> {
+fn entry(line: &str) -> Result<EndpointEntry, String> {
     let mut f = Fields { rest: Some(line) };
     if f.text() != Some("m") {
         return Err("a list entry (`m`) expected".into());
@@ -201,7 +201,7 @@
         Some("Gone") => ServerState::Gone,
         _ => ServerState::Draining,
     };
-    Ok(RosterEntry {
+    Ok(EndpointEntry {
         state,
         server: f.server()?,
         zone: f.text().unwrap_or("").into(),
--- a/crates/simulation/src/plane/boxes.rs
+++ b/crates/simulation/src/plane/boxes.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeMap;
 
 use hallpin_balancer::{
-    CacheMode, RosterEntry, Seconds, ServerEvidence, ServerId, ServerState, Settings, Status, WeightSource,
+    CacheMode, EndpointEntry, Seconds, ServerId, ServerReport, ServerState, Settings, Status, WeightSource,
 };
-use hallpin_membership::facts::{BoxEvidence, BoxLife, OwnFact};
+use hallpin_membership::facts::{BoxEvidence, BoxIncarnation, OwnObservation};
 use hallpin_placement::TableEntry;
 use twox_hash::XxHash3_64;
 
 /// An attempt that is under way at one life of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent(BoxLife);
+pub struct Sent(BoxIncarnation);
 
 #[derive(Debug)]
 struct Seen {
     server: ServerId,
-    life: BoxLife,
+    life: BoxIncarnation,
     started: Option<Seconds>,
     /// Its part of a placement table, in thousandths; none where it belongs in no table.
     part: Option<u32>,
@@ -46,11 +46,11 @@
     }
 
     /// Follows the whole list. A box that has started anew begins with nothing held of it.
-    pub fn learn(&mut self, list: &[RosterEntry]) {
+    pub fn learn(&mut self, list: &[EndpointEntry]) {
         let mut before = std::mem::take(&mut self.seen);
         for entry in list.iter().filter(|entry| entry.state != ServerState::Gone) {
             let id = hash(&entry.server);
-            let life = BoxLife { id, started_unix_ms: milliseconds(entry.started) };
+            let life = BoxIncarnation { id, started_unix_ms: milliseconds(entry.started) };
             let part = self.part(entry);
             let new = || Seen {
                 server: entry.server.clone(),
@@ -67,7 +67,7 @@
         }
     }
 
-    fn part(&self, entry: &RosterEntry) -> Option<u32> {
+    fn part(&self, entry: &EndpointEntry) -> Option<u32> {
         let placed = entry.state == ServerState::Ready && self.planner.as_ref() != Some(&entry.kind);
         // A cast of a float ends at the bounds; what is no number is 0.
         let milli = if self.weighed { (entry.weight * 1000.0).round() as u32 } else { 1000 };
@@ -82,10 +82,10 @@
     }
 
     /// What peers found of a life of a box, if that is the one listed.
-    pub fn evidence(&self, found: &BoxEvidence) -> Option<ServerEvidence> {
+    pub fn evidence(&self, found: &BoxEvidence) -> Option<ServerReport> {
         let seen = self.seen.get(&found.of.id).filter(|seen| seen.life == found.of)?;
         let BoxEvidence { silent, answering, in_flight, .. } = *found;
-        Some(ServerEvidence {
+        Some(ServerReport {
             server: seen.server.clone(),
             started: seen.started,
             silent,
@@ -120,10 +120,10 @@
     }
 
     /// What was seen since the last call.
-    pub fn facts(&mut self) -> Vec<OwnFact> {
+    pub fn facts(&mut self) -> Vec<OwnObservation> {
         let fact = |seen: &mut Seen| {
             seen.news = false;
-            OwnFact {
+            OwnObservation {
                 of: seen.life,
                 answered: std::mem::take(&mut seen.answered),
                 silent: std::mem::take(&mut seen.silent),
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use hallpin_balancer::{FleetNews, RosterEntry, ServerId, Settings, Status, TableEntry};
-use hallpin_control_plane::{Door, Plane, PlaneNews, PlaneOutput, Rate};
-use hallpin_membership::facts::PeersNews;
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_balancer::{EndpointEntry, FleetUpdate, ServerId, Settings, Status, TableEntry};
+use hallpin_control_plane::{DatagramFilter, Plane, PlaneEvent, PlaneOutput, Rate};
+use hallpin_membership::facts::PeersEvent;
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::{Peers, PeersConfig};
-use hallpin_placement::{Accord, AccordConfig, AccordNews, Table};
+use hallpin_placement::{Accord, PlacementConfig, PlacementEvent, Table};
 use hallpin_quota::Budgets;
 
 use super::boxes::{Boxes, Sent};
@@ -31,9 +31,9 @@
     /// Send this to that node.
     Datagram(usize, Vec<u8>),
     /// Tell the node's policy this.
-    News(FleetNews),
+    News(FleetUpdate),
     /// Tell it that this table is in force; it is of that revision of the list.
-    Table(FleetNews, u64),
+    Table(FleetUpdate, u64),
 }
 
 /// Where a node stands among the others.
@@ -80,13 +80,15 @@
         let number = |n: usize| u16::try_from(n).map_err(|_| PlaneError::Nodes(seat.nodes));
         let (configured, zone, zones) =
             (number(seat.nodes)?, ZoneId(number(seat.depot)?), number(seat.depots)?);
-        let this =
-            Life { node: NodeId(number(seat.node)?), incarnation: Incarnation(u64::from(seat.start) + 1) };
+        let this = NodeIncarnation {
+            node: NodeId(number(seat.node)?),
+            incarnation: Incarnation(u64::from(seat.start) + 1),
+        };
         let now = Moment::ZERO;
         let peers = Peers::new(PeersConfig::new(this, zone, configured), seed, now, &[])?;
-        let with = || AccordConfig::with_lease(this, zone, zones, configured, LEASE, DRIFT_PPM);
+        let with = || PlacementConfig::with_lease(this, zone, zones, configured, LEASE, DRIFT_PPM);
         let accord = (switch == Switch::Table).then(|| Accord::new(with(), None, now, seed)).transpose()?;
-        let door = Door { realm: REALM, this, configured };
+        let door = DatagramFilter { realm: REALM, this, configured };
         let plane = Plane::new(door, RATE, now, peers, accord, None);
         let boxes = Boxes::new(settings);
         Ok(Some(NodePlane { plane, boxes, started, gather_at: GATHER, tell_at: Moment::ZERO, wakes: None }))
@@ -97,7 +99,7 @@
     }
 
     /// Follows the list, which is whole; at a start it may be old, and then no table is made of it.
-    pub fn learn(&mut self, now: Time, revision: Option<u64>, list: &[RosterEntry]) {
+    pub fn learn(&mut self, now: Time, revision: Option<u64>, list: &[EndpointEntry]) {
         self.boxes.learn(list);
         let now = self.moment(now);
         if let (Some(accord), Some(revision)) = (self.plane.accord(), revision) {
@@ -141,8 +143,10 @@
         for output in self.plane.take(now) {
             match output {
                 PlaneOutput::Datagram { to, bytes } => told.push(Told::Datagram(usize::from(to.0), bytes)),
-                PlaneOutput::News(PlaneNews::Accord(AccordNews::Switch(table))) => told.push(switch(&table)),
-                PlaneOutput::News(PlaneNews::Peers(PeersNews::Evidence)) => self.tell_at = now,
+                PlaneOutput::News(PlaneEvent::Accord(PlacementEvent::Switch(table))) => {
+                    told.push(switch(&table))
+                }
+                PlaneOutput::News(PlaneEvent::Peers(PeersEvent::Evidence)) => self.tell_at = now,
                 PlaneOutput::News(_) => {}
             }
         }
@@ -159,7 +163,7 @@
             let found = self.plane.peers().evidence(now);
             let servers: Vec<_> = found.iter().filter_map(|each| self.boxes.evidence(each)).collect();
             if !servers.is_empty() {
-                told.push(Told::News(FleetNews::Servers(servers)));
+                told.push(Told::News(FleetUpdate::Servers(servers)));
             }
         }
     }
@@ -179,5 +183,5 @@
         weight: f64::from(entry.weight_milli) / 1000.0,
     };
     let (epoch, version, entries) = (table.epoch, table.version, table.entries.iter().map(entry).collect());
-    Told::Table(FleetNews::Table { epoch, version, entries }, table.revision)
+    Told::Table(FleetUpdate::Table { epoch, version, entries }, table.revision)
 }
--- a/crates/simulation/src/world/due.rs
+++ b/crates/simulation/src/world/due.rs
@@ -169,7 +169,7 @@
     /// Kept connections to each box: since when they are idle, and the life of the box that they lead to.
     pub pools: Vec<VecDeque<(Time, u32)>>,
     /// Its list, for when it dies and comes back with it.
-    pub held: Vec<RosterEntry>,
+    pub held: Vec<EndpointEntry>,
     pub revision: u64,
     /// The revision that its agent has been sent, whether its process runs or not.
     pub agent: u64,
--- a/crates/simulation/src/world/listed.rs
+++ b/crates/simulation/src/world/listed.rs
@@ -117,7 +117,7 @@
 
     pub(super) fn hand_over(&mut self, node: NodeId, news: News) {
         self.hosts[node].revision = news.revision;
-        let entries: Vec<RosterEntry> = news.listings.iter().map(|l| self.entry(*l)).collect();
+        let entries: Vec<EndpointEntry> = news.listings.iter().map(|l| self.entry(*l)).collect();
         if news.complete {
             // Whoever is missing has left.
             let listed: FxHashSet<&ServerId> = entries.iter().map(|e| &e.server).collect();
@@ -138,14 +138,14 @@
             held.retain(|e| !new.contains(&e.server));
             held.extend(entries.iter().filter(|e| e.state != ServerState::Gone).cloned());
         }
-        let told = if news.complete { RosterNews::Full(entries) } else { RosterNews::Delta(entries) };
+        let told = if news.complete { EndpointUpdate::Full(entries) } else { EndpointUpdate::Delta(entries) };
         self.tell(node, decisions::Event::Roster(told));
         self.plane_learns(node, Some(news.revision));
     }
 
-    pub(super) fn entry(&self, listing: Listing) -> RosterEntry {
+    pub(super) fn entry(&self, listing: Listing) -> EndpointEntry {
         let spec = &self.day.boxes[listing.cache_box];
-        RosterEntry {
+        EndpointEntry {
             server: self.boxes[listing.cache_box].server.clone(),
             state: match listing.phase {
                 Phase::Ready => ServerState::Ready,
--- a/crates/simulation/src/world/lives.rs
+++ b/crates/simulation/src/world/lives.rs
@@ -17,7 +17,7 @@
                 self.record(Event::Told { node, of, phase, started });
             }
         }
-        self.tell(node, decisions::Event::Roster(RosterNews::Cached(held)));
+        self.tell(node, decisions::Event::Roster(EndpointUpdate::Cached(held)));
         self.plane_learns(node, None);
         self.hosts[node].revision = 0;
         let late = Span::from_secs(self.network.between(0.0, self.day.list.spread.as_secs()));
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -21,8 +21,8 @@
 
 use hallpin_balancer as decisions;
 use hallpin_balancer::{
-    Action, AttemptId, CacheNote, ClassId, NewRequest, Outcome, RequestId, RosterEntry, RosterNews, ServerId,
-    ServerState, Settings, SettingsError, Sizes, Status, TenantId, TimerToken,
+    Action, AttemptId, CacheNote, ClassId, EndpointEntry, EndpointUpdate, NewRequest, Outcome, RequestId,
+    ServerId, ServerState, Settings, SettingsError, Sizes, Status, TenantId, TimerToken,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -114,11 +114,11 @@
         let start = |host: &Host| (self.start)(host.settings.clone(), self.day.seed);
         let mut policies = self.hosts.iter().map(start).collect::<Result<Vec<_>, _>>()?;
         let mut chance = Chance::new(self.day.seed, "warm up");
-        let running: Vec<RosterEntry> =
+        let running: Vec<EndpointEntry> =
             self.day.running.iter().map(|&b| self.entry(listing(b, Phase::Ready, None))).collect();
         let mut actions = Vec::new();
         for policy in &mut policies {
-            let news = decisions::Event::Roster(RosterNews::Full(running.clone()));
+            let news = decisions::Event::Roster(EndpointUpdate::Full(running.clone()));
             policy.handle(0.0, news, &self.eyes(0, Asked::One(0)), &mut actions);
         }
         let room: u64 = self.day.running.iter().map(|&b| self.day.boxes[b].memory).sum();
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use hallpin_balancer::{Action, Event, FleetNews, Seconds};
+use hallpin_balancer::{Action, Event, FleetUpdate, Seconds};
 use hallpin_simulation::plane::{Switch, Tally};
 use hallpin_simulation::policy::{self, Policy, Sight};
 use hallpin_simulation::referee::{Referee, Verdict};
@@ -19,7 +19,7 @@
 
 impl Policy for Heard {
     fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>) {
-        if let Event::Fleet(FleetNews::Servers(servers)) = &event {
+        if let Event::Fleet(FleetUpdate::Servers(servers)) = &event {
             *self.accusations.lock().expect("a count") += servers.iter().filter(|s| s.silent > 0).count();
         }
         self.inner.handle(now, event, world, actions);
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use hallpin_balancer::{
-    self as decisions, Action, AttemptId, Balancer, CacheNote, Key, NewRequest, Outcome, RequestId,
-    RosterEntry, RosterNews, Seconds, ServerId, ServerState, Settings, Status, TimerToken,
+    self as decisions, Action, AttemptId, Balancer, CacheNote, EndpointEntry, EndpointUpdate, Key,
+    NewRequest, Outcome, RequestId, Seconds, ServerId, ServerState, Settings, Status, TimerToken,
 };
 use hallpin_simulation::chance::Chance;
 use hallpin_simulation::day::{Day, Effect};
@@ -37,8 +37,8 @@
     day
 }
 
-fn entry(of: usize, state: ServerState, started: Option<Seconds>) -> RosterEntry {
-    RosterEntry {
+fn entry(of: usize, state: ServerState, started: Option<Seconds>) -> EndpointEntry {
+    EndpointEntry {
         server: ServerId(format!("box-{of}").as_str().into()),
         state,
         zone: if of.is_multiple_of(2) { "here" } else { "there" }.into(),
@@ -77,7 +77,7 @@
     now: Seconds,
     open: BTreeMap<u64, Open>,
     timers: Vec<(Seconds, TimerToken)>,
-    list: Vec<RosterEntry>,
+    list: Vec<EndpointEntry>,
     sends: u32,
 }
 
@@ -108,7 +108,7 @@
         self.referee.record(at, &event);
     }
 
-    fn tell(&mut self, entries: &[RosterEntry]) {
+    fn tell(&mut self, entries: &[EndpointEntry]) {
         for e in entries {
             let started = e.started.map(|s| Time((s * 1e6) as u64));
             self.record(Event::Told { node: 0, of: box_of(&e.server), phase: phase(e.state), started });
@@ -236,7 +236,7 @@
         self.list[of] = entry(of, state, (state == ServerState::Ready).then_some(self.now));
         let changed = vec![self.list[of].clone()];
         self.tell(&changed);
-        self.handle(decisions::Event::Roster(RosterNews::Delta(changed)), tamper);
+        self.handle(decisions::Event::Roster(EndpointUpdate::Delta(changed)), tamper);
     }
 
     /// Time passes by `by` seconds: timers ring, attempts end.
@@ -282,7 +282,7 @@
     let mut life = Life::new(seed, &day);
     let list = life.list.clone();
     life.tell(&list);
-    life.handle(decisions::Event::Roster(RosterNews::Full(list)), &tamper);
+    life.handle(decisions::Event::Roster(EndpointUpdate::Full(list)), &tamper);
     let mut next_id = 0;
     for _ in 0..steps {
         life.step(&mut next_id, &tamper);
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use hallpin_balancer::{self as decisions, Action, AttemptId, RequestId, RosterNews, ServerId, TimerToken};
+use hallpin_balancer::{
+    self as decisions, Action, AttemptId, EndpointUpdate, RequestId, ServerId, TimerToken,
+};
 use hallpin_simulation::policy::{self, Policy, Sight};
 use hallpin_simulation::referee::{Loss, Referee, Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
@@ -231,7 +233,7 @@
 impl Policy for Impatient {
     fn handle(&mut self, _: f64, event: decisions::Event, _: &dyn Sight, actions: &mut Vec<Action>) {
         match event {
-            decisions::Event::Roster(RosterNews::Cached(list) | RosterNews::Full(list)) => {
+            decisions::Event::Roster(EndpointUpdate::Cached(list) | EndpointUpdate::Full(list)) => {
                 self.servers = list.into_iter().map(|entry| entry.server).collect();
             }
             decisions::Event::Request(new) => {
