--- a/crates/balancer/benches/growth.rs
+++ b/crates/balancer/benches/growth.rs
@@ -11,28 +11,32 @@
 fn settings() -> Settings {
     let read = Class {
         name: "read".into(),
-        aim: 1.0,
+        latency_objective: 1.0,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        group: DeduplicationScope::All,
-        window: 0.0,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        effect: Effect::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
         streamed: false,
     };
     Settings {
         balancers: 5,
         classes: vec![read],
         weights: WeightSource::Nominal,
-        guarantees: Guarantees { cold_from: 0.2, ramp: 20.0, ..Guarantees::default() },
+        guarantees: Guarantees {
+            initial_capacity_share: 0.2,
+            slow_start_duration: 20.0,
+            ..Guarantees::default()
+        },
         limits: Limits {
             cancel: true,
-            probes: true,
+            health_checks: true,
             max_attempts: 3,
-            second_copies: true,
+            hedging: true,
             ..Limits::default()
         },
-        round: 0.005,
+        event_interval: 0.005,
         ..Settings::default()
     }
 }
@@ -54,7 +58,7 @@
 
 fn node(servers: usize) -> Balancer {
     let mut node = Balancer::new(settings(), 1).expect("valid settings");
-    node.handle(0.0, Event::Roster(EndpointUpdate::Full(list(servers))), &mut Vec::new());
+    node.handle(0.0, Event::Endpoints(EndpointUpdate::Full(list(servers))), &mut Vec::new());
     node
 }
 
@@ -67,7 +71,7 @@
             b.iter_batched(
                 fresh,
                 |(mut node, list)| {
-                    node.handle(0.0, Event::Roster(EndpointUpdate::Full(list)), &mut Vec::new());
+                    node.handle(0.0, Event::Endpoints(EndpointUpdate::Full(list)), &mut Vec::new());
                     node
                 },
                 BatchSize::LargeInput,
@@ -80,7 +84,7 @@
                 ready = !ready;
                 node.handle(
                     1.0,
-                    Event::Roster(EndpointUpdate::Delta(vec![entry(0, state)])),
+                    Event::Endpoints(EndpointUpdate::Delta(vec![entry(0, state)])),
                     &mut Vec::new(),
                 );
             });
@@ -92,12 +96,12 @@
                 let now = id as f64 * 1e-4;
                 let request = NewRequest {
                     id: RequestId(id),
-                    left: 1.0,
+                    time_left: 1.0,
                     class: Some(ClassId(0)),
                     tenant: None,
                     key: Some(Key(id.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 50)),
                     write: false,
-                    work: Some(0.05),
+                    work_hint: Some(0.05),
                 };
                 actions.clear();
                 node.handle(now, Event::Request(request), &mut actions);
@@ -107,7 +111,7 @@
                     status: Status::Success,
                     elapsed: 0.05,
                     finished: true,
-                    note: Some(CacheNote::Hit),
+                    cache_note: Some(CacheNote::Hit),
                 };
                 node.handle(now + 0.00005, Event::Outcome(outcome), &mut actions);
             });
--- a/crates/balancer/src/balance/arrival.rs
+++ b/crates/balancer/src/balance/arrival.rs
@@ -13,13 +13,13 @@
             return;
         }
         self.demand.record_arrival();
-        if let Some(work) = new_request.work.filter(|work| work.is_finite()) {
+        if let Some(work) = new_request.work_hint.filter(|work| work.is_finite()) {
             self.latency.learn_work(work);
         }
         let request = self.build_request(&new_request);
         self.timers.schedule(request.give_up_at, TimerKind::GiveUp, new_request.id);
         self.requests.insert(new_request.id, request);
-        if self.is_throttled(new_request.left) {
+        if self.is_throttled(new_request.time_left) {
             self.end(new_request.id);
         } else {
             self.dispatch(new_request.id);
@@ -33,14 +33,14 @@
         let key = new_request.key.unwrap_or(Key(hash_key(Key(new_request.id.0), 0)));
         // The request is ended two event-delivery intervals before the client's deadline, whatever else
         // happens.
-        let time_to_answer = (new_request.left - 2.0 * self.settings.round).max(0.0);
+        let time_to_answer = (new_request.time_left - 2.0 * self.settings.event_interval).max(0.0);
         Request {
             class: new_request.class.map_or(unknown_class, |class| class.0.min(unknown_class)),
             key,
             write: new_request.write,
             arrived_at: self.now,
-            deadline: self.now + new_request.left,
-            work: new_request.work.unwrap_or(0.0),
+            deadline: self.now + new_request.time_left,
+            work: new_request.work_hint.unwrap_or(0.0),
             over_quota: self.tenant_quotas.is_over_quota(new_request.tenant, &self.settings, self.now),
             give_up_at: self.now + time_to_answer,
             first_probe: self.first_probe(key),
--- a/crates/balancer/src/balance/completion.rs
+++ b/crates/balancer/src/balance/completion.rs
@@ -11,7 +11,7 @@
         let request = self.requests.get(&id).filter(|request| !request.ended && !request.streaming);
         let Some(request) = request else { return };
         let answer = if self.may_reject(request) {
-            Action::Refuse { request: id, retry_after: self.retry_after(jitter_factor) }
+            Action::Reject { request: id, retry_after: self.retry_after(jitter_factor) }
         } else {
             Action::Fail(id)
         };
--- a/crates/balancer/src/balance/dispatch.rs
+++ b/crates/balancer/src/balance/dispatch.rs
@@ -92,8 +92,8 @@
     fn probe_by_request(&mut self, id: RequestId) -> Option<ServerId> {
         let request = self.requests.get(&id)?;
         let is_first = request.attempts.is_empty();
-        let may_risk = !request.write && is_first && self.class(request).effect == Effect::Safe;
-        if !may_risk || self.settings.limits.probes {
+        let may_risk = !request.write && is_first && self.class(request).effect == Effect::Idempotent;
+        if !may_risk || self.settings.limits.health_checks {
             return None;
         }
         self.next_to_probe_by_read()
@@ -104,10 +104,10 @@
     fn may_hold(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let class = self.class(request);
-        let time_limit = class.aim.min(request.deadline - request.arrived_at);
+        let time_limit = class.latency_objective.min(request.deadline - request.arrived_at);
         let quota_factor = if request.over_quota { OVER_QUOTA_HOLD_FACTOR } else { 1.0 };
         let hold_time = time_limit * HOLD_TIME_SHARE * quota_factor;
-        let may_not_repeat = request.may_have_run() && class.effect != Effect::Safe;
+        let may_not_repeat = request.may_have_run() && class.effect != Effect::Idempotent;
         let has_no_attempts_left = request.attempts.len() >= self.settings.limits.max_attempts as usize;
         let is_late = self.now >= request.arrived_at + hold_time || self.now >= request.deadline;
         !(may_not_repeat || has_no_attempts_left || is_late)
@@ -127,8 +127,8 @@
             }
         }
         self.servers.attempt_sent(server);
-        let time_left = request.deadline - self.now - 2.0 * self.settings.round;
-        let timeout = Some(time_left.max(self.settings.round));
+        let time_left = request.deadline - self.now - 2.0 * self.settings.event_interval;
+        let timeout = Some(time_left.max(self.settings.event_interval));
         self.actions.push(Action::Send { request: id, server: server.clone(), timeout });
         self.schedule_late(id);
     }
--- a/crates/balancer/src/balance/endpoints.rs
+++ b/crates/balancer/src/balance/endpoints.rs
@@ -9,7 +9,7 @@
         if self.settings.membership != Membership::OnRequest {
             return;
         }
-        if self.subscription.call_if_due(self.now, self.settings.guarantees.ask_every) {
+        if self.subscription.call_if_due(self.now, self.settings.guarantees.poll_interval) {
             self.actions.push(Action::Subscribe);
         }
     }
@@ -18,7 +18,7 @@
         match update {
             EndpointUpdate::Failed => {
                 let random = self.jitter.next();
-                self.subscription.failed(self.now, self.settings.guarantees.ask_every, random);
+                self.subscription.failed(self.now, self.settings.guarantees.poll_interval, random);
             }
             EndpointUpdate::Cached(entries) => self.apply_complete_list(entries),
             EndpointUpdate::Full(entries) => {
--- a/crates/balancer/src/balance/hedging.rs
+++ b/crates/balancer/src/balance/hedging.rs
@@ -15,7 +15,7 @@
 impl BalancerState {
     /// Time after which an attempt counts as late.
     pub(super) fn time_until_late(&self, request: &Request) -> Seconds {
-        let by_objective = self.class(request).aim * LATE_OBJECTIVE_SHARE;
+        let by_objective = self.class(request).latency_objective * LATE_OBJECTIVE_SHARE;
         by_objective.max(LATE_ANSWER_TIME_FACTOR * self.latency.answer_time().max(request.work))
     }
 
@@ -26,7 +26,7 @@
         let Some(late_server) = self.late_server(request) else { return };
         let key = request.key;
         let next_probe = self.next_owner_probe(request, &late_server);
-        let may_repeat = self.settings.limits.second_copies && self.class(request).effect != Effect::Unsafe;
+        let may_repeat = self.settings.limits.hedging && self.class(request).effect != Effect::NonIdempotent;
         let may_hedge = may_repeat && self.retry_budget.affords(RETRY_COST);
         let target = self.choose(request).filter(|_| may_hedge);
         let write = request.write;
@@ -45,7 +45,7 @@
     fn late_server(&self, request: &Request) -> Option<ServerId> {
         let last = request.attempts.last()?;
         let is_over = request.ended || request.streaming || request.give_up_at <= self.now + TIMER_TOLERANCE;
-        let late_at = last.sent_at + self.time_until_late(request) - self.settings.round;
+        let late_at = last.sent_at + self.time_until_late(request) - self.settings.event_interval;
         let is_late = last.is_in_flight() && self.now >= late_at;
         // If the origin is slow, all attempts are late; if the server answered another attempt since, it is
         // alive and only this request is slow.
--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -65,16 +65,16 @@
             self.follow_endpoints();
         }
         match event {
-            Event::Roster(update) => self.on_endpoints(update),
+            Event::Endpoints(update) => self.on_endpoints(update),
             Event::Request(new) => self.on_request(new),
             Event::StreamStarted { request, attempt } => self.on_stream_started(request, attempt),
             Event::Outcome(outcome) => self.on_outcome(outcome),
             Event::Fleet(update) => self.on_fleet_update(update),
-            Event::Withdrawn(request) => self.on_finished(request),
+            Event::ClientLeft(request) => self.on_finished(request),
             Event::Timer(TICK_TIMER) => self.on_tick(),
             Event::Timer(_) => self.on_due(),
-            Event::Probed { server, status: Status::Success } => self.readmit(&server),
-            Event::Probed { .. } | Event::Message { .. } => {}
+            Event::HealthChecked { server, status: Status::Success } => self.readmit(&server),
+            Event::HealthChecked { .. } | Event::Message { .. } => {}
         }
     }
 
@@ -94,14 +94,14 @@
 
     /// Housekeeping that visits each server.
     fn sweep(&mut self) {
-        if self.settings.limits.probes {
+        if self.settings.limits.health_checks {
             let ejected = self.next_to_probe();
-            self.actions.extend(ejected.map(Action::Probe));
+            self.actions.extend(ejected.map(Action::HealthCheck));
         }
         self.short_deadline_throttle.recover(SWEEP_INTERVAL);
         self.servers.refresh_shares(&self.settings, self.now);
         let totals = self.servers.totals();
-        let window = self.settings.guarantees.fall_for;
+        let window = self.settings.guarantees.overload_window;
         let fleet = Fleet { ready: totals.ready, all_warm: totals.all_warm(), window };
         self.demand.update(self.now, &fleet);
     }
--- a/crates/balancer/src/balance/observation.rs
+++ b/crates/balancer/src/balance/observation.rs
@@ -84,7 +84,7 @@
     fn observe_server(&mut self, attempt: &EndedAttempt, outcome: &Outcome, evidence: &Evidence) {
         let (now, elapsed, status) = (self.now, outcome.elapsed, outcome.status);
         let is_overload_slow = elapsed > self.tightest_objective * OVERLOAD_OBJECTIVE_SHARE;
-        let from_cache = status == Status::Success && outcome.note != Some(CacheNote::Miss);
+        let from_cache = status == Status::Success && outcome.cache_note != Some(CacheNote::Miss);
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         server.attempt_ended();
         let shows_slowness = match status {
@@ -97,7 +97,7 @@
         if shows_slowness && !evidence.is_warm {
             server.learn_slowness(evidence.slowness);
         }
-        if status.answered() {
+        if status.is_answer() {
             server.clear_suspicion();
         }
         match status {
@@ -136,12 +136,12 @@
         let is_read_of_unknown = !attempt.write && !evidence.was_cached;
         if is_read_of_unknown && matches!(status, Status::Success | Status::Error) {
             // A read that ends in an error was not a hit.
-            let missed = status == Status::Error || outcome.note != Some(CacheNote::Hit);
+            let missed = status == Status::Error || outcome.cache_note != Some(CacheNote::Hit);
             self.origin.learn_miss(missed);
         }
         let is_late = elapsed > self.tightest_objective;
         let is_fetch_late = match status {
-            Status::Success if outcome.note == Some(CacheNote::Miss) => Some(is_late),
+            Status::Success if outcome.cache_note == Some(CacheNote::Miss) => Some(is_late),
             Status::TimedOut if !evidence.was_cached && evidence.server_answered && is_late => Some(true),
             Status::Error => Some(true),
             _ => None,
--- a/crates/balancer/src/balance/outcome.rs
+++ b/crates/balancer/src/balance/outcome.rs
@@ -35,7 +35,7 @@
         if outcome.status == Status::Success {
             self.demand.record_served();
         }
-        let objective = self.settings.classes[request.class].aim;
+        let objective = self.settings.classes[request.class].latency_objective;
         let time_to_deadline = request.deadline - attempt.sent_at;
         let ended = EndedAttempt {
             key: request.key,
@@ -69,7 +69,7 @@
     /// Retries a request whose attempt did not serve it, or ends the request.
     fn retry(&mut self, id: RequestId, outcome: &Outcome, to_origin: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let is_over = self.now + 2.0 * self.settings.round >= request.deadline;
+        let is_over = self.now + 2.0 * self.settings.event_interval >= request.deadline;
         if request.attempts_in_flight() > 0 && !is_over {
             return;
         }
--- a/crates/balancer/src/balance/retry_rules.rs
+++ b/crates/balancer/src/balance/retry_rules.rs
@@ -11,17 +11,18 @@
         let limits = &self.settings.limits;
         let is_over = request.ended || request.streaming || self.now >= request.deadline;
         let has_no_attempts_left = request.attempts.len() >= limits.max_attempts as usize;
-        let has_too_many_in_flight = request.attempts_in_flight() > usize::from(limits.second_copies);
+        let has_too_many_in_flight = request.attempts_in_flight() > usize::from(limits.hedging);
         if !server.is_ready() || is_over || has_no_attempts_left || has_too_many_in_flight {
             return false;
         }
         let class = self.class(request);
         let mut may_have_run = request.attempts.iter().filter(|attempt| attempt.may_have_run());
         match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => may_have_run.next().is_none(),
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => may_have_run.next().is_none(),
             Effect::Deduplicated => may_have_run.all(|attempt| {
-                let within_window = self.now + self.settings.round < attempt.sent_at + class.window;
+                let within_window =
+                    self.now + self.settings.event_interval < attempt.sent_at + class.deduplication_window;
                 within_window && self.drops_repeats(class, attempt, id, server)
             }),
         }
@@ -29,7 +30,7 @@
 
     /// Whether this server deduplicates a repeat of an earlier attempt with an idempotency key.
     fn drops_repeats(&self, class: &Class, attempt: &Attempt, id: &ServerId, server: &Server) -> bool {
-        match (class.group, self.servers.get(&attempt.server)) {
+        match (class.deduplication_scope, self.servers.get(&attempt.server)) {
             (DeduplicationScope::All, _) => true,
             (_, None) => attempt.server == *id,
             (DeduplicationScope::Zone, Some(earlier)) => earlier.entry().zone == server.entry().zone,
@@ -40,8 +41,8 @@
     /// Whether a request may be rejected, which promises the client that a retry is harmless.
     pub(super) fn may_reject(&self, request: &Request) -> bool {
         let class = self.class(request);
-        class.effect == Effect::Safe
-            || (class.effect == Effect::Deduplicated && class.group == DeduplicationScope::All)
+        class.effect == Effect::Idempotent
+            || (class.effect == Effect::Deduplicated && class.deduplication_scope == DeduplicationScope::All)
             || !request.may_have_run()
     }
 }
--- a/crates/balancer/src/balance/slow_start.rs
+++ b/crates/balancer/src/balance/slow_start.rs
@@ -18,9 +18,11 @@
 
 /// Share of its full capacity that a server with this start time has, by the settings; 1 once it is warm.
 pub(super) fn slow_start_factor(started: Option<Seconds>, now: Seconds, guarantees: &Guarantees) -> f64 {
-    let Some(started) = started.filter(|started| now < started + guarantees.ramp) else { return 1.0 };
-    let age = (now - started).max(0.0) / guarantees.ramp;
-    guarantees.cold_from + (1.0 - guarantees.cold_from) * age
+    let Some(started) = started.filter(|started| now < started + guarantees.slow_start_duration) else {
+        return 1.0;
+    };
+    let age = (now - started).max(0.0) / guarantees.slow_start_duration;
+    guarantees.initial_capacity_share + (1.0 - guarantees.initial_capacity_share) * age
 }
 
 /// Share of its requests that a server admits by its age: half of its capacity at first, as nodes that are
@@ -64,7 +66,7 @@
         // No warm server can take the rest. Rejected clients retry, and the same share of twice the requests
         // is twice the load.
         let guarantees = &self.settings.guarantees;
-        let usable_multiple = (guarantees.fall_multiple * USABLE_MULTIPLE_SHARE).min(1.0);
+        let usable_multiple = (guarantees.overload_multiple * USABLE_MULTIPLE_SHARE).min(1.0);
         let sustainable = share_by_age(server.slow_start_factor(self.now, guarantees)) * usable_multiple;
         let by_latency = share_by_latency(server.slowness()).max(MIN_ADMITTED_SHARE);
         sustainable.min(by_latency) * self.demand.usual_ratio()
--- a/crates/balancer/src/balance/state.rs
+++ b/crates/balancer/src/balance/state.rs
@@ -61,7 +61,8 @@
 impl BalancerState {
     pub(crate) fn new(mut settings: Settings, seed: u64) -> Self {
         add_unknown_class(&mut settings);
-        let tightest_objective = settings.classes.iter().map(|class| class.aim).fold(f64::MAX, f64::min);
+        let tightest_objective =
+            settings.classes.iter().map(|class| class.latency_objective).fold(f64::MAX, f64::min);
         BalancerState {
             tightest_objective,
             now: 0.0,
@@ -123,9 +124,9 @@
     let shortest = settings.classes.iter().min_by(|one, other| one.deadline.total_cmp(&other.deadline));
     if let Some(shortest) = shortest {
         let unknown = Class {
-            effect: Effect::Unsafe,
-            group: DeduplicationScope::Cell,
-            window: 0.0,
+            effect: Effect::NonIdempotent,
+            deduplication_scope: DeduplicationScope::Cell,
+            deduplication_window: 0.0,
             ..shortest.clone()
         };
         settings.classes.push(unknown);
--- a/crates/balancer/src/balance/tests/bounds.rs
+++ b/crates/balancer/src/balance/tests/bounds.rs
@@ -47,9 +47,9 @@
     let served = end_attempt(&mut node, keys[0], 0, Status::Success, true);
     assert_eq!(sent(&served), [id(3)]);
     assert_eq!(attempts_in_flight(&node, keys[4]), [0]);
-    let rejections = node.advance(settings().classes[0].aim * HOLD_TIME_SHARE + TICK_INTERVAL);
+    let rejections = node.advance(settings().classes[0].latency_objective * HOLD_TIME_SHARE + TICK_INTERVAL);
     let retry_after = rejections.iter().find_map(|a| match a {
-        Action::Refuse { request, retry_after } if request.0 == keys[5] => *retry_after,
+        Action::Reject { request, retry_after } if request.0 == keys[5] => *retry_after,
         _ => None,
     });
     assert!(retry_after.is_some_and(|after| after > 0.0 && after <= 1.0), "{rejections:?}");
@@ -64,18 +64,18 @@
     let mut node = common::Node::with(settings(), 1, fleet(4));
     let (keys, owner) = (1..=40, node.owner(1000, 7));
     keys.for_each(|n| drop(node.request(read(n, 7 + n))));
-    node.event(Event::Roster(EndpointUpdate::Full(
+    node.event(Event::Endpoints(EndpointUpdate::Full(
         fleet(5).into_iter().filter(|e| e.server != owner).collect(),
     )));
     check_invariants(&node);
     // Listed again under the same id: its attempts in flight still count.
-    node.event(Event::Roster(EndpointUpdate::Full(fleet(5))));
+    node.event(Event::Endpoints(EndpointUpdate::Full(fleet(5))));
     check_invariants(&node);
-    node.event(Event::Roster(EndpointUpdate::Full(vec![])));
+    node.event(Event::Endpoints(EndpointUpdate::Full(vec![])));
     for n in 1..=40 {
         end_attempt(&mut node, n, 0, Status::Success, true);
     }
-    node.event(Event::Roster(EndpointUpdate::Full(vec![])));
+    node.event(Event::Endpoints(EndpointUpdate::Full(vec![])));
     assert_idle(&mut node);
     let servers = &node.balancer.0.servers;
     assert_eq!((servers.len(), servers.point_count()), (0, 0));
@@ -95,12 +95,12 @@
         }
     };
     for generation in 0..50 {
-        node.event(Event::Roster(EndpointUpdate::Full(
+        node.event(Event::Endpoints(EndpointUpdate::Full(
             (1..=4).map(|n| entry_of_kind(&format!("quick-{generation}"), n)).collect(),
         )));
         send_reads(&mut node, 0.001);
     }
-    node.event(Event::Roster(EndpointUpdate::Full((1..=4).map(|n| entry_of_kind("slow", n)).collect())));
+    node.event(Event::Endpoints(EndpointUpdate::Full((1..=4).map(|n| entry_of_kind("slow", n)).collect())));
     send_reads(&mut node, 0.1);
     node.advance(2.0 * SWEEP_INTERVAL);
     check_invariants(&node);
--- a/crates/balancer/src/balance/tests/churn.rs
+++ b/crates/balancer/src/balance/tests/churn.rs
@@ -9,13 +9,13 @@
 fn three_weeks_of_churn_leave_owners_hold_times_and_table_sizes_unchanged() {
     let mut node = common::Node::with(settings(), 1, fleet(8));
     let owners = |node: &mut common::Node, from| -> Vec<ServerId> {
-        node.event(Event::Roster(EndpointUpdate::Full(fleet(8))));
+        node.event(Event::Endpoints(EndpointUpdate::Full(fleet(8))));
         node.advance(1.0);
         (0..64).map(|key| node.owner(from + key, key)).collect()
     };
     // Time for which a request is held while no server is listed, in ticks.
     let hold_time_in_ticks = |node: &mut common::Node, request| {
-        node.event(Event::Roster(EndpointUpdate::Full(vec![])));
+        node.event(Event::Endpoints(EndpointUpdate::Full(vec![])));
         let since = node.now;
         node.request(read(request, 1));
         while !rejected(&node.advance(TICK_INTERVAL / 5.0)) {}
@@ -34,7 +34,7 @@
         node.advance(TICK_INTERVAL);
         let entry_of_this_hour =
             |n| EndpointEntry { kind: format!("kind-{hour}"), started: Some(node.now), ..entry(n) };
-        node.event(Event::Roster(EndpointUpdate::Full(
+        node.event(Event::Endpoints(EndpointUpdate::Full(
             (0..8).map(|n| entry_of_this_hour(hour * 4 + n)).collect(),
         )));
         for n in 0..60 {
@@ -45,7 +45,7 @@
             for attempt in attempts_in_flight(&node, request) {
                 end_attempt(&mut node, request, attempt, status, status == Status::Success);
             }
-            node.event(Event::Withdrawn(RequestId(request)));
+            node.event(Event::ClientLeft(RequestId(request)));
             for attempt in attempts_in_flight(&node, request) {
                 end_attempt(&mut node, request, attempt, Status::Cancelled, true);
             }
@@ -56,7 +56,7 @@
     }
     assert_eq!(sizes.get(1), sizes.last(), "sizes in the second hour and in the last");
     // Ejections of the last hour remain until a probe ends them, so the list is cleared.
-    node.event(Event::Roster(EndpointUpdate::Full(vec![])));
+    node.event(Event::Endpoints(EndpointUpdate::Full(vec![])));
     let after = (owners(&mut node, 1 << 52), hold_time_in_ticks(&mut node, 1 << 53));
     assert_eq!(before.0, after.0);
     assert!((before.1 - after.1).abs() < 1.01, "held for {} and {} ticks", before.1, after.1);
--- a/crates/balancer/src/balance/tests/interruptions.rs
+++ b/crates/balancer/src/balance/tests/interruptions.rs
@@ -56,7 +56,7 @@
 fn bring_to_stage(node: &mut common::Node, class: ClassId, stage: Stage) -> Option<()> {
     let new = NewRequest { class: Some(class), write: class != READ, ..read(1, 7) };
     match stage {
-        Stage::Held => drop(node.event(Event::Roster(EndpointUpdate::Full(vec![])))),
+        Stage::Held => drop(node.event(Event::Endpoints(EndpointUpdate::Full(vec![])))),
         Stage::Waiting if class == READ => drop(node.request(read(2, 7))),
         Stage::Waiting => return None,
         _ => {}
@@ -76,7 +76,7 @@
             let actions = node.event(Event::Timer(DUE_TIMER));
             assert!(rejected(&actions) || failed(&actions));
         }
-        Stage::Orphaned => drop(node.event(Event::Roster(EndpointUpdate::Full(vec![])))),
+        Stage::Orphaned => drop(node.event(Event::Endpoints(EndpointUpdate::Full(vec![])))),
         Stage::Streaming => {
             node.event(Event::StreamStarted { request: RequestId(1), attempt: AttemptId(0) });
         }
@@ -98,7 +98,7 @@
     let mut actions = Vec::new();
     let mut served = false;
     match interruption {
-        Interruption::ClientLeaves => actions.extend(node.event(Event::Withdrawn(RequestId(1)))),
+        Interruption::ClientLeaves => actions.extend(node.event(Event::ClientLeft(RequestId(1)))),
         Interruption::DeadlinePasses => {
             node.now = 101.0;
             actions.extend(node.event(Event::Timer(DUE_TIMER)));
@@ -128,17 +128,18 @@
         for n in attempts_in_flight(node, request) {
             actions.extend(end_attempt(node, request, n, Status::TimedOut, is_over || request == 2));
         }
-        actions.extend(node.event(Event::Withdrawn(RequestId(request))).into_iter().filter(|_| request == 1));
+        actions
+            .extend(node.event(Event::ClientLeft(RequestId(request))).into_iter().filter(|_| request == 1));
         for n in attempts_in_flight(node, request) {
             end_attempt(node, request, n, Status::Cancelled, true);
         }
     }
     let is_final_answer =
-        |a: &&Action| matches!(a, Action::Refuse { request: RequestId(1), .. } | Action::Fail(RequestId(1)));
+        |a: &&Action| matches!(a, Action::Reject { request: RequestId(1), .. } | Action::Fail(RequestId(1)));
     let final_answers: Vec<&Action> = actions.iter().filter(is_final_answer).collect();
     assert!(final_answers.len() + usize::from(served) <= 1, "{final_answers:?}");
     let final_answer = match final_answers.first() {
-        Some(Action::Refuse { .. }) => 'R',
+        Some(Action::Reject { .. }) => 'R',
         Some(_) => 'F',
         None if served => 'S',
         None => '-',
--- a/crates/balancer/src/balance/tests/mod.rs
+++ b/crates/balancer/src/balance/tests/mod.rs
@@ -99,7 +99,7 @@
         status,
         elapsed,
         finished,
-        note: Some(CacheNote::Miss),
+        cache_note: Some(CacheNote::Miss),
     };
     node.event(Event::Outcome(outcome))
 }
--- a/crates/balancer/src/balance/tests/recovery.rs
+++ b/crates/balancer/src/balance/tests/recovery.rs
@@ -18,11 +18,11 @@
             state.eject(&id(n));
         }
         check_invariants(&node);
-        assert_eq!(node.balancer.members(), (8, 2));
-        node.event(Event::Probed { server: id(1), status: Status::Success });
-        node.event(Event::Probed { server: id(2), status: Status::Success });
+        assert_eq!(node.balancer.member_counts(), (8, 2));
+        node.event(Event::HealthChecked { server: id(1), status: Status::Success });
+        node.event(Event::HealthChecked { server: id(2), status: Status::Success });
         check_invariants(&node);
-        assert_eq!(node.balancer.members(), (8, 0));
+        assert_eq!(node.balancer.member_counts(), (8, 0));
         request += 1;
         node.request(read(request, request));
         node.serve(request);
@@ -32,7 +32,7 @@
 
 #[test]
 fn keys_return_to_their_owner_once_it_is_warm_again() {
-    let ramp = settings().guarantees.ramp;
+    let ramp = settings().guarantees.slow_start_duration;
     let keys = |node: &mut common::Node, from: u64| -> Vec<ServerId> {
         (0..100).map(|key| node.owner(from + key, key)).collect()
     };
@@ -45,19 +45,19 @@
     for (n, news) in
         [EndpointUpdate::Full(absent), EndpointUpdate::Delta(vec![drained])].into_iter().enumerate()
     {
-        node.event(Event::Roster(news));
+        node.event(Event::Endpoints(news));
         let owners_while_away = keys(&mut node, 1000 * (n as u64 + 1));
         assert!(
             !owners_while_away.contains(&id(3))
                 && owners_while_away.iter().zip(&before).all(|(a, b)| a == b || *b == id(3))
         );
-        node.event(Event::Roster(EndpointUpdate::Delta(vec![started.clone()])));
+        node.event(Event::Endpoints(EndpointUpdate::Delta(vec![started.clone()])));
         node.advance(ramp + SWEEP_INTERVAL);
         assert_eq!(keys(&mut node, 1000 * (n as u64 + 1) + 500), before);
     }
     node.balancer.0.eject(&id(3));
     node.advance(1.0);
-    node.event(Event::Probed { server: id(3), status: Status::Success });
+    node.event(Event::HealthChecked { server: id(3), status: Status::Success });
     node.advance(ramp + SWEEP_INTERVAL);
     assert_eq!(keys(&mut node, 9000), before);
     assert_idle(&mut node);
@@ -103,7 +103,7 @@
 #[test]
 fn a_read_that_waits_for_a_late_fetch_is_sent_on_its_own() {
     let mut limits = settings().limits;
-    limits.second_copies = false;
+    limits.hedging = false;
     let mut node = common::Node::with(Settings { limits, ..settings() }, 1, fleet(8));
     node.request(read(1, 7));
     node.request(read(2, 7));
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -25,7 +25,7 @@
     }
 
     /// How many servers are listed, and how many of them are unavailable (draining or ejected).
-    pub fn members(&self) -> (usize, usize) {
+    pub fn member_counts(&self) -> (usize, usize) {
         self.0.members()
     }
 
--- a/crates/balancer/src/interface/actions.rs
+++ b/crates/balancer/src/interface/actions.rs
@@ -22,7 +22,7 @@
         attempt: AttemptId,
     },
     /// Final answer: not served, and a retry by the client is harmless.
-    Refuse {
+    Reject {
         /// The rejected request.
         request: RequestId,
         /// Time that the client should wait before a retry.
@@ -38,9 +38,9 @@
         after: Seconds,
     },
     /// Send a health check to a server.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Broadcast a message to all other nodes.
-    Tell(Vec<u8>),
+    Broadcast(Vec<u8>),
     /// Subscribe to changes of the endpoint list.
     Subscribe,
     /// Write a line to the operators' log.
--- a/crates/balancer/src/interface/classes.rs
+++ b/crates/balancer/src/interface/classes.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Idempotent: repeats are harmless.
-    Safe,
+    Idempotent,
     /// Carries an idempotency key: the servers of one group drop its repeats for a while.
     Deduplicated,
     /// Must never run twice. Unknown effects are handled as this one.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The servers among which repeats of a keyed request are dropped.
@@ -30,19 +30,19 @@
     /// Name of the class in the settings.
     pub name: String,
     /// Latency objective: an answer within this time earns the full priority weight.
-    pub aim: Seconds,
+    pub latency_objective: Seconds,
     /// Time for which the client waits, over all its tries.
     pub deadline: Seconds,
     /// Priority weight of an answer within the latency objective.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the priority weight that an answer after the latency objective still earns.
-    pub late_worth: f64,
+    pub late_weight_share: f64,
     /// Whether a request of the class may run again.
     pub effect: Effect,
     /// Where repeats are dropped, for keyed classes.
-    pub group: DeduplicationScope,
+    pub deduplication_scope: DeduplicationScope,
     /// Time for which repeats are dropped, from the first send that may have run.
-    pub window: Seconds,
+    pub deduplication_window: Seconds,
     /// Whether the answer is a stream.
     pub streamed: bool,
 }
--- a/crates/balancer/src/interface/events.rs
+++ b/crates/balancer/src/interface/events.rs
@@ -10,7 +10,7 @@
     /// Id of the request, chosen by the host.
     pub id: RequestId,
     /// Time until the client abandons this try.
-    pub left: Seconds,
+    pub time_left: Seconds,
     /// Class of the request; `None` if unknown.
     pub class: Option<ClassId>,
     /// Tenant of the request, if it has one.
@@ -20,7 +20,7 @@
     /// Whether the request is a write.
     pub write: bool,
     /// Work hint: the estimated cost of the request in core time.
-    pub work: Option<Seconds>,
+    pub work_hint: Option<Seconds>,
 }
 
 /// How an attempt or a health check ended.
@@ -55,7 +55,7 @@
     }
 
     /// Whether the server answered at all, rejections included.
-    pub fn answered(self) -> bool {
+    pub fn is_answer(self) -> bool {
         use Status::{Absent, Error, Overloaded, Success, Unknown};
         matches!(self, Success | Error | Overloaded | Absent | Unknown)
     }
@@ -86,14 +86,14 @@
     /// Whether the request is finished, so that no final answer is due.
     pub finished: bool,
     /// What the server reported about its cache.
-    pub note: Option<CacheNote>,
+    pub cache_note: Option<CacheNote>,
 }
 
 /// An event for the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
-    Roster(EndpointUpdate),
+    Endpoints(EndpointUpdate),
     /// A request arrived.
     Request(NewRequest),
     /// A streamed answer has begun.
@@ -106,11 +106,11 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// The client has left: no answer to this request is needed.
-    Withdrawn(RequestId),
+    ClientLeft(RequestId),
     /// A timer fired.
     Timer(TimerToken),
     /// A health check ended.
-    Probed {
+    HealthChecked {
         /// The server that was checked.
         server: ServerId,
         /// Result of the health check.
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -49,17 +49,17 @@
     /// Time after the client's deadline until which a final answer still counts.
     pub answer_grace: Seconds,
     /// Longest time without a subscription or a fetch of the endpoint list.
-    pub ask_every: Seconds,
+    pub poll_interval: Seconds,
     /// Least share of its capacity with which a server starts.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// Duration of the slow start, after which a server is warm.
-    pub ramp: Seconds,
+    pub slow_start_duration: Seconds,
     /// Time within which sends to a draining server must end.
     pub drain_grace: Seconds,
     /// Load that overloads a server which has just started, as a multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... if the load stays above it for this long.
-    pub fall_for: Seconds,
+    pub overload_window: Seconds,
 }
 
 /// What the deployment allows; by default nothing.
@@ -68,11 +68,11 @@
     /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancel: bool,
     /// Whether [`Action::Probe`](crate::Action::Probe) is allowed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Whether [`Action::Tell`](crate::Action::Tell) is allowed.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Whether a request may have two attempts in flight (hedging). The rules never require it.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether clients receive the `retry_after` of [`Action::Refuse`](crate::Action::Refuse).
     pub retry_after: bool,
     /// Longest `retry_after` that clients obey.
@@ -103,7 +103,7 @@
     /// What the deployment allows.
     pub limits: Limits,
     /// Least interval between two batches of events from the host.
-    pub round: Seconds,
+    pub event_interval: Seconds,
 }
 
 impl Settings {
@@ -120,13 +120,13 @@
         }
         let mut times = self.non_class_times();
         for class in &self.classes {
-            if class.deadline == 0.0 || class.aim == 0.0 {
+            if class.deadline == 0.0 || class.latency_objective == 0.0 {
                 return Err(SettingsError::ClassWithoutTime { class: class.name.clone() });
             }
             times.extend([
                 ("class deadline", class.deadline),
-                ("class latency objective", class.aim),
-                ("window", class.window),
+                ("class latency objective", class.latency_objective),
+                ("window", class.deduplication_window),
             ]);
         }
         for (what, time) in times {
@@ -134,7 +134,7 @@
                 return Err(SettingsError::InvalidDuration { what, found: time });
             }
         }
-        let cold_from = self.guarantees.cold_from;
+        let cold_from = self.guarantees.initial_capacity_share;
         if !(cold_from > 0.0 && cold_from <= 1.0) {
             return Err(SettingsError::InvalidShare { what: "initial capacity share", found: cold_from });
         }
@@ -146,11 +146,11 @@
         let guarantees = &self.guarantees;
         vec![
             ("answer grace", guarantees.answer_grace),
-            ("poll interval", guarantees.ask_every),
-            ("ramp", guarantees.ramp),
+            ("poll interval", guarantees.poll_interval),
+            ("ramp", guarantees.slow_start_duration),
             ("drain grace", guarantees.drain_grace),
-            ("overload window", guarantees.fall_for),
-            ("round", self.round),
+            ("overload window", guarantees.overload_window),
+            ("round", self.event_interval),
             ("max retry after", self.limits.max_retry_after),
             ("connect timeout", self.limits.connect_timeout),
         ]
--- a/crates/balancer/src/interface/sizes.rs
+++ b/crates/balancer/src/interface/sizes.rs
@@ -25,7 +25,7 @@
 impl Sizes {
     /// The maximum of each size.
     #[must_use]
-    pub fn most(self, other: Sizes) -> Sizes {
+    pub fn max_of_each(self, other: Sizes) -> Sizes {
         Sizes {
             requests: self.requests.max(other.requests),
             waiting: self.waiting.max(other.waiting),
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -124,7 +124,7 @@
         },
         guarantees: guarantees(object(root, "guarantees", &empty))?,
         limits: limits(object(root, "limits", &empty))?,
-        round: number(root, "round-s")?.unwrap_or(0.0),
+        event_interval: number(root, "round-s")?.unwrap_or(0.0),
     })
 }
 
@@ -162,21 +162,21 @@
     let deadline = required("grades.hard-limit-s", number(from, "hard-limit-s")?)?;
     Ok(Class {
         name: required("grades.name", text(from, "name")?)?.into(),
-        aim: number(from, "target-s")?.unwrap_or(deadline),
+        latency_objective: number(from, "target-s")?.unwrap_or(deadline),
         deadline,
-        worth: number(from, "importance")?.unwrap_or(1.0),
-        late_worth: number(from, "late-worth")?.unwrap_or(0.0),
+        priority_weight: number(from, "importance")?.unwrap_or(1.0),
+        late_weight_share: number(from, "late-worth")?.unwrap_or(0.0),
         effect: match text(from, "effect")? {
-            Some("free") => Effect::Safe,
+            Some("free") => Effect::Idempotent,
             Some("guarded") => Effect::Deduplicated,
-            _ => Effect::Unsafe,
+            _ => Effect::NonIdempotent,
         },
-        group: match text(from, "group")? {
+        deduplication_scope: match text(from, "group")? {
             Some("all") => DeduplicationScope::All,
             Some("zone") => DeduplicationScope::Zone,
             _ => DeduplicationScope::Cell,
         },
-        window: number(from, "key-ttl-s")?.unwrap_or(0.0),
+        deduplication_window: number(from, "key-ttl-s")?.unwrap_or(0.0),
         streamed: boolean(from, "streamed")?.unwrap_or(false),
     })
 }
@@ -185,12 +185,12 @@
     let required_number = |name: &str| required(&format!("guarantees.{name}"), number(from, name)?);
     Ok(Guarantees {
         answer_grace: required_number("grace-to-answer-s")?,
-        ask_every: required_number("ask-every-s")?,
-        cold_from: required_number("cold-from")?,
-        ramp: required_number("ramp-time-s")?,
+        poll_interval: required_number("ask-every-s")?,
+        initial_capacity_share: required_number("cold-from")?,
+        slow_start_duration: required_number("ramp-time-s")?,
         drain_grace: required_number("drain-grace-s")?,
-        fall_multiple: required_number("fall-multiple")?,
-        fall_for: required_number("fall-s")?,
+        overload_multiple: required_number("fall-multiple")?,
+        overload_window: required_number("fall-s")?,
     })
 }
 
@@ -198,9 +198,9 @@
     let mut limits = Limits::default();
     for (name, allowed) in [
         ("cancel", &mut limits.cancel),
-        ("probes", &mut limits.probes),
-        ("peers", &mut limits.peers),
-        ("parallel-tries", &mut limits.second_copies),
+        ("probes", &mut limits.health_checks),
+        ("peers", &mut limits.peer_messages),
+        ("parallel-tries", &mut limits.hedging),
         ("retry-after", &mut limits.retry_after),
     ] {
         *allowed = boolean(from, name)?.unwrap_or(*allowed);
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -12,13 +12,13 @@
 pub(super) fn class(name: &str, effect: Effect, group: DeduplicationScope) -> Class {
     Class {
         name: name.into(),
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.2,
+        priority_weight: 1.0,
+        late_weight_share: 0.2,
         effect,
-        group,
-        window: 1.0,
+        deduplication_scope: group,
+        deduplication_window: 1.0,
         streamed: false,
     }
 }
@@ -27,9 +27,9 @@
     Settings {
         balancers: 2,
         classes: vec![
-            class("read", Effect::Safe, DeduplicationScope::All),
+            class("read", Effect::Idempotent, DeduplicationScope::All),
             class("keyed", Effect::Deduplicated, DeduplicationScope::Zone),
-            class("unsafe", Effect::Unsafe, DeduplicationScope::All),
+            class("unsafe", Effect::NonIdempotent, DeduplicationScope::All),
         ],
         tenants: vec![],
         membership: Membership::Pushed,
@@ -37,22 +37,22 @@
         weights: WeightSource::Off,
         guarantees: Guarantees {
             answer_grace: 0.02,
-            ask_every: 10.0,
-            cold_from: 0.25,
-            ramp: 8.0,
+            poll_interval: 10.0,
+            initial_capacity_share: 0.25,
+            slow_start_duration: 8.0,
             drain_grace: 0.5,
-            fall_multiple: 3.0,
-            fall_for: 1.0,
+            overload_multiple: 3.0,
+            overload_window: 1.0,
         },
         limits: Limits {
             cancel: true,
-            probes: true,
-            second_copies: true,
+            health_checks: true,
+            hedging: true,
             max_attempts: 4,
             connect_timeout: 0.1,
             ..Limits::default()
         },
-        round: 0.005,
+        event_interval: 0.005,
     }
 }
 
@@ -79,12 +79,12 @@
 pub(super) fn read(n: u64, key: u64) -> NewRequest {
     NewRequest {
         id: RequestId(n),
-        left: 1.0,
+        time_left: 1.0,
         class: Some(READ),
         tenant: None,
         key: Some(Key(key)),
         write: false,
-        work: None,
+        work_hint: None,
     }
 }
 
@@ -104,7 +104,7 @@
 
     pub(crate) fn with(settings: Settings, seed: u64, entries: Vec<EndpointEntry>) -> Self {
         let mut node = Node::new(settings, seed);
-        node.event(Event::Roster(EndpointUpdate::Full(entries)));
+        node.event(Event::Endpoints(EndpointUpdate::Full(entries)));
         node
     }
 
@@ -134,7 +134,7 @@
             status,
             elapsed,
             finished: status == Status::Success,
-            note,
+            cache_note: note,
         }))
     }
 
@@ -192,7 +192,7 @@
 }
 
 pub(super) fn rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub(super) fn failed(actions: &[Action]) -> bool {
--- a/crates/balancer/tests/growth.rs
+++ b/crates/balancer/tests/growth.rs
@@ -34,7 +34,7 @@
         let first = *last_id / 100;
         let fleet =
             (first..first + 8).map(|n| EndpointEntry { started: Some(n as f64), ..entry(n) }).collect();
-        node.event(Event::Roster(EndpointUpdate::Full(fleet)));
+        node.event(Event::Endpoints(EndpointUpdate::Full(fleet)));
         for n in 0..100 {
             *last_id += 1;
             let key = if n % 2 == 0 { *last_id } else { n };
@@ -50,7 +50,7 @@
             if node.sends.contains_key(&RequestId(*last_id)) {
                 node.outcome(*last_id, status, Some(CacheNote::Miss));
             }
-            node.event(Event::Withdrawn(RequestId(*last_id)));
+            node.event(Event::ClientLeft(RequestId(*last_id)));
             // Retries that were sent before the client left end too.
             if let Some(attempts) = node.sends.remove(&RequestId(*last_id)) {
                 for attempt in 0..attempts.len() as u32 {
@@ -60,7 +60,7 @@
                         status: Status::Cancelled,
                         elapsed: 0.01,
                         finished: true,
-                        note: None,
+                        cache_note: None,
                     }));
                 }
             }
--- a/crates/balancer/tests/ramp/ejected_server_probes.rs
+++ b/crates/balancer/tests/ramp/ejected_server_probes.rs
@@ -18,7 +18,7 @@
 /// A node that has ejected server 1, which started at this moment, because reads found no connection to it.
 fn node_without_server_one(scenario: &Scenario, seed: u64) -> Node {
     let mut settings = scenario.settings();
-    settings.limits.probes = false;
+    settings.limits.health_checks = false;
     let started = |n| EndpointEntry { started: (n == 1).then_some(100.0), ..entry(n) };
     let mut node = Node::with(settings, seed, (1..=SERVERS).map(started).collect());
     for n in 0..20_000 {
@@ -42,7 +42,7 @@
 fn probes_by_second(scenario: &Scenario) -> Vec<usize> {
     let mut nodes: Vec<Node> =
         (0..u64::from(scenario.nodes)).map(|seed| node_without_server_one(scenario, seed)).collect();
-    let seconds = scenario.guarantees.ramp as u64 + 4;
+    let seconds = scenario.guarantees.slow_start_duration as u64 + 4;
     let mut request = 1_000_000;
     let mut advance_one_second = || {
         let mut probes = 0;
@@ -70,9 +70,9 @@
     for nodes in [3, 30, 300] {
         let scenario = Scenario { nodes, ..Scenario::default() };
         let probes = probes_by_second(&scenario);
-        let ramp = scenario.guarantees.ramp as usize;
+        let ramp = scenario.guarantees.slow_start_duration as usize;
         let cold = &probes[..ramp - 1];
-        let window = scenario.guarantees.fall_for as usize;
+        let window = scenario.guarantees.overload_window as usize;
         let peak_probes =
             cold.windows(window).map(|seconds| seconds.iter().sum::<usize>()).max().unwrap_or_default();
         assert!(
--- a/crates/balancer/tests/ramp/scenario.rs
+++ b/crates/balancer/tests/ramp/scenario.rs
@@ -41,8 +41,12 @@
 
 impl Default for Scenario {
     fn default() -> Self {
-        let guarantees =
-            Guarantees { cold_from: 0.12, ramp: 20.0, fall_for: 3.0, ..common::settings().guarantees };
+        let guarantees = Guarantees {
+            initial_capacity_share: 0.12,
+            slow_start_duration: 20.0,
+            overload_window: 3.0,
+            ..common::settings().guarantees
+        };
         Scenario {
             nodes: 5,
             servers: 12,
@@ -85,15 +89,19 @@
     /// Share of its capacity that a server has at this age.
     pub(crate) fn capacity_share(&self, age: Seconds) -> f64 {
         let guarantees = &self.guarantees;
-        (guarantees.cold_from + (1.0 - guarantees.cold_from) * age / guarantees.ramp).min(1.0)
+        (guarantees.initial_capacity_share
+            + (1.0 - guarantees.initial_capacity_share) * age / guarantees.slow_start_duration)
+            .min(1.0)
     }
 
     /// Work that a server of this age sustains within the settings' window.
     pub(crate) fn sustainable_work(&self, age: Seconds) -> f64 {
         let guarantees = &self.guarantees;
-        let allowed_requests =
-            guarantees.fall_multiple * self.capacity * self.capacity_share(age) * guarantees.fall_for
-                / self.work;
+        let allowed_requests = guarantees.overload_multiple
+            * self.capacity
+            * self.capacity_share(age)
+            * guarantees.overload_window
+            / self.work;
         (allowed_requests + 2.0 * allowed_requests.sqrt() + 2.0) * self.work
     }
 }
--- a/crates/balancer/tests/ramp/servers.rs
+++ b/crates/balancer/tests/ramp/servers.rs
@@ -81,14 +81,17 @@
         sender_notified: bool,
         measurements: &mut Measurements,
     ) {
-        let Some(age) = self.started.map(|at| now - at).filter(|age| *age < scenario.guarantees.ramp) else {
+        let Some(age) =
+            self.started.map(|at| now - at).filter(|age| *age < scenario.guarantees.slow_start_duration)
+        else {
             return;
         };
         if self.has_failed {
             return;
         }
         self.recent_work.push_back((now, work, sender_notified));
-        while self.recent_work.front().is_some_and(|(at, ..)| now - at > scenario.guarantees.fall_for) {
+        while self.recent_work.front().is_some_and(|(at, ..)| now - at > scenario.guarantees.overload_window)
+        {
             self.recent_work.pop_front();
         }
         measurements.used_share += work;
--- a/crates/balancer/tests/ramp/simulation.rs
+++ b/crates/balancer/tests/ramp/simulation.rs
@@ -181,7 +181,7 @@
         let entries = (0..self.scenario.servers)
             .map(|n| EndpointEntry { started: self.knows_start(node, n), ..entry(n) });
         let entries = entries.collect();
-        self.deliver(node, Event::Roster(EndpointUpdate::Full(entries)));
+        self.deliver(node, Event::Endpoints(EndpointUpdate::Full(entries)));
     }
 
     /// A client sends a request to a random node; arrivals are Poisson.
@@ -206,12 +206,12 @@
             .insert(request, OpenRequest { key, write, work, retries_left, attempts: Vec::new() });
         let new = NewRequest {
             id: RequestId(request),
-            left: DEADLINE,
+            time_left: DEADLINE,
             class: Some(if write { KEYED } else { READ }),
             tenant: None,
             key: Some(Key(key)),
             write,
-            work: self.scenario.hints.then_some(work),
+            work_hint: self.scenario.hints.then_some(work),
         };
         self.deliver(node, Event::Request(new));
     }
@@ -225,7 +225,7 @@
                 Action::SetTimer { token, after } => {
                     self.schedule(self.now + after.max(1e-6), SimulationEvent::TimerFires(node, token))
                 }
-                Action::Refuse { request, .. } | Action::Fail(request) => self.retry(request.0),
+                Action::Reject { request, .. } | Action::Fail(request) => self.retry(request.0),
                 Action::Cancel { request, attempt } => self.cancel(node, request, attempt),
                 _ => {}
             }
@@ -266,7 +266,7 @@
             status,
             elapsed: at - self.now,
             finished,
-            note: finished.then_some(note),
+            cache_note: finished.then_some(note),
         };
         self.schedule(at, SimulationEvent::AttemptEnds(node, outcome));
     }
@@ -295,8 +295,14 @@
             return;
         }
         let elapsed = self.now - *at;
-        let outcome =
-            Outcome { request, attempt, status: Status::Cancelled, elapsed, finished: false, note: None };
+        let outcome = Outcome {
+            request,
+            attempt,
+            status: Status::Cancelled,
+            elapsed,
+            finished: false,
+            cache_note: None,
+        };
         self.deliver(node, Event::Outcome(outcome));
     }
 
--- a/crates/balancer/tests/rules/answers.rs
+++ b/crates/balancer/tests/rules/answers.rs
@@ -25,7 +25,7 @@
 
     let mut node = Node::new(settings(), 1);
     node.request(read(1, 1));
-    let actions = node.event(Event::Roster(EndpointUpdate::Full(fleet(2))));
+    let actions = node.event(Event::Endpoints(EndpointUpdate::Full(fleet(2))));
     assert_eq!(sent(&actions).len(), 1);
 }
 
@@ -49,9 +49,9 @@
 #[test]
 fn events_of_unknown_and_ended_requests_are_ignored() {
     let mut node = Node::with(settings(), 1, fleet(4));
-    assert!(node.event(Event::Withdrawn(RequestId(7))).is_empty());
+    assert!(node.event(Event::ClientLeft(RequestId(7))).is_empty());
     assert!(node.event(Event::Timer(TimerToken(77))).is_empty());
-    assert!(node.event(Event::Probed { server: id(200), status: Status::Success }).is_empty());
+    assert!(node.event(Event::HealthChecked { server: id(200), status: Status::Success }).is_empty());
     assert!(node.event(Event::StreamStarted { request: RequestId(7), attempt: AttemptId(0) }).is_empty());
     let outcome = Outcome {
         request: RequestId(7),
@@ -59,7 +59,7 @@
         status: Status::TimedOut,
         elapsed: 0.1,
         finished: false,
-        note: None,
+        cache_note: None,
     };
     assert!(node.event(Event::Outcome(outcome.clone())).is_empty());
     node.request(read(1, 1));
@@ -145,7 +145,7 @@
             node.request(read(n, n));
         }
         for action in node.advance(0.5) {
-            if let Action::Refuse { retry_after, .. } = action {
+            if let Action::Reject { retry_after, .. } = action {
                 retry_delays.insert(retry_after.map(|wait| (wait * 1e6) as u64));
             }
         }
@@ -167,7 +167,7 @@
 fn a_request_is_held_for_no_more_than_a_quarter_of_its_clients_time() {
     let held_for = |left: Seconds| {
         let mut node = Node::new(settings(), 1);
-        node.request(NewRequest { left, ..read(1, 1) });
+        node.request(NewRequest { time_left: left, ..read(1, 1) });
         let start = node.now;
         while !rejected(&node.advance(0.05)) {}
         node.now - start
--- a/crates/balancer/tests/rules/ejection.rs
+++ b/crates/balancer/tests/rules/ejection.rs
@@ -25,9 +25,9 @@
 #[test]
 fn a_silent_server_is_ejected_and_readmitted_after_a_probe() {
     let (mut node, key) = node_with_silent_server_one(settings());
-    assert!(node.advance(2.0).contains(&Action::Probe(id(1))));
+    assert!(node.advance(2.0).contains(&Action::HealthCheck(id(1))));
     assert_ne!(node.owner(2000, key), id(1));
-    node.event(Event::Probed { server: id(1), status: Status::Success });
+    node.event(Event::HealthChecked { server: id(1), status: Status::Success });
     node.advance(9.0);
     assert_eq!(node.owner(2001, key), id(1));
 }
@@ -35,7 +35,7 @@
 #[test]
 fn without_health_checks_one_read_probes_an_ejected_server() {
     let mut no_probes = settings();
-    no_probes.limits.probes = false;
+    no_probes.limits.health_checks = false;
     let (mut node, _) = node_with_silent_server_one(no_probes);
     node.advance(2.0);
     let probing_reads =
@@ -69,7 +69,7 @@
 fn most_of_a_fleet_is_never_ejected() {
     let mut node = Node::with(settings(), 1, fleet(9));
     for n in 0..200 {
-        node.request(NewRequest { left: 1.9, ..read(n, n) });
+        node.request(NewRequest { time_left: 1.9, ..read(n, n) });
     }
     let actions = node.advance(1.5);
     let ejection_logs =
@@ -89,7 +89,7 @@
     }
     assert!((0..200).all(|n| node.owner(2000 + n, n) != id(1)), "server 1 is ejected");
     let started = EndpointEntry { started: Some(node.now), ..entry(1) };
-    node.event(Event::Roster(EndpointUpdate::Delta(vec![started])));
+    node.event(Event::Endpoints(EndpointUpdate::Delta(vec![started])));
     assert!((0..400).any(|n| node.owner(3000 + n, n) == id(1)));
 }
 
@@ -101,7 +101,7 @@
     node.request(read(90_000, n));
     let actions = node.outcome(90_000, Status::Unreachable, None);
     assert!(actions.iter().any(|a| matches!(a, Action::Log(t) if t.contains("taken out"))));
-    let probes = node.advance(3.0).iter().filter(|a| matches!(a, Action::Probe(_))).count();
+    let probes = node.advance(3.0).iter().filter(|a| matches!(a, Action::HealthCheck(_))).count();
     assert!((2..=4).contains(&probes), "{probes} probes in 3 s");
 }
 
@@ -135,7 +135,7 @@
         let mut node = Node::with(settings(), 1, fleet(8));
         let mut ejection_logs = 0;
         for n in 0..200 {
-            node.request(NewRequest { left, ..read(n, n) });
+            node.request(NewRequest { time_left: left, ..read(n, n) });
             node.now += left - 0.01;
             if node.sends.contains_key(&RequestId(n)) {
                 let actions = node.outcome(n, Status::TimedOut, None);
--- a/crates/balancer/tests/rules/origin.rs
+++ b/crates/balancer/tests/rules/origin.rs
@@ -145,7 +145,7 @@
 fn sent_after_time_outs(left: Seconds, answers: bool) -> usize {
     let mut node = Node::with(settings(), 1, fleet(1));
     for n in 0..200 {
-        node.request(NewRequest { left, ..read(n, n) });
+        node.request(NewRequest { time_left: left, ..read(n, n) });
         if answers && !sent(&node.request(read(10_000 + n, 10_000))).is_empty() {
             node.now += 0.02;
             node.serve(10_000 + n);
@@ -155,7 +155,7 @@
             node.outcome(n, Status::TimedOut, None);
         }
     }
-    node.event(Event::Roster(EndpointUpdate::Delta((1..64).map(entry).collect())));
+    node.event(Event::Endpoints(EndpointUpdate::Delta((1..64).map(entry).collect())));
     (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count()
 }
 
--- a/crates/balancer/tests/rules/peer_reports.rs
+++ b/crates/balancer/tests/rules/peer_reports.rs
@@ -58,7 +58,7 @@
         let mut node = Node::with(settings(), 1, fleet(6));
         apply_table(&mut node, 1, 1, &all);
         assert!(owners_follow(&mut node, 0, &all));
-        node.event(Event::Roster(news));
+        node.event(Event::Endpoints(news));
         for n in 0..300 {
             let (owner, owner_by_table) = (node.owner(1000 + n, n), key_owner(&all, Key(n)));
             assert!(
@@ -66,7 +66,7 @@
                 "key {n} at {owner:?}"
             );
         }
-        node.event(Event::Roster(EndpointUpdate::Full(fleet(6))));
+        node.event(Event::Endpoints(EndpointUpdate::Full(fleet(6))));
         assert!(owners_follow(&mut node, 2000, &all), "ready again");
     }
 }
@@ -105,7 +105,7 @@
     assert!(is_ejection_logged(&node.outcome(1, Status::Unreachable, None)));
     for (version, last, is_probed) in [(1, 6, true), (2, 7, false), (3, 6, true)] {
         apply_table(&mut node, 1, version, &equal_weights(if is_probed { 1..=last } else { 2..=last }));
-        assert_eq!(node.advance(3.0).contains(&Action::Probe(id(1))), is_probed, "version {version}");
+        assert_eq!(node.advance(3.0).contains(&Action::HealthCheck(id(1))), is_probed, "version {version}");
     }
 }
 
@@ -116,7 +116,7 @@
 fn apply_report(node: &mut Node, started: Option<Seconds>, silent: u16, answering: u16) {
     let evidence = ServerReport { server: id(1), started, silent, answering, in_flight: 0 };
     let actions = node.event(Event::Fleet(FleetUpdate::Servers(vec![evidence])));
-    assert!(actions.is_empty() && node.balancer.members().1 == 0, "reports alone eject no server");
+    assert!(actions.is_empty() && node.balancer.member_counts().1 == 0, "reports alone eject no server");
 }
 
 /// Sends a read to server 1 and ends it with this status 0.01 s later.
@@ -164,7 +164,7 @@
         }),
         ("it has restarted since", false, |n| {
             apply_report(n, Some(50.0), 9, 0);
-            n.event(Event::Roster(EndpointUpdate::Delta(vec![EndpointEntry {
+            n.event(Event::Endpoints(EndpointUpdate::Delta(vec![EndpointEntry {
                 started: Some(60.0),
                 ..entry(1)
             }])));
--- a/crates/balancer/tests/rules/retries.rs
+++ b/crates/balancer/tests/rules/retries.rs
@@ -49,7 +49,7 @@
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    node.request(NewRequest { class: Some(KEYED), left: 2.0, ..read(1, 5) });
+    node.request(NewRequest { class: Some(KEYED), time_left: 2.0, ..read(1, 5) });
     node.now += 1.2;
     let actions = node.outcome(1, Status::Broken, None);
     assert!(sent(&actions).is_empty());
--- a/crates/balancer/tests/rules/slow_start.rs
+++ b/crates/balancer/tests/rules/slow_start.rs
@@ -40,7 +40,7 @@
         let cold = move |n| EndpointEntry { started: (all || n == 3).then_some(100.0), ..entry(n) };
         let mut node = Node::with(settings(), 1, (1..=8).map(cold).collect());
         for n in 0..50 {
-            node.request(NewRequest { work: Some(0.05), ..read(n, n) });
+            node.request(NewRequest { work_hint: Some(0.05), ..read(n, n) });
             if node.sends.contains_key(&RequestId(n)) {
                 node.serve(n);
             }
@@ -55,7 +55,7 @@
         let mut is_sent_there = |key: &u64| node.owner_if_sent(1000 + key, *key) == Some(id(3));
         let key = (0..200).find(|key| is_sent_there(key)).expect("a key that server 3 owns");
         node.flush_recent_keys();
-        let to = sent(&node.request(NewRequest { work: Some(work), ..read(5000, key) }));
+        let to = sent(&node.request(NewRequest { work_hint: Some(work), ..read(5000, key) }));
         assert_eq!(to == [id(3)], is_sent, "all cold {all}, work {work}: {to:?}");
         assert_eq!(to.len(), 1);
     }
@@ -116,7 +116,7 @@
         let actions = node.request(NewRequest { class: Some(kind.0), write: kind.1, ..read(n, n) });
         if sent(&actions).is_empty() {
             let has_retry_after =
-                |a: &Action| matches!(a, Action::Refuse { retry_after: Some(wait), .. } if *wait > 0.0);
+                |a: &Action| matches!(a, Action::Reject { retry_after: Some(wait), .. } if *wait > 0.0);
             assert!(actions.iter().any(has_retry_after), "request {n}: {actions:?}");
             rejections += 1;
         } else {
--- a/crates/balancer/tests/rules/throttling.rs
+++ b/crates/balancer/tests/rules/throttling.rs
@@ -54,7 +54,7 @@
         let (mut sent_count, mut rejected_at_once) = (0, 0);
         for _ in 0..rounds {
             last_id += 1;
-            let actions = node.request(NewRequest { left, ..read(last_id, last_id) });
+            let actions = node.request(NewRequest { time_left: left, ..read(last_id, last_id) });
             rejected_at_once += usize::from(rejected(&actions));
             if sent(&actions).is_empty() {
                 continue;
--- a/crates/baselines/src/textbook.rs
+++ b/crates/baselines/src/textbook.rs
@@ -61,13 +61,13 @@
     /// Sends a request on, or ends it.
     fn place(&mut self, now: Seconds, id: RequestId, world: &dyn Sight, actions: &mut Vec<Action>) {
         let Some(live) = self.requests.get(&id) else { return };
-        let (Some(class), round) = (self.class(live), self.settings.round) else { return };
+        let (Some(class), round) = (self.class(live), self.settings.event_interval) else { return };
         let ran = live.tried.iter().filter(|t| t.ran != Some(false)).map(|t| t.sent);
         let first = ran.fold(f64::INFINITY, f64::min);
         let may = match class.effect {
-            Effect::Safe => true,
-            Effect::Deduplicated => now + round < first + class.window,
-            Effect::Unsafe => first.is_infinite(),
+            Effect::Idempotent => true,
+            Effect::Deduplicated => now + round < first + class.deduplication_window,
+            Effect::NonIdempotent => first.is_infinite(),
         };
         let left = live.deadline - now - 2.0 * round;
         let more = live.tried.len() < self.settings.limits.max_attempts as usize;
@@ -98,11 +98,11 @@
     fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(live) = self.requests.get(&id) else { return };
         let ran = live.tried.iter().any(|t| t.ran != Some(false));
-        let unsafe_class = self.class(live).is_none_or(|c| c.effect == Effect::Unsafe);
+        let unsafe_class = self.class(live).is_none_or(|c| c.effect == Effect::NonIdempotent);
         if ran && unsafe_class {
             actions.push(Action::Fail(id));
         } else {
-            actions.push(Action::Refuse { request: id, retry_after: None });
+            actions.push(Action::Reject { request: id, retry_after: None });
         }
         self.forget(id);
     }
@@ -110,11 +110,11 @@
     fn request(&mut self, now: Seconds, new: NewRequest, world: &dyn Sight, actions: &mut Vec<Action>) {
         let class = new.class.map_or(0, |c| c.0);
         let key = new.key.unwrap_or(Key(new.id.0));
-        let deadline = now + new.left;
+        let deadline = now + new.time_left;
         let live =
             Live { since: now, class, key, write: new.write, deadline, tried: Vec::new(), at: Vec::new() };
         self.requests.insert(new.id, live);
-        let after = (new.left - 2.0 * self.settings.round).max(0.0);
+        let after = (new.time_left - 2.0 * self.settings.event_interval).max(0.0);
         actions.push(Action::SetTimer { token: TimerToken(new.id.0), after });
         self.place(now, new.id, world, actions);
     }
@@ -154,7 +154,7 @@
 impl<P: Pick> Policy for Textbook<P> {
     fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>) {
         match event {
-            Event::Roster(news) => {
+            Event::Endpoints(news) => {
                 if self.boxes.listed(news, world) {
                     self.pick.listed(self.boxes.view(now, &[], world));
                 }
@@ -167,8 +167,11 @@
             // Its time is nearly up.
             Event::Timer(TimerToken(id)) => self.end(RequestId(id), actions),
             // Nobody waits.
-            Event::Withdrawn(id) => self.forget(id),
-            Event::StreamStarted { .. } | Event::Probed { .. } | Event::Fleet(_) | Event::Message { .. } => {}
+            Event::ClientLeft(id) => self.forget(id),
+            Event::StreamStarted { .. }
+            | Event::HealthChecked { .. }
+            | Event::Fleet(_)
+            | Event::Message { .. } => {}
         }
     }
 }
--- a/crates/baselines/src/textbook/tests.rs
+++ b/crates/baselines/src/textbook/tests.rs
@@ -25,17 +25,17 @@
 fn homes(kind: Kind, n: usize) -> Vec<ServerId> {
     let mut policy = kind.starter()(settings(), 1).unwrap();
     let mut actions = Vec::new();
-    policy.handle(0.0, Event::Roster(EndpointUpdate::Full(fleet(n))), &Blind, &mut actions);
+    policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(n))), &Blind, &mut actions);
     let home = |key: u64| {
         let id = RequestId(key + 1);
         let new = NewRequest {
             id,
-            left: 1.0,
+            time_left: 1.0,
             class: Some(hallpin_balancer::ClassId(0)),
             tenant: None,
             key: Some(Key(key)),
             write: false,
-            work: None,
+            work_hint: None,
         };
         let mut actions = Vec::new();
         policy.handle(0.1, Event::Request(new), &Blind, &mut actions);
@@ -43,7 +43,7 @@
             Action::Send { server, .. } => Some(server.clone()),
             _ => None,
         });
-        policy.handle(0.1, Event::Withdrawn(id), &Blind, &mut actions);
+        policy.handle(0.1, Event::ClientLeft(id), &Blind, &mut actions);
         to.expect("a box")
     };
     (0..2000).map(home).collect()
@@ -67,15 +67,15 @@
     for kind in [Kind::Random, Kind::LeastOfTwo, Kind::Rendezvous, Kind::BoundedLoad, Kind::Maglev] {
         let mut policy = kind.starter()(settings(), 1).unwrap();
         let mut actions = Vec::new();
-        policy.handle(0.0, Event::Roster(EndpointUpdate::Full(fleet(5))), &Blind, &mut actions);
+        policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(5))), &Blind, &mut actions);
         let new = NewRequest {
             id: RequestId(1),
-            left: 1.0,
+            time_left: 1.0,
             class: Some(hallpin_balancer::ClassId(0)),
             tenant: None,
             key: Some(Key(1)),
             write: false,
-            work: None,
+            work_hint: None,
         };
         policy.handle(0.0, Event::Request(new), &Blind, &mut actions);
         for attempt in 0..3 {
@@ -85,7 +85,7 @@
                 status: Status::Broken,
                 elapsed: 0.01,
                 finished: false,
-                note: None,
+                cache_note: None,
             };
             policy.handle(0.01, Event::Outcome(failed), &Blind, &mut actions);
         }
@@ -98,7 +98,7 @@
             .collect();
         assert_eq!(sends.len(), 3, "{kind:?}");
         assert!(sends[0] != sends[1] && sends[1] != sends[2] && sends[0] != sends[2], "{kind:?}");
-        let ends = actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count();
+        let ends = actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count();
         assert_eq!(ends, 1, "{kind:?}");
     }
 }
--- a/crates/control-plane/src/plane.rs
+++ b/crates/control-plane/src/plane.rs
@@ -21,7 +21,7 @@
         bytes: Vec<u8>,
     },
     /// An event for the rest of the node.
-    News(PlaneEvent<A, B>),
+    Event(PlaneEvent<A, B>),
 }
 
 /// An event of one of the state machines; `A` is the event type of accord, `B` that of budgets.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
     /// Datagrams per second over any longer time; at least 1.
-    pub a_second: u32,
+    pub per_second: u32,
     /// Datagrams at once; at least 1.
     pub burst: u32,
 }
@@ -69,7 +69,7 @@
         accord: Option<A>,
         budgets: Option<B>,
     ) -> Self {
-        let rate_limit = TokenBucket::new(rate.a_second, rate.burst, now);
+        let rate_limit = TokenBucket::new(rate.per_second, rate.burst, now);
         let ticked_version = peers.view().version;
         Plane {
             filter,
@@ -103,8 +103,8 @@
         let Envelope { kind, from, payload, .. } = envelope;
         match kind {
             Kind::Peers => self.peers.receive(now, *from, payload),
-            Kind::Accord => deliver(&mut self.accord, now, self.peers.view(), *from, payload),
-            Kind::Budgets => deliver(&mut self.budgets, now, self.peers.view(), *from, payload),
+            Kind::Placement => deliver(&mut self.accord, now, self.peers.view(), *from, payload),
+            Kind::Quota => deliver(&mut self.budgets, now, self.peers.view(), *from, payload),
         }
     }
 
@@ -124,18 +124,18 @@
 
     /// Takes the outputs since the last call. Datagrams beyond the rate limit are dropped and counted; membership has
     /// priority, then leases, then tables.
-    pub fn take(&mut self, now: Moment) -> Vec<PlaneOutput<A::News, B::News>> {
+    pub fn take(&mut self, now: Moment) -> Vec<PlaneOutput<A::Event, B::Event>> {
         let now = self.advance_clock(now);
         self.follow_view(now);
         let mut out = Vec::new();
-        for output in self.peers.take() {
+        for output in self.peers.take_outputs() {
             out.extend(self.emit(now, Kind::Peers, output, PlaneEvent::Peers));
         }
-        for output in self.budgets.as_mut().map(StateMachine::take).unwrap_or_default() {
-            out.extend(self.emit(now, Kind::Budgets, output, PlaneEvent::Budgets));
+        for output in self.budgets.as_mut().map(StateMachine::take_outputs).unwrap_or_default() {
+            out.extend(self.emit(now, Kind::Quota, output, PlaneEvent::Budgets));
         }
-        for output in self.accord.as_mut().map(StateMachine::take).unwrap_or_default() {
-            out.extend(self.emit(now, Kind::Accord, output, PlaneEvent::Accord));
+        for output in self.accord.as_mut().map(StateMachine::take_outputs).unwrap_or_default() {
+            out.extend(self.emit(now, Kind::Placement, output, PlaneEvent::Accord));
         }
         out
     }
@@ -193,10 +193,10 @@
         now: Moment,
         kind: Kind,
         output: Output<N>,
-        wrap: impl Fn(N) -> PlaneEvent<A::News, B::News>,
-    ) -> Option<PlaneOutput<A::News, B::News>> {
+        wrap: impl Fn(N) -> PlaneEvent<A::Event, B::Event>,
+    ) -> Option<PlaneOutput<A::Event, B::Event>> {
         let (to, payload) = match output {
-            Output::News(event) => return Some(PlaneOutput::News(wrap(event))),
+            Output::Event(event) => return Some(PlaneOutput::Event(wrap(event))),
             Output::Send { to, payload } => (to, payload),
         };
         let Some(bytes) = self.filter.encapsulate(kind, to, payload) else {
--- a/crates/control-plane/tests/routing.rs
+++ b/crates/control-plane/tests/routing.rs
@@ -25,8 +25,8 @@
 }
 
 impl<const KIND: u8> StateMachine for RecordingMachine<KIND> {
-    type News = (NodeIncarnation, u8);
-    const KIND: Kind = if KIND == 2 { Kind::Accord } else { Kind::Budgets };
+    type Event = (NodeIncarnation, u8);
+    const KIND: Kind = if KIND == 2 { Kind::Placement } else { Kind::Quota };
 
     fn receive(
         &mut self,
@@ -36,7 +36,7 @@
         payload: &[u8],
     ) -> Result<(), Rejection> {
         let count = *payload.first().filter(|count| **count > 0).ok_or(Rejection::Payload)?;
-        self.out.push(Output::News((from, count)));
+        self.out.push(Output::Event((from, count)));
         let send = |_| Output::Send { to: NodeId(1), payload: vec![count] };
         self.out.extend((0..count).map(send));
         Ok(())
@@ -50,7 +50,7 @@
         None
     }
 
-    fn take(&mut self) -> Vec<Output<(NodeIncarnation, u8)>> {
+    fn take_outputs(&mut self) -> Vec<Output<(NodeIncarnation, u8)>> {
         std::mem::take(&mut self.out)
     }
 }
@@ -68,7 +68,7 @@
     Plane::new(filter, rate, NOW, peers, accord.then(recording_machine), budgets.then(recording_machine))
 }
 
-const HIGH_RATE: Rate = Rate { a_second: 1000, burst: 500 };
+const HIGH_RATE: Rate = Rate { per_second: 1000, burst: 500 };
 
 fn datagram(kind: Kind, from: NodeIncarnation, to: u16, payload: &[u8]) -> Vec<u8> {
     let to = NodeId(to);
@@ -80,9 +80,9 @@
     let (mut news, mut sent) = (Vec::new(), 0);
     for output in plane.take(now) {
         match output {
-            PlaneOutput::News(PlaneEvent::Accord((from, _))) => news.push((Kind::Accord, from)),
-            PlaneOutput::News(PlaneEvent::Budgets((from, _))) => news.push((Kind::Budgets, from)),
-            PlaneOutput::News(PlaneEvent::Peers(_)) => {}
+            PlaneOutput::Event(PlaneEvent::Accord((from, _))) => news.push((Kind::Placement, from)),
+            PlaneOutput::Event(PlaneEvent::Budgets((from, _))) => news.push((Kind::Quota, from)),
+            PlaneOutput::Event(PlaneEvent::Peers(_)) => {}
             PlaneOutput::Datagram { to, bytes } => {
                 assert!(bytes.len() <= MAX_DATAGRAM && to != NodeId(0));
                 let kind = Envelope::decode(&bytes).unwrap().kind;
@@ -96,7 +96,7 @@
 #[test]
 fn a_payload_reaches_the_machine_of_its_kind_and_no_other() {
     let mut plane = plane(true, true, HIGH_RATE);
-    for kind in [Kind::Accord, Kind::Budgets] {
+    for kind in [Kind::Placement, Kind::Quota] {
         plane.receive(NOW, Some(NodeId(1)), &datagram(kind, life(1, 5), 0, &[2])).unwrap();
         assert_eq!(take_outputs(&mut plane, NOW), (vec![(kind, life(1, 5))], 2));
     }
@@ -106,7 +106,7 @@
 
 #[test]
 fn datagrams_not_from_a_peer_to_this_node_are_refused_and_change_nothing() {
-    let good = datagram(Kind::Accord, life(1, 5), 0, &[1]);
+    let good = datagram(Kind::Placement, life(1, 5), 0, &[1]);
     let other_realm = {
         let mut envelope = Envelope::decode(&good).unwrap();
         envelope.realm += 1;
@@ -117,7 +117,7 @@
     let mut newer = good.clone();
     newer[2] += 1;
     let long = vec![0; MAX_DATAGRAM + 1];
-    let from = |node| datagram(Kind::Accord, life(node, 9), 0, &[1]);
+    let from = |node| datagram(Kind::Placement, life(node, 9), 0, &[1]);
     let one = Some(NodeId(1));
     let cases = [
         (one, other_realm, Rejection::Realm),
@@ -125,9 +125,9 @@
         (Some(NodeId(2)), good.clone(), Rejection::UnknownPeer),
         (Some(NodeId(0)), from(0), Rejection::UnknownPeer),
         (Some(NodeId(3)), from(3), Rejection::UnknownPeer),
-        (one, datagram(Kind::Accord, life(1, 5), 2, &[1]), Rejection::UnknownPeer),
-        (one, datagram(Kind::Accord, life(1, 5), 0, &[0]), Rejection::Payload),
-        (one, datagram(Kind::Budgets, life(1, 5), 0, &[1]), Rejection::Kind),
+        (one, datagram(Kind::Placement, life(1, 5), 2, &[1]), Rejection::UnknownPeer),
+        (one, datagram(Kind::Placement, life(1, 5), 0, &[0]), Rejection::Payload),
+        (one, datagram(Kind::Quota, life(1, 5), 0, &[1]), Rejection::Kind),
         (one, garbled, Rejection::Corrupt),
         (one, newer, Rejection::Version),
         (one, long, Rejection::TooLong),
@@ -155,7 +155,7 @@
         None,
         None,
     );
-    let message = |incarnation| datagram(Kind::Budgets, life(1, incarnation), 0, &[1]);
+    let message = |incarnation| datagram(Kind::Quota, life(1, incarnation), 0, &[1]);
     assert_eq!(receiver.receive(NOW, Some(NodeId(1)), &message(5)), Ok(()));
     // The newer incarnation becomes known by its own pings.
     let mut now = NOW;
@@ -177,11 +177,11 @@
 /// Datagrams beyond the rate limit are dropped and counted, whatever the machines send; events are never dropped.
 #[test]
 fn sent_datagrams_are_rate_limited_and_the_others_are_counted() {
-    let mut plane = plane(true, true, Rate { a_second: 100, burst: 50 });
+    let mut plane = plane(true, true, Rate { per_second: 100, burst: 50 });
     let (mut sent, mut events) = (0, 0);
     for ms in (0..1000).step_by(100) {
         let now = NOW + Duration::from_millis(ms);
-        for kind in [Kind::Accord, Kind::Budgets] {
+        for kind in [Kind::Placement, Kind::Quota] {
             plane.receive(now, Some(NodeId(1)), &datagram(kind, life(1, 5), 0, &[200])).unwrap();
         }
         let (news, datagrams) = take_outputs(&mut plane, now);
--- a/crates/fleet-test/src/gate/growth.rs
+++ b/crates/fleet-test/src/gate/growth.rs
@@ -18,7 +18,8 @@
         return Vec::new();
     }
     let third = sizes.len() / 3;
-    let most = |of: &[(Time, Sizes)]| of.iter().map(|(_, s)| *s).fold(Sizes::default(), Sizes::most).tables();
+    let most =
+        |of: &[(Time, Sizes)]| of.iter().map(|(_, s)| *s).fold(Sizes::default(), Sizes::max_of_each).tables();
     let (second, last) = (most(&sizes[third..2 * third]), most(&sizes[2 * third..]));
     let grew = |((table, before), (_, after)): ((&'static str, usize), (&'static str, usize))| {
         let bound = before as f64 * GROWTH + SLACK as f64;
--- a/crates/fleet-test/src/play.rs
+++ b/crates/fleet-test/src/play.rs
@@ -214,7 +214,7 @@
 fn result(day: Day, seed: u64, module: &Played, late: &Played, plainest: &Played) -> Result {
     let figures = |played: &Played| Figures::of(&played.verdict);
     let wanted = gate::wanted(day, late.verdict.whole.share(), plainest.verdict.whole.share());
-    let sizes = module.sizes.iter().map(|(_, s)| *s).fold(Sizes::default(), Sizes::most);
+    let sizes = module.sizes.iter().map(|(_, s)| *s).fold(Sizes::default(), Sizes::max_of_each);
     Result {
         day,
         seed,
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -24,9 +24,9 @@
     /// Membership and digests: this crate.
     Peers = 1,
     /// Placement tables: `hallpin-placement`.
-    Accord = 2,
+    Placement = 2,
     /// Leases of quotas: `hallpin-quota`.
-    Budgets = 3,
+    Quota = 3,
 }
 
 /// A decoded datagram. The sender is not authenticated: all fields are claims of whoever sent it.
@@ -130,8 +130,8 @@
         }
         let kind = match header[3] {
             1 => Kind::Peers,
-            2 => Kind::Accord,
-            3 => Kind::Budgets,
+            2 => Kind::Placement,
+            3 => Kind::Quota,
             _ => return Err(Rejection::Kind),
         };
         Ok(Envelope {
@@ -166,7 +166,7 @@
 
     fn envelope(payload: Vec<u8>) -> Envelope {
         let from = NodeIncarnation { node: NodeId(7), incarnation: Incarnation(1 << 40) };
-        Envelope { realm: 0xfeed, kind: Kind::Accord, from, to: NodeId(2), payload }
+        Envelope { realm: 0xfeed, kind: Kind::Placement, from, to: NodeId(2), payload }
     }
 
     #[test]
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -16,14 +16,14 @@
         payload: Vec<u8>,
     },
     /// An event for the rest of the node.
-    News(N),
+    Event(N),
 }
 
 /// A state machine that reads the view and exchanges payloads of one kind. It has no clock: `now` never decreases from
 /// call to call, and every decision follows from the arguments alone.
 pub trait StateMachine {
     /// Type of its events for the rest of the node.
-    type News;
+    type Event;
 
     /// Kind of the payloads that it receives.
     const KIND: Kind;
@@ -47,5 +47,5 @@
     fn due(&self) -> Option<Moment>;
 
     /// Takes the outputs since the last call, in order.
-    fn take(&mut self) -> Vec<Output<Self::News>>;
+    fn take_outputs(&mut self) -> Vec<Output<Self::Event>>;
 }
--- a/crates/membership/src/membership/merge.rs
+++ b/crates/membership/src/membership/merge.rs
@@ -24,8 +24,8 @@
         let Some((member, held)) = held else {
             return self.upsert(now, from, sender.zone, state, details);
         };
-        if from != member.life {
-            if from.incarnation < member.life.incarnation && held.confirmed {
+        if from != member.node_incarnation {
+            if from.incarnation < member.node_incarnation.incarnation && held.confirmed {
                 return Effect::Stale;
             }
             return self.upsert(now, from, sender.zone, state, details);
@@ -63,10 +63,10 @@
         let Some((member, held)) = held else {
             return if can_be_hint { self.add_hint(now, claim, source) } else { Effect::Nothing };
         };
-        if claim.incarnation < member.life.incarnation {
+        if claim.incarnation < member.node_incarnation.incarnation {
             return Effect::Nothing;
         }
-        if claim.incarnation > member.life.incarnation {
+        if claim.incarnation > member.node_incarnation.incarnation {
             return match held.confirmed {
                 false if can_be_hint => self.add_hint(now, claim, source),
                 _ => self.record_rumor(now, claim, RumorKind::Newer, source),
@@ -107,7 +107,7 @@
         let mut effect = Effect::Nothing;
         if ahead {
             let details = MemberDetail { refutations: claim.refutations, ..held };
-            effect = self.upsert(now, member.life, member.zone, state, details);
+            effect = self.upsert(now, member.node_incarnation, member.zone, state, details);
         }
         match (claim.state, state) {
             (ClaimedState::Dead, MemberState::Alive) if is_event => self.suspect(now, claim.node, source),
--- a/crates/membership/src/membership/model.rs
+++ b/crates/membership/src/membership/model.rs
@@ -52,7 +52,9 @@
     fn key(&self) -> Key<'_> {
         fn of(table: &Table) -> Vec<(Incarnation, MemberState, &MemberDetail)> {
             let members = table.view.members.values().zip(table.details.values());
-            members.map(|(member, details)| (member.life.incarnation, member.state, details)).collect()
+            members
+                .map(|(member, details)| (member.node_incarnation.incarnation, member.state, details))
+                .collect()
         }
         (self.nodes.iter().map(of).collect(), &self.datagrams, &self.accused, self.incarnation_went_back)
     }
@@ -180,7 +182,7 @@
         }
         for (before, after) in last.nodes.iter().zip(&state.nodes) {
             let incarnations = |table: &Table| {
-                table.view.members.iter().map(|(n, m)| (*n, m.life)).collect::<BTreeMap<_, _>>()
+                table.view.members.iter().map(|(n, m)| (*n, m.node_incarnation)).collect::<BTreeMap<_, _>>()
             };
             let (before, after) = (incarnations(before), incarnations(after));
             state.incarnation_went_back |= before
@@ -214,7 +216,8 @@
                     let refuted = datagram(&other, by, None);
                     deliver(&mut one, &refuted);
                     let member = one.view.members.get(&of).copied();
-                    member.is_some_and(|m| m.state == MemberState::Alive && m.life == refuted.from)
+                    member
+                        .is_some_and(|m| m.state == MemberState::Alive && m.node_incarnation == refuted.from)
                 })
             }),
             // Ensures that the search reaches the interesting states.
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -100,7 +100,7 @@
             MemberState::Dead => ClaimedState::Dead,
             MemberState::Left => ClaimedState::Left,
         };
-        let NodeIncarnation { node, incarnation } = member.life;
+        let NodeIncarnation { node, incarnation } = member.node_incarnation;
         let claim = Claim { node, incarnation, refutations: details.refutations, zone: member.zone, state };
         details.confirmed.then_some(claim)
     }
@@ -128,7 +128,8 @@
         let gone = |member: &Member| {
             matches!(member.state, MemberState::Dead | MemberState::Left) && member.since < before
         };
-        let gone: Vec<NodeId> = self.view.members.values().filter(|m| gone(m)).map(|m| m.life.node).collect();
+        let gone: Vec<NodeId> =
+            self.view.members.values().filter(|m| gone(m)).map(|m| m.node_incarnation.node).collect();
         for node in gone.into_iter().filter(|node| *node != self.view.this.node) {
             self.view.members.remove(&node);
             self.details.remove(&node);
@@ -173,8 +174,8 @@
         }
         let mut hasher = crc32fast::Hasher::new();
         for member in self.view.members.values().filter(|member| is_active(member)) {
-            hasher.update(&member.life.node.0.to_be_bytes());
-            hasher.update(&member.life.incarnation.0.to_be_bytes());
+            hasher.update(&member.node_incarnation.node.0.to_be_bytes());
+            hasher.update(&member.node_incarnation.incarnation.0.to_be_bytes());
         }
         let fingerprint = hasher.finalize().to_be_bytes();
         self.fingerprint = Some((version, fingerprint));
@@ -196,10 +197,12 @@
         details: MemberDetail,
     ) -> Effect {
         let since = match self.view.members.get(&node_incarnation.node) {
-            Some(member) if member.life == node_incarnation && member.state == state => member.since,
+            Some(member) if member.node_incarnation == node_incarnation && member.state == state => {
+                member.since
+            }
             _ => now,
         };
-        let member = Member { life: node_incarnation, zone, state, since };
+        let member = Member { node_incarnation: node_incarnation, zone, state, since };
         if self.view.members.insert(node_incarnation.node, member) != Some(member) {
             self.view.version += 1;
         }
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -123,7 +123,7 @@
     }
 
     /// Takes the outputs since the last call, in order.
-    pub fn take(&mut self) -> Vec<Output<PeersEvent>> {
+    pub fn take_outputs(&mut self) -> Vec<Output<PeersEvent>> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -173,10 +173,10 @@
     fn emit_events(&mut self) {
         if self.reported_version != self.table.view.version {
             self.reported_version = self.table.view.version;
-            self.outputs.push(Output::News(PeersEvent::View));
+            self.outputs.push(Output::Event(PeersEvent::View));
         }
         if std::mem::take(&mut self.peer_facts.dirty) {
-            self.outputs.push(Output::News(PeersEvent::Evidence));
+            self.outputs.push(Output::Event(PeersEvent::Evidence));
         }
     }
 }
--- a/crates/membership/src/peers/receive.rs
+++ b/crates/membership/src/peers/receive.rs
@@ -54,7 +54,7 @@
         let cut_off = self.config.configured > 1 && silent >= self.config.timing.heard_within;
         if cut_off != self.table.view.cut_off {
             self.table.set_cut_off(cut_off);
-            self.outputs.push(Output::News(PeersEvent::CutOff(cut_off)));
+            self.outputs.push(Output::Event(PeersEvent::CutOff(cut_off)));
         }
     }
 
--- a/crates/membership/src/peers/time.rs
+++ b/crates/membership/src/peers/time.rs
@@ -133,7 +133,12 @@
     /// Returns the other nodes that are alive in the view.
     fn alive(&self) -> Vec<NodeId> {
         let this = self.config.this.node;
-        self.table.view.alive().map(|member| member.life.node).filter(|node| *node != this).collect()
+        self.table
+            .view
+            .alive()
+            .map(|member| member.node_incarnation.node)
+            .filter(|node| *node != this)
+            .collect()
     }
 
     /// Asks other nodes to ping the target and pings it once more: a lost datagram is mostly lost only once.
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The newest known incarnation of the node.
-    pub life: NodeIncarnation,
+    pub node_incarnation: NodeIncarnation,
     /// The zone in which the node runs.
     pub zone: ZoneId,
     /// Its state.
@@ -52,7 +52,7 @@
 impl View {
     /// Creates the view of a node that has heard no other node yet.
     pub fn alone(this: NodeIncarnation, zone: ZoneId, configured: u16, now: Moment) -> Self {
-        let member = Member { life: this, zone, state: MemberState::Alive, since: now };
+        let member = Member { node_incarnation: this, zone, state: MemberState::Alive, since: now };
         let members = BTreeMap::from([(this.node, member)]);
         View { this, zone, configured, members, cut_off: false, version: 0 }
     }
@@ -69,6 +69,6 @@
 
     /// Returns the newest known incarnation of a node.
     pub fn incarnation(&self, node: NodeId) -> Option<Incarnation> {
-        self.members.get(&node).map(|member| member.life.incarnation)
+        self.members.get(&node).map(|member| member.node_incarnation.incarnation)
     }
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -157,9 +157,9 @@
     /// Returns whether every running node sees exactly the running nodes alive, in their current incarnations.
     pub fn all_agree(&self) -> bool {
         let truth: Vec<NodeIncarnation> = self.nodes.values().map(|node| node.peers.view().this).collect();
-        self.nodes
-            .values()
-            .all(|node| node.peers.view().alive().map(|member| member.life).eq(truth.iter().copied()))
+        self.nodes.values().all(|node| {
+            node.peers.view().alive().map(|member| member.node_incarnation).eq(truth.iter().copied())
+        })
     }
 
     /// Runs until all agree, checking every 100 ms, and returns how long that took.
@@ -218,7 +218,7 @@
 
     fn process_outputs(&mut self, node: u16) {
         let node_state = self.nodes.get_mut(&node).unwrap();
-        let (from, out) = (node_state.peers.view().this, node_state.peers.take());
+        let (from, out) = (node_state.peers.view().this, node_state.peers.take_outputs());
         let due = node_state.peers.due().map(|due| due + node_state.started_at);
         let old = std::mem::replace(&mut node_state.due, due);
         old.map(|due| self.timers.remove(&(due, node)));
@@ -226,7 +226,7 @@
         for output in out {
             match output {
                 Output::Send { to, payload } => self.send(from, to, payload),
-                Output::News(events) => self.nodes.get_mut(&node).unwrap().events.push((self.now, events)),
+                Output::Event(events) => self.nodes.get_mut(&node).unwrap().events.push((self.now, events)),
             }
         }
     }
--- a/crates/membership/tests/digests.rs
+++ b/crates/membership/tests/digests.rs
@@ -19,7 +19,7 @@
         for step in 0..90 {
             peers.tick(ms(at + step * 10));
         }
-        payloads.extend(peers.take().into_iter().filter_map(|output| match output {
+        payloads.extend(peers.take_outputs().into_iter().filter_map(|output| match output {
             Output::Send { to: NodeId(0), payload } => Some(payload),
             _ => None,
         }));
--- a/crates/membership/tests/setup.rs
+++ b/crates/membership/tests/setup.rs
@@ -36,9 +36,9 @@
     let mut pinged = Vec::new();
     while pinged.len() < 3 {
         peers.tick(peers.due().unwrap());
-        pinged.extend(peers.take().into_iter().filter_map(|output| match output {
+        pinged.extend(peers.take_outputs().into_iter().filter_map(|output| match output {
             Output::Send { to, .. } => Some(to.0),
-            Output::News(_) => None,
+            Output::Event(_) => None,
         }));
     }
     assert!(pinged[..2] == [40, 90], "{pinged:?}");
@@ -66,6 +66,7 @@
             _ => {}
         }
     }
-    let cut_off = peers.take().into_iter().filter(|output| *output == Output::News(PeersEvent::CutOff(true)));
+    let cut_off =
+        peers.take_outputs().into_iter().filter(|output| *output == Output::Event(PeersEvent::CutOff(true)));
     assert_eq!(cut_off.count(), 1);
 }
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use crate::figures::{RequestGuard, RequestOutcome};
+use crate::metrics::{RequestGuard, RequestOutcome};
 use crate::upstream::{BodyStream, ServedAnswer};
 
 /// The answer to a command, and the request that it ends.
@@ -21,7 +21,7 @@
     }
 
     /// The answer to a command that starts no request, or that is rejected.
-    pub fn untaken(text: Bytes) -> Self {
+    pub fn without_request(text: Bytes) -> Self {
         Answer { text, body: None, request_end: None }
     }
 }
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -33,12 +33,12 @@
     }
 
     /// Records that another process serves this address too.
-    pub fn join(&self) {
+    pub fn add_process(&self) {
         self.processes.set(self.processes.get() + 1);
     }
 
     /// Records that the other process is gone.
-    pub fn leave(&self) {
+    pub fn remove_process(&self) {
         self.processes.set(self.processes.get() - 1);
     }
 
@@ -51,23 +51,23 @@
     }
 
     /// Most open connections to cache servers.
-    pub fn servers(&self) -> usize {
+    pub fn max_server_connections(&self) -> usize {
         (self.traffic_sockets() / 3).max(1)
     }
 
     /// Most open client connections.
-    pub fn clients(&self) -> usize {
+    pub fn max_client_connections(&self) -> usize {
         (self.traffic_sockets() - self.traffic_sockets() / 3).max(1)
     }
 
     /// Number of client connections from which on idle ones are closed. It is below the third of all sockets that
     /// clients may use for requests, so that idle connections never take up that third.
-    pub fn clients_wanted(&self) -> usize {
-        (self.process_sockets() / 4).clamp(1, self.clients())
+    pub fn idle_close_threshold(&self) -> usize {
+        (self.process_sockets() / 4).clamp(1, self.max_client_connections())
     }
 
     /// Reserves memory.
-    pub fn hold(&self, bytes: usize) {
+    pub fn reserve(&self, bytes: usize) {
         self.reserved_bytes.set(self.reserved_bytes.get() + bytes);
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Whether more memory may be reserved.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_memory(&self) -> bool {
         self.reserved_bytes.get() < self.memory_bytes / self.processes.get()
     }
 }
@@ -91,13 +91,13 @@
 impl MemoryReservation {
     /// Reserves `bytes`.
     pub fn new(budget: &Rc<Budget>, bytes: usize) -> Self {
-        budget.hold(bytes);
+        budget.reserve(bytes);
         MemoryReservation { budget: budget.clone(), bytes }
     }
 
     /// Changes the size of the reservation.
     pub fn set(&mut self, bytes: usize) {
-        self.budget.hold(bytes);
+        self.budget.reserve(bytes);
         self.budget.release(std::mem::replace(&mut self.bytes, bytes));
     }
 }
--- a/crates/node/src/discovery/tests/mod.rs
+++ b/crates/node/src/discovery/tests/mod.rs
@@ -76,20 +76,25 @@
 fn settings(membership: Membership, drain_grace: f64, ask_every: f64) -> Settings {
     let read = Class {
         name: "read".into(),
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        group: DeduplicationScope::All,
-        window: 0.0,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        effect: Effect::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
         streamed: false,
     };
     Settings {
         balancers: 1,
         classes: vec![read],
         membership,
-        guarantees: Guarantees { cold_from: 0.3, drain_grace, ask_every, ..Guarantees::default() },
+        guarantees: Guarantees {
+            initial_capacity_share: 0.3,
+            drain_grace,
+            poll_interval: ask_every,
+            ..Guarantees::default()
+        },
         ..Settings::default()
     }
 }
@@ -140,7 +145,7 @@
 ) {
     let start = Instant::now();
     let (mut actions, mut timer) = (Vec::new(), (start, TimerToken(0)));
-    let mut event = Event::Roster(EndpointUpdate::Cached(Vec::new()));
+    let mut event = Event::Endpoints(EndpointUpdate::Cached(Vec::new()));
     loop {
         balancer.handle(start.elapsed().as_secs_f64(), event, &mut actions);
         for action in actions.drain(..) {
@@ -158,9 +163,9 @@
                 Some(Message::Roster(roster)) => {
                     let update = if roster.complete { EndpointUpdate::Full } else { EndpointUpdate::Delta };
                     let _ = list_sender.send(roster);
-                    Event::Roster(update(Vec::new()))
+                    Event::Endpoints(update(Vec::new()))
                 }
-                Some(_) => Event::Roster(EndpointUpdate::Failed),
+                Some(_) => Event::Endpoints(EndpointUpdate::Failed),
                 None => return,
             },
             () = sleep_until(timer.0) => Event::Timer(timer.1),
--- a/crates/node/src/discovery/tests/timeouts.rs
+++ b/crates/node/src/discovery/tests/timeouts.rs
@@ -10,11 +10,11 @@
         let mut actions = Vec::new();
         let mut now = 0.0;
         let mut waited = 0.0;
-        balancer.handle(now, Event::Roster(EndpointUpdate::Cached(Vec::new())), &mut actions);
+        balancer.handle(now, Event::Endpoints(EndpointUpdate::Cached(Vec::new())), &mut actions);
         for _ in 0..failures {
             let failed = now;
             actions.clear();
-            balancer.handle(now, Event::Roster(EndpointUpdate::Failed), &mut actions);
+            balancer.handle(now, Event::Endpoints(EndpointUpdate::Failed), &mut actions);
             while !actions.iter().any(|action| matches!(action, Action::Subscribe)) {
                 now += 0.05;
                 balancer.handle(now, Event::Timer(TimerToken(0)), &mut actions);
--- a/crates/node/src/discovery/timeouts.rs
+++ b/crates/node/src/discovery/timeouts.rs
@@ -27,7 +27,7 @@
         let guarantees = &settings.guarantees;
         match settings.membership {
             Membership::Pushed => Self::pushed(guarantees.drain_grace),
-            Membership::OnRequest => Self::polled(guarantees.ask_every),
+            Membership::OnRequest => Self::polled(guarantees.poll_interval),
         }
     }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -18,9 +18,9 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-use crate::figures::{MemberCounts, RequestOutcome};
 use crate::log::LogThrottle;
 use crate::message::Message;
+use crate::metrics::{MemberCounts, RequestOutcome};
 use crate::roster::Roster;
 use state::Timer;
 pub use state::{Driver, DriverContext};
@@ -28,9 +28,9 @@
 
 impl Driver {
     pub fn new(settings: &Settings, seed: u64, around: DriverContext) -> Result<Self, SettingsError> {
-        let DriverContext { clock, upstream, messages, calls, lifecycle, figures, fleet } = around;
-        let quantum = Duration::from_secs_f64(settings.round);
-        upstream.rounds(quantum);
+        let DriverContext { clock, upstream, messages, poll_requests, lifecycle, metrics, fleet } = around;
+        let quantum = Duration::from_secs_f64(settings.event_interval);
+        upstream.set_quantum(quantum);
         Ok(Driver {
             balancer: Balancer::new(settings.clone(), seed)?,
             clock,
@@ -50,22 +50,22 @@
             overdue_log: LogThrottle::default(),
             balancer_log: LogThrottle::default(),
             messages,
-            poll_requests: calls,
+            poll_requests: poll_requests,
             lifecycle,
-            metrics: figures,
+            metrics: metrics,
             fleet,
         })
     }
 
     /// Applies the last list that the node cached; called before any request.
-    pub fn known(&mut self, roster: Roster) {
+    pub fn load_cached_roster(&mut self, roster: Roster) {
         self.apply_roster(roster, EndpointUpdate::Cached);
     }
 
     /// Processes messages until the inbox closes. Lists from discovery go ahead of all other messages: a list is in
     /// force from its arrival, and requests queued before it would still be sent to servers that drain.
     pub async fn run(mut self, mut inbox: UnboundedReceiver<Message>, mut lists: UnboundedReceiver<Message>) {
-        let mut phases = self.lifecycle.follow();
+        let mut phases = self.lifecycle.subscribe();
         loop {
             let next = self.timers.peek().map(|Reverse((at, _))| *at);
             tokio::select! {
@@ -73,7 +73,7 @@
                 Some(list) = lists.recv() => self.handle_message(list),
                 // Never fails: the driver holds the lifecycle that sends.
                 Ok(()) = phases.changed() => {
-                    let process_ends = phases.borrow_and_update().ends;
+                    let process_ends = phases.borrow_and_update().answer_deadline;
                     self.limit_deadlines(process_ends);
                 }
                 message = inbox.recv() => match message {
@@ -103,7 +103,7 @@
         self.event_time = Instant::now();
         match message {
             // The client disconnected while the request was queued: nothing is sent.
-            Message::Request { id, command, at, gone, .. } if gone.is_told() => {
+            Message::Request { id, command, at, gone, .. } if gone.is_set() => {
                 let left = self.deadline(&command, at).saturating_duration_since(self.event_time);
                 requests::log_withdrawn(id, &command, left);
             }
@@ -116,7 +116,7 @@
                         let left = active.deadline.saturating_duration_since(self.event_time);
                         requests::log_withdrawn(id, &active.command, left);
                     }
-                    self.handle_event(Event::Withdrawn(id));
+                    self.handle_event(Event::ClientLeft(id));
                     self.clean_up(id);
                 }
             }
@@ -124,18 +124,18 @@
                 self.complete_attempt(request, attempt, ended);
                 self.process_events();
             }
-            Message::Probed { server, status } => self.handle_event(Event::Probed { server, status }),
+            Message::Probed { server, status } => self.handle_event(Event::HealthChecked { server, status }),
             Message::Roster(roster) => {
                 let update = if roster.complete { EndpointUpdate::Full } else { EndpointUpdate::Delta };
                 self.apply_roster(roster, update);
             }
             Message::Members(reply) => {
-                let (listed, unavailable) = self.balancer.members();
+                let (listed, unavailable) = self.balancer.member_counts();
                 // Fails only if the operator's connection is closed, and then no answer is needed.
                 let _ = reply.send(MemberCounts { listed, unavailable });
             }
             Message::Fleet(news) => self.handle_event(Event::Fleet(news)),
-            Message::RosterFailed => self.handle_event(Event::Roster(EndpointUpdate::Failed)),
+            Message::RosterFailed => self.handle_event(Event::Endpoints(EndpointUpdate::Failed)),
         }
     }
 
@@ -148,15 +148,15 @@
         let gone_entry =
             |server| EndpointEntry { server, state: ServerState::Gone, ..EndpointEntry::default() };
         let moved_servers: Vec<EndpointEntry> =
-            self.upstream.learn(&roster).into_iter().map(gone_entry).collect();
+            self.upstream.update_endpoints(&roster).into_iter().map(gone_entry).collect();
         if !moved_servers.is_empty() {
-            self.handle_event(Event::Roster(EndpointUpdate::Delta(moved_servers)));
+            self.handle_event(Event::Endpoints(EndpointUpdate::Delta(moved_servers)));
         }
         let entries: Vec<EndpointEntry> = roster.members.into_iter().map(|member| member.entry).collect();
         if entries.iter().any(|entry| entry.state == ServerState::Ready) {
             self.lifecycle.mark_servers_known();
         }
-        self.handle_event(Event::Roster(update(entries)));
+        self.handle_event(Event::Endpoints(update(entries)));
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -179,7 +179,7 @@
         match action {
             Action::Send { request, server, timeout } => self.send_attempt(request, server, timeout),
             Action::Cancel { request, attempt } => self.abandon_attempt(request, attempt, Status::Cancelled),
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let advice = retry_after.filter(|_| self.sends_retry_after).map(duration);
                 self.answer(request, protocol::busy(advice).into(), RequestOutcome::Rejected);
                 self.clean_up(request);
@@ -198,9 +198,9 @@
                     info!(target: "hallpin_node::balancer", suppressed, "{text}");
                 }
             }
-            Action::Probe(server) => self.check_health(server),
+            Action::HealthCheck(server) => self.check_health(server),
             // Nodes have no channel between balancers here, and the balancer sends nothing on it.
-            Action::Tell(_) => {}
+            Action::Broadcast(_) => {}
         }
     }
 }
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -11,8 +11,8 @@
 
 use super::state::{Attempt, Driver, Timer};
 use super::timers::duration;
-use crate::figures::RequestOutcome;
 use crate::message::Message;
+use crate::metrics::RequestOutcome;
 use crate::upstream::{AttemptResult, UpstreamCall};
 
 /// Retry window of each class: time after the first attempt that may have run within which another may be sent, `None`
@@ -20,9 +20,11 @@
 /// to arrive.
 pub(super) fn retry_windows(settings: &Settings) -> Vec<Option<Duration>> {
     let limit = |class: &Class| match class.effect {
-        Effect::Safe => None,
-        Effect::Deduplicated => Duration::try_from_secs_f64((class.window - settings.round).max(0.0)).ok(),
-        Effect::Unsafe => Some(Duration::ZERO),
+        Effect::Idempotent => None,
+        Effect::Deduplicated => {
+            Duration::try_from_secs_f64((class.deduplication_window - settings.event_interval).max(0.0)).ok()
+        }
+        Effect::NonIdempotent => Some(Duration::ZERO),
     };
     settings.classes.iter().map(limit).collect()
 }
@@ -32,7 +34,7 @@
     pub(super) fn check_health(&self, server: ServerId) {
         let (upstream, messages) = (self.upstream.clone(), self.messages.clone());
         tokio::task::spawn_local(async move {
-            let status = upstream.probe(&server).await;
+            let status = upstream.check_health(&server).await;
             debug!(server = %server.0, ?status, "probe");
             // Fails only if the driver has ended, as it does when the process exits.
             let _ = messages.send(Message::Probed { server, status });
@@ -48,7 +50,7 @@
         let written = Rc::new(Cell::new(false));
         // Nothing is sent for a request that has its answer or whose client has disconnected, nor beyond the attempt
         // limit.
-        let finished = active.reply.is_none() || active.gone.is_told();
+        let finished = active.reply.is_none() || active.gone.is_set();
         let void = finished || active.attempts.len() >= self.max_attempts || until <= now;
         let opaque = active.command.opaque();
         let opaque = opaque.escape_ascii();
@@ -57,9 +59,9 @@
         // rejects the request at once with a time to retry after.
         let fleet = self.fleet.as_ref().filter(|_| !void);
         let quota_use =
-            fleet.map_or(Ok(None), |fleet| fleet.begin(&server, active.command.tenant.as_deref()));
+            fleet.map_or(Ok(None), |fleet| fleet.begin_use(&server, active.command.tenant.as_deref()));
         let void = void || quota_use.is_err();
-        let sent_attempt = fleet.filter(|_| !void).and_then(|fleet| fleet.sent(&server));
+        let sent_attempt = fleet.filter(|_| !void).and_then(|fleet| fleet.record_attempt(&server));
         let executions = active.attempts.first().map_or_else(Rc::default, |first| first.executions.clone());
         let task = (!void).then(|| {
             let (upstream, messages) = (self.upstream.clone(), self.messages.clone());
@@ -68,12 +70,12 @@
                 command: active.command.clone(),
                 attempt,
                 until,
-                repeats: class.map_or(Some(Duration::ZERO), |class| self.retry_windows[class.0]),
-                runs: executions.clone(),
+                repeat_window: class.map_or(Some(Duration::ZERO), |class| self.retry_windows[class.0]),
+                executions: executions.clone(),
                 written: written.clone(),
                 gone: active.gone.clone(),
-                deadline: active.deadline,
-                phases: self.lifecycle.follow(),
+                client_deadline: active.deadline,
+                phases: self.lifecycle.subscribe(),
             };
             let attempt_made = async move {
                 let ended = upstream.attempt(&server, &errand).await;
@@ -145,7 +147,7 @@
         let ended = self.requests.get_mut(&request).and_then(|active| active.attempts.get_mut(at));
         if let (Some(fleet), Some(ended)) = (&self.fleet, ended) {
             if let Some(sent_attempt) = ended.sent_attempt.take() {
-                fleet.ended(&sent_attempt, status);
+                fleet.record_outcome(&sent_attempt, status);
             }
             if let Some(quota_use) = ended.quota_use.take() {
                 fleet.finish(quota_use);
@@ -157,6 +159,13 @@
         let opaque = opaque.escape_ascii();
         let elapsed = started_at.elapsed().as_secs_f64();
         debug!(request = request.0, %opaque, attempt = attempt.0, ?status, elapsed, finished, "outcome");
-        self.events.push_back(Event::Outcome(Outcome { request, attempt, status, elapsed, finished, note }));
+        self.events.push_back(Event::Outcome(Outcome {
+            request,
+            attempt,
+            status,
+            elapsed,
+            finished,
+            cache_note: note,
+        }));
     }
 }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -12,8 +12,8 @@
 
 use super::state::{ActiveRequest, Attempt, Driver, Timer};
 use crate::answer::Answer;
-use crate::figures::{RequestGuard, RequestOutcome};
 use crate::message::DisconnectFlag;
+use crate::metrics::{RequestGuard, RequestOutcome};
 use crate::upstream::ServedAnswer;
 
 /// Allowance for the time between the client's send and this node's read of a request.
@@ -32,10 +32,10 @@
         // Invalid requests are not forwarded: cache servers reject them or close the connection, which would count
         // as a server fault. An answer under an id that is in use could be taken for another request's.
         let Some(class) = self.names.class(&command.class) else {
-            return drop(reply.send(Answer::untaken(protocol::UNKNOWN_CLASS)));
+            return drop(reply.send(Answer::without_request(protocol::UNKNOWN_CLASS)));
         };
         if self.open_opaques.contains(&command.opaque()) {
-            return drop(reply.send(Answer::untaken(protocol::ID_IN_USE)));
+            return drop(reply.send(Answer::without_request(protocol::ID_IN_USE)));
         }
         let ticket = self.metrics.take(class.0);
         let deadline = self.deadline(&command, at);
@@ -47,12 +47,12 @@
         }
         let new = NewRequest {
             id,
-            left: deadline.saturating_duration_since(self.event_time).as_secs_f64(),
+            time_left: deadline.saturating_duration_since(self.event_time).as_secs_f64(),
             class: Some(class),
             tenant: command.tenant.as_deref().and_then(|name| self.names.tenant(name)),
             key: Some(command.key),
             write: command.verb == Verb::Set,
-            work: command.work.map(|w| w.as_secs_f64()),
+            work_hint: command.work.map(|w| w.as_secs_f64()),
         };
         // The balancer ends a request two quanta before its deadline; half a quantum before it the backstop fails the
         // request. A timer set in the past would be taken for a scheduling delay, so it is due now at the earliest.
@@ -70,7 +70,7 @@
     pub(super) fn deadline(&self, command: &Command, first_byte: Instant) -> Instant {
         let wait = command.wait.min(self.max_deadline).saturating_sub(MARGIN);
         let requested = self.earliest_arrival(first_byte) + wait;
-        self.lifecycle.phase().ends.map_or(requested, |ends| requested.min(ends))
+        self.lifecycle.phase().answer_deadline.map_or(requested, |ends| requested.min(ends))
     }
 
     /// Limits the deadlines of active requests to the time at which the process ends, if it does.
--- a/crates/node/src/driver/state.rs
+++ b/crates/node/src/driver/state.rs
@@ -17,10 +17,10 @@
 use super::timers::SchedulingDelays;
 use crate::answer::Answer;
 use crate::clock::Clock;
-use crate::figures::{Metrics, RequestGuard};
 use crate::lifecycle::Lifecycle;
 use crate::log::LogThrottle;
 use crate::message::{DisconnectFlag, Message};
+use crate::metrics::{Metrics, RequestGuard};
 use crate::plane::{PlaneRuntime, QuotaUse, SentAttempt};
 use crate::upstream::{ExecutionTracker, Upstream};
 
@@ -106,10 +106,10 @@
     pub upstream: Rc<Upstream>,
     pub messages: UnboundedSender<Message>,
     /// Asks discovery to poll the list.
-    pub calls: Sender<()>,
+    pub poll_requests: Sender<()>,
     /// Becomes ready once a server is known.
     pub lifecycle: Rc<Lifecycle>,
-    pub figures: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     /// The control plane between nodes, if it is enabled.
     pub fleet: Option<Rc<PlaneRuntime>>,
 }
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -9,11 +9,11 @@
 use crate::answer::Answer;
 use crate::budget::Budget;
 use crate::clock::Clock;
-use crate::figures::Metrics;
 use crate::lifecycle::Lifecycle;
 use crate::message::DisconnectFlag;
+use crate::metrics::Metrics;
 use crate::stop::ShutdownTimes;
-use crate::upstream::tests::{errand, READ};
+use crate::upstream::tests::{test_call, READ};
 use crate::upstream::{Bounds, Upstream};
 use hallpin_protocol::{next_input, Input};
 use tokio::net::TcpListener;
@@ -23,19 +23,19 @@
 fn settings() -> Settings {
     let read = Class {
         name: "read".into(),
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        group: DeduplicationScope::All,
-        window: 0.0,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        effect: Effect::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
         streamed: false,
     };
     Settings {
         balancers: 1,
         classes: vec![read],
-        guarantees: Guarantees { cold_from: 0.3, ..Guarantees::default() },
+        guarantees: Guarantees { initial_capacity_share: 0.3, ..Guarantees::default() },
         limits: Limits { cancel: true, max_attempts: 2, ..Limits::default() },
         ..Settings::default()
     }
@@ -45,22 +45,22 @@
 
 fn driver(settings: &Settings, server: std::net::SocketAddr) -> (Driver, Inbox, ServerId) {
     let second = Duration::from_secs(1);
-    let bounds = Bounds { dial: second, idle: second, grace: second };
+    let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
     let (messages, inbox) = unbounded_channel();
     let (clock, figures) = (Clock::start(), Metrics::new(["read"]));
     let around = DriverContext {
         clock,
         upstream: Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), figures.clone())),
         messages,
-        calls: channel(1).0,
+        poll_requests: channel(1).0,
         lifecycle: Lifecycle::new(),
-        figures,
+        metrics: figures,
         fleet: None,
     };
     let mut driver = Driver::new(settings, 1, around).unwrap();
     let member = format!(r#"{{"id":"s","host_port":"{server}","phase":"ready"}}"#);
     let list = format!(r#"{{"revision":1,"complete":true,"members":[{member}]}}"#);
-    driver.known(Roster::from_json(list.as_bytes(), &clock).unwrap());
+    driver.load_cached_roster(Roster::from_json(list.as_bytes(), &clock).unwrap());
     (driver, inbox, ServerId("s".into()))
 }
 
@@ -97,7 +97,7 @@
     let _answer = request_of(&mut driver, id, gone.clone());
     let local = tokio::task::LocalSet::new();
     let _inside = local.enter();
-    gone.tell();
+    gone.set();
     driver.send_attempt(id, server, None);
     let last = driver.events.back();
     assert!(matches!(last, Some(Event::Outcome(o)) if o.status == Status::Void), "{last:?}");
@@ -129,7 +129,7 @@
     // One of the two has been sent to its server, so the request stays until that attempt ends.
     driver.requests.get_mut(&id).unwrap().attempts[0].written.set(true);
     driver.execute(Action::Fail(id));
-    driver.execute(Action::Refuse { request: id, retry_after: None });
+    driver.execute(Action::Reject { request: id, retry_after: None });
     assert_eq!(answer.try_recv().unwrap().text, protocol::FAILED);
     assert_eq!(statuses(&mut driver), [Status::Cancelled]);
     driver.requests.get_mut(&id).unwrap().attempts.truncate(1);
@@ -167,9 +167,9 @@
     drop(request(&mut driver, RequestId(1)));
     let full_deadline = driver.requests[&RequestId(1)].deadline;
     driver.execute(Action::Fail(RequestId(1)));
-    let times = ShutdownTimes { part_after: Duration::ZERO, end_after: Duration::from_millis(500) };
+    let times = ShutdownTimes { close_idle_after: Duration::ZERO, finish_after: Duration::from_millis(500) };
     driver.lifecycle.stop(false, times);
-    let ends = driver.lifecycle.phase().ends.unwrap();
+    let ends = driver.lifecycle.phase().answer_deadline.unwrap();
     drop(request(&mut driver, RequestId(2)));
     assert!(full_deadline > ends, "the client would wait for longer than the node runs");
     assert_eq!(driver.requests[&RequestId(2)].deadline, ends);
@@ -198,11 +198,11 @@
 async fn the_driver_leaves_one_quantum_of_a_servers_grace() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (mut driver, _inbox, server) = driver(&Settings { round: 1.0, ..settings() }, address);
+    let (mut driver, _inbox, server) = driver(&Settings { event_interval: 1.0, ..settings() }, address);
     let member = format!(r#"{{"id":"s","host_port":"{address}","phase":"draining"}}"#);
     let list = format!(r#"{{"revision":2,"complete":false,"members":[{member}]}}"#);
-    driver.known(Roster::from_json(list.as_bytes(), &driver.clock).unwrap());
-    let errand = errand(READ);
+    driver.load_cached_roster(Roster::from_json(list.as_bytes(), &driver.clock).unwrap());
+    let errand = test_call(READ);
     let ended = tokio::select! {
         biased;
         ended = driver.upstream.attempt(&server, &errand) => ended.status,
--- a/crates/node/src/driver/tests/timing.rs
+++ b/crates/node/src/driver/tests/timing.rs
@@ -76,7 +76,7 @@
 #[tokio::test(start_paused = true)]
 async fn no_timer_is_set_for_a_time_that_has_passed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let settings = Settings { round: 1.0, ..settings() };
+    let settings = Settings { event_interval: 1.0, ..settings() };
     let (mut driver, _inbox, _) = driver(&settings, listener.local_addr().unwrap());
     let local = tokio::task::LocalSet::new();
     let _inside = local.enter();
--- a/crates/node/src/driver/timers.rs
+++ b/crates/node/src/driver/timers.rs
@@ -10,7 +10,7 @@
 use tracing::warn;
 
 use super::state::{Driver, Timer};
-use crate::figures::RequestOutcome;
+use crate::metrics::RequestOutcome;
 
 /// A timer that fires later than this indicates a scheduling delay. Input read within this time after a delay may have
 /// arrived during it.
@@ -90,7 +90,7 @@
                                 suppressed, "no answer near its deadline; failing the request"
                             );
                         }
-                        self.handle_event(Event::Withdrawn(id));
+                        self.handle_event(Event::ClientLeft(id));
                     }
                     self.clean_up(id);
                 }
--- a/crates/node/src/frontend/client.rs
+++ b/crates/node/src/frontend/client.rs
@@ -15,9 +15,9 @@
 use super::shared::{Frontend, Rank};
 use crate::answer::Answer;
 use crate::budget::MemoryReservation;
-use crate::figures::{RequestGuard, RequestOutcome};
 use crate::lifecycle::Phase;
 use crate::message::{DisconnectFlag, Message};
+use crate::metrics::{RequestGuard, RequestOutcome};
 use crate::upstream::BodyStream;
 
 /// The answer to a started command: available, or expected from the driver.
@@ -114,7 +114,7 @@
         close: Rc<Notify>,
     ) -> Self {
         Client {
-            phases: frontend.lifecycle.follow(),
+            phases: frontend.lifecycle.subscribe(),
             input_reservation: MemoryReservation::new(&frontend.budget, 0),
             frontend,
             stream,
@@ -157,7 +157,7 @@
 
     /// Withdraws the pending requests, as their answers are no longer wanted.
     pub(super) fn withdraw_pending(&mut self) {
-        self.gone.tell();
+        self.gone.set();
         for pending in self.pending.drain(..) {
             if let PendingAnswer::Waiting { id, weight, .. } = pending {
                 debug!(request = id.0, reason = ?self.abandon_reason, "request given up");
--- a/crates/node/src/frontend/closing.rs
+++ b/crates/node/src/frontend/closing.rs
@@ -26,8 +26,8 @@
     /// When a connection between requests is closed while clients are sent away. Until then it is used as usual; one
     /// that is opened later gets its first answer, unless the process will have ended by then.
     pub(super) fn closes_at(&self, phase: &Phase) -> Option<Instant> {
-        let (drain_start, closes_at) = (phase.sent_away()?, phase.parts()?);
-        if phase.relieved {
+        let (drain_start, closes_at) = (phase.draining_since()?, phase.close_idle_at()?);
+        if phase.has_successor {
             // If another process accepts the client at once, a close right after an answer crosses with no request.
             return Some(self.last_answer_at.filter(|at| *at >= drain_start).unwrap_or(closes_at));
         }
@@ -40,7 +40,7 @@
     /// Whether a partial command is abandoned when the connection ends. A client without a valid request has
     /// no claim to the time, and after the process's last answer none can be given.
     pub(super) fn abandons_partial_command(&self, phase: &Phase) -> bool {
-        (self.ending && !self.is_trusted) || phase.ends.is_some_and(|at| at <= Instant::now())
+        (self.ending && !self.is_trusted) || phase.answer_deadline.is_some_and(|at| at <= Instant::now())
     }
 
     /// Answers an abandoned partial command: the client may have sent the remainder, and a request that was read in
@@ -73,7 +73,7 @@
     /// Closes the connection between requests. If descriptors are short, by the budget or because the system has no
     /// more, it does not linger.
     pub(super) async fn close_between_requests(&mut self) {
-        if self.making_room || self.frontend.open.get() > self.frontend.budget.clients_wanted() {
+        if self.making_room || self.frontend.open.get() > self.frontend.budget.idle_close_threshold() {
             self.close_now().await;
         } else {
             self.linger().await;
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -20,7 +20,7 @@
 impl Client {
     /// Whether memory is left for a command; one command per connection is always allowed.
     fn has_room(&self) -> bool {
-        self.frontend.budget.has_room() || self.pending.is_empty()
+        self.frontend.budget.has_free_memory() || self.pending.is_empty()
     }
 
     /// Whether the next command may be started. While the connection is ending, the error delay does not apply.
@@ -54,7 +54,7 @@
                 let (reply, answer) = oneshot::channel();
                 let id = RequestId(frontend.take_number());
                 let weight = command.weight() + MAX_WHOLE;
-                frontend.budget.hold(weight);
+                frontend.budget.reserve(weight);
                 let (command, gone) = (*command, self.gone.clone());
                 // The driver ends only with the process.
                 let _ = frontend.driver.send(Message::Request { id, command, at, reply, gone });
@@ -112,7 +112,7 @@
         }
         self.command_since.get_or_insert_with(Instant::now);
         self.input_reservation.set(self.input.len());
-        if !self.frontend.budget.has_room() {
+        if !self.frontend.budget.has_free_memory() {
             self.frontend.make_room();
         }
     }
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use client::Client;
-pub use output::{penance, STALL_TIMEOUT};
+pub use output::{error_delay, STALL_TIMEOUT};
 pub use shared::Frontend;
 use shared::{EvictionCandidate, Rank};
 
@@ -77,10 +77,10 @@
     fn admit(self: &Rc<Self>, stream: TcpStream) {
         // Clients that keep their connections after a request hold part of the clients' total; once that is full
         // nobody could connect, and nobody would make room.
-        let has_slot = self.open.get() < self.budget.clients_wanted() || self.make_room();
+        let has_slot = self.open.get() < self.budget.idle_close_threshold() || self.make_room();
         // With every connection in use, the remaining descriptors are for cache servers: the new connection is closed
         // at once, before anything is read from it.
-        if !has_slot && self.open.get() >= self.budget.clients() && !self.evict_stalled() {
+        if !has_slot && self.open.get() >= self.budget.max_client_connections() && !self.evict_stalled() {
             return;
         }
         // Counted here, as the task starts later.
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -10,7 +10,7 @@
 
 use super::client::{AbandonReason, Client};
 use crate::answer::Answer;
-use crate::figures::{RequestGuard, RequestOutcome};
+use crate::metrics::{RequestGuard, RequestOutcome};
 use crate::upstream::BrokenBody;
 
 /// Delay before the next command of a client whose command was rejected as faulty: it would retry at once.
@@ -18,7 +18,7 @@
 
 /// Error delay for a node whose shortest request deadline is `shortest`: a command after an error keeps most of its
 /// time.
-pub fn penance(shortest: Duration) -> Duration {
+pub fn error_delay(shortest: Duration) -> Duration {
     MAX_ERROR_DELAY.min(shortest / 10)
 }
 
@@ -51,7 +51,7 @@
             self.last_written_at = Instant::now();
             self.unsent_since = (self.last_written_at, self.bytes_written);
         }
-        self.frontend.budget.hold(bytes.len());
+        self.frontend.budget.reserve(bytes.len());
         self.output.extend_from_slice(bytes);
     }
 
--- a/crates/node/src/frontend/serve.rs
+++ b/crates/node/src/frontend/serve.rs
@@ -18,7 +18,7 @@
 use super::commands::MAX_UNSENT_BYTES;
 use super::shared::{EvictionEntry, Rank, STALL_EVICTION_DELAY};
 use crate::answer::Answer;
-use crate::figures::{RequestGuard, RequestOutcome};
+use crate::metrics::{RequestGuard, RequestOutcome};
 use crate::upstream::{BodyStream, BrokenBody};
 
 /// Bytes that the kernel may hold for a client beyond the client's receive window. By default it holds some MiB: a
@@ -91,7 +91,7 @@
             let idle_deadline =
                 (is_idle && self.command_since.is_none()).then_some(self.idle_since + IDLE_TIMEOUT);
             // The next time in a stop: to close between requests, and after that to abandon a partial command.
-            let next_stage = if closing { phase.ends.filter(|at| *at > now) } else { closes_at };
+            let next_stage = if closing { phase.answer_deadline.filter(|at| *at > now) } else { closes_at };
             let delay_ends = (queued && !closing).then_some(self.paused_until).filter(|at| *at > now);
             let stall_deadline = self.stall_deadline();
             let output_deadline = if stalled { stall_deadline } else { stall_deadline.min(evictable_at) };
@@ -186,10 +186,10 @@
 async fn next_answer(pending: &mut VecDeque<PendingAnswer>) -> Answer {
     match pending.front_mut() {
         None => std::future::pending().await,
-        Some(PendingAnswer::Ready(text)) => Answer::untaken(text.clone()),
+        Some(PendingAnswer::Ready(text)) => Answer::without_request(text.clone()),
         // The driver ends only with the process.
         Some(PendingAnswer::Waiting { answer, .. }) => {
-            answer.await.unwrap_or_else(|_| Answer::untaken(protocol::FAILED))
+            answer.await.unwrap_or_else(|_| Answer::without_request(protocol::FAILED))
         }
     }
 }
--- a/crates/node/src/frontend/shared.rs
+++ b/crates/node/src/frontend/shared.rs
@@ -111,7 +111,10 @@
             return candidates.remove(&key).inspect(|c| c.close.notify_one()).is_some();
         }
         let Some((&first, entry)) = candidates.range(..FIRST_STALLED).next() else { return false };
-        let are_few = candidates.keys().nth(self.budget.clients() / 8).is_none_or(|key| *key >= FIRST_IDLE);
+        let are_few = candidates
+            .keys()
+            .nth(self.budget.max_client_connections() / 8)
+            .is_none_or(|key| *key >= FIRST_IDLE);
         let is_spared = are_few && entry.since.elapsed() < FIRST_COMMAND_GRACE;
         let longest_idle = candidates.range(FIRST_IDLE..FIRST_STALLED).next().map(|(key, _)| *key);
         let key = longest_idle.filter(|_| is_spared).unwrap_or(first);
@@ -128,8 +131,8 @@
     }
 
     /// Closes connections in excess of the budget, which shrinks when another process comes to share it.
-    pub fn shed(&self) {
-        for _ in self.budget.clients()..self.open.get() {
+    pub fn close_excess(&self) {
+        for _ in self.budget.max_client_connections()..self.open.get() {
             if !self.make_room() {
                 return;
             }
@@ -137,7 +140,7 @@
     }
 
     /// Waits until all connections are closed, once no new ones arrive.
-    pub async fn finish(&self) {
+    pub async fn wait_until_closed(&self) {
         while self.open.get() > 0 {
             self.closed.notified().await;
         }
--- a/crates/node/src/frontend/tests/accept.rs
+++ b/crates/node/src/frontend/tests/accept.rs
@@ -88,7 +88,7 @@
             r#"{{"revision":1,"complete":false,"members":[{{"id":"s","host_port":"{address}","phase":"ready"}}]}}"#
         );
         let upstream = &self.frontend.upstream;
-        upstream.learn(&Roster::from_json(list.as_bytes(), &Clock::start()).unwrap());
+        upstream.update_endpoints(&Roster::from_json(list.as_bytes(), &Clock::start()).unwrap());
         let server = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_exact(&mut [0; protocol::PROBE.len()]).await.unwrap();
@@ -97,7 +97,7 @@
         };
         let server_id = ServerId("s".into());
         let (status, stream) =
-            with_clock_held(async { tokio::join!(upstream.probe(&server_id), server) }).await;
+            with_clock_held(async { tokio::join!(upstream.check_health(&server_id), server) }).await;
         assert_eq!(status, Status::Success);
         stream
     }
--- a/crates/node/src/frontend/tests/bounds.rs
+++ b/crates/node/src/frontend/tests/bounds.rs
@@ -34,7 +34,7 @@
         let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
             panic!("a request")
         };
-        assert!(reply.send(Answer::untaken(Bytes::from(vec![b'v'; length]))).is_ok());
+        assert!(reply.send(Answer::without_request(Bytes::from(vec![b'v'; length]))).is_ok());
         settle().await;
         sleep(pause).await;
         let mut received = Vec::new();
@@ -89,7 +89,7 @@
         }
         settle().await;
         assert!(timeout(second, inbox.recv()).await.is_err(), "more than four commands of ten in flight");
-        assert!(replies.remove(0).send(Answer::untaken(protocol::FAILED)).is_ok());
+        assert!(replies.remove(0).send(Answer::without_request(protocol::FAILED)).is_ok());
         let Some(Message::Request { .. }) = with_clock_held(inbox.recv()).await else {
             panic!("the next command once an answer made room")
         };
--- a/crates/node/src/frontend/tests/closing.rs
+++ b/crates/node/src/frontend/tests/closing.rs
@@ -24,7 +24,7 @@
     let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
         panic!("a request")
     };
-    assert!(reply.send(Answer::untaken(protocol::FAILED)).is_ok());
+    assert!(reply.send(Answer::without_request(protocol::FAILED)).is_ok());
 }
 
 async fn expect_answer(client: &mut TcpStream) {
@@ -215,7 +215,7 @@
         let times = ShutdownTimes::of(SECOND);
         frontend.lifecycle.stop(false, times);
         settle().await;
-        advance(times.part_after).await;
+        advance(times.close_idle_after).await;
         assert_eq!(client.try_write(READ).unwrap(), READ.len());
         deliver_without_running_the_node();
         answer_next_request(&mut inbox).await;
@@ -271,7 +271,7 @@
         let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
             panic!("a request")
         };
-        assert!(reply.send(Answer::untaken(vec![b'v'; LENGTH].into())).is_ok());
+        assert!(reply.send(Answer::without_request(vec![b'v'; LENGTH].into())).is_ok());
         settle().await;
         frontend.lifecycle.stop(false, ShutdownTimes::of(SECOND));
         sleep(3 * SECOND).await;
--- a/crates/node/src/frontend/tests/disconnects.rs
+++ b/crates/node/src/frontend/tests/disconnects.rs
@@ -89,7 +89,7 @@
         client.write_all(&READ.repeat(2)).await.unwrap();
         let mut replies = receive_requests(&mut inbox, 2).await;
         let long = Bytes::from(vec![b'v'; 64 << 20]);
-        assert!(replies.remove(0).send(Answer::untaken(long)).is_ok());
+        assert!(replies.remove(0).send(Answer::without_request(long)).is_ok());
         // The node fills the kernel's buffers and holds the remainder.
         settle().await;
         client.shutdown().await.unwrap();
--- a/crates/node/src/frontend/tests/eviction.rs
+++ b/crates/node/src/frontend/tests/eviction.rs
@@ -46,7 +46,7 @@
 
 async fn expect_answer(client: &mut TcpStream, inbox: &mut UnboundedReceiver<Message>) {
     let reply = send_request(client, inbox).await;
-    assert!(reply.send(Answer::untaken(protocol::FAILED)).is_ok());
+    assert!(reply.send(Answer::without_request(protocol::FAILED)).is_ok());
     let mut answer = vec![0; protocol::FAILED.len()];
     with_clock_held(client.read_exact(&mut answer)).await.unwrap();
     assert_eq!(answer, protocol::FAILED);
@@ -64,7 +64,7 @@
     with_client(&limits_for(1), |mut first, _, mut inbox| async move {
         let reply = send_request(&mut first, &mut inbox).await;
         expect_close(&mut connect_another(&first).await).await;
-        assert!(reply.send(Answer::untaken(protocol::FAILED)).is_ok());
+        assert!(reply.send(Answer::without_request(protocol::FAILED)).is_ok());
         let mut answer = vec![0; protocol::FAILED.len()];
         with_clock_held(first.read_exact(&mut answer)).await.unwrap();
         assert_eq!(answer, protocol::FAILED);
@@ -84,7 +84,7 @@
         let answer = send_request(&mut waiting, &mut inbox).await;
         for client in [&mut reading, &mut stalled] {
             let reply = send_request(client, &mut inbox).await;
-            assert!(reply.send(Answer::untaken(vec![b'v'; LONG_ANSWER_BYTES].into())).is_ok());
+            assert!(reply.send(Answer::without_request(vec![b'v'; LONG_ANSWER_BYTES].into())).is_ok());
             settle().await;
         }
         // The idle client makes room for the first new one, which then has a request in flight.
@@ -106,7 +106,7 @@
         for _ in 0..2 {
             with_clock_held(reading.read_exact(&mut piece)).await.unwrap();
         }
-        assert!(answer.send(Answer::untaken(protocol::FAILED)).is_ok());
+        assert!(answer.send(Answer::without_request(protocol::FAILED)).is_ok());
         let mut answer_text = vec![0; protocol::FAILED.len()];
         with_clock_held(waiting.read_exact(&mut answer_text)).await.unwrap();
         assert_eq!(answer_text, protocol::FAILED);
--- a/crates/node/src/frontend/tests/mod.rs
+++ b/crates/node/src/frontend/tests/mod.rs
@@ -21,12 +21,12 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::LocalSet;
 
-use super::{penance, Frontend};
+use super::{error_delay, Frontend};
 use crate::budget::Budget;
 use crate::config::Limits;
-use crate::figures::Metrics;
 use crate::lifecycle::Lifecycle;
 use crate::message::Message;
+use crate::metrics::Metrics;
 use crate::upstream::{Bounds, Upstream};
 
 /// A frontend within these limits that sends its requests to `messages`, with one second for every configurable time,
@@ -38,10 +38,10 @@
 /// The same with this shortest deadline.
 fn frontend_for(limits: &Limits, messages: UnboundedSender<Message>, shortest: Duration) -> Rc<Frontend> {
     let second = Duration::from_secs(1);
-    let bounds = Bounds { dial: second, idle: second, grace: second };
+    let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
     let budget = Budget::new(limits);
     let upstream = Rc::new(Upstream::new(bounds, budget.clone(), Metrics::new([])));
-    Frontend::new(messages, upstream, Lifecycle::new(), budget, penance(shortest))
+    Frontend::new(messages, upstream, Lifecycle::new(), budget, error_delay(shortest))
 }
 
 /// Longer than anything takes on a busy machine; only a failing test waits this long.
--- a/crates/node/src/frontend/tests/node.rs
+++ b/crates/node/src/frontend/tests/node.rs
@@ -14,14 +14,14 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-use super::{penance, with_clock_held};
+use super::{error_delay, with_clock_held};
 use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::config::Limits;
 use crate::driver::{Driver, DriverContext};
-use crate::figures::Metrics;
 use crate::frontend::Frontend;
 use crate::lifecycle::Lifecycle;
+use crate::metrics::Metrics;
 use crate::roster::Roster;
 use crate::upstream::{Bounds, Upstream};
 
@@ -56,19 +56,19 @@
 fn settings() -> Settings {
     let read = Class {
         name: "read".into(),
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        group: DeduplicationScope::All,
-        window: 0.0,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        effect: Effect::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
         streamed: false,
     };
     Settings {
         balancers: 1,
         classes: vec![read],
-        guarantees: Guarantees { cold_from: 0.3, ..Guarantees::default() },
+        guarantees: Guarantees { initial_capacity_share: 0.3, ..Guarantees::default() },
         limits: hallpin_balancer::Limits { cancel: true, max_attempts: 2, ..Default::default() },
         ..Settings::default()
     }
@@ -82,7 +82,7 @@
 
     pub(super) async fn start_with(behaviour: ServerBehaviour, limits: &Limits) -> Self {
         let second = Duration::from_secs(1);
-        let bounds = Bounds { dial: second, idle: second, grace: second };
+        let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
         let budget = Budget::new(limits);
         let (figures, lifecycle) = (Metrics::new(["read"]), Lifecycle::new());
         let upstream = Rc::new(Upstream::new(bounds, budget.clone(), figures.clone()));
@@ -92,9 +92,9 @@
             clock,
             upstream: upstream.clone(),
             messages: messages.clone(),
-            calls: channel(1).0,
+            poll_requests: channel(1).0,
             lifecycle: lifecycle.clone(),
-            figures,
+            metrics: figures,
             fleet: None,
         };
         let mut driver = Driver::new(&settings(), 1, context).unwrap();
@@ -102,8 +102,8 @@
         let address = cache_server(&local, behaviour, received.clone()).await;
         let member = format!(r#"{{"id":"s","host_port":"{address}","phase":"ready"}}"#);
         let list = format!(r#"{{"revision":1,"complete":true,"members":[{member}]}}"#);
-        driver.known(Roster::from_json(list.as_bytes(), &clock).unwrap());
-        let frontend = Frontend::new(messages, upstream, lifecycle, budget, penance(2 * second));
+        driver.load_cached_roster(Roster::from_json(list.as_bytes(), &clock).unwrap());
+        let frontend = Frontend::new(messages, upstream, lifecycle, budget, error_delay(2 * second));
         local.spawn_local(async move {
             // No endpoint list arrives, but the driver keeps polling for one.
             let (_sender, lists) = unbounded_channel();
--- a/crates/node/src/frontend/tests/slow_readers.rs
+++ b/crates/node/src/frontend/tests/slow_readers.rs
@@ -35,7 +35,7 @@
         let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
             panic!("a request")
         };
-        assert!(reply.send(Answer::untaken(Bytes::from(vec![b'v'; length]))).is_ok());
+        assert!(reply.send(Answer::without_request(Bytes::from(vec![b'v'; length]))).is_ok());
         let owed_since = Instant::now();
         let reading = tokio::task::spawn_local(async move {
             let mut piece = vec![0; piece_length];
@@ -88,7 +88,7 @@
         let Some(Message::Request { reply, .. }) = with_clock_held(inbox.recv()).await else {
             panic!("a request")
         };
-        assert!(reply.send(Answer::untaken(Bytes::from(vec![b'v'; 16 * KIB * KIB]))).is_ok());
+        assert!(reply.send(Answer::without_request(Bytes::from(vec![b'v'; 16 * KIB * KIB]))).is_ok());
         settle().await;
         let mut piece = vec![0; 64 * KIB];
         for _ in 0..40 {
--- a/crates/node/src/frontend/tests/slow_writers.rs
+++ b/crates/node/src/frontend/tests/slow_writers.rs
@@ -32,7 +32,7 @@
     let Some(Message::Request { at, reply, .. }) = with_clock_held(inbox.recv()).await else {
         panic!("a request")
     };
-    assert!(reply.send(Answer::untaken(protocol::FAILED)).is_ok());
+    assert!(reply.send(Answer::without_request(protocol::FAILED)).is_ok());
     at
 }
 
--- a/crates/node/src/frontend/tests/stop.rs
+++ b/crates/node/src/frontend/tests/stop.rs
@@ -39,7 +39,7 @@
         while let Some(Message::Request { reply, .. }) = inbox.recv().await {
             accepted.set(Instant::now());
             sleep(answer_time).await;
-            let _ = reply.send(Answer::untaken(protocol::FAILED));
+            let _ = reply.send(Answer::without_request(protocol::FAILED));
         }
     };
     let run = async {
@@ -65,7 +65,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_a_stop_no_request_is_accepted_that_the_kill_would_cut_off() {
     let ms = Duration::from_millis;
-    let close_time = ShutdownTimes::of(ms(2000)).part_after;
+    let close_time = ShutdownTimes::of(ms(2000)).close_idle_after;
     for (pause, answer_time) in [(ms(0), ms(70)), (ms(50), ms(1)), (ms(250), ms(40)), (ms(5), ms(900))] {
         let last = last_accepted_after_a_stop(pause, answer_time).await;
         assert!(
@@ -95,7 +95,7 @@
                 take.set((take.get().0 + 1, Instant::now()));
                 tokio::task::spawn_local(async move {
                     sleep(ms(70)).await;
-                    let _ = reply.send(Answer::untaken(protocol::FAILED));
+                    let _ = reply.send(Answer::without_request(protocol::FAILED));
                 });
             }
         });
@@ -103,10 +103,10 @@
         let (stopped, times) = (Instant::now(), ShutdownTimes::of(ms(2000)));
         frontend.lifecycle.stop(false, times);
         let mut answers = Vec::new();
-        let ended = timeout(times.end_after, reader.read_to_end(&mut answers)).await;
+        let ended = timeout(times.finish_after, reader.read_to_end(&mut answers)).await;
         let (count, last) = accepted.get();
         assert!(matches!(ended, Ok(Ok(_))), "{ended:?}, the last accepted at {:?}", last - stopped);
-        assert!(last - stopped <= times.part_after, "accepted at {:?}", last - stopped);
+        assert!(last - stopped <= times.close_idle_after, "accepted at {:?}", last - stopped);
         assert_eq!(answers, protocol::FAILED.repeat(count), "{count} accepted");
     })
     .await;
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -49,22 +49,22 @@
     /// Whether a cache server was ever known. It decides which state a resumed node returns to.
     servers_known: bool,
     /// Whether another process accepts at this address, so that clients that leave reach it when they reconnect.
-    pub relieved: bool,
+    pub has_successor: bool,
     /// Time from the start of draining or stopping until idle connections are closed.
     close_idle_after: Duration,
     /// Time by which the last answer must be given, if the process ends.
-    pub ends: Option<Instant>,
+    pub answer_deadline: Option<Instant>,
 }
 
 impl Phase {
     /// Time since which clients have been asked to leave, if they are.
-    pub fn sent_away(&self) -> Option<Instant> {
+    pub fn draining_since(&self) -> Option<Instant> {
         matches!(self.state, LifecycleState::Draining | LifecycleState::Stopping).then_some(self.since)
     }
 
     /// Time from which idle connections are closed, if clients are asked to leave.
-    pub fn parts(&self) -> Option<Instant> {
-        self.sent_away().map(|since| since + self.close_idle_after)
+    pub fn close_idle_at(&self) -> Option<Instant> {
+        self.draining_since().map(|since| since + self.close_idle_after)
     }
 }
 
@@ -83,9 +83,9 @@
             state: LifecycleState::Starting,
             since: Instant::now(),
             servers_known: false,
-            relieved: false,
+            has_successor: false,
             close_idle_after: DRAIN_CLOSE_AFTER,
-            ends: None,
+            answer_deadline: None,
         };
         Rc::new(Lifecycle { phase: watch::Sender::new(phase) })
     }
@@ -99,7 +99,7 @@
     }
 
     /// Subscribes to changes of the phase from now on.
-    pub fn follow(&self) -> watch::Receiver<Phase> {
+    pub fn subscribe(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
@@ -135,10 +135,10 @@
                 let close_idle_after = if relieved {
                     DRAIN_CLOSE_AFTER.min(times.close_after_with_successor())
                 } else {
-                    times.part_after
+                    times.close_idle_after
                 };
-                let ends = Some(phase.since + times.end_after);
-                *phase = Phase { relieved, close_idle_after, ends, ..*phase };
+                let ends = Some(phase.since + times.finish_after);
+                *phase = Phase { has_successor: relieved, close_idle_after, answer_deadline: ends, ..*phase };
             });
         }
     }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::answer::Answer;
-use crate::figures::MemberCounts;
+use crate::metrics::MemberCounts;
 use crate::roster::Roster;
 use crate::upstream::AttemptResult;
 
@@ -20,12 +20,12 @@
 
 impl DisconnectFlag {
     /// Marks the client as disconnected.
-    pub fn tell(&self) {
+    pub fn set(&self) {
         self.0.set(true);
     }
 
     /// Whether the client has disconnected.
-    pub fn is_told(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.0.get()
     }
 }
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/metrics.rs
@@ -64,7 +64,7 @@
     }
 
     /// Sets the function that appends further lines at the end. It can be set once.
-    pub fn also(&self, lines: impl Fn(&mut String) + 'static) {
+    pub fn set_extra(&self, lines: impl Fn(&mut String) + 'static) {
         let first = self.extra.set(Box::new(lines)).is_ok();
         debug_assert!(first, "the extra metrics are set once");
     }
@@ -90,14 +90,17 @@
         let mut output = String::new();
         for (end, name) in ENDS {
             for class in &self.classes {
-                let (label, count) = (escape(&class.name), class.ended[end as usize].get());
-                line(&mut output, format_args!("app_{name}_total{{lane=\"{label}\"}} {count}"));
+                let (label, count) = (escape_label(&class.name), class.ended[end as usize].get());
+                append_line(&mut output, format_args!("app_{name}_total{{lane=\"{label}\"}} {count}"));
             }
         }
-        line(&mut output, format_args!("app_upstream_requests_total {}", self.upstream_requests.get()));
-        line(&mut output, format_args!("app_pending {}", self.pending()));
-        line(&mut output, format_args!("app_members {}", members.listed));
-        line(&mut output, format_args!("app_members_unavailable {}", members.unavailable));
+        append_line(
+            &mut output,
+            format_args!("app_upstream_requests_total {}", self.upstream_requests.get()),
+        );
+        append_line(&mut output, format_args!("app_pending {}", self.pending()));
+        append_line(&mut output, format_args!("app_members {}", members.listed));
+        append_line(&mut output, format_args!("app_members_unavailable {}", members.unavailable));
         self.failed_calls.render(&mut output);
         if let Some(extra) = self.extra.get() {
             extra(&mut output);
@@ -107,13 +110,13 @@
 }
 
 /// Appends one line.
-pub fn line(output: &mut String, text: std::fmt::Arguments) {
+pub fn append_line(output: &mut String, text: std::fmt::Arguments) {
     // Writing to a string cannot fail.
     let _ = writeln!(output, "{text}");
 }
 
 /// Escapes a label value. Class names come from the settings and may contain any character.
-pub fn escape(text: &str) -> String {
+pub fn escape_label(text: &str) -> String {
     text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -20,9 +20,9 @@
 use tracing::{info, warn};
 
 use crate::config::{config_error, NodeConfigError};
-use crate::figures::{MemberCounts, Metrics};
 use crate::lifecycle::{AlreadyStopping, Lifecycle, LifecycleState};
 use crate::message::Message;
+use crate::metrics::{MemberCounts, Metrics};
 use crate::port::{self, Accept};
 use crate::system_error::{AcceptRetry, NextAccept, Operation, ACCEPT_PAUSE};
 
--- a/crates/node/src/plane/fleet.rs
+++ b/crates/node/src/plane/fleet.rs
@@ -161,7 +161,7 @@
                     let sent = self.socket.get().is_some_and(|socket| socket.send(to, &bytes));
                     self.lost_datagrams.set(self.lost_datagrams.get() + u64::from(!sent));
                 }
-                PlaneOutput::News(event) => self.handle_event(event),
+                PlaneOutput::Event(event) => self.handle_event(event),
             }
         }
     }
@@ -187,6 +187,6 @@
 
 /// The plane's state that is stored across restarts.
 fn snapshot(plane: &mut NodePlane) -> CachedState {
-    let view = StoredView(plane.view().members.values().map(|member| member.life).collect());
+    let view = StoredView(plane.view().members.values().map(|member| member.node_incarnation).collect());
     CachedState { table: plane.accord().map(|accord| StoredTable(accord.stored())), view }
 }
--- a/crates/node/src/plane/metrics.rs
+++ b/crates/node/src/plane/metrics.rs
@@ -4,11 +4,11 @@
 use hallpin_membership::envelope::Rejection;
 use hallpin_membership::names::Moment;
 use hallpin_membership::view::View;
-use hallpin_placement::{Accord, PlacementState};
+use hallpin_placement::{Placement, PlacementState};
 use hallpin_quota::{Budgets, Resource, TenantIndex};
 
 use super::usage::Usage;
-use crate::figures::{escape, line};
+use crate::metrics::{append_line, escape_label};
 
 /// All causes of refusals, in the order of their metrics.
 const REFUSAL_CAUSES: [Rejection; 9] = [
@@ -27,24 +27,27 @@
 const ACCORD_STATES: [(PlacementState, &str); 4] = [
     (PlacementState::InForce, "in_force"),
     (PlacementState::Preparing, "preparing"),
-    (PlacementState::Out, "out"),
+    (PlacementState::LeaseExpired, "out"),
     (PlacementState::CatchingUp, "catching_up"),
 ];
 
 /// Writes the metrics of the placement table in force and of this node's state towards it.
-pub fn write_accord(out: &mut String, accord: &Accord, now: Moment) {
+pub fn write_accord(out: &mut String, accord: &Placement, now: Moment) {
     let id = accord.in_force().map(|table| table.id()).unwrap_or_default();
-    line(out, format_args!("app_table_epoch {}", id.epoch));
-    line(out, format_args!("app_table_version {}", id.version));
+    append_line(out, format_args!("app_table_epoch {}", id.epoch));
+    append_line(out, format_args!("app_table_version {}", id.version));
     let state = accord.state(now);
     for (listed_state, name) in ACCORD_STATES {
-        line(out, format_args!("app_table_state{{state=\"{name}\"}} {}", u8::from(listed_state == state)));
+        append_line(
+            out,
+            format_args!("app_table_state{{state=\"{name}\"}} {}", u8::from(listed_state == state)),
+        );
     }
-    line(out, format_args!("app_table_coordinator {}", u8::from(accord.is_coordinator(now))));
-    let totals = accord.figures();
-    line(out, format_args!("app_table_switches_total {}", totals.switches));
-    line(out, format_args!("app_table_outs_total {}", totals.outs));
-    line(out, format_args!("app_table_lists_refused_total {}", totals.lists_refused));
+    append_line(out, format_args!("app_table_coordinator {}", u8::from(accord.is_coordinator(now))));
+    let totals = accord.metrics();
+    append_line(out, format_args!("app_table_switches_total {}", totals.switches));
+    append_line(out, format_args!("app_table_outs_total {}", totals.lease_expirations));
+    append_line(out, format_args!("app_table_lists_refused_total {}", totals.lists_rejected));
 }
 
 /// Writes the connection quota of all boxes together by tenant, and its use.
@@ -56,27 +59,27 @@
     now: Moment,
 ) {
     for (index, tenant) in (0..).zip(budgets.in_force().tenants()) {
-        let (index, name) = (TenantIndex(index), escape(&tenant.name));
+        let (index, name) = (TenantIndex(index), escape_label(&tenant.name));
         let allotted: u64 = resources
             .iter()
             .map(|resource| u64::from(budgets.allotment(now, *resource, index).max_uses))
             .sum();
-        line(out, format_args!("app_budget_part{{tenant=\"{name}\"}} {allotted}"));
+        append_line(out, format_args!("app_budget_part{{tenant=\"{name}\"}} {allotted}"));
         let rejected = usage.rejected_total.get(&index).unwrap_or(&0);
-        line(out, format_args!("app_budget_refused_total{{tenant=\"{name}\"}} {rejected}"));
+        append_line(out, format_args!("app_budget_refused_total{{tenant=\"{name}\"}} {rejected}"));
     }
     let (open, used) = usage.counts(now);
-    line(out, format_args!("app_budget_open {open}"));
-    line(out, format_args!("app_budget_in_use {used}"));
-    line(out, format_args!("app_budget_cut_total {}", usage.cut_total));
-    line(out, format_args!("app_budget_contracts {}", budgets.in_force().revision));
+    append_line(out, format_args!("app_budget_open {open}"));
+    append_line(out, format_args!("app_budget_in_use {used}"));
+    append_line(out, format_args!("app_budget_cut_total {}", usage.cut_total));
+    append_line(out, format_args!("app_budget_contracts {}", budgets.in_force().revision));
 }
 
 /// Writes the metrics of membership and datagrams; `lost` counts datagrams that the socket did not accept.
 pub fn write_plane(out: &mut String, view: &View, counters: &Counters, lost: u64) {
-    line(out, format_args!("app_peers_alive {}", view.alive().count()));
-    line(out, format_args!("app_peers_configured {}", view.configured));
-    line(out, format_args!("app_peers_cut_off {}", u8::from(view.cut_off)));
+    append_line(out, format_args!("app_peers_alive {}", view.alive().count()));
+    append_line(out, format_args!("app_peers_configured {}", view.configured));
+    append_line(out, format_args!("app_peers_cut_off {}", u8::from(view.cut_off)));
     let directions = [
         ("in", counters.received),
         ("out", counters.sent.saturating_sub(lost)),
@@ -84,10 +87,10 @@
         ("lost", lost),
     ];
     for (direction, count) in directions {
-        line(out, format_args!("app_plane_datagrams_total{{way=\"{direction}\"}} {count}"));
+        append_line(out, format_args!("app_plane_datagrams_total{{way=\"{direction}\"}} {count}"));
     }
     for cause in REFUSAL_CAUSES {
         let (name, count) = (cause_name(cause), counters.refused_for(cause));
-        line(out, format_args!("app_plane_refused_total{{why=\"{name}\"}} {count}"));
+        append_line(out, format_args!("app_plane_refused_total{{why=\"{name}\"}} {count}"));
     }
 }
--- a/crates/node/src/plane/news.rs
+++ b/crates/node/src/plane/news.rs
@@ -26,10 +26,10 @@
             // Sent with the next gathering, as evidence may change with every datagram.
             PlaneEvent::Peers(PeersEvent::Evidence) => self.evidence_timer.trigger(),
             PlaneEvent::Accord(PlacementEvent::Switch(table)) => self.switch(&table),
-            PlaneEvent::Accord(PlacementEvent::Out) => {
+            PlaneEvent::Accord(PlacementEvent::LeaseExpired) => {
                 warn!("out: the lease on the placement table is over; other nodes may switch tables without this one");
             }
-            PlaneEvent::Accord(PlacementEvent::Back) => {
+            PlaneEvent::Accord(PlacementEvent::LeaseRegained) => {
                 info!("back: the lease on the placement table was regained")
             }
             PlaneEvent::Accord(PlacementEvent::Prepared { version }) => {
--- a/crates/node/src/plane/permits.rs
+++ b/crates/node/src/plane/permits.rs
@@ -22,15 +22,15 @@
     fleet: Rc<PlaneRuntime>,
     resource: Resource,
     /// The state of the connection, shared with its user.
-    pub mark: Rc<ConnectionPermit>,
+    pub permit: Rc<ConnectionPermit>,
 }
 
 impl CountedConnection {
     /// Whether the connection is still within the node's allotment at this moment. This detects, before a write, that
     /// the node was paused past the end of its lease.
-    pub fn holds(&self) -> bool {
+    pub fn is_within_quota(&self) -> bool {
         self.fleet.close_excess(self.resource);
-        !self.mark.is_cut()
+        !self.permit.is_cut()
     }
 }
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// Returns [`UsedUp`] where the tenant's allotment at the box is used up.
-    pub fn begin(&self, server: &ServerId, tenant: Option<&str>) -> Result<Option<QuotaUse>, UsedUp> {
+    pub fn begin_use(&self, server: &ServerId, tenant: Option<&str>) -> Result<Option<QuotaUse>, UsedUp> {
         let (now, resource, mut plane) = (self.now(), resource(server), self.plane.borrow_mut());
         let Some(budgets) = plane.budgets() else { return Ok(None) };
         let tenant = budgets.in_force().tenant(tenant.unwrap_or_default());
@@ -79,14 +79,14 @@
     }
 
     /// Counts a connection to a box; `None` where the node's allotment is used up.
-    pub fn open(self: &Rc<Self>, server: &ServerId) -> Option<CountedConnection> {
+    pub fn open_connection(self: &Rc<Self>, server: &ServerId) -> Option<CountedConnection> {
         let (now, resource, mut plane) = (self.now(), resource(server), self.plane.borrow_mut());
         let allotment = Self::allotment(plane.budgets()?, now, resource, TenantIndex(0));
         let mark = self.usage.borrow_mut().open(now, resource, allotment)?;
         if let Some(expires_at) = allotment.expires_at {
             self.schedule_check(expires_at);
         }
-        Some(CountedConnection { fleet: self.clone(), resource, mark })
+        Some(CountedConnection { fleet: self.clone(), resource, permit: mark })
     }
 
     /// Closes the connections beyond the node's allotment of one box.
@@ -130,7 +130,7 @@
     }
 
     /// Sets the callback by which the connection pool closes idle connections that were cut.
-    pub fn keeper(&self, close_idle_cut: impl Fn() + 'static) {
+    pub fn set_idle_closer(&self, close_idle_cut: impl Fn() + 'static) {
         let first = self.close_idle_cut.set(Box::new(close_idle_cut)).is_ok();
         debug_assert!(first, "the callback is set once");
     }
--- a/crates/node/src/plane/start.rs
+++ b/crates/node/src/plane/start.rs
@@ -7,7 +7,7 @@
 use hallpin_control_plane::{DatagramFilter, Rate};
 use hallpin_membership::names::{Moment, NodeIncarnation};
 use hallpin_membership::Peers;
-use hallpin_placement::{Accord, ConfigError, PlacementConfig};
+use hallpin_placement::{ConfigError, Placement, PlacementConfig};
 use hallpin_quota::Budgets;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::Notify;
@@ -23,13 +23,13 @@
 use super::state::{CachedState, RestoredState, StoredTable};
 use super::weights::TableWeights;
 use crate::config::{config_error, NodeConfigError};
-use crate::figures::Metrics;
 use crate::log::LogThrottle;
 use crate::message::Message;
+use crate::metrics::Metrics;
 
 /// Builds placement agreement. A stored table saves fetching it page by page; one that is not valid is ignored.
-fn accord(config: PlacementConfig, cached: &CachedState, seed: u64) -> Result<Accord, NodeConfigError> {
-    let new = |stored| Accord::new(config.clone(), stored, Moment::ZERO, seed);
+fn accord(config: PlacementConfig, cached: &CachedState, seed: u64) -> Result<Placement, NodeConfigError> {
+    let new = |stored| Placement::new(config.clone(), stored, Moment::ZERO, seed);
     let begun = match new(cached.table.as_ref().map(|StoredTable(stored)| stored.clone())) {
         Err(ConfigError::Restored) => {
             warn!("set aside of what was stored: the table is invalid or belongs to another node");
@@ -57,7 +57,7 @@
     let budgets = budgets.transpose().map_err(config_error("fleet: budgets"))?;
     let filter = DatagramFilter { realm: setup.file.realm_number(), this, configured: setup.configured() };
     let membership = &setup.file.membership;
-    let rate = Rate { a_second: membership.datagrams_a_second, burst: membership.burst };
+    let rate = Rate { per_second: membership.datagrams_a_second, burst: membership.burst };
     Ok(NodePlane::new(filter, rate, now, peers, accord, budgets))
 }
 
@@ -99,7 +99,7 @@
             lost_datagrams: Cell::new(0),
         });
         let shown = Rc::downgrade(&fleet);
-        figures.also(move |out| {
+        figures.set_extra(move |out| {
             if let Some(fleet) = shown.upgrade() {
                 fleet.write_metrics(out);
                 if let Some(state) = &*fleet.state.borrow() {
--- a/crates/node/src/plane/state/writer.rs
+++ b/crates/node/src/plane/state/writer.rs
@@ -13,7 +13,7 @@
 use super::retry::Retry;
 use super::{CachedState, StoredTable};
 use crate::clock::source::TimeSource;
-use crate::figures::line;
+use crate::metrics::append_line;
 
 /// Why a write of the state failed.
 #[derive(Debug, thiserror::Error)]
@@ -102,9 +102,9 @@
 
     /// Writes the metrics of state writes.
     pub fn write_metrics(&self, out: &mut String) {
-        line(out, format_args!("app_state_writes_total{{result=\"done\"}} {}", self.writes_done));
-        line(out, format_args!("app_state_writes_total{{result=\"failed\"}} {}", self.writes_failed));
-        line(out, format_args!("app_state_failing {}", u8::from(self.retry.is_failing())));
+        append_line(out, format_args!("app_state_writes_total{{result=\"done\"}} {}", self.writes_done));
+        append_line(out, format_args!("app_state_writes_total{{result=\"failed\"}} {}", self.writes_failed));
+        append_line(out, format_args!("app_state_failing {}", u8::from(self.retry.is_failing())));
     }
 
     fn snapshot(&self, contents: &CachedState) -> Option<Snapshot> {
--- a/crates/node/src/plane/tests.rs
+++ b/crates/node/src/plane/tests.rs
@@ -21,8 +21,8 @@
 
 use super::{PlaneRuntime, Setup};
 use crate::clock::Clock;
-use crate::figures::{MemberCounts, Metrics};
 use crate::message::Message;
+use crate::metrics::{MemberCounts, Metrics};
 use crate::roster::Roster;
 
 /// Only a failing test waits this long.
--- a/crates/node/src/plane/tests/budgets.rs
+++ b/crates/node/src/plane/tests/budgets.rs
@@ -14,7 +14,7 @@
 use super::{addresses, Node, TEST_TIMEOUT};
 use crate::budget::Budget;
 use crate::plane::{CountedConnection, QuotaUse};
-use crate::upstream::tests::{errand, READ};
+use crate::upstream::tests::{test_call, READ};
 use crate::upstream::{Bounds, Upstream};
 
 /// Connections that the box accepts.
@@ -48,12 +48,12 @@
             let spend = async {
                 loop {
                     for (node, connections) in nodes.iter().zip(&mut connections) {
-                        connections.retain(CountedConnection::holds);
+                        connections.retain(CountedConnection::is_within_quota);
                         // Requests make up the demand. Connections are opened beyond the uses, as with values that are
                         // still being forwarded.
-                        let begin = |_| node.fleet.begin(&server, Some("a")).ok().flatten();
+                        let begin = |_| node.fleet.begin_use(&server, Some("a")).ok().flatten();
                         let used: Vec<QuotaUse> = (0..CAPACITY).filter_map(begin).collect();
-                        connections.extend(std::iter::from_fn(|| node.fleet.open(&server)));
+                        connections.extend(std::iter::from_fn(|| node.fleet.open_connection(&server)));
                         used.into_iter().for_each(|used| node.fleet.finish(used));
                     }
                     let open = connections.iter().map(|connections| connections.len() as u32).sum::<u32>();
@@ -85,10 +85,11 @@
         let node = start(&addresses(1), 0);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         node.list_at(1, 1, listener.local_addr().unwrap());
-        let bounds = Bounds { dial: TEST_TIMEOUT, idle: TEST_TIMEOUT * 100, grace: TEST_TIMEOUT };
+        let bounds =
+            Bounds { dial_timeout: TEST_TIMEOUT, idle_timeout: TEST_TIMEOUT * 100, grace: TEST_TIMEOUT };
         let upstream = Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), node.figures.clone()));
-        upstream.budgeted(node.fleet.clone());
-        upstream.learn(&node.roster(1, 1, listener.local_addr().unwrap()));
+        upstream.apply_quotas(node.fleet.clone());
+        upstream.update_endpoints(&node.roster(1, 1, listener.local_addr().unwrap()));
         tokio::task::spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 tokio::task::spawn_local(async move {
@@ -102,8 +103,8 @@
         });
         let server = ServerId("s-0".into());
         let attempt = || async {
-            let Ok(used) = node.fleet.begin(&server, Some("a")) else { return None };
-            let ended = upstream.attempt(&server, &errand(READ)).await;
+            let Ok(used) = node.fleet.begin_use(&server, Some("a")) else { return None };
+            let ended = upstream.attempt(&server, &test_call(READ)).await;
             used.into_iter().for_each(|used| node.fleet.finish(used));
             Some(ended.status)
         };
--- a/crates/node/src/plane/tests/utilization.rs
+++ b/crates/node/src/plane/tests/utilization.rs
@@ -37,7 +37,7 @@
     let mut view = View::alone(life(number), ZoneId(0), NODES, Moment::ZERO);
     for other in 0..NODES {
         let (life, zone) = (life(other), ZoneId(0));
-        let member = Member { life, zone, state: MemberState::Alive, since: Moment::ZERO };
+        let member = Member { node_incarnation: life, zone, state: MemberState::Alive, since: Moment::ZERO };
         view.members.insert(life.node, member);
     }
     Node { budgets, usage: Usage::default(), view, ends: BTreeMap::new() }
@@ -64,9 +64,9 @@
             rejected += 1;
         }
     }
-    let sends = node.budgets.take().into_iter().filter_map(|output| match output {
+    let sends = node.budgets.take_outputs().into_iter().filter_map(|output| match output {
         Output::Send { to, payload } => Some((to, payload)),
-        Output::News(_) => None,
+        Output::Event(_) => None,
     });
     (rejected, sends.collect())
 }
--- a/crates/node/src/plane/told.rs
+++ b/crates/node/src/plane/told.rs
@@ -16,7 +16,7 @@
         boxes.apply_roster(roster);
         let (now, mut plane) = (self.now(), self.plane.borrow_mut());
         if let Some(accord) = plane.accord() {
-            accord.list(now, roster.revision, boxes.table());
+            accord.set_endpoint_list(now, roster.revision, boxes.table());
         }
         if let Some((budgets, connections)) = plane.budgets().zip(self.connections_per_box) {
             let capacities = boxes.capacities(connections);
@@ -27,12 +27,12 @@
     }
 
     /// Records that an attempt begins. `None` for a box that is not listed.
-    pub fn sent(&self, server: &ServerId) -> Option<SentAttempt> {
+    pub fn record_attempt(&self, server: &ServerId) -> Option<SentAttempt> {
         self.boxes.borrow_mut().record_attempt(server)
     }
 
     /// Records an attempt's outcome.
-    pub fn ended(&self, sent: &SentAttempt, status: Status) {
+    pub fn record_outcome(&self, sent: &SentAttempt, status: Status) {
         self.boxes.borrow_mut().record_outcome(sent, status);
     }
 
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -20,10 +20,10 @@
 use crate::config::{config_error, Config};
 use crate::discovery::Discovery;
 use crate::driver::{Driver, DriverContext};
-use crate::figures::Metrics;
 use crate::frontend::{self, Frontend};
 use crate::lifecycle::Lifecycle;
 use crate::message::Message;
+use crate::metrics::Metrics;
 use crate::operator::Operator;
 use crate::plane::{PlaneRuntime, Setup};
 use crate::reload::reload;
@@ -93,7 +93,7 @@
         let longest = deadlines.clone().fold(0.0, f64::max);
         let shortest = deadlines.fold(longest, f64::min);
         let shutdown_times = ShutdownTimes::of(config.seconds("hard-limit-s", longest)?);
-        let error_delay = frontend::penance(config.seconds("hard-limit-s", shortest)?);
+        let error_delay = frontend::error_delay(config.seconds("hard-limit-s", shortest)?);
         Ok(Configuration {
             path,
             config,
@@ -110,8 +110,8 @@
     fn upstream_bounds(&self) -> Result<Bounds, Failure> {
         let (limits, guarantees) = (&self.settings.limits, &self.settings.guarantees);
         Ok(Bounds {
-            dial: self.config.seconds("limits.dial-timeout-s", limits.connect_timeout)?,
-            idle: self.config.idle_close()?,
+            dial_timeout: self.config.seconds("limits.dial-timeout-s", limits.connect_timeout)?,
+            idle_timeout: self.config.idle_close()?,
             grace: self.config.seconds("guarantees.drain-grace-s", guarantees.drain_grace)?,
         })
     }
@@ -199,22 +199,22 @@
         let fleet = fleet.map(|setup| PlaneRuntime::new(setup, settings, *seed, &figures, messages.clone()));
         let fleet = fleet.transpose()?;
         if let Some(fleet) = &fleet {
-            upstream.budgeted(fleet.clone());
+            upstream.apply_quotas(fleet.clone());
         }
         let around = DriverContext {
             clock: *clock,
             upstream: upstream.clone(),
             messages: messages.clone(),
-            calls: call,
+            poll_requests: call,
             lifecycle: lifecycle.clone(),
-            figures: figures.clone(),
+            metrics: figures.clone(),
             fleet: fleet.clone(),
         };
         let mut driver = Driver::new(settings, *seed, around).map_err(config.config_error("settings"))?;
         if let Some(known) = &config.known {
             let known =
                 Roster::from_json(known.get().as_bytes(), clock).map_err(config.config_error("known"))?;
-            driver.known(known);
+            driver.load_cached_roster(known);
         }
         let frontend = Frontend::new(
             messages.clone(),
@@ -279,12 +279,12 @@
             }
             drop(client_listener.listener);
             client_listener.closed.notify_one();
-            self.frontend.finish().await;
+            self.frontend.wait_until_closed().await;
         };
         tokio::select! {
             () = finish => {}
             // Slow clients may take longer than the platform waits, but answers cut off here would be lost.
-            () = sleep(times.end_after + frontend::STALL_TIMEOUT) => warn!(target: LOG_TARGET, "exiting with clients still connected"),
+            () = sleep(times.finish_after + frontend::STALL_TIMEOUT) => warn!(target: LOG_TARGET, "exiting with clients still connected"),
             _ = driver => return Err(Failure::DriverEnded),
         }
         // Left only after the last answer: until then the node uses the leases that it holds.
@@ -300,6 +300,6 @@
     loop {
         sleep(upstream.sweep_after()).await;
         upstream.sweep();
-        frontend.shed();
+        frontend.close_excess();
     }
 }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimes {
     /// Time until idle client connections are closed.
-    pub part_after: Duration,
+    pub close_idle_after: Duration,
     /// Time until the last answer must be given.
-    pub end_after: Duration,
+    pub finish_after: Duration,
 }
 
 impl ShutdownTimes {
@@ -30,13 +30,16 @@
         let counted = longest.min(MAX_COUNTED_DEADLINE);
         // Clients go on using an open connection. It is closed while a request that arrives last still has its full
         // deadline, limited to what the platform counts.
-        ShutdownTimes { part_after: KILL_GRACE - KILL_MARGIN, end_after: counted + KILL_GRACE - KILL_MARGIN }
+        ShutdownTimes {
+            close_idle_after: KILL_GRACE - KILL_MARGIN,
+            finish_after: counted + KILL_GRACE - KILL_MARGIN,
+        }
     }
 
     /// Time until idle connections are closed if another process accepts at this address. A connection closed right
     /// after an answer cannot cross with a request, so the node waits for idle clients to send once more, until half
     /// of the remaining time is left for that request.
     pub fn close_after_with_successor(&self) -> Duration {
-        (self.part_after + self.end_after) / 2
+        (self.close_idle_after + self.finish_after) / 2
     }
 }
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -38,8 +38,8 @@
 /// Waits until this process is ready, and notifies the predecessor, or until the predecessor accepts no more. The two
 /// processes share the limits until the predecessor has exited.
 pub async fn wait_for_turn(mut predecessor: Predecessor, lifecycle: &Lifecycle, budget: Rc<Budget>) {
-    budget.join();
-    let mut phases = lifecycle.follow();
+    budget.add_process();
+    let mut phases = lifecycle.subscribe();
     tokio::select! {
         // Never fails, as the lifecycle outlives this call.
         _ = phases.wait_for(|phase| phase.state == LifecycleState::Ready) => predecessor.notify_serving().await,
@@ -48,7 +48,7 @@
     tokio::task::spawn_local(async move {
         predecessor.wait_for_exit().await;
         info!("the predecessor is gone");
-        budget.leave();
+        budget.remove_process();
     });
 }
 
--- a/crates/node/src/succession/tests.rs
+++ b/crates/node/src/succession/tests.rs
@@ -9,14 +9,14 @@
 
 use super::*;
 use crate::config::Limits;
-use crate::figures::Metrics;
+use crate::metrics::Metrics;
 use crate::port;
 use crate::port::tests::FailingListener;
 use crate::upstream::{Bounds, Upstream};
 
 fn frontend() -> Rc<Frontend> {
     let second = Duration::from_secs(1);
-    let bounds = Bounds { dial: second, idle: second, grace: second };
+    let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
     let budget = Budget::new(&Limits::default());
     let upstream = Rc::new(Upstream::new(bounds, budget.clone(), Metrics::new([])));
     Frontend::new(unbounded_channel().0, upstream, Lifecycle::new(), budget, second)
--- a/crates/node/src/system_error.rs
+++ b/crates/node/src/system_error.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use tracing::{error, warn};
 
-use crate::figures::{escape, line};
+use crate::metrics::{append_line, escape_label};
 
 /// Delay before accepting again after a failure that would recur at once.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
@@ -235,9 +235,9 @@
     /// Appends one line for each operation and errno that has occurred, in the Prometheus text format.
     pub fn render(&self, out: &mut String) {
         for ((operation, errno), count) in &*self.counts.borrow() {
-            let (operation, errno) = (operation.name(), escape(errno));
+            let (operation, errno) = (operation.name(), escape_label(errno));
             let labels = format_args!("operation=\"{operation}\",errno=\"{errno}\"");
-            line(out, format_args!("app_system_call_errors_total{{{labels}}} {count}"));
+            append_line(out, format_args!("app_system_call_errors_total{{{labels}}} {count}"));
         }
     }
 
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -299,7 +299,7 @@
         send(&stream, socket.as_fd()).await?;
         drop(socket);
         info!("the socket is handed over");
-        self.budget.join();
+        self.budget.add_process();
         self.successor.send_replace(Successor::Starting);
         let mut message = [0];
         loop {
@@ -316,7 +316,7 @@
                 () = self.closed.notified() => drop(stream.write_all(&[CLOSED]).await),
             }
         }
-        self.budget.leave();
+        self.budget.remove_process();
         self.successor.send_replace(Successor::None);
         Ok(true)
     }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -55,8 +55,8 @@
 impl Upstream {
     /// Health check: asks a server whether it is ready. The answer may take as long as a connection may take to come
     /// up.
-    pub async fn probe(&self, server: &ServerId) -> Status {
-        let until = Instant::now() + self.bounds.dial * 2;
+    pub async fn check_health(&self, server: &ServerId) -> Status {
+        let until = Instant::now() + self.bounds.dial_timeout * 2;
         let check = async {
             let mut connection = self.acquire(server, until, false).await?;
             let broken = |_| Status::Broken;
@@ -83,7 +83,8 @@
     /// Makes one attempt. Dropping the future closes the connection and thereby abandons the attempt.
     pub async fn attempt(self: &Rc<Self>, server: &ServerId, call: &UpstreamCall) -> AttemptResult {
         // A connection that comes up after the write deadline is of no use.
-        let connection = match self.acquire(server, call.write_deadline(), call.repeats.is_some()).await {
+        let connection = match self.acquire(server, call.write_deadline(), call.repeat_window.is_some()).await
+        {
             Ok(connection) => connection,
             // The repeat window left it less than the dial timeout.
             Err(Status::Unreachable) if call.is_past_repeat_window(Instant::now()) => {
@@ -156,7 +157,7 @@
         mut connection: Connection,
     ) -> AttemptResult {
         // A command that must not run twice is sent again only if it certainly never ran.
-        let busy_is_proof = call.repeats.is_none() || connection.is_unambiguous();
+        let busy_is_proof = call.repeat_window.is_none() || connection.is_unambiguous();
         if let Err(status) = self.write_command(server, call, &connection).await {
             return status.into();
         }
--- a/crates/node/src/upstream/body_stream.rs
+++ b/crates/node/src/upstream/body_stream.rs
@@ -79,7 +79,7 @@
             connection,
             buf,
             remaining,
-            deadline: call.deadline,
+            deadline: call.client_deadline,
             phases: call.phases.clone(),
             started_at: Instant::now(),
             output_reached_at: None,
@@ -109,7 +109,7 @@
             }
             let waiting_since = *self.waiting_since.get_or_insert_with(Instant::now);
             self.buf.reserve(READ_CHUNK_BYTES);
-            let ends = self.phases.borrow_and_update().ends;
+            let ends = self.phases.borrow_and_update().answer_deadline;
             let read_deadline =
                 (waiting_since + self.read_timeout()).min(deadline.max(waiting_since + HANG_TIMEOUT));
             let read_deadline = ends.map_or(read_deadline, |ends| read_deadline.min(ends));
--- a/crates/node/src/upstream/call.rs
+++ b/crates/node/src/upstream/call.rs
@@ -41,22 +41,23 @@
     /// When the node stops waiting for the answer.
     pub until: Instant,
     /// How long after the first attempt that may have run another one may go out; `None` means without limit.
-    pub repeats: Option<Duration>,
+    pub repeat_window: Option<Duration>,
     /// Shared by all attempts of the request, as a later attempt may be written before an earlier one.
-    pub runs: Rc<ExecutionTracker>,
+    pub executions: Rc<ExecutionTracker>,
     /// Set once the last byte is written; from then on the command may have run.
     pub written: Rc<Cell<bool>>,
     pub gone: DisconnectFlag,
     /// When the client stops waiting. A long value that is incomplete by then, or when the process ends (`phases`),
     /// is cut.
-    pub deadline: Instant,
+    pub client_deadline: Instant,
     pub phases: Receiver<Phase>,
 }
 
 impl UpstreamCall {
     /// Latest time to write the last byte, as far as is known now.
     pub(super) fn write_deadline(&self) -> Instant {
-        let window = self.repeats.and_then(|repeats| self.runs.first_written_at()?.checked_add(repeats));
+        let window =
+            self.repeat_window.and_then(|repeats| self.executions.first_written_at()?.checked_add(repeats));
         window.map_or(self.until, |ends| ends.min(self.until))
     }
 
@@ -67,12 +68,12 @@
 
     /// Whether a write that may complete the command may go out now. The error says nothing about the server.
     pub(super) fn may_write(&self, now: Instant) -> Result<(), Status> {
-        (now < self.write_deadline() && !self.gone.is_told()).then_some(()).ok_or(Status::Void)
+        (now < self.write_deadline() && !self.gone.is_set()).then_some(()).ok_or(Status::Void)
     }
 
     /// Records that the last byte was taken by a write that began at `at`.
     pub(super) fn record_written(&self, at: Instant) {
         self.written.set(true);
-        self.runs.record_written(self.attempt, at);
+        self.executions.record_written(self.attempt, at);
     }
 }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -42,7 +42,7 @@
 
 /// Waits until the quota that counts this connection is revoked, so that the connection has to be closed.
 pub(super) fn revoked(opened: Option<&CountedConnection>) -> impl Future<Output = ()> {
-    let mark = opened.map(|opened| opened.mark.clone());
+    let mark = opened.map(|opened| opened.permit.clone());
     async move {
         match mark {
             Some(mark) => mark.cut().await,
@@ -140,18 +140,18 @@
 
     /// Whether the connection is within its quota at the current time.
     pub(super) fn is_within_quota(&self) -> bool {
-        self.opened.as_ref().is_none_or(CountedConnection::holds)
+        self.opened.as_ref().is_none_or(CountedConnection::is_within_quota)
     }
 
     /// Whether the connection has to be closed.
     pub(super) fn is_revoked(&self) -> bool {
-        self.opened.as_ref().is_some_and(|opened| opened.mark.is_cut())
+        self.opened.as_ref().is_some_and(|opened| opened.permit.is_cut())
     }
 
     /// Tells the quota whether a command is in flight.
     pub(super) fn set_busy(&self, busy: bool) {
         if let Some(opened) = &self.opened {
-            opened.mark.set_busy(busy);
+            opened.permit.set_busy(busy);
         }
     }
 }
--- a/crates/node/src/upstream/keep_alive.rs
+++ b/crates/node/src/upstream/keep_alive.rs
@@ -155,7 +155,7 @@
         endpoints.retain(|_, endpoint| endpoint.closes_at.is_none_or(|at| at > now));
         drop(endpoints);
         // Another process may have come to share the limits.
-        while self.open_connections.get() > self.budget.servers() && self.close_oldest() {}
+        while self.open_connections.get() > self.budget.max_server_connections() && self.close_oldest() {}
     }
 
     /// Closes the cached connection that has been unused for longest.
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -14,7 +14,7 @@
 use super::dial::dial;
 use super::keep_alive::{KeepAlive, ObservedIdleTimeout};
 use crate::budget::Budget;
-use crate::figures::Metrics;
+use crate::metrics::Metrics;
 use crate::plane::PlaneRuntime;
 use crate::roster::Roster;
 
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Dial timeout: a connection that is not up by then is given up.
-    pub dial: Duration,
+    pub dial_timeout: Duration,
     /// Cache servers close a connection that has been idle for this long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time after the notification of a drain during which a server may still be written to.
     pub grace: Duration,
 }
@@ -80,7 +80,7 @@
             endpoints: RefCell::default(),
             budget,
             metrics,
-            keep_alive: KeepAlive::new(bounds.idle),
+            keep_alive: KeepAlive::new(bounds.idle_timeout),
             quantum: Cell::default(),
             #[cfg(test)]
             injected_write_delay: Cell::default(),
@@ -90,7 +90,7 @@
 
     /// Sets the processing quantum. It is left of each drain grace, as of the repeat windows, because a write takes
     /// time to arrive.
-    pub fn rounds(&self, quantum: Duration) {
+    pub fn set_quantum(&self, quantum: Duration) {
         self.quantum.set(quantum);
     }
 
@@ -104,10 +104,10 @@
     }
 
     /// From now on connections stay within this node's quotas.
-    pub fn budgeted(self: &Rc<Self>, fleet: Rc<PlaneRuntime>) {
+    pub fn apply_quotas(self: &Rc<Self>, fleet: Rc<PlaneRuntime>) {
         if fleet.has_budgets() {
             let keeper = Rc::downgrade(self);
-            fleet.keeper(move || {
+            fleet.set_idle_closer(move || {
                 if let Some(upstream) = keeper.upgrade() {
                     upstream.close_revoked();
                 }
@@ -126,7 +126,7 @@
 
     /// Updates the endpoints from the endpoint list. A server is identified by its id, but at a new address it is
     /// another process; returns the ids of those.
-    pub fn learn(&self, roster: &Roster) -> Vec<ServerId> {
+    pub fn update_endpoints(&self, roster: &Roster) -> Vec<ServerId> {
         let mut moved = Vec::new();
         let mut endpoints = self.endpoints.borrow_mut();
         let now = Instant::now();
@@ -211,20 +211,20 @@
     /// `Void` if a limit or a shortage of this node prevents it, `Unreachable` if the server does not accept.
     pub(super) async fn connect(&self, server: &ServerId, until: Instant) -> Result<Connection, Status> {
         let address = self.endpoints.borrow().get(server).map(|e| e.address).ok_or(Status::Unreachable)?;
-        if self.open_connections.get() >= self.budget.servers() && !self.close_oldest() {
+        if self.open_connections.get() >= self.budget.max_server_connections() && !self.close_oldest() {
             // This node's own limit says nothing about the server.
             return Err(Status::Void);
         }
         let opened = match self.fleet.get() {
             // Neither does its quota of the server's connections.
-            Some(fleet) => Some(fleet.open(server).ok_or(Status::Void)?),
+            Some(fleet) => Some(fleet.open_connection(server).ok_or(Status::Void)?),
             None => None,
         };
         let slot = ConnectionSlot::take(&self.open_connections);
         let stream = tokio::select! {
             biased;
             () = revoked(opened.as_ref()) => return Err(Status::Void),
-            stream = self.dial(address, until.min(Instant::now() + self.bounds.dial)) => stream?,
+            stream = self.dial(address, until.min(Instant::now() + self.bounds.dial_timeout)) => stream?,
         };
         stream.set_nodelay(true).map_err(|_| Status::Unreachable)?;
         Ok(Connection::new(stream, opened, slot))
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -27,9 +27,9 @@
 use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::config::{Limits, RESERVED_DESCRIPTORS};
-use crate::figures::Metrics;
 use crate::lifecycle::Lifecycle;
 use crate::message::DisconnectFlag;
+use crate::metrics::Metrics;
 use crate::roster::Roster;
 
 const LONG: Duration = Duration::from_secs(20);
@@ -37,7 +37,11 @@
 /// An upstream with at most `max_connections` connections.
 fn upstream(grace: Duration, max_connections: usize) -> Rc<Upstream> {
     let limits = Limits { sockets: RESERVED_DESCRIPTORS + 3 * max_connections, ..Limits::default() };
-    Rc::new(Upstream::new(Bounds { dial: LONG, idle: LONG, grace }, Budget::new(&limits), Metrics::new([])))
+    Rc::new(Upstream::new(
+        Bounds { dial_timeout: LONG, idle_timeout: LONG, grace },
+        Budget::new(&limits),
+        Metrics::new([]),
+    ))
 }
 
 fn roster(listener: &TcpListener, phase: &str) -> Roster {
@@ -55,17 +59,17 @@
 }
 
 /// The first attempt of a request that may be repeated at any time.
-pub(crate) fn errand(text: &str) -> UpstreamCall {
+pub(crate) fn test_call(text: &str) -> UpstreamCall {
     UpstreamCall {
         command: Rc::new(command(text)),
         attempt: AttemptId(0),
         until: Instant::now() + LONG,
-        repeats: None,
-        runs: Rc::default(),
+        repeat_window: None,
+        executions: Rc::default(),
         written: Rc::default(),
         gone: DisconnectFlag::default(),
-        deadline: Instant::now() + LONG * 10,
-        phases: Lifecycle::new().follow(),
+        client_deadline: Instant::now() + LONG * 10,
+        phases: Lifecycle::new().subscribe(),
     }
 }
 
--- a/crates/node/src/upstream/tests/blocked_writes.rs
+++ b/crates/node/src/upstream/tests/blocked_writes.rs
@@ -24,13 +24,13 @@
 async fn a_connection_cut_off_by_the_repeat_window_is_not_blamed_on_its_server() {
     let (listener, _queue) = listener_with_full_queue().await;
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let start = Instant::now();
-    let retry = UpstreamCall { attempt: AttemptId(1), repeats: Some(WINDOW), ..errand(READ) };
-    retry.runs.record_written(AttemptId(0), start);
+    let retry = UpstreamCall { attempt: AttemptId(1), repeat_window: Some(WINDOW), ..test_call(READ) };
+    retry.executions.record_written(AttemptId(0), start);
     assert_eq!(upstream.attempt(&server(), &retry).await.status, Status::Void);
     assert_eq!(start.elapsed(), WINDOW);
-    let short_call = UpstreamCall { until: Instant::now() + WINDOW, ..errand(READ) };
+    let short_call = UpstreamCall { until: Instant::now() + WINDOW, ..test_call(READ) };
     assert_eq!(upstream.attempt(&server(), &short_call).await.status, Status::Unreachable);
 }
 
@@ -38,7 +38,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_blocked_command_forwards_the_remaining_time() {
     let (upstream, mut peer, filled) = blocked_upstream().await;
-    let (at, call) = (server(), errand(READ));
+    let (at, call) = (server(), test_call(READ));
     let mut attempt = std::pin::pin!(upstream.attempt(&at, &call));
     poll_once(&mut attempt).await;
     advance(LONG / 2).await;
@@ -63,7 +63,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_partly_written_command_that_blocks_is_given_up() {
     let (upstream, mut peer, filled) = blocked_upstream().await;
-    let (at, call) = (server(), errand(&write_command()));
+    let (at, call) = (server(), test_call(&write_command()));
     let mut attempt = std::pin::pin!(upstream.attempt(&at, &call));
     poll_once(&mut attempt).await;
     let mut seen = vec![0; filled + 1];
--- a/crates/node/src/upstream/tests/budgeted.rs
+++ b/crates/node/src/upstream/tests/budgeted.rs
@@ -38,15 +38,17 @@
         let (upstream, fleet, server) = (upstream(LONG, 9), fleet(), ServerId("s".into()));
         let list = roster(&listener, "ready");
         fleet.learn(&list);
-        upstream.budgeted(fleet.clone());
-        upstream.learn(&list);
+        upstream.apply_quotas(fleet.clone());
+        upstream.update_endpoints(&list);
         let mut connection = upstream.connect(&server, Instant::now() + LONG).await.ok().unwrap();
         let mut peer = listener.accept().await.unwrap().0;
         connection.answered(true);
         upstream.cache_connection(&server, connection);
-        let _others: Vec<CountedConnection> = std::iter::from_fn(|| fleet.open(&server)).collect();
-        let once =
-            UpstreamCall { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
+        let _others: Vec<CountedConnection> = std::iter::from_fn(|| fleet.open_connection(&server)).collect();
+        let once = UpstreamCall {
+            repeat_window: Some(Duration::ZERO),
+            ..test_call("ms k 1 Oz Pc=put,d=60000\r\nv\r\n")
+        };
         let answering = async {
             assert!(peer.read(&mut [0; 256]).await.unwrap() > 0);
             peer.write_all(answer.as_bytes()).await.unwrap();
