--- a/crates/node/src/upstream/tests/cut_values.rs
+++ b/crates/node/src/upstream/tests/cut_values.rs
@@ -17,7 +17,7 @@
 async fn partial_value(call: &UpstreamCall) -> (BodyStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let server = ServerId("s".into());
     let peer = async {
         let mut stream = listener.accept().await.unwrap().0;
@@ -40,7 +40,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_value_that_hangs_is_cut_when_its_client_stops_waiting() {
     let start = Instant::now();
-    let (mut body, _peer) = partial_value(&UpstreamCall { deadline: start + WAIT, ..errand(READ) }).await;
+    let (mut body, _peer) =
+        partial_value(&UpstreamCall { client_deadline: start + WAIT, ..test_call(READ) }).await;
     assert!(read_to_end(&mut body).await.is_err());
     assert_eq!(start.elapsed(), HANG_TIMEOUT);
 }
@@ -49,7 +50,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_value_that_still_comes_is_given_whole() {
     let (mut body, mut peer) =
-        partial_value(&UpstreamCall { deadline: Instant::now() + WAIT, ..errand(READ) }).await;
+        partial_value(&UpstreamCall { client_deadline: Instant::now() + WAIT, ..test_call(READ) }).await;
     let sending = async {
         for half in [LENGTH / 2, LENGTH - 1 - LENGTH / 2] {
             sleep(HANG_TIMEOUT * 3 / 4).await;
@@ -64,10 +65,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_value_that_hangs_is_cut_when_the_process_ends() {
     let lifecycle = Lifecycle::new();
-    let (mut body, _peer) = partial_value(&UpstreamCall { phases: lifecycle.follow(), ..errand(READ) }).await;
+    let (mut body, _peer) =
+        partial_value(&UpstreamCall { phases: lifecycle.subscribe(), ..test_call(READ) }).await;
     let stop = async {
         sleep(WAIT).await;
-        lifecycle.stop(false, ShutdownTimes { part_after: Duration::ZERO, end_after: WAIT });
+        lifecycle.stop(false, ShutdownTimes { close_idle_after: Duration::ZERO, finish_after: WAIT });
     };
     let start = Instant::now();
     let (result, ()) = tokio::join!(read_to_end(&mut body), stop);
@@ -79,7 +81,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_value_has_its_time_when_its_turn_comes() {
     let (mut body, mut peer) =
-        partial_value(&UpstreamCall { deadline: Instant::now() + WAIT, ..errand(READ) }).await;
+        partial_value(&UpstreamCall { client_deadline: Instant::now() + WAIT, ..test_call(READ) }).await;
     sleep(2 * WAIT).await;
     let sending = async {
         sleep(WAIT / 2).await;
--- a/crates/node/src/upstream/tests/deadlines.rs
+++ b/crates/node/src/upstream/tests/deadlines.rs
@@ -22,7 +22,7 @@
 
 fn call_with_time_left(left: Duration) -> UpstreamCall {
     let until = Instant::now() + left;
-    UpstreamCall { until, deadline: until, ..errand(READ) }
+    UpstreamCall { until, client_deadline: until, ..test_call(READ) }
 }
 
 /// A cached connection that has just been answered, and the server's end of it.
@@ -40,7 +40,7 @@
     for left in [1, 2, 5, 20].map(Duration::from_millis) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = upstream(LONG, 9);
-        upstream.learn(&roster(&listener, "ready"));
+        upstream.update_endpoints(&roster(&listener, "ready"));
         let call = call_with_time_left(left);
         let (at, start) = (server(), Instant::now());
         let peer = async {
@@ -67,7 +67,7 @@
     for left in [1, 4, 5, 6, 20].map(Duration::from_millis) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = upstream(LONG, 9);
-        upstream.learn(&roster(&listener, "ready"));
+        upstream.update_endpoints(&roster(&listener, "ready"));
         let mut peer = cached_peer(&upstream, &listener).await;
         let (at, call, start) = (server(), call_with_time_left(left), Instant::now());
         let answered = async {
@@ -98,11 +98,12 @@
 async fn attempts_at_a_server_that_refuses_fail_at_once_and_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     drop(listener);
     let (at, start) = (server(), Instant::now());
-    let first = errand(READ);
-    let hedge = UpstreamCall { attempt: AttemptId(1), runs: first.runs.clone(), ..errand(READ) };
+    let first = test_call(READ);
+    let hedge =
+        UpstreamCall { attempt: AttemptId(1), executions: first.executions.clone(), ..test_call(READ) };
     let (one, other) = tokio::join!(upstream.attempt(&at, &first), upstream.attempt(&at, &hedge));
     assert_eq!((one.status, other.status), (Status::Unreachable, Status::Unreachable));
     assert!(!first.written.get() && !hedge.written.get());
@@ -119,9 +120,9 @@
 async fn an_idle_connection_that_was_reset_is_not_used() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     reset(cached_peer(&upstream, &listener).await);
-    let once = UpstreamCall { repeats: Some(Duration::ZERO), ..errand(READ) };
+    let once = UpstreamCall { repeat_window: Some(Duration::ZERO), ..test_call(READ) };
     let answered = async {
         let mut stream = listener.accept().await.unwrap().0;
         read_line(&mut stream).await;
@@ -139,13 +140,13 @@
 async fn a_forgotten_connection_is_reset_by_the_command() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let mut peer = cached_peer(&upstream, &listener).await;
     let forgotten = async {
         read_line(&mut peer).await;
         reset(peer);
     };
-    let (at, call) = (server(), errand(READ));
+    let (at, call) = (server(), test_call(READ));
     let (ended, ()) = tokio::join!(upstream.attempt(&at, &call), forgotten);
     assert_eq!((ended.status, call.written.get()), (Status::Broken, true));
     assert!(upstream.cached_connection(&at, false).await.is_none());
--- a/crates/node/src/upstream/tests/duplicate_answers.rs
+++ b/crates/node/src/upstream/tests/duplicate_answers.rs
@@ -15,7 +15,7 @@
 async fn answer_second_read(bytes: &str) -> AttemptResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let server = ServerId("s".into());
     let peer = async {
         let mut stream = listener.accept().await.unwrap().0;
@@ -26,9 +26,9 @@
         stream
     };
     let both = async {
-        let first = upstream.attempt(&server, &errand(READ)).await;
+        let first = upstream.attempt(&server, &test_call(READ)).await;
         assert_eq!(first.status, Status::Success);
-        upstream.attempt(&server, &errand(NEXT)).await
+        upstream.attempt(&server, &test_call(NEXT)).await
     };
     tokio::join!(both, peer).0
 }
@@ -76,11 +76,11 @@
 async fn unsafe_command_after(reads: &[(&str, &str)], pause: Duration) -> AttemptResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let server = ServerId("s".into());
     let mut cached = None;
     for (id, answer) in reads {
-        let call = errand(&format!("mg k v O{id} Pc=read,d=60000\r\n"));
+        let call = test_call(&format!("mg k v O{id} Pc=read,d=60000\r\n"));
         let peer = async {
             let mut stream = match cached.take() {
                 Some(stream) => stream,
@@ -94,7 +94,10 @@
     }
     tokio::time::advance(pause).await;
     let mut cached = cached.unwrap();
-    let once = UpstreamCall { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
+    let once = UpstreamCall {
+        repeat_window: Some(Duration::ZERO),
+        ..test_call("ms k 1 Oz Pc=put,d=60000\r\nv\r\n")
+    };
     let mut received = [0; 256];
     let peer = async {
         let (mut stream, text) = tokio::select! {
--- a/crates/node/src/upstream/tests/idle_closes.rs
+++ b/crates/node/src/upstream/tests/idle_closes.rs
@@ -19,7 +19,7 @@
     async fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = upstream(LONG, 99);
-        upstream.learn(&roster(&listener, "ready"));
+        upstream.update_endpoints(&roster(&listener, "ready"));
         Harness { listener, upstream, server: ServerId("s".into()) }
     }
 
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn a_close_shortly_after_a_busy_means_no_capacity() {
     let harness = Harness::new().await;
-    let (status, stream) = harness.attempt(&errand(READ), "SERVER_ERROR busy\r\n").await;
+    let (status, stream) = harness.attempt(&test_call(READ), "SERVER_ERROR busy\r\n").await;
     assert_eq!(
         (status, harness.cached_connections()),
         (Status::Overloaded, 1),
@@ -128,8 +128,8 @@
     let harness = Harness::new().await;
     let _stream = harness.cache_idle(LONG_IDLE).await;
     let used = harness.with_last_cached(|connection| connection.last_used);
-    let call = errand(READ);
-    call.gone.tell();
+    let call = test_call(READ);
+    call.gone.set();
     assert_eq!(harness.upstream.attempt(&harness.server, &call).await.status, Status::Void);
     assert_eq!(harness.with_last_cached(|connection| connection.last_used), used);
 }
@@ -138,7 +138,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_connection_is_idle_from_when_its_server_may_have_sent_all() {
     let harness = Harness::new().await;
-    let call = errand(READ);
+    let call = test_call(READ);
     let peer = async {
         let mut stream = harness.listener.accept().await.unwrap().0;
         assert!(stream.read(&mut [0; 256]).await.unwrap() > 0);
--- a/crates/node/src/upstream/tests/keep_alive.rs
+++ b/crates/node/src/upstream/tests/keep_alive.rs
@@ -23,7 +23,7 @@
     listener: &TcpListener,
     behaviour: Behaviour,
 ) -> (Status, TcpStream) {
-    let (server, call) = (ServerId("s".into()), errand(READ));
+    let (server, call) = (ServerId("s".into()), test_call(READ));
     let peer = async {
         let mut stream = listener.accept().await.unwrap().0;
         stream.read_exact(&mut [0; 8]).await.unwrap();
@@ -49,7 +49,7 @@
 async fn stays_cached_after(behaviours: &[Behaviour]) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 99);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     for behaviour in behaviours {
         upstream.endpoints.borrow_mut().values_mut().for_each(|endpoint| endpoint.idle.clear());
         let _ = attempt(&upstream, &listener, *behaviour).await;
@@ -79,7 +79,7 @@
 async fn connections_beyond_the_reduced_limit_are_closed_at_once() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 99);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let (served, _stream) = attempt(&upstream, &listener, Behaviour::Serve).await;
     assert_eq!(served, Status::Success);
     upstream.endpoints.borrow_mut().values_mut().for_each(|endpoint| {
--- a/crates/node/src/upstream/tests/last_byte.rs
+++ b/crates/node/src/upstream/tests/last_byte.rs
@@ -25,7 +25,7 @@
 
 /// The second attempt of a request, which may go out until `WINDOW` after the first.
 fn second_attempt(text: &str) -> UpstreamCall {
-    UpstreamCall { attempt: AttemptId(1), repeats: Some(WINDOW), ..errand(text) }
+    UpstreamCall { attempt: AttemptId(1), repeat_window: Some(WINDOW), ..test_call(text) }
 }
 
 pub(super) fn write_command() -> String {
@@ -57,7 +57,7 @@
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let now = Instant::now();
     let connection = upstream.connect(&server(), now + LONG).await.ok().unwrap();
     let peer = listener.accept().await.unwrap().0;
@@ -76,7 +76,7 @@
 async fn attempt_with_event_while_connecting(call: &UpstreamCall, event: impl AsyncFnOnce()) -> Status {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let at = server();
     let mut attempt = std::pin::pin!(upstream.attempt(&at, call));
     poll_once(&mut attempt).await;
@@ -103,13 +103,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_late_connection_is_not_written_to_beyond_the_window() {
     let retry = second_attempt(READ);
-    retry.runs.record_written(AttemptId(0), Instant::now());
+    retry.executions.record_written(AttemptId(0), Instant::now());
     let status = attempt_with_event_while_connecting(&retry, async || advance(WINDOW).await).await;
     assert!(!status.may_have_run() && !retry.written.get(), "{status:?}");
 
     let first = UpstreamCall { attempt: AttemptId(0), ..second_attempt(READ) };
     let overtake = async || {
-        first.runs.record_written(AttemptId(1), Instant::now());
+        first.executions.record_written(AttemptId(1), Instant::now());
         advance(WINDOW).await;
     };
     assert_eq!(attempt_with_event_while_connecting(&first, overtake).await, Status::Void);
@@ -119,16 +119,16 @@
 /// A command that must not run twice goes out once, whichever of two attempts gets its connection first.
 #[tokio::test(start_paused = true)]
 async fn of_two_attempts_that_must_not_both_run_one_is_written() {
-    let call = UpstreamCall { repeats: Some(Duration::ZERO), ..errand(READ) };
-    let overtake = async || call.runs.record_written(AttemptId(1), Instant::now());
+    let call = UpstreamCall { repeat_window: Some(Duration::ZERO), ..test_call(READ) };
+    let overtake = async || call.executions.record_written(AttemptId(1), Instant::now());
     assert_eq!(attempt_with_event_while_connecting(&call, overtake).await, Status::Void);
 }
 
 /// If the client disconnects while its attempt is connecting, nothing is written for it.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_written_for_a_client_that_has_gone() {
-    let call = errand(READ);
-    assert_eq!(attempt_with_event_while_connecting(&call, async || call.gone.tell()).await, Status::Void);
+    let call = test_call(READ);
+    assert_eq!(attempt_with_event_while_connecting(&call, async || call.gone.set()).await, Status::Void);
     assert!(!call.written.get());
 }
 
@@ -137,9 +137,9 @@
 async fn a_window_runs_from_attempts_that_may_have_run() {
     let call = second_attempt(READ);
     let now = Instant::now();
-    call.runs.record_written(AttemptId(0), now);
+    call.executions.record_written(AttemptId(0), now);
     assert_eq!(call.write_deadline(), now + WINDOW);
-    call.runs.record_never_ran(AttemptId(0));
+    call.executions.record_never_ran(AttemptId(0));
     assert_eq!(call.write_deadline(), call.until);
 }
 
@@ -148,7 +148,7 @@
 async fn a_write_that_blocks_ends_with_the_window() {
     let (upstream, peer, filled) = blocked_upstream().await;
     let (call, now) = (second_attempt(&write_command()), Instant::now());
-    call.runs.record_written(AttemptId(0), now);
+    call.executions.record_written(AttemptId(0), now);
     let ended = upstream.attempt(&server(), &call).await;
     assert_eq!((ended.status, call.written.get()), (Status::Unreachable, false));
     assert_eq!(now.elapsed(), WINDOW);
@@ -159,10 +159,10 @@
 #[tokio::test]
 async fn a_blocked_command_ends_with_its_client() {
     let (upstream, peer, filled) = blocked_upstream().await;
-    let (at, call) = (server(), errand(&write_command()));
+    let (at, call) = (server(), test_call(&write_command()));
     let mut attempt = std::pin::pin!(upstream.attempt(&at, &call));
     poll_once(&mut attempt).await;
-    call.gone.tell();
+    call.gone.set();
     let (ended, seen) = timeout(LONG, async { tokio::join!(attempt, received(peer)) }).await.unwrap();
     assert_eq!((ended.status, call.written.get()), (Status::Void, false));
     assert!(seen.len() < filled + LARGE);
@@ -178,7 +178,7 @@
             return;
         }
         let (upstream, peer, filled) = blocked_upstream().await;
-        let (at, call) = (server(), errand(&write_command()));
+        let (at, call) = (server(), test_call(&write_command()));
         let mut attempt = Box::pin(upstream.attempt(&at, &call));
         let mut reader = std::pin::pin!(received(peer));
         let mut remaining_polls = polls;
--- a/crates/node/src/upstream/tests/long_values.rs
+++ b/crates/node/src/upstream/tests/long_values.rs
@@ -13,7 +13,7 @@
     const LENGTH: usize = 1 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let peer = tokio::task::spawn_local(async move {
         let mut stream = listener.accept().await.unwrap().0;
         let (mut seen, mut byte) = (Vec::new(), [0]);
@@ -30,7 +30,7 @@
         }
         let _ = stream.write_all(b"\r\n").await;
     });
-    let ended = upstream.attempt(&ServerId("s".into()), &errand(READ)).await;
+    let ended = upstream.attempt(&ServerId("s".into()), &test_call(READ)).await;
     let mut body = ended.answer.and_then(|served| served.body).expect("a long value");
     let mut received = 0;
     let broken = loop {
@@ -67,8 +67,8 @@
 async fn a_probe_of_a_silent_server_lasts_two_dial_times() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let (server, start) = (ServerId("s".into()), Instant::now());
-    let (status, _silent) = tokio::join!(upstream.probe(&server), listener.accept());
+    let (status, _silent) = tokio::join!(upstream.check_health(&server), listener.accept());
     assert_eq!((status, start.elapsed()), (Status::TimedOut, LONG * 2));
 }
--- a/crates/node/src/upstream/tests/pooling.rs
+++ b/crates/node/src/upstream/tests/pooling.rs
@@ -18,11 +18,11 @@
         let list = format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, members.join(","));
         let roster = Roster::from_json(list.as_bytes(), &Clock::start()).unwrap();
         let upstream = upstream(LONG, 9);
-        upstream.learn(&roster);
+        upstream.update_endpoints(&roster);
         let mut times: Vec<Duration> = (0..9)
             .map(|_| {
                 let start = std::time::Instant::now();
-                upstream.learn(&roster);
+                upstream.update_endpoints(&roster);
                 start.elapsed()
             })
             .collect();
@@ -48,9 +48,9 @@
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = upstream(grace, 9);
-        upstream.rounds(quantum);
-        upstream.learn(&roster(&listener, "ready"));
-        let (server, call) = (ServerId("s".into()), errand(READ));
+        upstream.set_quantum(quantum);
+        upstream.update_endpoints(&roster(&listener, "ready"));
+        let (server, call) = (ServerId("s".into()), test_call(READ));
         let attempt = upstream.attempt(&server, &call);
         let peer = async {
             let mut stream = listener.accept().await.unwrap().0;
@@ -69,8 +69,8 @@
             ended = &mut attempt => panic!("{ended:?} before the connection was up"),
             () = std::future::ready(()) => {}
         }
-        upstream.learn(&roster(&listener, phase));
-        upstream.learn(&roster(&listener, phase));
+        upstream.update_endpoints(&roster(&listener, phase));
+        upstream.update_endpoints(&roster(&listener, phase));
         let (ended, seen) = tokio::join!(
             async {
                 let ended = attempt.await;
@@ -94,7 +94,7 @@
 async fn a_connection_is_used_again_once_nothing_more_has_come() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let (server, now) = (ServerId("s".into()), Instant::now());
     let connection = upstream.connect(&server, now + LONG).await.ok().unwrap();
     let mut peer = listener.accept().await.unwrap().0;
@@ -124,7 +124,7 @@
 async fn a_repeated_drain_notification_starts_no_new_grace() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "draining"));
+    upstream.update_endpoints(&roster(&listener, "draining"));
     assert!(upstream.endpoints.borrow().is_empty());
 }
 
@@ -134,7 +134,7 @@
 async fn connections_stay_within_the_budget() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 1);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let server = ServerId("s".into());
     let until = Instant::now() + LONG;
     let connection = upstream.connect(&server, until).await.ok().unwrap();
--- a/crates/node/src/upstream/tests/scheduling_delays.rs
+++ b/crates/node/src/upstream/tests/scheduling_delays.rs
@@ -20,7 +20,7 @@
     poll_once(&mut attempt).await;
     upstream.injected_write_delay.set(MAX_SCHEDULING_DELAY);
     let start = Instant::now();
-    upstream.learn(&roster(listener, "draining"));
+    upstream.update_endpoints(&roster(listener, "draining"));
     advance(delay).await;
     let written = async {
         let mut stream = listener.accept().await.unwrap().0;
@@ -51,7 +51,7 @@
         for is_late in [false, true] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let upstream = upstream(grace, 9);
-            upstream.learn(&roster(&listener, "ready"));
+            upstream.update_endpoints(&roster(&listener, "ready"));
             let last = upstream.drain_write_window() - ONE_MS;
             assert!(last > Duration::ZERO);
             let delay = if is_late {
@@ -59,7 +59,7 @@
             } else {
                 last
             };
-            let written = written_after(&upstream, &listener, &errand(READ), delay).await;
+            let written = written_after(&upstream, &listener, &test_call(READ), delay).await;
             assert_eq!(written.is_some(), !is_late, "{grace:?}: {written:?}");
             if let Some((after, _)) = written {
                 assert!(
@@ -78,16 +78,16 @@
     for until in [WINDOW / 2, WINDOW * 2] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = upstream(LONG, 9);
-        upstream.learn(&roster(&listener, "ready"));
+        upstream.update_endpoints(&roster(&listener, "ready"));
         let start = Instant::now();
         let retry = UpstreamCall {
             attempt: AttemptId(1),
-            repeats: Some(WINDOW),
+            repeat_window: Some(WINDOW),
             until: start + until,
-            deadline: start + until,
-            ..errand(READ)
+            client_deadline: start + until,
+            ..test_call(READ)
         };
-        retry.runs.record_written(AttemptId(0), start);
+        retry.executions.record_written(AttemptId(0), start);
         let delay = until.min(WINDOW) - ONE_MS;
         let (after, line) =
             written_after(&upstream, &listener, &retry, delay).await.expect("written in time");
--- a/crates/placement/src/accord.rs
+++ b/crates/placement/src/accord.rs
@@ -26,7 +26,7 @@
 ///
 /// `now` must have been read after the payload came in; see [`LeaderLease::receive`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Accord {
+pub struct Placement {
     leader_lease: LeaderLease,
     pub(crate) protocol: TableProtocol,
     outbox: Outbox,
@@ -36,7 +36,7 @@
     lists_rejected: u64,
 }
 
-impl Accord {
+impl Placement {
     /// Creates the state of a node that has just started. It has no lease and no table in force until it is granted
     /// one; a stored table only spares it the transfer of the pages.
     ///
@@ -47,7 +47,7 @@
         restored: Option<StoredPlacement>,
         now: Moment,
         seed: u64,
-    ) -> Result<Accord, ConfigError> {
+    ) -> Result<Placement, ConfigError> {
         config.check()?;
         let (this, configured, drift_ppm) = (config.this, config.configured, config.drift_ppm);
         let lease_config = LeaseConfig { this, configured, term: config.lease / 2, drift_ppm };
@@ -61,7 +61,7 @@
         leader_lease.restore(restored.ballot);
         let replica = Replica::new(restored.epoch, restored.table.map(LocalTable::of));
         let protocol = TableProtocol::new(config, replica, now, seed);
-        Ok(Accord {
+        Ok(Placement {
             leader_lease,
             protocol,
             outbox: Outbox::default(),
@@ -73,7 +73,7 @@
 
     /// Sets the entries of this node's own endpoint list. A list with too many entries, or with an id that is empty or
     /// too long, is rejected and counted; of several entries with one id the first counts.
-    pub fn list(&mut self, now: Moment, revision: u64, mut entries: Vec<TableEntry>) {
+    pub fn set_endpoint_list(&mut self, now: Moment, revision: u64, mut entries: Vec<TableEntry>) {
         entries.sort_by(|one, other| one.server.cmp(&other.server));
         entries.dedup_by(|later, first| later.server == first.server);
         if is_sound(&entries) {
@@ -111,10 +111,10 @@
     }
 
     /// Returns the counters since the start.
-    pub fn figures(&self) -> Metrics {
+    pub fn metrics(&self) -> Metrics {
         let current = self.protocol.coordinator.as_ref().map_or(0, |coordinator| coordinator.decided_count);
         let decided = self.protocol.decided_in_past_terms + current;
-        Metrics { decided, lists_refused: self.lists_rejected, ..self.protocol.replica.metrics }
+        Metrics { decided, lists_rejected: self.lists_rejected, ..self.protocol.replica.metrics }
     }
 
     /// Returns when this node becomes a candidate for the leader lease. While a coordinator is heard, only the lease
@@ -124,7 +124,8 @@
     fn candidacy_start(&self, view: &View) -> Moment {
         let (config, replica) = (&self.protocol.config, &self.protocol.replica);
         let stands_earlier = |node: NodeId| node < config.this.node && Some(node) != replica.leader_node();
-        let rank = view.alive().filter(|member| stands_earlier(member.life.node)).count().min(8) as u32;
+        let rank =
+            view.alive().filter(|member| stands_earlier(member.node_incarnation.node)).count().min(8) as u32;
         let base = replica
             .last_announced_at
             .map_or(self.started_at + config.lease / 2, |announced_at| announced_at + config.lease / 2);
@@ -147,10 +148,10 @@
     }
 }
 
-impl StateMachine for Accord {
-    type News = PlacementEvent;
+impl StateMachine for Placement {
+    type Event = PlacementEvent;
 
-    const KIND: Kind = Kind::Accord;
+    const KIND: Kind = Kind::Placement;
 
     fn receive(
         &mut self,
@@ -186,7 +187,7 @@
             .min()
     }
 
-    fn take(&mut self) -> Vec<Output<PlacementEvent>> {
+    fn take_outputs(&mut self) -> Vec<Output<PlacementEvent>> {
         let lease_messages =
             self.leader_lease.take_outbox().into_iter().map(|(to, message)| (to, Payload::Lease(message)));
         let tables = std::mem::take(&mut self.outbox.sends).into_iter();
@@ -194,7 +195,7 @@
         let sends = lease_messages
             .chain(tables)
             .filter_map(|(to, payload)| Some(Output::Send { to, payload: encode(&payload)? }));
-        let events = std::mem::take(&mut self.outbox.events).into_iter().map(Output::News);
+        let events = std::mem::take(&mut self.outbox.events).into_iter().map(Output::Event);
         sends.chain(events).collect()
     }
 }
--- a/crates/placement/src/coordinator/decide.rs
+++ b/crates/placement/src/coordinator/decide.rs
@@ -82,7 +82,7 @@
             })
         };
         if now < self.started_at + config.prepare_timeout
-            && !view.alive().all(|member| ready(member.life.node))
+            && !view.alive().all(|member| ready(member.node_incarnation.node))
         {
             return;
         }
--- a/crates/placement/src/events.rs
+++ b/crates/placement/src/events.rs
@@ -21,9 +21,9 @@
         version: u64,
     },
     /// The lease has expired: other nodes may switch without this node, which still places by its last table.
-    Out,
+    LeaseExpired,
     /// The node has a lease again.
-    Back,
+    LeaseRegained,
 }
 
 /// This node's state towards the table in force.
@@ -35,7 +35,7 @@
     Preparing,
     /// The lease has expired by the node's own clock, and no coordinator is heard. The node places by its last table;
     /// others may have a newer one.
-    Out,
+    LeaseExpired,
     /// The node has no lease, either not yet or not any more, and can get one from a coordinator.
     CatchingUp,
 }
@@ -46,11 +46,11 @@
     /// Switches to another table.
     pub switches: u64,
     /// Expiries of the lease.
-    pub outs: u64,
+    pub lease_expirations: u64,
     /// Versions decided while this node was the coordinator.
     pub decided: u64,
     /// Lists rejected because they had more than `MAX_ENTRIES` entries or an id that was empty or too long.
-    pub lists_refused: u64,
+    pub lists_rejected: u64,
 }
 
 /// Queued outputs, in order.
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -23,7 +23,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use accord::Accord;
+pub use accord::Placement;
 pub use config::{ConfigError, PlacementConfig, StoredPlacement};
 pub use events::{Metrics, PlacementEvent, PlacementState};
 pub use table::{Table, TableEntry, TableId, MAX_ENTRIES, MAX_SERVER};
--- a/crates/placement/src/model.rs
+++ b/crates/placement/src/model.rs
@@ -120,7 +120,7 @@
             let (zone, state) = (ZoneId(node.node_incarnation.node.0 / 2), MemberState::Alive);
             (
                 node.node_incarnation.node,
-                Member { life: node.node_incarnation, zone, state, since: Duration::ZERO },
+                Member { node_incarnation: node.node_incarnation, zone, state, since: Duration::ZERO },
             )
         });
         let this = self.nodes[n].node_incarnation;
--- a/crates/placement/src/protocol/pull.rs
+++ b/crates/placement/src/protocol/pull.rs
@@ -66,7 +66,7 @@
             .and_then(|coordinator| coordinator.source(fetch.target(), this, fetch.tries));
         let leader = self.replica.leader_node().filter(|leader| *leader != this && fetch.tries % 2 == 0);
         let others: Vec<_> =
-            view.alive().map(|member| member.life.node).filter(|node| *node != this).collect();
+            view.alive().map(|member| member.node_incarnation.node).filter(|node| *node != this).collect();
         let start = self.seed as usize % others.len().max(1) + fetch.tries as usize;
         let anybody = others.get(start % others.len().max(1)).copied();
         fetch.requested_at = Some(now);
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -92,7 +92,7 @@
         match (self.is_leased(now), self.preparing.is_some()) {
             (true, true) => PlacementState::Preparing,
             (true, false) => PlacementState::InForce,
-            (false, _) if self.in_force.is_some() && !has_coordinator => PlacementState::Out,
+            (false, _) if self.in_force.is_some() && !has_coordinator => PlacementState::LeaseExpired,
             (false, _) => PlacementState::CatchingUp,
         }
     }
@@ -236,7 +236,7 @@
             return;
         }
         if std::mem::take(&mut self.expiry_reported) {
-            self.events.push(PlacementEvent::Back);
+            self.events.push(PlacementEvent::LeaseRegained);
         }
         if let Some(held) = self.awaiting_lease.take() {
             self.metrics.switches += 1;
@@ -249,8 +249,8 @@
     pub fn expire_lease(&mut self, now: Moment) {
         if !self.expiry_reported && self.lease_until.is_some_and(|until| until <= now) {
             self.expiry_reported = true;
-            self.metrics.outs += 1;
-            self.events.push(PlacementEvent::Out);
+            self.metrics.lease_expirations += 1;
+            self.events.push(PlacementEvent::LeaseExpired);
         }
     }
 
--- a/crates/placement/src/tests.rs
+++ b/crates/placement/src/tests.rs
@@ -14,17 +14,17 @@
 use crate::message::{decode, encode, Announcement, Grant, Message, Page, PageRequest, Report};
 use crate::pages::{apply, changes, pack};
 use crate::table::{is_sound, Array, TableEntry, TableHeader, TableId, MAX_SERVER};
-use crate::{Accord, PlacementConfig};
+use crate::{Placement, PlacementConfig};
 
 fn entries() -> impl Strategy<Value = Vec<TableEntry>> {
     let entry = |(server, weight_milli)| TableEntry { server, weight_milli };
     btree_map("[a-h]{1,64}", any::<u32>(), 0..60).prop_map(move |all| all.into_iter().map(entry).collect())
 }
 
-fn accord_and_view() -> (Accord, View) {
+fn accord_and_view() -> (Placement, View) {
     let this = NodeIncarnation { node: NodeId(0), incarnation: Incarnation(7) };
     let config = PlacementConfig::with_lease(this, ZoneId(0), 2, 3, Moment::from_secs(2), 20_000);
-    let accord = Accord::new(config, None, Moment::ZERO, 1).unwrap();
+    let accord = Placement::new(config, None, Moment::ZERO, 1).unwrap();
     (accord, View::alone(this, ZoneId(0), 3, Moment::ZERO))
 }
 
@@ -154,7 +154,7 @@
 #[test]
 fn answers_to_a_flood_of_page_requests_are_bounded() {
     let (mut accord, view) = accord_and_view();
-    accord.list(
+    accord.set_endpoint_list(
         Moment::ZERO,
         1,
         (0..999).map(|n| TableEntry { server: format!("{n:04}"), weight_milli: n }).collect(),
@@ -164,7 +164,7 @@
     let request = PageRequest { target: digest, base: 0, first: 0, mask: u16::MAX };
     let request = encode(&Payload::Tables(Message::PageRequest(request))).unwrap();
     (0..1000).for_each(|_| accord.receive(Moment::ZERO, &view, from, &request).unwrap());
-    assert_eq!(accord.take().len(), 32 * 16);
+    assert_eq!(accord.take_outputs().len(), 32 * 16);
 }
 
 proptest! {
@@ -180,7 +180,7 @@
                 prop_assert_eq!(&accord, &before);
             }
             accord.tick(Moment::from_secs(1), &view);
-            prop_assert!(accord.take().len() < 100);
+            prop_assert!(accord.take_outputs().len() < 100);
             prop_assert!(accord.in_force().is_none());
         }
     }
--- a/crates/placement/tests/federation/failures.rs
+++ b/crates/placement/tests/federation/failures.rs
@@ -11,7 +11,7 @@
 }
 
 fn reported_lease_expiry(world: &World, n: u16) -> bool {
-    world.nodes[usize::from(n)].events.iter().any(|(_, events)| *events == PlacementEvent::Out)
+    world.nodes[usize::from(n)].events.iter().any(|(_, events)| *events == PlacementEvent::LeaseExpired)
 }
 
 #[test]
--- a/crates/placement/tests/federation/world.rs
+++ b/crates/placement/tests/federation/world.rs
@@ -6,7 +6,7 @@
 use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
 use hallpin_placement::{
-    Accord, PlacementConfig, PlacementEvent, PlacementState, StoredPlacement, TableEntry, TableId,
+    Placement, PlacementConfig, PlacementEvent, PlacementState, StoredPlacement, TableEntry, TableId,
 };
 
 use crate::checker::Sample;
@@ -16,7 +16,7 @@
 const VIEW_INTERVAL: Duration = Duration::from_millis(200);
 
 pub struct Node {
-    pub accord: Option<Accord>,
+    pub accord: Option<Placement>,
     pub stored: Option<StoredPlacement>,
     pub node_incarnation: NodeIncarnation,
     started_at: Duration,
@@ -94,7 +94,7 @@
             let config =
                 PlacementConfig::with_lease(node_incarnation, zone, self.zones, count, LEASE, self.drift_ppm);
             node.accord =
-                Some(Accord::new(config, node.stored.take(), Duration::ZERO, u64::from(n)).unwrap());
+                Some(Placement::new(config, node.stored.take(), Duration::ZERO, u64::from(n)).unwrap());
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     pub fn set_list(&mut self, n: u16, revision: u64, entries: Vec<TableEntry>) {
-        self.call(n, |accord, now, _| accord.list(now, revision, entries));
+        self.call(n, |accord, now, _| accord.set_endpoint_list(now, revision, entries));
     }
 
     pub fn set_all_lists(&mut self, revision: u64, servers: u64) {
@@ -155,7 +155,7 @@
     /// Returns whether all given nodes have a lease on one table made from the list of this revision.
     pub fn agree(&self, nodes: impl IntoIterator<Item = u16>, revision: u64) -> bool {
         let mut ids = nodes.into_iter().map(|n| {
-            let table = self.nodes[usize::from(n)].accord.as_ref().and_then(Accord::in_force);
+            let table = self.nodes[usize::from(n)].accord.as_ref().and_then(Placement::in_force);
             table.filter(|table| table.revision == revision && self.is_leased(n)).map(|table| table.id())
         });
         let first = ids.next().flatten();
@@ -190,19 +190,19 @@
     }
 
     /// Calls a running node, sends its messages, and samples all nodes if it switched.
-    fn call(&mut self, n: u16, call: impl FnOnce(&mut Accord, Moment, &View)) {
+    fn call(&mut self, n: u16, call: impl FnOnce(&mut Placement, Moment, &View)) {
         let node = &mut self.nodes[usize::from(n)];
         let (local, before) = (node.local_clock(self.now), node.in_force());
         let Some(accord) = node.accord.as_mut().filter(|_| !node.paused) else {
             return;
         };
         call(accord, local, &node.view);
-        for output in accord.take() {
+        for output in accord.take_outputs() {
             match output {
                 Output::Send { to, payload } => {
                     self.network.send(self.now, node.node_incarnation, to, payload)
                 }
-                Output::News(events) => node.events.push((self.now, events)),
+                Output::Event(events) => node.events.push((self.now, events)),
             }
         }
         if node.in_force() != before {
@@ -238,7 +238,7 @@
             let zone = ZoneId(m as u16 % self.zones);
             (
                 node.node_incarnation.node,
-                Member { life: node.node_incarnation, zone, state, since: Duration::ZERO },
+                Member { node_incarnation: node.node_incarnation, zone, state, since: Duration::ZERO },
             )
         };
         let members = self.nodes.iter().enumerate().map(member_in_view).collect();
--- a/crates/quota/src/budgets.rs
+++ b/crates/quota/src/budgets.rs
@@ -120,7 +120,7 @@
             granting.ledger.set_capacities(capacities);
             granting.next_round_at = now;
         }
-        self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
+        self.outbox.push(Output::Event(BudgetsEvent::AllotmentsChanged));
     }
 
     /// Replaces the contracts; tenant indexes are those of the new ones from now on. Leases stay until they expire,
@@ -134,7 +134,7 @@
                 granting.ledger.remap_tenants(&new_indexes, contracts.tenants().len());
                 granting.next_round_at = now;
             }
-            self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
+            self.outbox.push(Output::Event(BudgetsEvent::AllotmentsChanged));
             self.next_request_at = self.next_request_at.min(now + self.quota.config.period() / 4);
         }
         self.quota.contracts = contracts;
--- a/crates/quota/src/budgets/exchange.rs
+++ b/crates/quota/src/budgets/exchange.rs
@@ -33,14 +33,15 @@
                 let ledger = Grantor::new(self.quota.config, &self.quota.capacities);
                 let grants_from = now + self.quota.config.period() * LISTEN_PERIODS;
                 self.granting = Some(GrantorRole { ledger, grants_from, next_round_at: now });
-                self.outbox.push(Output::News(BudgetsEvent::GrantingStarted { epoch: lease.epoch }));
+                self.outbox.push(Output::Event(BudgetsEvent::GrantingStarted { epoch: lease.epoch }));
                 let node = self.quota.config.this.node;
-                view.alive().for_each(|member| self.send(member.life.node, &Message::Elsewhere { node }));
+                view.alive()
+                    .for_each(|member| self.send(member.node_incarnation.node, &Message::Elsewhere { node }));
                 self.next_request_at = now;
             }
             (None, true) => {
                 self.granting = None;
-                self.outbox.push(Output::News(BudgetsEvent::GrantingStopped));
+                self.outbox.push(Output::Event(BudgetsEvent::GrantingStopped));
             }
             _ => {}
         }
@@ -161,7 +162,7 @@
         }
         let Grant { request_id, epoch, contracts, page, .. } = grant;
         if self.quota.leases.insert(now, Lease { epoch, request_id, contracts, expires_at, page }) {
-            self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
+            self.outbox.push(Output::Event(BudgetsEvent::AllotmentsChanged));
         }
     }
 }
@@ -177,5 +178,5 @@
 
 /// The node that should be the candidate for the leader lease, by the view.
 pub(super) fn lowest_alive(view: &View) -> Option<NodeId> {
-    view.alive().map(|member| member.life.node).min()
+    view.alive().map(|member| member.node_incarnation.node).min()
 }
--- a/crates/quota/src/budgets/machine.rs
+++ b/crates/quota/src/budgets/machine.rs
@@ -13,9 +13,9 @@
 use crate::message::Message;
 
 impl StateMachine for Budgets {
-    type News = BudgetsEvent;
+    type Event = BudgetsEvent;
 
-    const KIND: Kind = Kind::Budgets;
+    const KIND: Kind = Kind::Quota;
 
     fn receive(
         &mut self,
@@ -55,11 +55,11 @@
         self.leader_lease.tick(now);
         self.follow_leader_lease(now, view);
         if self.quota.leases.expire(now) {
-            self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
+            self.outbox.push(Output::Event(BudgetsEvent::AllotmentsChanged));
         }
         let period = self.quota.config.period();
         if let Some(granting) = self.granting.as_mut().filter(|granting| now >= granting.next_round_at) {
-            if granting.ledger.has_heard_all(view.alive().map(|member| member.life.node)) {
+            if granting.ledger.has_heard_all(view.alive().map(|member| member.node_incarnation.node)) {
                 granting.grants_from = granting.grants_from.min(now);
             }
             granting.ledger.run_round(now, &self.quota.contracts);
@@ -81,7 +81,7 @@
         times.into_iter().flatten().min()
     }
 
-    fn take(&mut self) -> Vec<Output<BudgetsEvent>> {
+    fn take_outputs(&mut self) -> Vec<Output<BudgetsEvent>> {
         std::mem::take(&mut self.outbox)
     }
 }
--- a/crates/quota/src/budgets/tests.rs
+++ b/crates/quota/src/budgets/tests.rs
@@ -24,10 +24,11 @@
         Budgets::new(BudgetsConfig::new(this, 3, second * 2), contracts, Moment::ZERO, 1).unwrap();
     budgets.set_capacities(Moment::ZERO, &BTreeMap::from([(BOX, 24)]));
     let mut view = View::alone(this, ZoneId(0), 3, Moment::ZERO);
-    let member = Member { life: other, zone: ZoneId(0), state: MemberState::Alive, since: Moment::ZERO };
+    let member =
+        Member { node_incarnation: other, zone: ZoneId(0), state: MemberState::Alive, since: Moment::ZERO };
     view.members.insert(other.node, member);
     budgets.tick(second * 5, &view);
-    let pending = budgets.take().into_iter().find_map(|output| match output {
+    let pending = budgets.take_outputs().into_iter().find_map(|output| match output {
         Output::Send { to: NodeId(0), payload } => Some(Message::decode(&payload).unwrap()),
         _ => None,
     });
--- a/crates/quota/tests/fleet/mod.rs
+++ b/crates/quota/tests/fleet/mod.rs
@@ -134,7 +134,7 @@
 
     fn send(&mut self, node: usize) {
         let from = self.nodes[node].life;
-        for output in self.nodes[node].budgets.take() {
+        for output in self.nodes[node].budgets.take_outputs() {
             let Output::Send { to, payload } = output else { continue };
             assert!(payload.len() <= 228, "{} bytes", payload.len());
             self.sent[node].0 += 1;
@@ -220,7 +220,12 @@
 fn refresh_views(node: &mut Node, running: &[NodeIncarnation]) {
     let mut view = View::alone(node.life, ZoneId(0), node.view.configured, Moment::ZERO);
     for &life in running {
-        let member = Member { life, zone: ZoneId(0), state: MemberState::Alive, since: Moment::ZERO };
+        let member = Member {
+            node_incarnation: life,
+            zone: ZoneId(0),
+            state: MemberState::Alive,
+            since: Moment::ZERO,
+        };
         view.members.insert(life.node, member);
     }
     node.view = view;
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -88,8 +88,12 @@
 fn view(this: NodeIncarnation, seen: &[NodeIncarnation]) -> View {
     let mut view = View::alone(this, ZoneId(this.node.0 / 2), 3, Moment::ZERO);
     for &life in seen {
-        let member =
-            Member { life, zone: ZoneId(life.node.0 / 2), state: MemberState::Alive, since: Moment::ZERO };
+        let member = Member {
+            node_incarnation: life,
+            zone: ZoneId(life.node.0 / 2),
+            state: MemberState::Alive,
+            since: Moment::ZERO,
+        };
         view.members.insert(life.node, member);
     }
     view
@@ -106,7 +110,7 @@
 
     fn collect(&self, state: &mut State, node: usize) {
         let (from, _, budgets) = &mut state.nodes[node];
-        for output in budgets.take() {
+        for output in budgets.take_outputs() {
             // From the partition on, no message passes between node 0 and the second depot.
             let is_partitioned = state.true_ms >= (SETTLE_TICKS - PARTITION_TICKS) * TICK_MS;
             if let Output::Send { to, payload } = output {
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -126,7 +126,7 @@
             for _ in 0..count {
                 entries.push(entry(&lines.next()?.ok_or("a list entry expected")?)?);
             }
-            Event::Roster(match mode {
+            Event::Endpoints(match mode {
                 Some("delta") => EndpointUpdate::Delta(entries),
                 Some("full") => EndpointUpdate::Full(entries),
                 Some("cached") => EndpointUpdate::Cached(entries),
@@ -145,7 +145,15 @@
             f.seconds("object size")?;
             let key = f.opt("key")?.map(Key);
             let work = work.filter(|_| bits & 1 != 0);
-            Event::Request(NewRequest { id, left, class, tenant, key, write: bits & 4 != 0, work })
+            Event::Request(NewRequest {
+                id,
+                time_left: left,
+                class,
+                tenant,
+                key,
+                write: bits & 4 != 0,
+                work_hint: work,
+            })
         }
         "head_received" => Event::StreamStarted {
             request: RequestId(f.need("request id")?),
@@ -164,14 +172,14 @@
                 Some(3) => Some(CacheNote::MissFetching),
                 _ => None,
             };
-            Event::Outcome(Outcome { request, attempt, status, elapsed, finished, note })
+            Event::Outcome(Outcome { request, attempt, status, elapsed, finished, cache_note: note })
         }
-        "withdrawn" => Event::Withdrawn(RequestId(f.need("request id")?)),
+        "withdrawn" => Event::ClientLeft(RequestId(f.need("request id")?)),
         "ring" => Event::Timer(TimerToken(f.need("timer label")?)),
         "checked" => {
             let status = status(f.text());
             f.seconds("time spent")?;
-            Event::Probed { server: f.server()?, status }
+            Event::HealthChecked { server: f.server()?, status }
         }
         "message" => Event::Message { from: f.need("sender")?, bytes: hex(f.text().unwrap_or(""))? },
         other => return Err(format!("a known message name expected, got `{other}`")),
@@ -223,12 +231,12 @@
             writeln!(out, "hand_off {node} {} - {}", request.0, server.0)
         }
         Action::Cancel { request, attempt } => writeln!(out, "call_off {node} {} {}", request.0, attempt.0),
-        Action::Refuse { request, retry_after: Some(t) } => writeln!(out, "busy {node} {} {t:.6}", request.0),
-        Action::Refuse { request, retry_after: None } => writeln!(out, "busy {node} {} -", request.0),
+        Action::Reject { request, retry_after: Some(t) } => writeln!(out, "busy {node} {} {t:.6}", request.0),
+        Action::Reject { request, retry_after: None } => writeln!(out, "busy {node} {} -", request.0),
         Action::Fail(request) => writeln!(out, "respond_error {node} {}", request.0),
         Action::SetTimer { token, after } => writeln!(out, "set_timer {node} {} {after:.6}", token.0),
-        Action::Probe(server) => writeln!(out, "sample {node} {}", server.0),
-        Action::Tell(bytes) => {
+        Action::HealthCheck(server) => writeln!(out, "sample {node} {}", server.0),
+        Action::Broadcast(bytes) => {
             let digits: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
             writeln!(out, "write_peer {node} -1 {digits}")
         }
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -7,7 +7,7 @@
 use hallpin_membership::facts::PeersEvent;
 use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::{Peers, PeersConfig};
-use hallpin_placement::{Accord, PlacementConfig, PlacementEvent, Table};
+use hallpin_placement::{Placement, PlacementConfig, PlacementEvent, Table};
 use hallpin_quota::Budgets;
 
 use super::boxes::{Boxes, Sent};
@@ -21,7 +21,7 @@
 /// The least time between two turns, as in the real node.
 const LEAST_WAIT: Duration = Duration::from_millis(1);
 /// The defaults of the operators' file.
-const RATE: Rate = Rate { a_second: 1000, burst: 500 };
+const RATE: Rate = Rate { per_second: 1000, burst: 500 };
 const LEASE: Duration = Duration::from_secs(2);
 const DRIFT_PPM: u32 = 20_000;
 const REALM: u32 = 1;
@@ -52,7 +52,7 @@
 
 /// The machines of one life of a node, its view of the boxes, and its clock.
 pub struct NodePlane {
-    plane: Plane<Accord, Budgets>,
+    plane: Plane<Placement, Budgets>,
     boxes: Boxes,
     started: Time,
     gather_at: Moment,
@@ -87,7 +87,8 @@
         let now = Moment::ZERO;
         let peers = Peers::new(PeersConfig::new(this, zone, configured), seed, now, &[])?;
         let with = || PlacementConfig::with_lease(this, zone, zones, configured, LEASE, DRIFT_PPM);
-        let accord = (switch == Switch::Table).then(|| Accord::new(with(), None, now, seed)).transpose()?;
+        let accord =
+            (switch == Switch::Table).then(|| Placement::new(with(), None, now, seed)).transpose()?;
         let door = DatagramFilter { realm: REALM, this, configured };
         let plane = Plane::new(door, RATE, now, peers, accord, None);
         let boxes = Boxes::new(settings);
@@ -103,7 +104,7 @@
         self.boxes.learn(list);
         let now = self.moment(now);
         if let (Some(accord), Some(revision)) = (self.plane.accord(), revision) {
-            accord.list(now, revision, self.boxes.table());
+            accord.set_endpoint_list(now, revision, self.boxes.table());
         }
     }
 
@@ -143,11 +144,11 @@
         for output in self.plane.take(now) {
             match output {
                 PlaneOutput::Datagram { to, bytes } => told.push(Told::Datagram(usize::from(to.0), bytes)),
-                PlaneOutput::News(PlaneEvent::Accord(PlacementEvent::Switch(table))) => {
+                PlaneOutput::Event(PlaneEvent::Accord(PlacementEvent::Switch(table))) => {
                     told.push(switch(&table))
                 }
-                PlaneOutput::News(PlaneEvent::Peers(PeersEvent::Evidence)) => self.tell_at = now,
-                PlaneOutput::News(_) => {}
+                PlaneOutput::Event(PlaneEvent::Peers(PeersEvent::Evidence)) => self.tell_at = now,
+                PlaneOutput::Event(_) => {}
             }
         }
         told
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -42,7 +42,7 @@
             Action::Cancel { request, attempt } => {
                 self.give_up(node, request.0, attempt.0, Status::Cancelled);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let advice = retry_after.filter(|_| self.day.limits.retry_after).map(Span::from_secs);
                 self.answer(node, request.0, How::Rejected, advice, None);
                 self.settle(node, request.0);
@@ -55,10 +55,10 @@
                 let life = self.hosts[node].life;
                 self.after(Span::from_secs(after), Due::Timer { node, life, token });
             }
-            Action::Probe(server) if self.day.limits.probes => self.probe(node, &server),
-            Action::Tell(bytes) if self.day.limits.peers => self.broadcast(node, bytes),
+            Action::HealthCheck(server) if self.day.limits.probes => self.probe(node, &server),
+            Action::Broadcast(bytes) if self.day.limits.peers => self.broadcast(node, bytes),
             // Lists are pushed here, and the log is the operators'.
-            Action::Probe(_) | Action::Tell(_) | Action::Subscribe | Action::Log(_) => {}
+            Action::HealthCheck(_) | Action::Broadcast(_) | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
@@ -126,8 +126,14 @@
         let finished = self.hosts[node].tries.get(&id).is_none_or(|live| live.answered);
         let elapsed = self.now.since(since).as_secs();
         self.record(Event::Ended { id, attempt, how: status.into() });
-        let outcome =
-            Outcome { request: RequestId(id), attempt: AttemptId(attempt), status, elapsed, finished, note };
+        let outcome = Outcome {
+            request: RequestId(id),
+            attempt: AttemptId(attempt),
+            status,
+            elapsed,
+            finished,
+            cache_note: note,
+        };
         self.hosts[node].events.push_back(decisions::Event::Outcome(outcome));
     }
 
--- a/crates/simulation/src/world/door.rs
+++ b/crates/simulation/src/world/door.rs
@@ -72,12 +72,12 @@
         self.enter(deadline.back(Span(2_500)), Due::Backstop { node, life, id });
         let request = NewRequest {
             id: RequestId(id),
-            left: deadline.since(self.now).as_secs(),
+            time_left: deadline.since(self.now).as_secs(),
             class: Some(ClassId(class)),
             tenant: tenant.map(TenantId),
             key: Some(self.keys.hashed(key)),
             write: write.is_some(),
-            work: hint,
+            work_hint: hint,
         };
         self.tell(node, decisions::Event::Request(request));
     }
@@ -88,7 +88,7 @@
         let node = t.node;
         self.record(Event::Abandoned { id });
         if self.close(node, id) {
-            self.tell(node, decisions::Event::Withdrawn(RequestId(id)));
+            self.tell(node, decisions::Event::ClientLeft(RequestId(id)));
             self.settle(node, id);
             self.drain(node);
         }
--- a/crates/simulation/src/world/listed.rs
+++ b/crates/simulation/src/world/listed.rs
@@ -139,7 +139,7 @@
             held.extend(entries.iter().filter(|e| e.state != ServerState::Gone).cloned());
         }
         let told = if news.complete { EndpointUpdate::Full(entries) } else { EndpointUpdate::Delta(entries) };
-        self.tell(node, decisions::Event::Roster(told));
+        self.tell(node, decisions::Event::Endpoints(told));
         self.plane_learns(node, Some(news.revision));
     }
 
--- a/crates/simulation/src/world/lives.rs
+++ b/crates/simulation/src/world/lives.rs
@@ -17,7 +17,7 @@
                 self.record(Event::Told { node, of, phase, started });
             }
         }
-        self.tell(node, decisions::Event::Roster(EndpointUpdate::Cached(held)));
+        self.tell(node, decisions::Event::Endpoints(EndpointUpdate::Cached(held)));
         self.plane_learns(node, None);
         self.hosts[node].revision = 0;
         let late = Span::from_secs(self.network.between(0.0, self.day.list.spread.as_secs()));
@@ -103,7 +103,7 @@
     pub(super) fn look_at_sizes(&mut self) {
         if self.now.0.is_multiple_of(SIZES_EVERY.0) {
             let alive = self.hosts.iter().filter(|host| host.alive);
-            let most = alive.map(|host| host.policy.sizes()).fold(Sizes::default(), Sizes::most);
+            let most = alive.map(|host| host.policy.sizes()).fold(Sizes::default(), Sizes::max_of_each);
             self.sizes.push((self.now, most));
         }
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -181,7 +181,7 @@
             }
             Due::Backstop { node, life, id } if self.lives(node, life) => {
                 if self.answer(node, id, How::Failed, None, None) {
-                    self.tell(node, decisions::Event::Withdrawn(RequestId(id)));
+                    self.tell(node, decisions::Event::ClientLeft(RequestId(id)));
                 }
                 self.settle(node, id);
                 self.drain(node);
@@ -213,7 +213,7 @@
             Due::ProbeAtBox { node, life, of } => self.probe_at_box(node, life, of),
             Due::ProbeEnds { node, life, of, status } if self.lives(node, life) => {
                 let server = self.boxes[of].server.clone();
-                self.tell(node, decisions::Event::Probed { server, status });
+                self.tell(node, decisions::Event::HealthChecked { server, status });
             }
             Due::Message { to, life, from, message } => self.deliver(to, life, from, message),
             Due::PlaneWakes { node, life } if self.lives(node, life) => self.plane_wakes(node),
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -118,7 +118,7 @@
             self.day.running.iter().map(|&b| self.entry(listing(b, Phase::Ready, None))).collect();
         let mut actions = Vec::new();
         for policy in &mut policies {
-            let news = decisions::Event::Roster(EndpointUpdate::Full(running.clone()));
+            let news = decisions::Event::Endpoints(EndpointUpdate::Full(running.clone()));
             policy.handle(0.0, news, &self.eyes(0, Asked::One(0)), &mut actions);
         }
         let room: u64 = self.day.running.iter().map(|&b| self.day.boxes[b].memory).sum();
@@ -130,12 +130,12 @@
             let id = RequestId(n);
             let request = NewRequest {
                 id,
-                left: 1.0,
+                time_left: 1.0,
                 class: Some(ClassId(class)),
                 tenant: None,
                 key: Some(self.keys.hashed(key)),
                 write: false,
-                work: None,
+                work_hint: None,
             };
             actions.clear();
             let eyes = self.eyes(node, Asked::One(key));
@@ -146,7 +146,7 @@
             });
             let Some(to) = sent else {
                 // Of a policy that would have waited, nothing may be left over.
-                policies[node].handle(now, decisions::Event::Withdrawn(id), &eyes, &mut actions);
+                policies[node].handle(now, decisions::Event::ClientLeft(id), &eyes, &mut actions);
                 continue;
             };
             if !self.boxes[to].cache.keeps(Time::ZERO, key, 0) {
@@ -160,7 +160,7 @@
                 status: Status::Success,
                 elapsed: 0.01,
                 finished: true,
-                note: Some(CacheNote::Hit),
+                cache_note: Some(CacheNote::Hit),
             };
             let eyes = self.eyes(node, Asked::One(key));
             policies[node].handle(now, decisions::Event::Outcome(outcome), &eyes, &mut actions);
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -84,7 +84,7 @@
 impl Life {
     fn new(seed: u64, day: &Day) -> Self {
         let mut settings = Settings::from_json(&day.settings(0)).expect("the day's settings");
-        settings.limits.probes = seed.is_multiple_of(2);
+        settings.limits.health_checks = seed.is_multiple_of(2);
         let balancer = Balancer::new(settings, seed).expect("settings are valid");
         let list = (0..LISTED).map(|of| entry(of, ServerState::Ready, None)).collect();
         Life {
@@ -141,7 +141,7 @@
                     wait: None,
                 });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.close(request);
                 let advice = retry_after.map(|s| Span((s * 1e6) as u64));
                 self.record(Event::Answered { id: request.0, how: How::Rejected, version: None, advice });
@@ -173,12 +173,12 @@
         self.record(Event::Taken { id, ask: id, node: 0, until });
         let new = NewRequest {
             id: RequestId(id),
-            left,
+            time_left: left,
             class: Some(decisions::ClassId(class)),
             tenant: None,
             key: Some(Key(key)),
             write: class != 0,
-            work: None,
+            work_hint: None,
         };
         self.handle(decisions::Event::Request(new), tamper);
     }
@@ -222,8 +222,14 @@
                 self.record(Event::Answered { id, how: How::Completed, version: Some(0), advice: None });
             }
             let attempt = AttemptId(index as u32);
-            let outcome =
-                Outcome { request: RequestId(id), attempt, status, elapsed: self.now - sent, finished, note };
+            let outcome = Outcome {
+                request: RequestId(id),
+                attempt,
+                status,
+                elapsed: self.now - sent,
+                finished,
+                cache_note: note,
+            };
             self.handle(decisions::Event::Outcome(outcome), tamper);
         }
     }
@@ -236,7 +242,7 @@
         self.list[of] = entry(of, state, (state == ServerState::Ready).then_some(self.now));
         let changed = vec![self.list[of].clone()];
         self.tell(&changed);
-        self.handle(decisions::Event::Roster(EndpointUpdate::Delta(changed)), tamper);
+        self.handle(decisions::Event::Endpoints(EndpointUpdate::Delta(changed)), tamper);
     }
 
     /// Time passes by `by` seconds: timers ring, attempts end.
@@ -265,11 +271,11 @@
                 if self.open.get_mut(&id).is_some_and(|r| !std::mem::replace(&mut r.over, true)) {
                     self.record(Event::Abandoned { id });
                 }
-                self.handle(decisions::Event::Withdrawn(RequestId(id)), tamper);
+                self.handle(decisions::Event::ClientLeft(RequestId(id)), tamper);
             }
             8 => {
                 let server = self.list[self.chance.below(LISTED as u64) as usize].server.clone();
-                self.handle(decisions::Event::Probed { server, status: Status::Success }, tamper);
+                self.handle(decisions::Event::HealthChecked { server, status: Status::Success }, tamper);
             }
             _ => {}
         }
@@ -282,7 +288,7 @@
     let mut life = Life::new(seed, &day);
     let list = life.list.clone();
     life.tell(&list);
-    life.handle(decisions::Event::Roster(EndpointUpdate::Full(list)), &tamper);
+    life.handle(decisions::Event::Endpoints(EndpointUpdate::Full(list)), &tamper);
     let mut next_id = 0;
     for _ in 0..steps {
         life.step(&mut next_id, &tamper);
@@ -321,7 +327,7 @@
     let eager = |actions: &mut Vec<Action>| {
         for action in actions.iter_mut() {
             if let Action::Fail(request) = action {
-                *action = Action::Refuse { request: *request, retry_after: Some(0.1) };
+                *action = Action::Reject { request: *request, retry_after: Some(0.1) };
             }
         }
     };
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -233,7 +233,7 @@
 impl Policy for Impatient {
     fn handle(&mut self, _: f64, event: decisions::Event, _: &dyn Sight, actions: &mut Vec<Action>) {
         match event {
-            decisions::Event::Roster(EndpointUpdate::Cached(list) | EndpointUpdate::Full(list)) => {
+            decisions::Event::Endpoints(EndpointUpdate::Cached(list) | EndpointUpdate::Full(list)) => {
                 self.servers = list.into_iter().map(|entry| entry.server).collect();
             }
             decisions::Event::Request(new) => {
