--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -16,7 +16,11 @@
 
 impl Answer {
     /// The final answer of a request.
-    pub fn of(ticket: RequestGuard, ServedAnswer { text, body }: ServedAnswer, end: RequestOutcome) -> Self {
+    pub fn final_answer(
+        ticket: RequestGuard,
+        ServedAnswer { text, body }: ServedAnswer,
+        end: RequestOutcome,
+    ) -> Self {
         Answer { text, body, request_end: Some((ticket, end)) }
     }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -141,7 +141,7 @@
 
     fn apply_roster(&mut self, roster: Roster, update: fn(Vec<EndpointEntry>) -> EndpointUpdate) {
         if let Some(fleet) = &self.fleet {
-            fleet.learn(&roster);
+            fleet.apply_roster(&roster);
         }
         // A server at a new address is a new process: the balancer drops the faults and the limit that it learnt for
         // the old one.
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -150,7 +150,7 @@
                 fleet.record_outcome(&sent_attempt, status);
             }
             if let Some(quota_use) = ended.quota_use.take() {
-                fleet.finish(quota_use);
+                fleet.end_use(quota_use);
             }
         }
         let active = self.requests.get(&request);
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -37,13 +37,13 @@
         if self.open_opaques.contains(&command.opaque()) {
             return drop(reply.send(Answer::without_request(protocol::ID_IN_USE)));
         }
-        let ticket = self.metrics.take(class.0);
+        let ticket = self.metrics.start_request(class.0);
         let deadline = self.deadline(&command, at);
         if deadline <= self.event_time {
             // The deadline passed while the client was writing the request. It gets an answer and no attempt.
             log_answer(id, &command, RequestOutcome::Rejected, Duration::ZERO);
             let busy = protocol::busy(None).into();
-            return drop(reply.send(Answer::of(ticket, busy, RequestOutcome::Rejected)));
+            return drop(reply.send(Answer::final_answer(ticket, busy, RequestOutcome::Rejected)));
         }
         let new = NewRequest {
             id,
@@ -92,7 +92,7 @@
             log_answer(id, &active.command, end, active.deadline.saturating_duration_since(self.event_time));
         }
         // Fails if the client has disconnected; its connection reports that.
-        reply.send(Answer::of(ticket, answer, end)).is_ok()
+        reply.send(Answer::final_answer(ticket, answer, end)).is_ok()
     }
 
     /// Takes the reply channel, after which no answer can be given, and frees the client's id.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -70,7 +70,7 @@
     }
 
     /// Counts a new request of this class.
-    pub fn take(self: &Rc<Self>, class: usize) -> RequestGuard {
+    pub fn start_request(self: &Rc<Self>, class: usize) -> RequestGuard {
         increment(&self.started);
         RequestGuard { metrics: self.clone(), class, end: RequestOutcome::Failed }
     }
@@ -148,7 +148,8 @@
     #[test]
     fn a_request_is_pending_until_it_ends_in_one_way() {
         let metrics = Metrics::new(["read", "save"]);
-        let (served, rejected, dropped) = (metrics.take(0), metrics.take(1), metrics.take(1));
+        let (served, rejected, dropped) =
+            (metrics.start_request(0), metrics.start_request(1), metrics.start_request(1));
         metrics.count_upstream_request();
         assert_eq!(metrics.pending(), 3);
         served.end(RequestOutcome::Completed);
--- a/crates/node/src/plane/permits.rs
+++ b/crates/node/src/plane/permits.rs
@@ -69,7 +69,7 @@
     }
 
     /// Ends a use.
-    pub fn finish(&self, used: QuotaUse) {
+    pub fn end_use(&self, used: QuotaUse) {
         self.usage.borrow_mut().release(used.resource, used.tenant);
     }
 
--- a/crates/node/src/plane/tests.rs
+++ b/crates/node/src/plane/tests.rs
@@ -75,7 +75,7 @@
     }
 
     fn list_at(&self, revision: u64, boxes: usize, at: SocketAddr) {
-        self.fleet.learn(&self.roster(revision, boxes, at));
+        self.fleet.apply_roster(&self.roster(revision, boxes, at));
     }
 
     fn list(&self, revision: u64, boxes: usize) {
--- a/crates/node/src/plane/tests/budgets.rs
+++ b/crates/node/src/plane/tests/budgets.rs
@@ -54,7 +54,7 @@
                         let begin = |_| node.fleet.begin_use(&server, Some("a")).ok().flatten();
                         let used: Vec<QuotaUse> = (0..CAPACITY).filter_map(begin).collect();
                         connections.extend(std::iter::from_fn(|| node.fleet.open_connection(&server)));
-                        used.into_iter().for_each(|used| node.fleet.finish(used));
+                        used.into_iter().for_each(|used| node.fleet.end_use(used));
                     }
                     let open = connections.iter().map(|connections| connections.len() as u32).sum::<u32>();
                     assert!(open <= CAPACITY, "{open} open at a box that accepts {CAPACITY}");
@@ -105,7 +105,7 @@
         let attempt = || async {
             let Ok(used) = node.fleet.begin_use(&server, Some("a")) else { return None };
             let ended = upstream.attempt(&server, &test_call(READ)).await;
-            used.into_iter().for_each(|used| node.fleet.finish(used));
+            used.into_iter().for_each(|used| node.fleet.end_use(used));
             Some(ended.status)
         };
         let attempt_concurrently = |count: usize| {
--- a/crates/node/src/plane/told.rs
+++ b/crates/node/src/plane/told.rs
@@ -11,7 +11,7 @@
 
 impl PlaneRuntime {
     /// Applies an endpoint list.
-    pub fn learn(&self, roster: &Roster) {
+    pub fn apply_roster(&self, roster: &Roster) {
         let mut boxes = self.boxes.borrow_mut();
         boxes.apply_roster(roster);
         let (now, mut plane) = (self.now(), self.plane.borrow_mut());
--- a/crates/node/src/upstream/tests/budgeted.rs
+++ b/crates/node/src/upstream/tests/budgeted.rs
@@ -37,7 +37,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (upstream, fleet, server) = (upstream(LONG, 9), fleet(), ServerId("s".into()));
         let list = roster(&listener, "ready");
-        fleet.learn(&list);
+        fleet.apply_roster(&list);
         upstream.apply_quotas(fleet.clone());
         upstream.update_endpoints(&list);
         let mut connection = upstream.connect(&server, Instant::now() + LONG).await.ok().unwrap();
