--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -9,16 +9,16 @@
 pub(super) const KEYED: ClassId = ClassId(1);
 pub(super) const UNSAFE: ClassId = ClassId(2);
 
-pub(super) fn class(name: &str, effect: Effect, group: Group) -> Class {
+pub(super) fn class(name: &str, effect: Effect, group: DeduplicationScope) -> Class {
     Class {
         name: name.into(),
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
-        worth: 1.0,
-        late_worth: 0.2,
+        priority_weight: 1.0,
+        late_weight_share: 0.2,
         effect,
-        group,
-        window: 1.0,
+        deduplication_scope: group,
+        deduplication_window: 1.0,
         streamed: false,
     }
 }
@@ -27,9 +27,9 @@
     Settings {
         balancers: 2,
         classes: vec![
-            class("read", Effect::Safe, Group::All),
-            class("keyed", Effect::Keyed, Group::Zone),
-            class("unsafe", Effect::Unsafe, Group::All),
+            class("read", Effect::Idempotent, DeduplicationScope::All),
+            class("keyed", Effect::Deduplicated, DeduplicationScope::Zone),
+            class("unsafe", Effect::NonIdempotent, DeduplicationScope::All),
         ],
         tenants: vec![],
         membership: Membership::Pushed,
@@ -37,22 +37,22 @@
         weights: WeightSource::Off,
         guarantees: Guarantees {
             answer_grace: 0.02,
-            ask_every: 10.0,
-            cold_from: 0.25,
-            ramp: 8.0,
+            poll_interval: 10.0,
+            initial_capacity_share: 0.25,
+            slow_start_duration: 8.0,
             drain_grace: 0.5,
-            fall_multiple: 3.0,
-            fall_for: 1.0,
+            overload_multiple: 3.0,
+            overload_window: 1.0,
         },
         limits: Limits {
             cancel: true,
-            probes: true,
-            second_copies: true,
+            health_checks: true,
+            hedging: true,
             max_attempts: 4,
             connect_timeout: 0.1,
             ..Limits::default()
         },
-        round: 0.005,
+        event_interval: 0.005,
     }
 }
 
@@ -60,8 +60,8 @@
     ServerId(format!("10.0.{}.{}:80", n / 256, n % 256).as_str().into())
 }
 
-pub(super) fn entry(n: u64) -> RosterEntry {
-    RosterEntry {
+pub(super) fn entry(n: u64) -> EndpointEntry {
+    EndpointEntry {
         server: id(n),
         state: ServerState::Ready,
         zone: if n.is_multiple_of(2) { "here" } else { "there" }.into(),
@@ -72,19 +72,19 @@
     }
 }
 
-pub(super) fn origin() -> RosterEntry {
-    RosterEntry { server: id(998), kind: "origin".into(), ..entry(0) }
+pub(super) fn origin() -> EndpointEntry {
+    EndpointEntry { server: id(998), kind: "origin".into(), ..entry(0) }
 }
 
 pub(super) fn read(n: u64, key: u64) -> NewRequest {
     NewRequest {
         id: RequestId(n),
-        left: 1.0,
+        time_left: 1.0,
         class: Some(READ),
         tenant: None,
         key: Some(Key(key)),
         write: false,
-        work: None,
+        work_hint: None,
     }
 }
 
@@ -102,9 +102,9 @@
         Node { balancer, now: 100.0, sends: BTreeMap::new(), flush_count: 0 }
     }
 
-    pub(crate) fn with(settings: Settings, seed: u64, entries: Vec<RosterEntry>) -> Self {
+    pub(crate) fn with(settings: Settings, seed: u64, entries: Vec<EndpointEntry>) -> Self {
         let mut node = Node::new(settings, seed);
-        node.event(Event::Roster(RosterNews::Full(entries)));
+        node.event(Event::Endpoints(EndpointUpdate::Full(entries)));
         node
     }
 
@@ -134,7 +134,7 @@
             status,
             elapsed,
             finished: status == Status::Success,
-            note,
+            cache_note: note,
         }))
     }
 
@@ -192,7 +192,7 @@
 }
 
 pub(super) fn rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub(super) fn failed(actions: &[Action]) -> bool {
--- a/crates/control-plane/tests/routing.rs
+++ b/crates/control-plane/tests/routing.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use hallpin_control_plane::{Door, Plane, PlaneNews, PlaneOutput, Rate};
-use hallpin_membership::envelope::{Envelope, Kind, Refused, MAX_DATAGRAM, MAX_PAYLOAD};
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_control_plane::{DatagramFilter, Plane, PlaneEvent, PlaneOutput, Rate};
+use hallpin_membership::envelope::{Envelope, Kind, Rejection, MAX_DATAGRAM, MAX_PAYLOAD};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::View;
 use hallpin_membership::{Peers, PeersConfig};
 use proptest::prelude::*;
@@ -17,20 +17,26 @@
 /// error.
 struct RecordingMachine<const KIND: u8> {
     ticks: u32,
-    out: Vec<Output<(Life, u8)>>,
+    out: Vec<Output<(NodeIncarnation, u8)>>,
 }
 
 fn recording_machine<const KIND: u8>() -> RecordingMachine<KIND> {
     RecordingMachine { ticks: 0, out: Vec::new() }
 }
 
-impl<const KIND: u8> Machine for RecordingMachine<KIND> {
-    type News = (Life, u8);
-    const KIND: Kind = if KIND == 2 { Kind::Accord } else { Kind::Budgets };
-
-    fn receive(&mut self, _: Moment, _: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
-        let count = *payload.first().filter(|count| **count > 0).ok_or(Refused::Payload)?;
-        self.out.push(Output::News((from, count)));
+impl<const KIND: u8> StateMachine for RecordingMachine<KIND> {
+    type Event = (NodeIncarnation, u8);
+    const KIND: Kind = if KIND == 2 { Kind::Placement } else { Kind::Quota };
+
+    fn receive(
+        &mut self,
+        _: Moment,
+        _: &View,
+        from: NodeIncarnation,
+        payload: &[u8],
+    ) -> Result<(), Rejection> {
+        let count = *payload.first().filter(|count| **count > 0).ok_or(Rejection::Payload)?;
+        self.out.push(Output::Event((from, count)));
         let send = |_| Output::Send { to: NodeId(1), payload: vec![count] };
         self.out.extend((0..count).map(send));
         Ok(())
@@ -44,39 +50,39 @@
         None
     }
 
-    fn take(&mut self) -> Vec<Output<(Life, u8)>> {
+    fn take_outputs(&mut self) -> Vec<Output<(NodeIncarnation, u8)>> {
         std::mem::take(&mut self.out)
     }
 }
 
 type TestPlane = Plane<RecordingMachine<2>, RecordingMachine<3>>;
 
-fn life(node: u16, incarnation: u64) -> Life {
-    Life { node: NodeId(node), incarnation: Incarnation(incarnation) }
+fn life(node: u16, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId(node), incarnation: Incarnation(incarnation) }
 }
 
 /// Node 0 of three; `accord` and `budgets` say which machines are on.
 fn plane(accord: bool, budgets: bool, rate: Rate) -> TestPlane {
-    let filter = Door { realm: REALM, this: life(0, 9), configured: 3 };
+    let filter = DatagramFilter { realm: REALM, this: life(0, 9), configured: 3 };
     let peers = Peers::new(PeersConfig::new(filter.this, ZoneId(0), 3), 1, NOW, &[]).unwrap();
     Plane::new(filter, rate, NOW, peers, accord.then(recording_machine), budgets.then(recording_machine))
 }
 
-const HIGH_RATE: Rate = Rate { a_second: 1000, burst: 500 };
+const HIGH_RATE: Rate = Rate { per_second: 1000, burst: 500 };
 
-fn datagram(kind: Kind, from: Life, to: u16, payload: &[u8]) -> Vec<u8> {
+fn datagram(kind: Kind, from: NodeIncarnation, to: u16, payload: &[u8]) -> Vec<u8> {
     let to = NodeId(to);
     Envelope { realm: REALM, kind, from, to, payload: payload.into() }.encode().unwrap()
 }
 
 /// Outputs of accord and budgets: events with the machine's kind, and the number of datagrams.
-fn take_outputs(plane: &mut TestPlane, now: Moment) -> (Vec<(Kind, Life)>, usize) {
+fn take_outputs(plane: &mut TestPlane, now: Moment) -> (Vec<(Kind, NodeIncarnation)>, usize) {
     let (mut news, mut sent) = (Vec::new(), 0);
     for output in plane.take(now) {
         match output {
-            PlaneOutput::News(PlaneNews::Accord((from, _))) => news.push((Kind::Accord, from)),
-            PlaneOutput::News(PlaneNews::Budgets((from, _))) => news.push((Kind::Budgets, from)),
-            PlaneOutput::News(PlaneNews::Peers(_)) => {}
+            PlaneOutput::Event(PlaneEvent::Accord((from, _))) => news.push((Kind::Placement, from)),
+            PlaneOutput::Event(PlaneEvent::Budgets((from, _))) => news.push((Kind::Quota, from)),
+            PlaneOutput::Event(PlaneEvent::Peers(_)) => {}
             PlaneOutput::Datagram { to, bytes } => {
                 assert!(bytes.len() <= MAX_DATAGRAM && to != NodeId(0));
                 let kind = Envelope::decode(&bytes).unwrap().kind;
@@ -90,7 +96,7 @@
 #[test]
 fn a_payload_reaches_the_machine_of_its_kind_and_no_other() {
     let mut plane = plane(true, true, HIGH_RATE);
-    for kind in [Kind::Accord, Kind::Budgets] {
+    for kind in [Kind::Placement, Kind::Quota] {
         plane.receive(NOW, Some(NodeId(1)), &datagram(kind, life(1, 5), 0, &[2])).unwrap();
         assert_eq!(take_outputs(&mut plane, NOW), (vec![(kind, life(1, 5))], 2));
     }
@@ -100,7 +106,7 @@
 
 #[test]
 fn datagrams_not_from_a_peer_to_this_node_are_refused_and_change_nothing() {
-    let good = datagram(Kind::Accord, life(1, 5), 0, &[1]);
+    let good = datagram(Kind::Placement, life(1, 5), 0, &[1]);
     let other_realm = {
         let mut envelope = Envelope::decode(&good).unwrap();
         envelope.realm += 1;
@@ -111,22 +117,22 @@
     let mut newer = good.clone();
     newer[2] += 1;
     let long = vec![0; MAX_DATAGRAM + 1];
-    let from = |node| datagram(Kind::Accord, life(node, 9), 0, &[1]);
+    let from = |node| datagram(Kind::Placement, life(node, 9), 0, &[1]);
     let one = Some(NodeId(1));
     let cases = [
-        (one, other_realm, Refused::Realm),
-        (None, good.clone(), Refused::Stranger),
-        (Some(NodeId(2)), good.clone(), Refused::Stranger),
-        (Some(NodeId(0)), from(0), Refused::Stranger),
-        (Some(NodeId(3)), from(3), Refused::Stranger),
-        (one, datagram(Kind::Accord, life(1, 5), 2, &[1]), Refused::Stranger),
-        (one, datagram(Kind::Accord, life(1, 5), 0, &[0]), Refused::Payload),
-        (one, datagram(Kind::Budgets, life(1, 5), 0, &[1]), Refused::Kind),
-        (one, garbled, Refused::Garbled),
-        (one, newer, Refused::Version),
-        (one, long, Refused::TooLong),
-        (one, good[..9].into(), Refused::Short),
-        (one, vec![0; 100], Refused::Foreign),
+        (one, other_realm, Rejection::Realm),
+        (None, good.clone(), Rejection::UnknownPeer),
+        (Some(NodeId(2)), good.clone(), Rejection::UnknownPeer),
+        (Some(NodeId(0)), from(0), Rejection::UnknownPeer),
+        (Some(NodeId(3)), from(3), Rejection::UnknownPeer),
+        (one, datagram(Kind::Placement, life(1, 5), 2, &[1]), Rejection::UnknownPeer),
+        (one, datagram(Kind::Placement, life(1, 5), 0, &[0]), Rejection::Payload),
+        (one, datagram(Kind::Quota, life(1, 5), 0, &[1]), Rejection::Kind),
+        (one, garbled, Rejection::Corrupt),
+        (one, newer, Rejection::Version),
+        (one, long, Rejection::TooLong),
+        (one, good[..9].into(), Rejection::Truncated),
+        (one, vec![0; 100], Rejection::Foreign),
     ];
     for (sender, bytes, cause) in cases {
         let mut plane = plane(true, false, HIGH_RATE);
@@ -142,14 +148,14 @@
 fn datagrams_of_an_earlier_incarnation_are_refused_once_a_newer_one_is_known() {
     let mut receiver = plane(true, true, HIGH_RATE);
     let mut restarted = TestPlane::new(
-        Door { realm: REALM, this: life(1, 6), configured: 3 },
+        DatagramFilter { realm: REALM, this: life(1, 6), configured: 3 },
         HIGH_RATE,
         NOW,
         Peers::new(PeersConfig::new(life(1, 6), ZoneId(0), 3), 2, NOW, &[]).unwrap(),
         None,
         None,
     );
-    let message = |incarnation| datagram(Kind::Budgets, life(1, incarnation), 0, &[1]);
+    let message = |incarnation| datagram(Kind::Quota, life(1, incarnation), 0, &[1]);
     assert_eq!(receiver.receive(NOW, Some(NodeId(1)), &message(5)), Ok(()));
     // The newer incarnation becomes known by its own pings.
     let mut now = NOW;
@@ -164,18 +170,18 @@
         }
     }
     assert_eq!(receiver.view().incarnation(NodeId(1)), Some(Incarnation(6)));
-    assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(5)), Err(Refused::Stranger));
+    assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(5)), Err(Rejection::UnknownPeer));
     assert_eq!(receiver.receive(now, Some(NodeId(1)), &message(6)), Ok(()));
 }
 
 /// Datagrams beyond the rate limit are dropped and counted, whatever the machines send; events are never dropped.
 #[test]
 fn sent_datagrams_are_rate_limited_and_the_others_are_counted() {
-    let mut plane = plane(true, true, Rate { a_second: 100, burst: 50 });
+    let mut plane = plane(true, true, Rate { per_second: 100, burst: 50 });
     let (mut sent, mut events) = (0, 0);
     for ms in (0..1000).step_by(100) {
         let now = NOW + Duration::from_millis(ms);
-        for kind in [Kind::Accord, Kind::Budgets] {
+        for kind in [Kind::Placement, Kind::Quota] {
             plane.receive(now, Some(NodeId(1)), &datagram(kind, life(1, 5), 0, &[200])).unwrap();
         }
         let (news, datagrams) = take_outputs(&mut plane, now);
--- a/crates/membership/src/membership/merge.rs
+++ b/crates/membership/src/membership/merge.rs
@@ -6,12 +6,12 @@
 
 use crate::membership::table::{Effect, MemberDetail, RumorKind, Table, MAX_REFUTATION_LEAD};
 use crate::message::{Claim, ClaimedState, SenderInfo};
-use crate::names::{Life, Moment, NodeId};
+use crate::names::{Moment, NodeId, NodeIncarnation};
 use crate::view::MemberState;
 
 impl Table {
     /// Applies what a node says about itself in its own datagram.
-    pub fn apply_direct(&mut self, now: Moment, from: Life, sender: &SenderInfo) -> Effect {
+    pub fn apply_direct(&mut self, now: Moment, from: NodeIncarnation, sender: &SenderInfo) -> Effect {
         let held = self.view.members.get(&from.node).copied().zip(self.details.get(&from.node).copied());
         let state = if sender.leaving { MemberState::Left } else { MemberState::Alive };
         let details = MemberDetail {
@@ -24,8 +24,8 @@
         let Some((member, held)) = held else {
             return self.upsert(now, from, sender.zone, state, details);
         };
-        if from != member.life {
-            if from.incarnation < member.life.incarnation && held.confirmed {
+        if from != member.node_incarnation {
+            if from.incarnation < member.node_incarnation.incarnation && held.confirmed {
                 return Effect::Stale;
             }
             return self.upsert(now, from, sender.zone, state, details);
@@ -63,10 +63,10 @@
         let Some((member, held)) = held else {
             return if can_be_hint { self.add_hint(now, claim, source) } else { Effect::Nothing };
         };
-        if claim.incarnation < member.life.incarnation {
+        if claim.incarnation < member.node_incarnation.incarnation {
             return Effect::Nothing;
         }
-        if claim.incarnation > member.life.incarnation {
+        if claim.incarnation > member.node_incarnation.incarnation {
             return match held.confirmed {
                 false if can_be_hint => self.add_hint(now, claim, source),
                 _ => self.record_rumor(now, claim, RumorKind::Newer, source),
@@ -107,7 +107,7 @@
         let mut effect = Effect::Nothing;
         if ahead {
             let details = MemberDetail { refutations: claim.refutations, ..held };
-            effect = self.upsert(now, member.life, member.zone, state, details);
+            effect = self.upsert(now, member.node_incarnation, member.zone, state, details);
         }
         match (claim.state, state) {
             (ClaimedState::Dead, MemberState::Alive) if is_event => self.suspect(now, claim.node, source),
@@ -126,7 +126,7 @@
     }
 
     fn add_hint(&mut self, now: Moment, claim: &Claim, source: NodeId) -> Effect {
-        let node_incarnation = Life { node: claim.node, incarnation: claim.incarnation };
+        let node_incarnation = NodeIncarnation { node: claim.node, incarnation: claim.incarnation };
         let refutations = claim.refutations;
         let details = MemberDetail {
             refutations,
@@ -164,7 +164,7 @@
         };
         self.upsert(
             now,
-            Life { node: claim.node, incarnation: claim.incarnation },
+            NodeIncarnation { node: claim.node, incarnation: claim.incarnation },
             claim.zone,
             state,
             details,
--- a/crates/membership/src/membership/model.rs
+++ b/crates/membership/src/membership/model.rs
@@ -10,7 +10,7 @@
 
 use crate::membership::table::{Effect, MemberDetail, Table};
 use crate::message::{Claim, ClaimedState, SenderInfo};
-use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use crate::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use crate::view::MemberState;
 
 const NODES: [NodeId; 3] = [NodeId(0), NodeId(1), NodeId(2)];
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Datagram {
     to: NodeId,
-    from: Life,
+    from: NodeIncarnation,
     refutations: u32,
     claim: Option<Claim>,
 }
@@ -52,7 +52,9 @@
     fn key(&self) -> Key<'_> {
         fn of(table: &Table) -> Vec<(Incarnation, MemberState, &MemberDetail)> {
             let members = table.view.members.values().zip(table.details.values());
-            members.map(|(member, details)| (member.life.incarnation, member.state, details)).collect()
+            members
+                .map(|(member, details)| (member.node_incarnation.incarnation, member.state, details))
+                .collect()
         }
         (self.nodes.iter().map(of).collect(), &self.datagrams, &self.accused, self.incarnation_went_back)
     }
@@ -112,7 +114,7 @@
 }
 
 fn started(node: NodeId, incarnation: u64) -> Table {
-    Table::new(Life { node, incarnation: Incarnation(incarnation) }, ZoneId(node.0 / 2), 3, NOW)
+    Table::new(NodeIncarnation { node, incarnation: Incarnation(incarnation) }, ZoneId(node.0 / 2), 3, NOW)
 }
 
 impl Model for Federation {
@@ -180,7 +182,7 @@
         }
         for (before, after) in last.nodes.iter().zip(&state.nodes) {
             let incarnations = |table: &Table| {
-                table.view.members.iter().map(|(n, m)| (*n, m.life)).collect::<BTreeMap<_, _>>()
+                table.view.members.iter().map(|(n, m)| (*n, m.node_incarnation)).collect::<BTreeMap<_, _>>()
             };
             let (before, after) = (incarnations(before), incarnations(after));
             state.incarnation_went_back |= before
@@ -214,7 +216,8 @@
                     let refuted = datagram(&other, by, None);
                     deliver(&mut one, &refuted);
                     let member = one.view.members.get(&of).copied();
-                    member.is_some_and(|m| m.state == MemberState::Alive && m.life == refuted.from)
+                    member
+                        .is_some_and(|m| m.state == MemberState::Alive && m.node_incarnation == refuted.from)
                 })
             }),
             // Ensures that the search reaches the interesting states.
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::message::{Claim, ClaimedState};
-use crate::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use crate::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use crate::view::{Member, MemberState, View};
 
 /// Greatest number of refutations by which a claim may be ahead, so that one false claim cannot exhaust the counter.
@@ -58,7 +58,7 @@
 }
 
 impl Table {
-    pub fn new(this: Life, zone: ZoneId, configured: u16, now: Moment) -> Self {
+    pub fn new(this: NodeIncarnation, zone: ZoneId, configured: u16, now: Moment) -> Self {
         let own =
             MemberDetail { refutations: 0, confirmed: true, source: None, last_heard_at: None, rumor: None };
         Table {
@@ -100,7 +100,7 @@
             MemberState::Dead => ClaimedState::Dead,
             MemberState::Left => ClaimedState::Left,
         };
-        let Life { node, incarnation } = member.life;
+        let NodeIncarnation { node, incarnation } = member.node_incarnation;
         let claim = Claim { node, incarnation, refutations: details.refutations, zone: member.zone, state };
         details.confirmed.then_some(claim)
     }
@@ -128,7 +128,8 @@
         let gone = |member: &Member| {
             matches!(member.state, MemberState::Dead | MemberState::Left) && member.since < before
         };
-        let gone: Vec<NodeId> = self.view.members.values().filter(|m| gone(m)).map(|m| m.life.node).collect();
+        let gone: Vec<NodeId> =
+            self.view.members.values().filter(|m| gone(m)).map(|m| m.node_incarnation.node).collect();
         for node in gone.into_iter().filter(|node| *node != self.view.this.node) {
             self.view.members.remove(&node);
             self.details.remove(&node);
@@ -173,8 +174,8 @@
         }
         let mut hasher = crc32fast::Hasher::new();
         for member in self.view.members.values().filter(|member| is_active(member)) {
-            hasher.update(&member.life.node.0.to_be_bytes());
-            hasher.update(&member.life.incarnation.0.to_be_bytes());
+            hasher.update(&member.node_incarnation.node.0.to_be_bytes());
+            hasher.update(&member.node_incarnation.incarnation.0.to_be_bytes());
         }
         let fingerprint = hasher.finalize().to_be_bytes();
         self.fingerprint = Some((version, fingerprint));
@@ -190,16 +191,18 @@
     pub(super) fn upsert(
         &mut self,
         now: Moment,
-        node_incarnation: Life,
+        node_incarnation: NodeIncarnation,
         zone: ZoneId,
         state: MemberState,
         details: MemberDetail,
     ) -> Effect {
         let since = match self.view.members.get(&node_incarnation.node) {
-            Some(member) if member.life == node_incarnation && member.state == state => member.since,
+            Some(member) if member.node_incarnation == node_incarnation && member.state == state => {
+                member.since
+            }
             _ => now,
         };
-        let member = Member { life: node_incarnation, zone, state, since };
+        let member = Member { node_incarnation: node_incarnation, zone, state, since };
         if self.view.members.insert(node_incarnation.node, member) != Some(member) {
             self.view.version += 1;
         }
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use crate::config::{Limits, RESERVED};
+use crate::config::{Limits, RESERVED_DESCRIPTORS};
 
 /// Socket and memory limits of this process, with the memory reserved so far.
 pub struct Budget {
@@ -33,12 +33,12 @@
     }
 
     /// Records that another process serves this address too.
-    pub fn join(&self) {
+    pub fn add_process(&self) {
         self.processes.set(self.processes.get() + 1);
     }
 
     /// Records that the other process is gone.
-    pub fn leave(&self) {
+    pub fn remove_process(&self) {
         self.processes.set(self.processes.get() - 1);
     }
 
@@ -47,27 +47,27 @@
     }
 
     fn traffic_sockets(&self) -> usize {
-        self.process_sockets().saturating_sub(RESERVED)
+        self.process_sockets().saturating_sub(RESERVED_DESCRIPTORS)
     }
 
     /// Most open connections to cache servers.
-    pub fn servers(&self) -> usize {
+    pub fn max_server_connections(&self) -> usize {
         (self.traffic_sockets() / 3).max(1)
     }
 
     /// Most open client connections.
-    pub fn clients(&self) -> usize {
+    pub fn max_client_connections(&self) -> usize {
         (self.traffic_sockets() - self.traffic_sockets() / 3).max(1)
     }
 
     /// Number of client connections from which on idle ones are closed. It is below the third of all sockets that
     /// clients may use for requests, so that idle connections never take up that third.
-    pub fn clients_wanted(&self) -> usize {
-        (self.process_sockets() / 4).clamp(1, self.clients())
+    pub fn idle_close_threshold(&self) -> usize {
+        (self.process_sockets() / 4).clamp(1, self.max_client_connections())
     }
 
     /// Reserves memory.
-    pub fn hold(&self, bytes: usize) {
+    pub fn reserve(&self, bytes: usize) {
         self.reserved_bytes.set(self.reserved_bytes.get() + bytes);
     }
 
@@ -77,32 +77,32 @@
     }
 
     /// Whether more memory may be reserved.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_memory(&self) -> bool {
         self.reserved_bytes.get() < self.memory_bytes / self.processes.get()
     }
 }
 
 /// A memory reservation that ends when this is dropped.
-pub struct Held {
+pub struct MemoryReservation {
     budget: Rc<Budget>,
     bytes: usize,
 }
 
-impl Held {
+impl MemoryReservation {
     /// Reserves `bytes`.
     pub fn new(budget: &Rc<Budget>, bytes: usize) -> Self {
-        budget.hold(bytes);
-        Held { budget: budget.clone(), bytes }
+        budget.reserve(bytes);
+        MemoryReservation { budget: budget.clone(), bytes }
     }
 
     /// Changes the size of the reservation.
     pub fn set(&mut self, bytes: usize) {
-        self.budget.hold(bytes);
+        self.budget.reserve(bytes);
         self.budget.release(std::mem::replace(&mut self.bytes, bytes));
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.budget.release(self.bytes);
     }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -18,23 +18,23 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-use crate::figures::{End, Members};
-use crate::log::Throttle;
+use crate::log::LogThrottle;
 use crate::message::Message;
+use crate::metrics::{MemberCounts, RequestOutcome};
 use crate::roster::Roster;
 use state::Timer;
-pub use state::{Around, Driver};
+pub use state::{Driver, DriverContext};
 use timers::{duration, SchedulingDelays};
 
 impl Driver {
-    pub fn new(settings: &Settings, seed: u64, around: Around) -> Result<Self, SettingsError> {
-        let Around { clock, upstream, messages, calls, lifecycle, figures, fleet } = around;
-        let quantum = Duration::from_secs_f64(settings.round);
-        upstream.rounds(quantum);
+    pub fn new(settings: &Settings, seed: u64, around: DriverContext) -> Result<Self, SettingsError> {
+        let DriverContext { clock, upstream, messages, poll_requests, lifecycle, metrics, fleet } = around;
+        let quantum = Duration::from_secs_f64(settings.event_interval);
+        upstream.set_quantum(quantum);
         Ok(Driver {
             balancer: Balancer::new(settings.clone(), seed)?,
             clock,
-            names: Names::of(settings),
+            names: NameIndex::of(settings),
             max_attempts: settings.limits.max_attempts as usize,
             retry_windows: attempts::retry_windows(settings),
             sends_retry_after: settings.limits.retry_after,
@@ -47,25 +47,25 @@
             events: VecDeque::new(),
             event_time: Instant::now(),
             scheduling_delays: SchedulingDelays::default(),
-            overdue_log: Throttle::default(),
-            balancer_log: Throttle::default(),
+            overdue_log: LogThrottle::default(),
+            balancer_log: LogThrottle::default(),
             messages,
-            poll_requests: calls,
+            poll_requests: poll_requests,
             lifecycle,
-            metrics: figures,
+            metrics: metrics,
             fleet,
         })
     }
 
     /// Applies the last list that the node cached; called before any request.
-    pub fn known(&mut self, roster: Roster) {
-        self.apply_roster(roster, RosterNews::Cached);
+    pub fn load_cached_roster(&mut self, roster: Roster) {
+        self.apply_roster(roster, EndpointUpdate::Cached);
     }
 
     /// Processes messages until the inbox closes. Lists from discovery go ahead of all other messages: a list is in
     /// force from its arrival, and requests queued before it would still be sent to servers that drain.
     pub async fn run(mut self, mut inbox: UnboundedReceiver<Message>, mut lists: UnboundedReceiver<Message>) {
-        let mut phases = self.lifecycle.follow();
+        let mut phases = self.lifecycle.subscribe();
         loop {
             let next = self.timers.peek().map(|Reverse((at, _))| *at);
             tokio::select! {
@@ -73,7 +73,7 @@
                 Some(list) = lists.recv() => self.handle_message(list),
                 // Never fails: the driver holds the lifecycle that sends.
                 Ok(()) = phases.changed() => {
-                    let process_ends = phases.borrow_and_update().ends;
+                    let process_ends = phases.borrow_and_update().answer_deadline;
                     self.limit_deadlines(process_ends);
                 }
                 message = inbox.recv() => match message {
@@ -103,7 +103,7 @@
         self.event_time = Instant::now();
         match message {
             // The client disconnected while the request was queued: nothing is sent.
-            Message::Request { id, command, at, gone, .. } if gone.is_told() => {
+            Message::Request { id, command, at, gone, .. } if gone.is_set() => {
                 let left = self.deadline(&command, at).saturating_duration_since(self.event_time);
                 requests::log_withdrawn(id, &command, left);
             }
@@ -116,7 +116,7 @@
                         let left = active.deadline.saturating_duration_since(self.event_time);
                         requests::log_withdrawn(id, &active.command, left);
                     }
-                    self.handle_event(Event::Withdrawn(id));
+                    self.handle_event(Event::ClientLeft(id));
                     self.clean_up(id);
                 }
             }
@@ -124,38 +124,39 @@
                 self.complete_attempt(request, attempt, ended);
                 self.process_events();
             }
-            Message::Probed { server, status } => self.handle_event(Event::Probed { server, status }),
+            Message::Probed { server, status } => self.handle_event(Event::HealthChecked { server, status }),
             Message::Roster(roster) => {
-                let update = if roster.complete { RosterNews::Full } else { RosterNews::Delta };
+                let update = if roster.complete { EndpointUpdate::Full } else { EndpointUpdate::Delta };
                 self.apply_roster(roster, update);
             }
             Message::Members(reply) => {
-                let (listed, unavailable) = self.balancer.members();
+                let (listed, unavailable) = self.balancer.member_counts();
                 // Fails only if the operator's connection is closed, and then no answer is needed.
-                let _ = reply.send(Members { listed, unavailable });
+                let _ = reply.send(MemberCounts { listed, unavailable });
             }
             Message::Fleet(news) => self.handle_event(Event::Fleet(news)),
-            Message::RosterFailed => self.handle_event(Event::Roster(RosterNews::Failed)),
+            Message::RosterFailed => self.handle_event(Event::Endpoints(EndpointUpdate::Failed)),
         }
     }
 
-    fn apply_roster(&mut self, roster: Roster, update: fn(Vec<RosterEntry>) -> RosterNews) {
+    fn apply_roster(&mut self, roster: Roster, update: fn(Vec<EndpointEntry>) -> EndpointUpdate) {
         if let Some(fleet) = &self.fleet {
-            fleet.learn(&roster);
+            fleet.apply_roster(&roster);
         }
         // A server at a new address is a new process: the balancer drops the faults and the limit that it learnt for
         // the old one.
-        let gone_entry = |server| RosterEntry { server, state: ServerState::Gone, ..RosterEntry::default() };
-        let moved_servers: Vec<RosterEntry> =
-            self.upstream.learn(&roster).into_iter().map(gone_entry).collect();
+        let gone_entry =
+            |server| EndpointEntry { server, state: ServerState::Gone, ..EndpointEntry::default() };
+        let moved_servers: Vec<EndpointEntry> =
+            self.upstream.update_endpoints(&roster).into_iter().map(gone_entry).collect();
         if !moved_servers.is_empty() {
-            self.handle_event(Event::Roster(RosterNews::Delta(moved_servers)));
+            self.handle_event(Event::Endpoints(EndpointUpdate::Delta(moved_servers)));
         }
-        let entries: Vec<RosterEntry> = roster.members.into_iter().map(|member| member.entry).collect();
+        let entries: Vec<EndpointEntry> = roster.members.into_iter().map(|member| member.entry).collect();
         if entries.iter().any(|entry| entry.state == ServerState::Ready) {
             self.lifecycle.mark_servers_known();
         }
-        self.handle_event(Event::Roster(update(entries)));
+        self.handle_event(Event::Endpoints(update(entries)));
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -178,13 +179,13 @@
         match action {
             Action::Send { request, server, timeout } => self.send_attempt(request, server, timeout),
             Action::Cancel { request, attempt } => self.abandon_attempt(request, attempt, Status::Cancelled),
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let advice = retry_after.filter(|_| self.sends_retry_after).map(duration);
-                self.answer(request, protocol::busy(advice).into(), End::Rejected);
+                self.answer(request, protocol::busy(advice).into(), RequestOutcome::Rejected);
                 self.clean_up(request);
             }
             Action::Fail(request) => {
-                self.answer(request, protocol::FAILED.into(), End::Failed);
+                self.answer(request, protocol::FAILED.into(), RequestOutcome::Failed);
                 self.clean_up(request);
             }
             Action::SetTimer { token, after } => {
@@ -197,9 +198,9 @@
                     info!(target: "hallpin_node::balancer", suppressed, "{text}");
                 }
             }
-            Action::Probe(server) => self.check_health(server),
+            Action::HealthCheck(server) => self.check_health(server),
             // Nodes have no channel between balancers here, and the balancer sends nothing on it.
-            Action::Tell(_) => {}
+            Action::Broadcast(_) => {}
         }
     }
 }
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -11,18 +11,20 @@
 
 use super::state::{Attempt, Driver, Timer};
 use super::timers::duration;
-use crate::figures::End;
 use crate::message::Message;
-use crate::upstream::{Ended, Errand};
+use crate::metrics::RequestOutcome;
+use crate::upstream::{AttemptResult, UpstreamCall};
 
 /// Retry window of each class: time after the first attempt that may have run within which another may be sent, `None`
 /// if unlimited. It is one quantum shorter than the window in which servers drop duplicates, as written bytes take time
 /// to arrive.
 pub(super) fn retry_windows(settings: &Settings) -> Vec<Option<Duration>> {
     let limit = |class: &Class| match class.effect {
-        Effect::Safe => None,
-        Effect::Keyed => Duration::try_from_secs_f64((class.window - settings.round).max(0.0)).ok(),
-        Effect::Unsafe => Some(Duration::ZERO),
+        Effect::Idempotent => None,
+        Effect::Deduplicated => {
+            Duration::try_from_secs_f64((class.deduplication_window - settings.event_interval).max(0.0)).ok()
+        }
+        Effect::NonIdempotent => Some(Duration::ZERO),
     };
     settings.classes.iter().map(limit).collect()
 }
@@ -32,7 +34,7 @@
     pub(super) fn check_health(&self, server: ServerId) {
         let (upstream, messages) = (self.upstream.clone(), self.messages.clone());
         tokio::task::spawn_local(async move {
-            let status = upstream.probe(&server).await;
+            let status = upstream.check_health(&server).await;
             debug!(server = %server.0, ?status, "probe");
             // Fails only if the driver has ended, as it does when the process exits.
             let _ = messages.send(Message::Probed { server, status });
@@ -48,7 +50,7 @@
         let written = Rc::new(Cell::new(false));
         // Nothing is sent for a request that has its answer or whose client has disconnected, nor beyond the attempt
         // limit.
-        let finished = active.reply.is_none() || active.gone.is_told();
+        let finished = active.reply.is_none() || active.gone.is_set();
         let void = finished || active.attempts.len() >= self.max_attempts || until <= now;
         let opaque = active.command.opaque();
         let opaque = opaque.escape_ascii();
@@ -57,23 +59,23 @@
         // rejects the request at once with a time to retry after.
         let fleet = self.fleet.as_ref().filter(|_| !void);
         let quota_use =
-            fleet.map_or(Ok(None), |fleet| fleet.begin(&server, active.command.tenant.as_deref()));
+            fleet.map_or(Ok(None), |fleet| fleet.begin_use(&server, active.command.tenant.as_deref()));
         let void = void || quota_use.is_err();
-        let sent_attempt = fleet.filter(|_| !void).and_then(|fleet| fleet.sent(&server));
+        let sent_attempt = fleet.filter(|_| !void).and_then(|fleet| fleet.record_attempt(&server));
         let executions = active.attempts.first().map_or_else(Rc::default, |first| first.executions.clone());
         let task = (!void).then(|| {
             let (upstream, messages) = (self.upstream.clone(), self.messages.clone());
             let class = self.names.class(&active.command.class);
-            let errand = Errand {
+            let errand = UpstreamCall {
                 command: active.command.clone(),
                 attempt,
                 until,
-                repeats: class.map_or(Some(Duration::ZERO), |class| self.retry_windows[class.0]),
-                runs: executions.clone(),
+                repeat_window: class.map_or(Some(Duration::ZERO), |class| self.retry_windows[class.0]),
+                executions: executions.clone(),
                 written: written.clone(),
                 gone: active.gone.clone(),
-                deadline: active.deadline,
-                phases: self.lifecycle.follow(),
+                client_deadline: active.deadline,
+                phases: self.lifecycle.subscribe(),
             };
             let attempt_made = async move {
                 let ended = upstream.attempt(&server, &errand).await;
@@ -114,7 +116,7 @@
     }
 
     /// Completes an attempt whose task has ended, and answers its request if there is an answer.
-    pub(super) fn complete_attempt(&mut self, id: RequestId, attempt: AttemptId, ended: Ended) {
+    pub(super) fn complete_attempt(&mut self, id: RequestId, attempt: AttemptId, ended: AttemptResult) {
         let Some(active) = self.requests.get_mut(&id) else { return };
         let Some(entry) = active.attempts.get_mut(attempt.0 as usize) else { return };
         // An abandoned attempt already has its outcome.
@@ -122,11 +124,11 @@
             return;
         }
         if !ended.status.may_have_run() {
-            entry.executions.never_ran(attempt);
+            entry.executions.record_never_ran(attempt);
         }
         let started_at = entry.started_at;
         if let Some(answer) = ended.answer {
-            self.answer(id, answer, End::Completed);
+            self.answer(id, answer, RequestOutcome::Completed);
         }
         self.report_outcome(id, attempt, ended.status, ended.note, started_at);
         self.clean_up(id);
@@ -145,10 +147,10 @@
         let ended = self.requests.get_mut(&request).and_then(|active| active.attempts.get_mut(at));
         if let (Some(fleet), Some(ended)) = (&self.fleet, ended) {
             if let Some(sent_attempt) = ended.sent_attempt.take() {
-                fleet.ended(&sent_attempt, status);
+                fleet.record_outcome(&sent_attempt, status);
             }
             if let Some(quota_use) = ended.quota_use.take() {
-                fleet.finish(quota_use);
+                fleet.end_use(quota_use);
             }
         }
         let active = self.requests.get(&request);
@@ -157,6 +159,13 @@
         let opaque = opaque.escape_ascii();
         let elapsed = started_at.elapsed().as_secs_f64();
         debug!(request = request.0, %opaque, attempt = attempt.0, ?status, elapsed, finished, "outcome");
-        self.events.push_back(Event::Outcome(Outcome { request, attempt, status, elapsed, finished, note }));
+        self.events.push_back(Event::Outcome(Outcome {
+            request,
+            attempt,
+            status,
+            elapsed,
+            finished,
+            cache_note: note,
+        }));
     }
 }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -12,9 +12,9 @@
 
 use super::state::{ActiveRequest, Attempt, Driver, Timer};
 use crate::answer::Answer;
-use crate::figures::{End, Ticket};
-use crate::message::Gone;
-use crate::upstream::Served;
+use crate::message::DisconnectFlag;
+use crate::metrics::{RequestGuard, RequestOutcome};
+use crate::upstream::ServedAnswer;
 
 /// Allowance for the time between the client's send and this node's read of a request.
 const MARGIN: Duration = Duration::from_millis(2);
@@ -27,32 +27,32 @@
         command: Command,
         at: Instant,
         reply: oneshot::Sender<Answer>,
-        gone: Gone,
+        gone: DisconnectFlag,
     ) {
         // Invalid requests are not forwarded: cache servers reject them or close the connection, which would count
         // as a server fault. An answer under an id that is in use could be taken for another request's.
         let Some(class) = self.names.class(&command.class) else {
-            return drop(reply.send(Answer::untaken(protocol::UNKNOWN_CLASS)));
+            return drop(reply.send(Answer::without_request(protocol::UNKNOWN_CLASS)));
         };
         if self.open_opaques.contains(&command.opaque()) {
-            return drop(reply.send(Answer::untaken(protocol::ID_IN_USE)));
+            return drop(reply.send(Answer::without_request(protocol::ID_IN_USE)));
         }
-        let ticket = self.metrics.take(class.0);
+        let ticket = self.metrics.start_request(class.0);
         let deadline = self.deadline(&command, at);
         if deadline <= self.event_time {
             // The deadline passed while the client was writing the request. It gets an answer and no attempt.
-            log_answer(id, &command, End::Rejected, Duration::ZERO);
+            log_answer(id, &command, RequestOutcome::Rejected, Duration::ZERO);
             let busy = protocol::busy(None).into();
-            return drop(reply.send(Answer::of(ticket, busy, End::Rejected)));
+            return drop(reply.send(Answer::final_answer(ticket, busy, RequestOutcome::Rejected)));
         }
         let new = NewRequest {
             id,
-            left: deadline.saturating_duration_since(self.event_time).as_secs_f64(),
+            time_left: deadline.saturating_duration_since(self.event_time).as_secs_f64(),
             class: Some(class),
             tenant: command.tenant.as_deref().and_then(|name| self.names.tenant(name)),
             key: Some(command.key),
             write: command.verb == Verb::Set,
-            work: command.work.map(|w| w.as_secs_f64()),
+            work_hint: command.work.map(|w| w.as_secs_f64()),
         };
         // The balancer ends a request two quanta before its deadline; half a quantum before it the backstop fails the
         // request. A timer set in the past would be taken for a scheduling delay, so it is due now at the earliest.
@@ -70,7 +70,7 @@
     pub(super) fn deadline(&self, command: &Command, first_byte: Instant) -> Instant {
         let wait = command.wait.min(self.max_deadline).saturating_sub(MARGIN);
         let requested = self.earliest_arrival(first_byte) + wait;
-        self.lifecycle.phase().ends.map_or(requested, |ends| requested.min(ends))
+        self.lifecycle.phase().answer_deadline.map_or(requested, |ends| requested.min(ends))
     }
 
     /// Limits the deadlines of active requests to the time at which the process ends, if it does.
@@ -86,17 +86,17 @@
     }
 
     /// Gives the final answer unless it has been given; returns whether the client will get it.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Served, end: End) -> bool {
+    pub(super) fn answer(&mut self, id: RequestId, answer: ServedAnswer, end: RequestOutcome) -> bool {
         let Some((reply, ticket)) = self.take_reply(id) else { return false };
         if let Some(active) = self.requests.get(&id) {
             log_answer(id, &active.command, end, active.deadline.saturating_duration_since(self.event_time));
         }
         // Fails if the client has disconnected; its connection reports that.
-        reply.send(Answer::of(ticket, answer, end)).is_ok()
+        reply.send(Answer::final_answer(ticket, answer, end)).is_ok()
     }
 
     /// Takes the reply channel, after which no answer can be given, and frees the client's id.
-    pub(super) fn take_reply(&mut self, id: RequestId) -> Option<(oneshot::Sender<Answer>, Ticket)> {
+    pub(super) fn take_reply(&mut self, id: RequestId) -> Option<(oneshot::Sender<Answer>, RequestGuard)> {
         let active = self.requests.get_mut(&id)?;
         let reply = active.reply.take()?;
         self.open_opaques.remove(&active.command.opaque());
@@ -128,7 +128,7 @@
 }
 
 /// Logs the final answer of a request and the time left until its deadline.
-fn log_answer(id: RequestId, command: &Command, end: End, left: Duration) {
+fn log_answer(id: RequestId, command: &Command, end: RequestOutcome, left: Duration) {
     let opaque = command.opaque();
     let opaque = opaque.escape_ascii();
     debug!(request = id.0, %opaque, ?end, left = left.as_secs_f64(), "answer");
--- a/crates/node/src/driver/tests/timing.rs
+++ b/crates/node/src/driver/tests/timing.rs
@@ -7,7 +7,7 @@
 
 /// Starts a request whose first byte was read at `read`; its class has a deadline of two seconds.
 fn request_read_at(driver: &mut Driver, id: u64, opaque: &str, read: Instant) -> oneshot::Receiver<Answer> {
-    let (mut message, answer) = request_message(RequestId(id), opaque, Gone::default());
+    let (mut message, answer) = request_message(RequestId(id), opaque, DisconnectFlag::default());
     if let Message::Request { at, .. } = &mut message {
         *at = read;
     }
@@ -76,7 +76,7 @@
 #[tokio::test(start_paused = true)]
 async fn no_timer_is_set_for_a_time_that_has_passed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let settings = Settings { round: 1.0, ..settings() };
+    let settings = Settings { event_interval: 1.0, ..settings() };
     let (mut driver, _inbox, _) = driver(&settings, listener.local_addr().unwrap());
     let local = tokio::task::LocalSet::new();
     let _inside = local.enter();
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -9,7 +9,7 @@
 use super::client::{AbandonReason, Client, PendingAnswer};
 use super::closing::MAX_LINGER_BYTES;
 use super::input::{MAX_READ_AHEAD_BYTES, MIN_READ_AHEAD_BYTES};
-use crate::lifecycle::State;
+use crate::lifecycle::LifecycleState;
 use crate::message::Message;
 
 /// Commands of one connection that may be in flight at once; further ones wait.
@@ -20,7 +20,7 @@
 impl Client {
     /// Whether memory is left for a command; one command per connection is always allowed.
     fn has_room(&self) -> bool {
-        self.frontend.budget.has_room() || self.pending.is_empty()
+        self.frontend.budget.has_free_memory() || self.pending.is_empty()
     }
 
     /// Whether the next command may be started. While the connection is ending, the error delay does not apply.
@@ -54,13 +54,13 @@
                 let (reply, answer) = oneshot::channel();
                 let id = RequestId(frontend.take_number());
                 let weight = command.weight() + MAX_WHOLE;
-                frontend.budget.hold(weight);
+                frontend.budget.reserve(weight);
                 let (command, gone) = (*command, self.gone.clone());
                 // The driver ends only with the process.
                 let _ = frontend.driver.send(Message::Request { id, command, at, reply, gone });
                 PendingAnswer::Waiting { id, weight, answer }
             }
-            Input::Ready if frontend.lifecycle.state() == State::Ready => {
+            Input::Ready if frontend.lifecycle.state() == LifecycleState::Ready => {
                 PendingAnswer::Ready(protocol::READY)
             }
             Input::Ready => PendingAnswer::Ready(protocol::NOT_READY),
@@ -112,7 +112,7 @@
         }
         self.command_since.get_or_insert_with(Instant::now);
         self.input_reservation.set(self.input.len());
-        if !self.frontend.budget.has_room() {
+        if !self.frontend.budget.has_free_memory() {
             self.frontend.make_room();
         }
     }
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -10,7 +10,7 @@
 
 use super::client::{AbandonReason, Client};
 use crate::answer::Answer;
-use crate::figures::{End, Ticket};
+use crate::metrics::{RequestGuard, RequestOutcome};
 use crate::upstream::BrokenBody;
 
 /// Delay before the next command of a client whose command was rejected as faulty: it would retry at once.
@@ -18,12 +18,12 @@
 
 /// Error delay for a node whose shortest request deadline is `shortest`: a command after an error keeps most of its
 /// time.
-pub fn penance(shortest: Duration) -> Duration {
+pub fn error_delay(shortest: Duration) -> Duration {
     MAX_ERROR_DELAY.min(shortest / 10)
 }
 
 /// A client that reads nothing of its answers for this long is considered gone.
-pub const STALLED: Duration = Duration::from_secs(10);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Minimum rate, beyond the first stall timeout, at which a client reads its answers: one that reads a byte just
 /// within each timeout would otherwise hold its connection forever.
 const MIN_RATE_BYTES_PER_S: f64 = 16.0 * 1024.0;
@@ -51,12 +51,12 @@
             self.last_written_at = Instant::now();
             self.unsent_since = (self.last_written_at, self.bytes_written);
         }
-        self.frontend.budget.hold(bytes.len());
+        self.frontend.budget.reserve(bytes.len());
         self.output.extend_from_slice(bytes);
     }
 
     /// Registers the request of a complete answer in the output; it ends when that is written.
-    pub(super) fn register_end(&mut self, ends: Option<(Ticket, End)>) {
+    pub(super) fn register_end(&mut self, ends: Option<(RequestGuard, RequestOutcome)>) {
         let at = self.bytes_written + self.output.len() as u64;
         self.unfinished_requests.extend(ends.map(|(ticket, end)| (at, ticket, end)));
     }
@@ -102,7 +102,7 @@
     pub(super) fn stall_deadline(&self) -> Instant {
         let (since, written) = self.unsent_since;
         let allowed = Duration::from_secs_f64((self.bytes_written - written) as f64 / MIN_RATE_BYTES_PER_S);
-        self.last_written_at.min(since + allowed) + STALLED
+        self.last_written_at.min(since + allowed) + STALL_TIMEOUT
     }
 
     /// Records that the client has read nothing, or too little, of its answers for too long.
--- a/crates/node/src/plane/tests/tables.rs
+++ b/crates/node/src/plane/tests/tables.rs
@@ -1,6 +1,6 @@
 //! Balancers are notified of tables that all nodes have, and of evidence from peers.
 
-use hallpin_balancer::{FleetNews, ServerId, Status};
+use hallpin_balancer::{FleetUpdate, ServerId, Status};
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
@@ -45,12 +45,12 @@
         observer.list(1, 2);
         other.list(1, 2);
         let server = ServerId("s-1".into());
-        let sent = observer.fleet.sent(&server).expect("a box of the list");
-        observer.fleet.ended(&sent, Status::TimedOut);
+        let sent = observer.fleet.record_attempt(&server).expect("a box of the list");
+        observer.fleet.record_outcome(&sent, Status::TimedOut);
         let evidence = loop {
             let message =
                 timeout(TEST_TIMEOUT, other.messages.recv()).await.expect("evidence").expect("a message");
-            if let Message::Fleet(FleetNews::Servers(evidence)) = message {
+            if let Message::Fleet(FleetUpdate::Servers(evidence)) = message {
                 break evidence;
             }
         };
--- a/crates/node/src/upstream/body_stream.rs
+++ b/crates/node/src/upstream/body_stream.rs
@@ -9,10 +9,10 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{timeout_at, Instant};
 
-use super::call::Errand;
+use super::call::UpstreamCall;
 use super::connection::Connection;
 use super::pool::Upstream;
-use crate::budget::Held;
+use crate::budget::MemoryReservation;
 use crate::lifecycle::Phase;
 
 /// Buffer space reserved for a read, so that a long value does not arrive in many small ones.
@@ -54,7 +54,7 @@
     /// time that the client takes between pieces is not counted.
     total_wait: Duration,
     received: usize,
-    _buffer_reservation: Held,
+    _buffer_reservation: MemoryReservation,
 }
 
 impl std::fmt::Debug for BodyStream {
@@ -70,16 +70,16 @@
         connection: Connection,
         buf: BytesMut,
         remaining: usize,
-        call: &Errand,
+        call: &UpstreamCall,
     ) -> Self {
-        let _buffer_reservation = Held::new(&upstream.budget, READ_CHUNK_BYTES);
+        let _buffer_reservation = MemoryReservation::new(&upstream.budget, READ_CHUNK_BYTES);
         BodyStream {
             upstream,
             server,
             connection,
             buf,
             remaining,
-            deadline: call.deadline,
+            deadline: call.client_deadline,
             phases: call.phases.clone(),
             started_at: Instant::now(),
             output_reached_at: None,
@@ -109,7 +109,7 @@
             }
             let waiting_since = *self.waiting_since.get_or_insert_with(Instant::now);
             self.buf.reserve(READ_CHUNK_BYTES);
-            let ends = self.phases.borrow_and_update().ends;
+            let ends = self.phases.borrow_and_update().answer_deadline;
             let read_deadline =
                 (waiting_since + self.read_timeout()).min(deadline.max(waiting_since + HANG_TIMEOUT));
             let read_deadline = ends.map_or(read_deadline, |ends| read_deadline.min(ends));
--- a/crates/node/src/upstream/tests/duplicate_answers.rs
+++ b/crates/node/src/upstream/tests/duplicate_answers.rs
@@ -5,17 +5,17 @@
 
 use super::super::connection::{DUPLICATE_ANSWER_WINDOW, NAMED_DUPLICATE_WINDOW};
 use super::super::pool::SETTLE_TIME;
-use super::super::Ended;
+use super::super::AttemptResult;
 use super::*;
 
 const NEXT: &str = "mg k v Ob Pc=read,d=60000\r\n";
 const FIRST_ANSWER: &str = "VA 1 Oa\r\n1\r\n";
 
 /// Two reads over one connection; returns how the second ends if its command is answered with `bytes`.
-async fn answer_second_read(bytes: &str) -> Ended {
+async fn answer_second_read(bytes: &str) -> AttemptResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let server = ServerId("s".into());
     let peer = async {
         let mut stream = listener.accept().await.unwrap().0;
@@ -26,9 +26,9 @@
         stream
     };
     let both = async {
-        let first = upstream.attempt(&server, &errand(READ)).await;
+        let first = upstream.attempt(&server, &test_call(READ)).await;
         assert_eq!(first.status, Status::Success);
-        upstream.attempt(&server, &errand(NEXT)).await
+        upstream.attempt(&server, &test_call(NEXT)).await
     };
     tokio::join!(both, peer).0
 }
@@ -73,14 +73,14 @@
 /// Runs these reads over one connection, each with its answer, and then, `pause` after the last, a command that must
 /// not run twice. The server runs that one too; on the same connection a duplicate `busy` of one of the reads comes
 /// before its answer.
-async fn unsafe_command_after(reads: &[(&str, &str)], pause: Duration) -> Ended {
+async fn unsafe_command_after(reads: &[(&str, &str)], pause: Duration) -> AttemptResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let upstream = upstream(LONG, 9);
-    upstream.learn(&roster(&listener, "ready"));
+    upstream.update_endpoints(&roster(&listener, "ready"));
     let server = ServerId("s".into());
     let mut cached = None;
     for (id, answer) in reads {
-        let call = errand(&format!("mg k v O{id} Pc=read,d=60000\r\n"));
+        let call = test_call(&format!("mg k v O{id} Pc=read,d=60000\r\n"));
         let peer = async {
             let mut stream = match cached.take() {
                 Some(stream) => stream,
@@ -94,7 +94,10 @@
     }
     tokio::time::advance(pause).await;
     let mut cached = cached.unwrap();
-    let once = Errand { repeats: Some(Duration::ZERO), ..errand("ms k 1 Oz Pc=put,d=60000\r\nv\r\n") };
+    let once = UpstreamCall {
+        repeat_window: Some(Duration::ZERO),
+        ..test_call("ms k 1 Oz Pc=put,d=60000\r\nv\r\n")
+    };
     let mut received = [0; 256];
     let peer = async {
         let (mut stream, text) = tokio::select! {
--- a/crates/placement/src/events.rs
+++ b/crates/placement/src/events.rs
@@ -7,7 +7,7 @@
 
 /// A change of this node's table or lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum AccordNews {
+pub enum PlacementEvent {
     /// The node must place by this table from now on.
     Switch(Table),
     /// The node holds all of a version and waits until it is decided.
@@ -21,21 +21,21 @@
         version: u64,
     },
     /// The lease has expired: other nodes may switch without this node, which still places by its last table.
-    Out,
+    LeaseExpired,
     /// The node has a lease again.
-    Back,
+    LeaseRegained,
 }
 
 /// This node's state towards the table in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum AccordState {
+pub enum PlacementState {
     /// The node has a lease and places by the table in force; no other node switches without it.
     InForce,
     /// As `InForce`, and the node knows of the next version.
     Preparing,
     /// The lease has expired by the node's own clock, and no coordinator is heard. The node places by its last table;
     /// others may have a newer one.
-    Out,
+    LeaseExpired,
     /// The node has no lease, either not yet or not any more, and can get one from a coordinator.
     CatchingUp,
 }
@@ -46,18 +46,18 @@
     /// Switches to another table.
     pub switches: u64,
     /// Expiries of the lease.
-    pub outs: u64,
+    pub lease_expirations: u64,
     /// Versions decided while this node was the coordinator.
     pub decided: u64,
     /// Lists rejected because they had more than `MAX_ENTRIES` entries or an id that was empty or too long.
-    pub lists_refused: u64,
+    pub lists_rejected: u64,
 }
 
 /// Queued outputs, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Outbox {
     pub sends: Vec<(NodeId, Message)>,
-    pub events: Vec<AccordNews>,
+    pub events: Vec<PlacementEvent>,
 }
 
 impl Outbox {
--- a/crates/quota/src/budgets/machine.rs
+++ b/crates/quota/src/budgets/machine.rs
@@ -3,24 +3,30 @@
 use std::time::Duration;
 
 use hallpin_leader_lease::Candidacy;
-use hallpin_membership::envelope::{Kind, Refused};
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Life, Moment};
+use hallpin_membership::envelope::{Kind, Rejection};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Moment, NodeIncarnation};
 use hallpin_membership::view::View;
 
 use super::exchange::{lowest_alive, Grant};
 use super::{Budgets, BudgetsEvent};
 use crate::message::Message;
 
-impl Machine for Budgets {
-    type News = BudgetsEvent;
+impl StateMachine for Budgets {
+    type Event = BudgetsEvent;
 
-    const KIND: Kind = Kind::Budgets;
+    const KIND: Kind = Kind::Quota;
 
-    fn receive(&mut self, now: Moment, view: &View, from: Life, payload: &[u8]) -> Result<(), Refused> {
+    fn receive(
+        &mut self,
+        now: Moment,
+        view: &View,
+        from: NodeIncarnation,
+        payload: &[u8],
+    ) -> Result<(), Rejection> {
         let this = self.quota.config.this;
         if from.node.0 >= self.quota.config.configured || from.node == this.node {
-            return Err(Refused::Stranger);
+            return Err(Rejection::UnknownPeer);
         }
         match Message::decode(payload)? {
             Message::Lease(message) => self.leader_lease.receive(now, from, message),
@@ -49,11 +55,11 @@
         self.leader_lease.tick(now);
         self.follow_leader_lease(now, view);
         if self.quota.leases.expire(now) {
-            self.outbox.push(Output::News(BudgetsEvent::AllotmentsChanged));
+            self.outbox.push(Output::Event(BudgetsEvent::AllotmentsChanged));
         }
         let period = self.quota.config.period();
         if let Some(granting) = self.granting.as_mut().filter(|granting| now >= granting.next_round_at) {
-            if granting.ledger.has_heard_all(view.alive().map(|member| member.life.node)) {
+            if granting.ledger.has_heard_all(view.alive().map(|member| member.node_incarnation.node)) {
                 granting.grants_from = granting.grants_from.min(now);
             }
             granting.ledger.run_round(now, &self.quota.contracts);
@@ -75,7 +81,7 @@
         times.into_iter().flatten().min()
     }
 
-    fn take(&mut self) -> Vec<Output<BudgetsEvent>> {
+    fn take_outputs(&mut self) -> Vec<Output<BudgetsEvent>> {
         std::mem::take(&mut self.outbox)
     }
 }
--- a/crates/quota/src/budgets/tests.rs
+++ b/crates/quota/src/budgets/tests.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hallpin_membership::machine::{Machine, Output};
-use hallpin_membership::names::{Incarnation, Life, Moment, NodeId, ZoneId};
+use hallpin_membership::machine::{Output, StateMachine};
+use hallpin_membership::names::{Incarnation, Moment, NodeId, NodeIncarnation, ZoneId};
 use hallpin_membership::view::{Member, MemberState, View};
 
 use crate::message::Message;
@@ -16,18 +16,19 @@
 #[test]
 fn a_grant_counts_only_for_the_incarnation_and_the_request_that_it_answers() {
     let second = Duration::from_secs(1);
-    let this = Life { node: NodeId(1), incarnation: Incarnation(5) };
-    let other = Life { node: NodeId(0), incarnation: Incarnation(5) };
+    let this = NodeIncarnation { node: NodeId(1), incarnation: Incarnation(5) };
+    let other = NodeIncarnation { node: NodeId(0), incarnation: Incarnation(5) };
     let contracts = Contracts::parse("version = 1\nrevision = 1\n[others]\nshare = 1\n").unwrap();
     let digest = contracts.digest();
     let mut budgets =
         Budgets::new(BudgetsConfig::new(this, 3, second * 2), contracts, Moment::ZERO, 1).unwrap();
     budgets.set_capacities(Moment::ZERO, &BTreeMap::from([(BOX, 24)]));
     let mut view = View::alone(this, ZoneId(0), 3, Moment::ZERO);
-    let member = Member { life: other, zone: ZoneId(0), state: MemberState::Alive, since: Moment::ZERO };
+    let member =
+        Member { node_incarnation: other, zone: ZoneId(0), state: MemberState::Alive, since: Moment::ZERO };
     view.members.insert(other.node, member);
     budgets.tick(second * 5, &view);
-    let pending = budgets.take().into_iter().find_map(|output| match output {
+    let pending = budgets.take_outputs().into_iter().find_map(|output| match output {
         Output::Send { to: NodeId(0), payload } => Some(Message::decode(&payload).unwrap()),
         _ => None,
     });
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -7,13 +7,13 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use hallpin_balancer::{Action, Balancer, Event, Names};
+use hallpin_balancer::{Action, Balancer, Event, NameIndex};
 use wire::Message;
 
 /// The balancer of one node, and the class and tenant names of its settings.
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    names: NameIndex,
 }
 
 /// The balancers of all attached nodes, by node number.
@@ -50,7 +50,7 @@
                 self.instances.get(&node).map(|instance| &instance.names)
             })? {
                 Message::Attach { node, seed, settings } => {
-                    let names = Names::of(&settings);
+                    let names = NameIndex::of(&settings);
                     let balancer = Balancer::new(settings, seed).map_err(|error| error.to_string())?;
                     self.instances.insert(node, Instance { balancer, names });
                 }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -113,7 +113,7 @@
 pub fn parse_message<'n, R: BufRead>(
     line: &str,
     lines: &mut LineReader<R>,
-    names: impl Fn(u64) -> Option<&'n Names>,
+    names: impl Fn(u64) -> Option<&'n NameIndex>,
 ) -> Result<Message, String> {
     let mut fields = Fields { rest: Some(line) };
     let name = fields.text().ok_or("a message name expected")?;
@@ -136,11 +136,11 @@
             for _ in 0..count {
                 entries.push(parse_entry(&lines.next()?.ok_or("a list entry expected")?)?);
             }
-            Event::Roster(match mode {
-                Some("delta") => RosterNews::Delta(entries),
-                Some("full") => RosterNews::Full(entries),
-                Some("cached") => RosterNews::Cached(entries),
-                Some("failed") => RosterNews::Failed,
+            Event::Endpoints(match mode {
+                Some("delta") => EndpointUpdate::Delta(entries),
+                Some("full") => EndpointUpdate::Full(entries),
+                Some("cached") => EndpointUpdate::Cached(entries),
+                Some("failed") => EndpointUpdate::Failed,
                 _ => return Err("delta, full, cached or failed expected".into()),
             })
         }
@@ -156,7 +156,15 @@
             fields.seconds("object size")?;
             let key = fields.optional("key")?.map(Key);
             let work = work.filter(|_| flags & 1 != 0);
-            Event::Request(NewRequest { id, left, class, tenant, key, write: flags & 4 != 0, work })
+            Event::Request(NewRequest {
+                id,
+                time_left: left,
+                class,
+                tenant,
+                key,
+                write: flags & 4 != 0,
+                work_hint: work,
+            })
         }
         "head_received" => Event::StreamStarted {
             request: RequestId(fields.required("request id")?),
@@ -175,14 +183,14 @@
                 Some(3) => Some(CacheNote::MissFetching),
                 _ => None,
             };
-            Event::Outcome(Outcome { request, attempt, status, elapsed, finished, note })
+            Event::Outcome(Outcome { request, attempt, status, elapsed, finished, cache_note: note })
         }
-        "withdrawn" => Event::Withdrawn(RequestId(fields.required("request id")?)),
+        "withdrawn" => Event::ClientLeft(RequestId(fields.required("request id")?)),
         "ring" => Event::Timer(TimerToken(fields.required("timer label")?)),
         "checked" => {
             let status = parse_status(fields.text());
             fields.seconds("time spent")?;
-            Event::Probed { server: fields.server()?, status }
+            Event::HealthChecked { server: fields.server()?, status }
         }
         "message" => Event::Message {
             from: fields.required("sender")?,
@@ -205,7 +213,7 @@
         .collect()
 }
 
-fn parse_entry(line: &str) -> Result<RosterEntry, String> {
+fn parse_entry(line: &str) -> Result<EndpointEntry, String> {
     let mut fields = Fields { rest: Some(line) };
     if fields.text() != Some("m") {
         return Err("a list entry (`m`) expected".into());
@@ -215,7 +223,7 @@
         Some("Gone") => ServerState::Gone,
         _ => ServerState::Draining,
     };
-    Ok(RosterEntry {
+    Ok(EndpointEntry {
         state,
         server: fields.server()?,
         zone: fields.text().unwrap_or("").into(),
@@ -237,14 +245,14 @@
             writeln!(out, "hand_off {node} {} - {}", request.0, server.0)
         }
         Action::Cancel { request, attempt } => writeln!(out, "call_off {node} {} {}", request.0, attempt.0),
-        Action::Refuse { request, retry_after: Some(retry_after) } => {
+        Action::Reject { request, retry_after: Some(retry_after) } => {
             writeln!(out, "busy {node} {} {retry_after:.6}", request.0)
         }
-        Action::Refuse { request, retry_after: None } => writeln!(out, "busy {node} {} -", request.0),
+        Action::Reject { request, retry_after: None } => writeln!(out, "busy {node} {} -", request.0),
         Action::Fail(request) => writeln!(out, "respond_error {node} {}", request.0),
         Action::SetTimer { token, after } => writeln!(out, "set_timer {node} {} {after:.6}", token.0),
-        Action::Probe(server) => writeln!(out, "sample {node} {}", server.0),
-        Action::Tell(bytes) => {
+        Action::HealthCheck(server) => writeln!(out, "sample {node} {}", server.0),
+        Action::Broadcast(bytes) => {
             let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
             writeln!(out, "write_peer {node} -1 {digits}")
         }
