--- a/crates/balancer/src/balance/tests/recovery.rs
+++ b/crates/balancer/src/balance/tests/recovery.rs
@@ -42,10 +42,10 @@
     let started = EndpointEntry { started: Some(node.now), ..entry(3) };
     let drained = EndpointEntry { state: ServerState::Draining, ..entry(3) };
     let absent = fleet(8).into_iter().filter(|e| e.server != id(3)).collect();
-    for (n, news) in
+    for (n, update) in
         [EndpointUpdate::Full(absent), EndpointUpdate::Delta(vec![drained])].into_iter().enumerate()
     {
-        node.event(Event::Endpoints(news));
+        node.event(Event::Endpoints(update));
         let owners_while_away = keys(&mut node, 1000 * (n as u64 + 1));
         assert!(
             !owners_while_away.contains(&id(3))
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -29,7 +29,7 @@
     },
 }
 
-/// Meaning of [`EndpointEntry::weight`](crate::RosterEntry::weight).
+/// Meaning of [`EndpointEntry::weight`](crate::EndpointEntry::weight).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
     #[default]
@@ -67,13 +67,13 @@
 pub struct Limits {
     /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancel: bool,
-    /// Whether [`Action::Probe`](crate::Action::Probe) is allowed.
+    /// Whether [`Action::HealthCheck`](crate::Action::HealthCheck) is allowed.
     pub health_checks: bool,
-    /// Whether [`Action::Tell`](crate::Action::Tell) is allowed.
+    /// Whether [`Action::Broadcast`](crate::Action::Broadcast) is allowed.
     pub peer_messages: bool,
     /// Whether a request may have two attempts in flight (hedging). The rules never require it.
     pub hedging: bool,
-    /// Whether clients receive the `retry_after` of [`Action::Refuse`](crate::Action::Refuse).
+    /// Whether clients receive the `retry_after` of [`Action::Reject`](crate::Action::Reject).
     pub retry_after: bool,
     /// Longest `retry_after` that clients obey.
     pub max_retry_after: Seconds,
@@ -124,9 +124,9 @@
                 return Err(SettingsError::ClassWithoutTime { class: class.name.clone() });
             }
             times.extend([
-                ("class deadline", class.deadline),
-                ("class latency objective", class.latency_objective),
-                ("window", class.deduplication_window),
+                ("grades.hard-limit-s", class.deadline),
+                ("grades.target-s", class.latency_objective),
+                ("grades.key-ttl-s", class.deduplication_window),
             ]);
         }
         for (what, time) in times {
@@ -134,9 +134,9 @@
                 return Err(SettingsError::InvalidDuration { what, found: time });
             }
         }
-        let cold_from = self.guarantees.initial_capacity_share;
-        if !(cold_from > 0.0 && cold_from <= 1.0) {
-            return Err(SettingsError::InvalidShare { what: "initial capacity share", found: cold_from });
+        let initial_share = self.guarantees.initial_capacity_share;
+        if !(initial_share > 0.0 && initial_share <= 1.0) {
+            return Err(SettingsError::InvalidShare { what: "guarantees.cold-from", found: initial_share });
         }
         Ok(())
     }
@@ -145,13 +145,13 @@
     fn non_class_times(&self) -> Vec<(&'static str, Seconds)> {
         let guarantees = &self.guarantees;
         vec![
-            ("answer grace", guarantees.answer_grace),
-            ("poll interval", guarantees.poll_interval),
-            ("ramp", guarantees.slow_start_duration),
-            ("drain grace", guarantees.drain_grace),
-            ("overload window", guarantees.overload_window),
-            ("round", self.event_interval),
-            ("max retry after", self.limits.max_retry_after),
+            ("guarantees.grace-to-answer-s", guarantees.answer_grace),
+            ("guarantees.ask-every-s", guarantees.poll_interval),
+            ("guarantees.ramp-time-s", guarantees.slow_start_duration),
+            ("guarantees.drain-grace-s", guarantees.drain_grace),
+            ("guarantees.fall-s", guarantees.overload_window),
+            ("round-s", self.event_interval),
+            ("limits.max-retry-after-s", self.limits.max_retry_after),
             ("connect timeout", self.limits.connect_timeout),
         ]
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -9,13 +9,13 @@
 //! # fn main() -> Result<(), SettingsError> {
 //! let read = Class {
 //!     name: "read".into(),
-//!     aim: 0.3,
+//!     latency_objective: 0.3,
 //!     deadline: 1.0,
-//!     worth: 1.0,
-//!     late_worth: 0.2,
-//!     effect: Effect::Safe,
-//!     group: DeduplicationScope::All,
-//!     window: 0.0,
+//!     priority_weight: 1.0,
+//!     late_weight_share: 0.2,
+//!     effect: Effect::Idempotent,
+//!     deduplication_scope: DeduplicationScope::All,
+//!     deduplication_window: 0.0,
 //!     streamed: false,
 //! };
 //! let settings = Settings {
@@ -27,15 +27,15 @@
 //!     weights: WeightSource::Off,
 //!     guarantees: Guarantees {
 //!         answer_grace: 0.02,
-//!         ask_every: 10.0,
-//!         cold_from: 0.3,
-//!         ramp: 8.0,
+//!         poll_interval: 10.0,
+//!         initial_capacity_share: 0.3,
+//!         slow_start_duration: 8.0,
 //!         drain_grace: 0.5,
-//!         fall_multiple: 3.0,
-//!         fall_for: 1.0,
+//!         overload_multiple: 3.0,
+//!         overload_window: 1.0,
 //!     },
-//!     limits: Limits { cancel: true, max_attempts: 3, second_copies: true, ..Limits::default() },
-//!     round: 0.005,
+//!     limits: Limits { cancel: true, max_attempts: 3, hedging: true, ..Limits::default() },
+//!     event_interval: 0.005,
 //! };
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
@@ -46,17 +46,17 @@
 //!     weight: 1.0,
 //!     ..EndpointEntry::default()
 //! };
-//! balancer.handle(0.0, Event::Roster(EndpointUpdate::Full(vec![server.clone()])), &mut actions);
+//! balancer.handle(0.0, Event::Endpoints(EndpointUpdate::Full(vec![server.clone()])), &mut actions);
 //!
 //! // A request arrives; the balancer asks the host to send it.
 //! let request = NewRequest {
 //!     id: RequestId(1),
-//!     left: 1.0,
+//!     time_left: 1.0,
 //!     class: Some(ClassId(0)),
 //!     tenant: None,
 //!     key: Some(Key(7)),
 //!     write: false,
-//!     work: None,
+//!     work_hint: None,
 //! };
 //! actions.clear();
 //! balancer.handle(0.1, Event::Request(request), &mut actions);
@@ -69,7 +69,7 @@
 //!     status: Status::Success,
 //!     elapsed: 0.02,
 //!     finished: true,
-//!     note: Some(CacheNote::Hit),
+//!     cache_note: Some(CacheNote::Hit),
 //! };
 //! actions.clear();
 //! balancer.handle(0.12, Event::Outcome(outcome), &mut actions);
--- a/crates/balancer/tests/rules/origin.rs
+++ b/crates/balancer/tests/rules/origin.rs
@@ -140,7 +140,7 @@
     assert!(unknown_sent > 25, "{unknown_sent} sent");
 }
 
-/// How many unknown keys are sent at once after reads of ever new keys have all timed out after `left`, at
+/// How many unknown keys are sent at once after reads of ever new keys have all timed out after `time_left`, at
 /// one server that does or does not answer another read meanwhile.
 fn sent_after_time_outs(left: Seconds, answers: bool) -> usize {
     let mut node = Node::with(settings(), 1, fleet(1));
--- a/crates/balancer/tests/rules/peer_reports.rs
+++ b/crates/balancer/tests/rules/peer_reports.rs
@@ -50,7 +50,7 @@
     let drained = EndpointEntry { state: ServerState::Draining, ..entry(3) };
     let gone = EndpointEntry { state: ServerState::Gone, ..entry(3) };
     let unknown = fleet(6).into_iter().filter(|e| e.server != id(3)).collect();
-    for news in [
+    for update in [
         EndpointUpdate::Delta(vec![drained]),
         EndpointUpdate::Delta(vec![gone]),
         EndpointUpdate::Full(unknown),
@@ -58,7 +58,7 @@
         let mut node = Node::with(settings(), 1, fleet(6));
         apply_table(&mut node, 1, 1, &all);
         assert!(owners_follow(&mut node, 0, &all));
-        node.event(Event::Endpoints(news));
+        node.event(Event::Endpoints(update));
         for n in 0..300 {
             let (owner, owner_by_table) = (node.owner(1000 + n, n), key_owner(&all, Key(n)));
             assert!(
--- a/crates/control-plane/src/plane.rs
+++ b/crates/control-plane/src/plane.rs
@@ -24,13 +24,13 @@
     Event(PlaneEvent<A, B>),
 }
 
-/// An event of one of the state machines; `A` is the event type of accord, `B` that of budgets.
+/// An event of one of the state machines; `A` is the event type of placement, `B` that of budgets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlaneEvent<A, B> {
     /// Membership has changed.
     Peers(PeersEvent),
     /// The placement table, or this node's lease on it, has changed.
-    Accord(A),
+    Placement(A),
     /// This node's allotments or its role as grantor have changed.
     Budgets(B),
 }
@@ -51,9 +51,9 @@
     rate_limit: TokenBucket,
     counters: Counters,
     peers: Peers,
-    accord: Option<A>,
+    placement: Option<A>,
     budgets: Option<B>,
-    /// Version of the view at the last tick of accord and budgets.
+    /// Version of the view at the last tick of placement and budgets.
     ticked_version: u64,
     /// The latest time passed in; an earlier one is replaced by it.
     now: Moment,
@@ -66,7 +66,7 @@
         rate: Rate,
         now: Moment,
         peers: Peers,
-        accord: Option<A>,
+        placement: Option<A>,
         budgets: Option<B>,
     ) -> Self {
         let rate_limit = TokenBucket::new(rate.per_second, rate.burst, now);
@@ -76,7 +76,7 @@
             rate_limit,
             counters: Counters::default(),
             peers,
-            accord,
+            placement,
             budgets,
             ticked_version,
             now,
@@ -103,7 +103,7 @@
         let Envelope { kind, from, payload, .. } = envelope;
         match kind {
             Kind::Peers => self.peers.receive(now, *from, payload),
-            Kind::Placement => deliver(&mut self.accord, now, self.peers.view(), *from, payload),
+            Kind::Placement => deliver(&mut self.placement, now, self.peers.view(), *from, payload),
             Kind::Quota => deliver(&mut self.budgets, now, self.peers.view(), *from, payload),
         }
     }
@@ -117,9 +117,9 @@
 
     /// When [`Plane::tick`] must be called next.
     pub fn due(&self) -> Option<Moment> {
-        let of_accord = self.accord.as_ref().and_then(StateMachine::due);
+        let of_placement = self.placement.as_ref().and_then(StateMachine::due);
         let of_budgets = self.budgets.as_ref().and_then(StateMachine::due);
-        [self.peers.due(), of_accord, of_budgets].into_iter().flatten().min()
+        [self.peers.due(), of_placement, of_budgets].into_iter().flatten().min()
     }
 
     /// Takes the outputs since the last call. Datagrams beyond the rate limit are dropped and counted; membership has
@@ -134,8 +134,8 @@
         for output in self.budgets.as_mut().map(StateMachine::take_outputs).unwrap_or_default() {
             out.extend(self.emit(now, Kind::Quota, output, PlaneEvent::Budgets));
         }
-        for output in self.accord.as_mut().map(StateMachine::take_outputs).unwrap_or_default() {
-            out.extend(self.emit(now, Kind::Placement, output, PlaneEvent::Accord));
+        for output in self.placement.as_mut().map(StateMachine::take_outputs).unwrap_or_default() {
+            out.extend(self.emit(now, Kind::Placement, output, PlaneEvent::Placement));
         }
         out
     }
@@ -156,8 +156,8 @@
     }
 
     /// The placement table's state machine, if on.
-    pub fn accord(&mut self) -> Option<&mut A> {
-        self.accord.as_mut()
+    pub fn placement(&mut self) -> Option<&mut A> {
+        self.placement.as_mut()
     }
 
     /// The budgets' state machine, if on.
@@ -170,7 +170,7 @@
         self.now
     }
 
-    /// Ticks accord and budgets at once if the view has changed, rather than at their next deadline.
+    /// Ticks placement and budgets at once if the view has changed, rather than at their next deadline.
     fn follow_view(&mut self, now: Moment) {
         if self.peers.view().version != self.ticked_version {
             self.tick_machines(now);
@@ -180,8 +180,8 @@
     fn tick_machines(&mut self, now: Moment) {
         let view = self.peers.view();
         self.ticked_version = view.version;
-        if let Some(accord) = &mut self.accord {
-            accord.tick(now, view);
+        if let Some(placement) = &mut self.placement {
+            placement.tick(now, view);
         }
         if let Some(budgets) = &mut self.budgets {
             budgets.tick(now, view);
--- a/crates/control-plane/src/token_bucket.rs
+++ b/crates/control-plane/src/token_bucket.rs
@@ -17,11 +17,11 @@
 }
 
 impl TokenBucket {
-    /// Allows `burst` at once and `a_second` per second over any longer time; a value of 0 counts as 1.
-    pub fn new(a_second: u32, burst: u32, now: Moment) -> Self {
+    /// Allows `burst` at once and `per_second` per second over any longer time; a value of 0 counts as 1.
+    pub fn new(per_second: u32, burst: u32, now: Moment) -> Self {
         let burst = burst.max(1);
         TokenBucket {
-            interval: Duration::from_secs(1) / a_second.max(1),
+            interval: Duration::from_secs(1) / per_second.max(1),
             burst,
             tokens: burst,
             refilled_at: now,
--- a/crates/control-plane/tests/routing.rs
+++ b/crates/control-plane/tests/routing.rs
@@ -61,11 +61,11 @@
     NodeIncarnation { node: NodeId(node), incarnation: Incarnation(incarnation) }
 }
 
-/// Node 0 of three; `accord` and `budgets` say which machines are on.
-fn plane(accord: bool, budgets: bool, rate: Rate) -> TestPlane {
+/// Node 0 of three; `placement` and `budgets` say which machines are on.
+fn plane(placement: bool, budgets: bool, rate: Rate) -> TestPlane {
     let filter = DatagramFilter { realm: REALM, this: life(0, 9), configured: 3 };
     let peers = Peers::new(PeersConfig::new(filter.this, ZoneId(0), 3), 1, NOW, &[]).unwrap();
-    Plane::new(filter, rate, NOW, peers, accord.then(recording_machine), budgets.then(recording_machine))
+    Plane::new(filter, rate, NOW, peers, placement.then(recording_machine), budgets.then(recording_machine))
 }
 
 const HIGH_RATE: Rate = Rate { per_second: 1000, burst: 500 };
@@ -75,13 +75,13 @@
     Envelope { realm: REALM, kind, from, to, payload: payload.into() }.encode().unwrap()
 }
 
-/// Outputs of accord and budgets: events with the machine's kind, and the number of datagrams.
+/// Outputs of placement and budgets: events with the machine's kind, and the number of datagrams.
 fn take_outputs(plane: &mut TestPlane, now: Moment) -> (Vec<(Kind, NodeIncarnation)>, usize) {
-    let (mut news, mut sent) = (Vec::new(), 0);
+    let (mut events, mut sent) = (Vec::new(), 0);
     for output in plane.take(now) {
         match output {
-            PlaneOutput::Event(PlaneEvent::Accord((from, _))) => news.push((Kind::Placement, from)),
-            PlaneOutput::Event(PlaneEvent::Budgets((from, _))) => news.push((Kind::Quota, from)),
+            PlaneOutput::Event(PlaneEvent::Placement((from, _))) => events.push((Kind::Placement, from)),
+            PlaneOutput::Event(PlaneEvent::Budgets((from, _))) => events.push((Kind::Quota, from)),
             PlaneOutput::Event(PlaneEvent::Peers(_)) => {}
             PlaneOutput::Datagram { to, bytes } => {
                 assert!(bytes.len() <= MAX_DATAGRAM && to != NodeId(0));
@@ -90,7 +90,7 @@
             }
         }
     }
-    (news, sent)
+    (events, sent)
 }
 
 #[test]
@@ -184,8 +184,8 @@
         for kind in [Kind::Placement, Kind::Quota] {
             plane.receive(now, Some(NodeId(1)), &datagram(kind, life(1, 5), 0, &[200])).unwrap();
         }
-        let (news, datagrams) = take_outputs(&mut plane, now);
-        (sent, events) = (sent + datagrams as u64, events + news.len());
+        let (new_events, datagrams) = take_outputs(&mut plane, now);
+        (sent, events) = (sent + datagrams as u64, events + new_events.len());
     }
     let counters = plane.counters();
     assert_eq!(events, 20);
@@ -198,10 +198,10 @@
 #[test]
 fn an_unsendable_payload_is_dropped_and_counted() {
     let mut plane = plane(true, false, HIGH_RATE);
-    let accord = plane.accord().unwrap();
-    accord.out.push(Output::Send { to: NodeId(1), payload: vec![0; MAX_PAYLOAD + 1] });
-    accord.out.push(Output::Send { to: NodeId(0), payload: vec![] });
-    accord.out.push(Output::Send { to: NodeId(3), payload: vec![] });
+    let placement = plane.placement().unwrap();
+    placement.out.push(Output::Send { to: NodeId(1), payload: vec![0; MAX_PAYLOAD + 1] });
+    placement.out.push(Output::Send { to: NodeId(0), payload: vec![] });
+    placement.out.push(Output::Send { to: NodeId(3), payload: vec![] });
     assert_eq!(take_outputs(&mut plane, NOW), (vec![], 0));
     assert_eq!(plane.counters().unsendable, 3);
 }
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -202,7 +202,7 @@
             }
             _ => now,
         };
-        let member = Member { node_incarnation: node_incarnation, zone, state, since };
+        let member = Member { node_incarnation, zone, state, since };
         if self.view.members.insert(node_incarnation.node, member) != Some(member) {
             self.view.version += 1;
         }
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -17,11 +17,11 @@
 impl Answer {
     /// The final answer of a request.
     pub fn final_answer(
-        ticket: RequestGuard,
+        request_guard: RequestGuard,
         ServedAnswer { text, body }: ServedAnswer,
         end: RequestOutcome,
     ) -> Self {
-        Answer { text, body, request_end: Some((ticket, end)) }
+        Answer { text, body, request_end: Some((request_guard, end)) }
     }
 
     /// The answer to a command that starts no request, or that is rejected.
--- a/crates/node/src/discovery/tests/mod.rs
+++ b/crates/node/src/discovery/tests/mod.rs
@@ -73,7 +73,7 @@
 }
 
 /// Settings of a deployment with this membership mode, drain grace and poll interval, both in seconds.
-fn settings(membership: Membership, drain_grace: f64, ask_every: f64) -> Settings {
+fn settings(membership: Membership, drain_grace: f64, poll_interval: f64) -> Settings {
     let read = Class {
         name: "read".into(),
         latency_objective: 0.5,
@@ -92,7 +92,7 @@
         guarantees: Guarantees {
             initial_capacity_share: 0.3,
             drain_grace,
-            poll_interval: ask_every,
+            poll_interval,
             ..Guarantees::default()
         },
         ..Settings::default()
@@ -103,8 +103,8 @@
     settings(Membership::Pushed, drain_grace, 10.0)
 }
 
-fn polled(ask_every: f64) -> Settings {
-    settings(Membership::OnRequest, 1.0, ask_every)
+fn polled(poll_interval: f64) -> Settings {
+    settings(Membership::OnRequest, 1.0, poll_interval)
 }
 
 /// A running discovery client with the real balancer.
--- a/crates/node/src/discovery/tests/outages.rs
+++ b/crates/node/src/discovery/tests/outages.rs
@@ -137,9 +137,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_polled_list_arrives_within_six_seconds_after_any_outage() {
-    for (ask_every, known_after) in [(10.0, 6 * SECOND), (1.0, 4 * SECOND)] {
-        let (after, what) = slowest(&polled(ask_every), Duration::from_millis(587), SECOND).await;
-        assert!(after < known_after, "{what}: {after:?} later, polled every {ask_every} s");
+    for (poll_interval, known_after) in [(10.0, 6 * SECOND), (1.0, 4 * SECOND)] {
+        let (after, what) = slowest(&polled(poll_interval), Duration::from_millis(587), SECOND).await;
+        assert!(after < known_after, "{what}: {after:?} later, polled every {poll_interval} s");
     }
 }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -28,7 +28,8 @@
 
 impl Driver {
     pub fn new(settings: &Settings, seed: u64, around: DriverContext) -> Result<Self, SettingsError> {
-        let DriverContext { clock, upstream, messages, poll_requests, lifecycle, metrics, fleet } = around;
+        let DriverContext { clock, upstream, messages, poll_requests, lifecycle, metrics, plane_runtime } =
+            around;
         let quantum = Duration::from_secs_f64(settings.event_interval);
         upstream.set_quantum(quantum);
         Ok(Driver {
@@ -50,10 +51,10 @@
             overdue_log: LogThrottle::default(),
             balancer_log: LogThrottle::default(),
             messages,
-            poll_requests: poll_requests,
+            poll_requests,
             lifecycle,
-            metrics: metrics,
-            fleet,
+            metrics,
+            plane_runtime,
         })
     }
 
@@ -110,7 +111,7 @@
             Message::Request { id, command, at, reply, gone } => {
                 self.start_request(id, command, at, reply, gone)
             }
-            Message::Withdrawn(id) => {
+            Message::ClientLeft(id) => {
                 if self.take_reply(id).is_some() {
                     if let Some(active) = self.requests.get(&id) {
                         let left = active.deadline.saturating_duration_since(self.event_time);
@@ -124,7 +125,9 @@
                 self.complete_attempt(request, attempt, ended);
                 self.process_events();
             }
-            Message::Probed { server, status } => self.handle_event(Event::HealthChecked { server, status }),
+            Message::HealthChecked { server, status } => {
+                self.handle_event(Event::HealthChecked { server, status })
+            }
             Message::Roster(roster) => {
                 let update = if roster.complete { EndpointUpdate::Full } else { EndpointUpdate::Delta };
                 self.apply_roster(roster, update);
@@ -134,14 +137,14 @@
                 // Fails only if the operator's connection is closed, and then no answer is needed.
                 let _ = reply.send(MemberCounts { listed, unavailable });
             }
-            Message::Fleet(news) => self.handle_event(Event::Fleet(news)),
+            Message::Fleet(update) => self.handle_event(Event::Fleet(update)),
             Message::RosterFailed => self.handle_event(Event::Endpoints(EndpointUpdate::Failed)),
         }
     }
 
     fn apply_roster(&mut self, roster: Roster, update: fn(Vec<EndpointEntry>) -> EndpointUpdate) {
-        if let Some(fleet) = &self.fleet {
-            fleet.apply_roster(&roster);
+        if let Some(plane_runtime) = &self.plane_runtime {
+            plane_runtime.apply_roster(&roster);
         }
         // A server at a new address is a new process: the balancer drops the faults and the limit that it learnt for
         // the old one.
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -37,7 +37,7 @@
             let status = upstream.check_health(&server).await;
             debug!(server = %server.0, ?status, "probe");
             // Fails only if the driver has ended, as it does when the process exits.
-            let _ = messages.send(Message::Probed { server, status });
+            let _ = messages.send(Message::HealthChecked { server, status });
         });
     }
 
@@ -57,16 +57,18 @@
         debug!(request = id.0, %opaque, attempt = attempt.0, server = %server.0, void, "attempt");
         // An attempt over its tenant's quota at the server is void: it says nothing about the server, and the balancer
         // rejects the request at once with a time to retry after.
-        let fleet = self.fleet.as_ref().filter(|_| !void);
-        let quota_use =
-            fleet.map_or(Ok(None), |fleet| fleet.begin_use(&server, active.command.tenant.as_deref()));
+        let plane_runtime = self.plane_runtime.as_ref().filter(|_| !void);
+        let quota_use = plane_runtime.map_or(Ok(None), |plane_runtime| {
+            plane_runtime.begin_use(&server, active.command.tenant.as_deref())
+        });
         let void = void || quota_use.is_err();
-        let sent_attempt = fleet.filter(|_| !void).and_then(|fleet| fleet.record_attempt(&server));
+        let sent_attempt =
+            plane_runtime.filter(|_| !void).and_then(|plane_runtime| plane_runtime.record_attempt(&server));
         let executions = active.attempts.first().map_or_else(Rc::default, |first| first.executions.clone());
         let task = (!void).then(|| {
             let (upstream, messages) = (self.upstream.clone(), self.messages.clone());
             let class = self.names.class(&active.command.class);
-            let errand = UpstreamCall {
+            let upstream_call = UpstreamCall {
                 command: active.command.clone(),
                 attempt,
                 until,
@@ -78,7 +80,7 @@
                 phases: self.lifecycle.subscribe(),
             };
             let attempt_made = async move {
-                let ended = upstream.attempt(&server, &errand).await;
+                let ended = upstream.attempt(&server, &upstream_call).await;
                 // Fails only if the driver has ended, as it does when the process exits.
                 let _ = messages.send(Message::Ended { request: id, attempt, ended });
             };
@@ -145,12 +147,12 @@
     ) {
         let at = attempt.0 as usize;
         let ended = self.requests.get_mut(&request).and_then(|active| active.attempts.get_mut(at));
-        if let (Some(fleet), Some(ended)) = (&self.fleet, ended) {
+        if let (Some(plane_runtime), Some(ended)) = (&self.plane_runtime, ended) {
             if let Some(sent_attempt) = ended.sent_attempt.take() {
-                fleet.record_outcome(&sent_attempt, status);
+                plane_runtime.record_outcome(&sent_attempt, status);
             }
             if let Some(quota_use) = ended.quota_use.take() {
-                fleet.end_use(quota_use);
+                plane_runtime.end_use(quota_use);
             }
         }
         let active = self.requests.get(&request);
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -37,13 +37,13 @@
         if self.open_opaques.contains(&command.opaque()) {
             return drop(reply.send(Answer::without_request(protocol::ID_IN_USE)));
         }
-        let ticket = self.metrics.start_request(class.0);
+        let request_guard = self.metrics.start_request(class.0);
         let deadline = self.deadline(&command, at);
         if deadline <= self.event_time {
             // The deadline passed while the client was writing the request. It gets an answer and no attempt.
             log_answer(id, &command, RequestOutcome::Rejected, Duration::ZERO);
             let busy = protocol::busy(None).into();
-            return drop(reply.send(Answer::final_answer(ticket, busy, RequestOutcome::Rejected)));
+            return drop(reply.send(Answer::final_answer(request_guard, busy, RequestOutcome::Rejected)));
         }
         let new = NewRequest {
             id,
@@ -59,7 +59,7 @@
         let backstop = deadline.checked_sub(self.quantum / 2).unwrap_or(deadline).max(self.event_time);
         self.timers.push(Reverse((backstop, Timer::Backstop(id.0))));
         self.open_opaques.insert(command.opaque());
-        let (command, reply) = (Rc::new(command), Some((reply, ticket)));
+        let (command, reply) = (Rc::new(command), Some((reply, request_guard)));
         let active = ActiveRequest { command, deadline, reply, attempts: Vec::new(), gone };
         self.requests.insert(id, active);
         self.handle_event(Event::Request(new));
@@ -87,12 +87,12 @@
 
     /// Gives the final answer unless it has been given; returns whether the client will get it.
     pub(super) fn answer(&mut self, id: RequestId, answer: ServedAnswer, end: RequestOutcome) -> bool {
-        let Some((reply, ticket)) = self.take_reply(id) else { return false };
+        let Some((reply, request_guard)) = self.take_reply(id) else { return false };
         if let Some(active) = self.requests.get(&id) {
             log_answer(id, &active.command, end, active.deadline.saturating_duration_since(self.event_time));
         }
         // Fails if the client has disconnected; its connection reports that.
-        reply.send(Answer::final_answer(ticket, answer, end)).is_ok()
+        reply.send(Answer::final_answer(request_guard, answer, end)).is_ok()
     }
 
     /// Takes the reply channel, after which no answer can be given, and frees the client's id.
--- a/crates/node/src/driver/state.rs
+++ b/crates/node/src/driver/state.rs
@@ -97,7 +97,7 @@
     pub(super) poll_requests: Sender<()>,
     pub(super) lifecycle: Rc<Lifecycle>,
     pub(super) metrics: Rc<Metrics>,
-    pub(super) fleet: Option<Rc<PlaneRuntime>>,
+    pub(super) plane_runtime: Option<Rc<PlaneRuntime>>,
 }
 
 /// Components that the driver uses and shares with the rest of the node.
@@ -111,5 +111,5 @@
     pub lifecycle: Rc<Lifecycle>,
     pub metrics: Rc<Metrics>,
     /// The control plane between nodes, if it is enabled.
-    pub fleet: Option<Rc<PlaneRuntime>>,
+    pub plane_runtime: Option<Rc<PlaneRuntime>>,
 }
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -47,15 +47,15 @@
     let second = Duration::from_secs(1);
     let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
     let (messages, inbox) = unbounded_channel();
-    let (clock, figures) = (Clock::start(), Metrics::new(["read"]));
+    let (clock, metrics) = (Clock::start(), Metrics::new(["read"]));
     let around = DriverContext {
         clock,
-        upstream: Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), figures.clone())),
+        upstream: Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), metrics.clone())),
         messages,
         poll_requests: channel(1).0,
         lifecycle: Lifecycle::new(),
-        metrics: figures,
-        fleet: None,
+        metrics,
+        plane_runtime: None,
     };
     let mut driver = Driver::new(settings, 1, around).unwrap();
     let member = format!(r#"{{"id":"s","host_port":"{server}","phase":"ready"}}"#);
@@ -202,10 +202,10 @@
     let member = format!(r#"{{"id":"s","host_port":"{address}","phase":"draining"}}"#);
     let list = format!(r#"{{"revision":2,"complete":false,"members":[{member}]}}"#);
     driver.load_cached_roster(Roster::from_json(list.as_bytes(), &driver.clock).unwrap());
-    let errand = test_call(READ);
+    let upstream_call = test_call(READ);
     let ended = tokio::select! {
         biased;
-        ended = driver.upstream.attempt(&server, &errand) => ended.status,
+        ended = driver.upstream.attempt(&server, &upstream_call) => ended.status,
         _ = listener.accept() => panic!("all of the grace is used"),
     };
     assert_eq!(ended, Status::Unreachable);
--- a/crates/node/src/frontend/client.rs
+++ b/crates/node/src/frontend/client.rs
@@ -162,7 +162,7 @@
             if let PendingAnswer::Waiting { id, weight, .. } = pending {
                 debug!(request = id.0, reason = ?self.abandon_reason, "request given up");
                 self.frontend.budget.release(weight);
-                let _ = self.frontend.driver.send(Message::Withdrawn(id));
+                let _ = self.frontend.driver.send(Message::ClientLeft(id));
             }
         }
     }
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -58,7 +58,7 @@
     /// Registers the request of a complete answer in the output; it ends when that is written.
     pub(super) fn register_end(&mut self, ends: Option<(RequestGuard, RequestOutcome)>) {
         let at = self.bytes_written + self.output.len() as u64;
-        self.unfinished_requests.extend(ends.map(|(ticket, end)| (at, ticket, end)));
+        self.unfinished_requests.extend(ends.map(|(request_guard, end)| (at, request_guard, end)));
     }
 
     /// Appends the next piece of a long value. If the value broke off, the connection ends, which shows it to the
@@ -92,8 +92,8 @@
         self.frontend.budget.release(bytes);
         self.bytes_written += bytes as u64;
         while self.unfinished_requests.front().is_some_and(|(at, ..)| *at <= self.bytes_written) {
-            if let Some((_, ticket, end)) = self.unfinished_requests.pop_front() {
-                ticket.end(end);
+            if let Some((_, request_guard, end)) = self.unfinished_requests.pop_front() {
+                request_guard.end(end);
             }
         }
     }
--- a/crates/node/src/frontend/tests/disconnects.rs
+++ b/crates/node/src/frontend/tests/disconnects.rs
@@ -35,7 +35,7 @@
 
 /// Checks that the next message withdraws a request, without waiting for any timer.
 async fn expect_withdrawal(inbox: &mut Inbox) {
-    assert!(matches!(with_clock_held(inbox.recv()).await, Some(Message::Withdrawn(_))));
+    assert!(matches!(with_clock_held(inbox.recv()).await, Some(Message::ClientLeft(_))));
 }
 
 /// With as many commands in flight as allowed and more waiting, up to the read-ahead limit and beyond it.
--- a/crates/node/src/frontend/tests/node.rs
+++ b/crates/node/src/frontend/tests/node.rs
@@ -84,8 +84,8 @@
         let second = Duration::from_secs(1);
         let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
         let budget = Budget::new(limits);
-        let (figures, lifecycle) = (Metrics::new(["read"]), Lifecycle::new());
-        let upstream = Rc::new(Upstream::new(bounds, budget.clone(), figures.clone()));
+        let (metrics, lifecycle) = (Metrics::new(["read"]), Lifecycle::new());
+        let upstream = Rc::new(Upstream::new(bounds, budget.clone(), metrics.clone()));
         let (messages, inbox) = unbounded_channel();
         let clock = Clock::start();
         let context = DriverContext {
@@ -94,8 +94,8 @@
             messages: messages.clone(),
             poll_requests: channel(1).0,
             lifecycle: lifecycle.clone(),
-            metrics: figures,
-            fleet: None,
+            metrics,
+            plane_runtime: None,
         };
         let mut driver = Driver::new(&settings(), 1, context).unwrap();
         let (received, local) = (Rc::new(ReceivedLines::default()), LocalSet::new());
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -127,18 +127,18 @@
         )
     }
 
-    /// Starts the shutdown by `times`. `relieved` says whether another process accepts at this address.
-    pub fn stop(&self, relieved: bool, times: ShutdownTimes) {
+    /// Starts the shutdown by `times`. `has_successor` says whether another process accepts at this address.
+    pub fn stop(&self, has_successor: bool, times: ShutdownTimes) {
         // A second stop has no effect.
         if self.transition(|_| LifecycleState::Stopping).is_ok() {
             self.phase.send_modify(|phase| {
-                let close_idle_after = if relieved {
+                let close_idle_after = if has_successor {
                     DRAIN_CLOSE_AFTER.min(times.close_after_with_successor())
                 } else {
                     times.close_idle_after
                 };
-                let ends = Some(phase.since + times.finish_after);
-                *phase = Phase { has_successor: relieved, close_idle_after, answer_deadline: ends, ..*phase };
+                let answer_deadline = Some(phase.since + times.finish_after);
+                *phase = Phase { has_successor, close_idle_after, answer_deadline, ..*phase };
             });
         }
     }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -42,11 +42,11 @@
         gone: DisconnectFlag,
     },
     /// The client has disconnected.
-    Withdrawn(RequestId),
+    ClientLeft(RequestId),
     /// An attempt has ended.
     Ended { request: RequestId, attempt: AttemptId, ended: AttemptResult },
     /// A health check has ended.
-    Probed { server: ServerId, status: Status },
+    HealthChecked { server: ServerId, status: Status },
     /// Discovery has delivered an endpoint list.
     Roster(Roster),
     /// An update from the control plane between nodes for the balancer.
--- a/crates/node/src/plane.rs
+++ b/crates/node/src/plane.rs
@@ -2,24 +2,24 @@
 //! attempt outcomes, and receives events for the balancer. Off unless a fleet file is given.
 
 mod boxes;
+mod events;
 mod evidence_timer;
-mod fleet;
 mod machines;
 mod metrics;
-mod news;
+mod observations;
 mod permits;
 mod refusal_log;
+mod runtime;
 mod setup;
 mod socket;
 mod start;
 mod state;
 #[cfg(test)]
 mod tests;
-mod told;
 mod usage;
 mod weights;
 
 pub use boxes::SentAttempt;
-pub use fleet::PlaneRuntime;
 pub use permits::{CountedConnection, QuotaUse};
+pub use runtime::PlaneRuntime;
 pub use setup::Setup;
--- a/crates/node/src/plane/news.rs
+++ b/crates/node/src/plane/events.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 
-use super::fleet::PlaneRuntime;
+use super::runtime::PlaneRuntime;
 use crate::message::Message;
 
 /// The events of this node's plane.
@@ -25,17 +25,19 @@
             PlaneEvent::Peers(PeersEvent::View) => self.log_view(),
             // Sent with the next gathering, as evidence may change with every datagram.
             PlaneEvent::Peers(PeersEvent::Evidence) => self.evidence_timer.trigger(),
-            PlaneEvent::Accord(PlacementEvent::Switch(table)) => self.switch(&table),
-            PlaneEvent::Accord(PlacementEvent::LeaseExpired) => {
+            PlaneEvent::Placement(PlacementEvent::Switch(table)) => self.switch(&table),
+            PlaneEvent::Placement(PlacementEvent::LeaseExpired) => {
                 warn!("out: the lease on the placement table is over; other nodes may switch tables without this one");
             }
-            PlaneEvent::Accord(PlacementEvent::LeaseRegained) => {
+            PlaneEvent::Placement(PlacementEvent::LeaseRegained) => {
                 info!("back: the lease on the placement table was regained")
             }
-            PlaneEvent::Accord(PlacementEvent::Prepared { version }) => {
+            PlaneEvent::Placement(PlacementEvent::Prepared { version }) => {
                 debug!(version, "a table is prepared, not yet in force")
             }
-            PlaneEvent::Accord(PlacementEvent::Dropped { version }) => info!(version, "a table was dropped"),
+            PlaneEvent::Placement(PlacementEvent::Dropped { version }) => {
+                info!(version, "a table was dropped")
+            }
             PlaneEvent::Budgets(BudgetsEvent::AllotmentsChanged) => self.close_all_excess(),
             PlaneEvent::Budgets(BudgetsEvent::GrantingStarted { epoch }) => {
                 info!(epoch, "grants parts of budgets")
--- a/crates/node/src/plane/metrics.rs
+++ b/crates/node/src/plane/metrics.rs
@@ -32,19 +32,19 @@
 ];
 
 /// Writes the metrics of the placement table in force and of this node's state towards it.
-pub fn write_accord(out: &mut String, accord: &Placement, now: Moment) {
-    let id = accord.in_force().map(|table| table.id()).unwrap_or_default();
+pub fn write_placement(out: &mut String, placement: &Placement, now: Moment) {
+    let id = placement.in_force().map(|table| table.id()).unwrap_or_default();
     append_line(out, format_args!("app_table_epoch {}", id.epoch));
     append_line(out, format_args!("app_table_version {}", id.version));
-    let state = accord.state(now);
+    let state = placement.state(now);
     for (listed_state, name) in ACCORD_STATES {
         append_line(
             out,
             format_args!("app_table_state{{state=\"{name}\"}} {}", u8::from(listed_state == state)),
         );
     }
-    append_line(out, format_args!("app_table_coordinator {}", u8::from(accord.is_coordinator(now))));
-    let totals = accord.metrics();
+    append_line(out, format_args!("app_table_coordinator {}", u8::from(placement.is_coordinator(now))));
+    let totals = placement.metrics();
     append_line(out, format_args!("app_table_switches_total {}", totals.switches));
     append_line(out, format_args!("app_table_outs_total {}", totals.lease_expirations));
     append_line(out, format_args!("app_table_lists_refused_total {}", totals.lists_rejected));
--- a/crates/node/src/plane/told.rs
+++ b/crates/node/src/plane/observations.rs
@@ -4,7 +4,7 @@
 use tracing::{info, warn};
 
 use super::boxes::SentAttempt;
-use super::fleet::PlaneRuntime;
+use super::runtime::PlaneRuntime;
 use super::setup::read_contracts;
 use crate::config::NodeConfigError;
 use crate::roster::Roster;
@@ -15,8 +15,8 @@
         let mut boxes = self.boxes.borrow_mut();
         boxes.apply_roster(roster);
         let (now, mut plane) = (self.now(), self.plane.borrow_mut());
-        if let Some(accord) = plane.accord() {
-            accord.set_endpoint_list(now, roster.revision, boxes.table());
+        if let Some(placement) = plane.placement() {
+            placement.set_endpoint_list(now, roster.revision, boxes.table());
         }
         if let Some((budgets, connections)) = plane.budgets().zip(self.connections_per_box) {
             let capacities = boxes.capacities(connections);
--- a/crates/node/src/plane/permits.rs
+++ b/crates/node/src/plane/permits.rs
@@ -7,7 +7,7 @@
 use hallpin_quota::{Allotment, Budgets, Resource, TenantIndex};
 
 use super::boxes::resource;
-use super::fleet::PlaneRuntime;
+use super::runtime::PlaneRuntime;
 use super::usage::{ConnectionPermit, CLOSING};
 
 /// A use of a box's quota by one attempt.
@@ -19,7 +19,7 @@
 
 /// A connection counted against a box's quota until this is dropped.
 pub struct CountedConnection {
-    fleet: Rc<PlaneRuntime>,
+    plane_runtime: Rc<PlaneRuntime>,
     resource: Resource,
     /// The state of the connection, shared with its user.
     pub permit: Rc<ConnectionPermit>,
@@ -29,15 +29,15 @@
     /// Whether the connection is still within the node's allotment at this moment. This detects, before a write, that
     /// the node was paused past the end of its lease.
     pub fn is_within_quota(&self) -> bool {
-        self.fleet.close_excess(self.resource);
+        self.plane_runtime.close_excess(self.resource);
         !self.permit.is_cut()
     }
 }
 
 impl Drop for CountedConnection {
     fn drop(&mut self) {
-        let now = self.fleet.now();
-        self.fleet.usage.borrow_mut().record_close(now, self.resource);
+        let now = self.plane_runtime.now();
+        self.plane_runtime.usage.borrow_mut().record_close(now, self.resource);
     }
 }
 
@@ -82,11 +82,11 @@
     pub fn open_connection(self: &Rc<Self>, server: &ServerId) -> Option<CountedConnection> {
         let (now, resource, mut plane) = (self.now(), resource(server), self.plane.borrow_mut());
         let allotment = Self::allotment(plane.budgets()?, now, resource, TenantIndex(0));
-        let mark = self.usage.borrow_mut().open(now, resource, allotment)?;
+        let permit = self.usage.borrow_mut().open(now, resource, allotment)?;
         if let Some(expires_at) = allotment.expires_at {
             self.schedule_check(expires_at);
         }
-        Some(CountedConnection { fleet: self.clone(), resource, permit: mark })
+        Some(CountedConnection { plane_runtime: self.clone(), resource, permit })
     }
 
     /// Closes the connections beyond the node's allotment of one box.
--- a/crates/node/src/plane/fleet.rs
+++ b/crates/node/src/plane/runtime.rs
@@ -170,8 +170,8 @@
     pub(super) fn write_metrics(&self, out: &mut String) {
         let (now, mut plane) = (self.now(), self.plane.borrow_mut());
         metrics::write_plane(out, plane.view(), plane.counters(), self.lost_datagrams.get());
-        if let Some(accord) = plane.accord() {
-            metrics::write_accord(out, accord, now);
+        if let Some(placement) = plane.placement() {
+            metrics::write_placement(out, placement, now);
         }
         if let Some(budgets) = plane.budgets() {
             let resources: Vec<_> = self
@@ -188,5 +188,5 @@
 /// The plane's state that is stored across restarts.
 fn snapshot(plane: &mut NodePlane) -> CachedState {
     let view = StoredView(plane.view().members.values().map(|member| member.node_incarnation).collect());
-    CachedState { table: plane.accord().map(|accord| StoredTable(accord.stored())), view }
+    CachedState { table: plane.placement().map(|placement| StoredTable(placement.stored())), view }
 }
--- a/crates/node/src/plane/setup.rs
+++ b/crates/node/src/plane/setup.rs
@@ -77,7 +77,7 @@
     }
 
     /// Settings of placement agreement, if on.
-    pub fn accord_config(&self, this: NodeIncarnation) -> Option<PlacementConfig> {
+    pub fn placement_config(&self, this: NodeIncarnation) -> Option<PlacementConfig> {
         let (configured, drift_ppm) = (self.configured(), self.file.drift_ppm);
         let with =
             |lease| PlacementConfig::with_lease(this, self.zone, self.zones, configured, lease, drift_ppm);
--- a/crates/node/src/plane/start.rs
+++ b/crates/node/src/plane/start.rs
@@ -16,8 +16,8 @@
 
 use super::boxes::Boxes;
 use super::evidence_timer::EvidenceTimer;
-use super::fleet::{PlaneRuntime, GATHER_INTERVAL};
 use super::machines::NodePlane;
+use super::runtime::{PlaneRuntime, GATHER_INTERVAL};
 use super::setup::Setup;
 use super::socket::Addresses;
 use super::state::{CachedState, RestoredState, StoredTable};
@@ -28,7 +28,7 @@
 use crate::metrics::Metrics;
 
 /// Builds placement agreement. A stored table saves fetching it page by page; one that is not valid is ignored.
-fn accord(config: PlacementConfig, cached: &CachedState, seed: u64) -> Result<Placement, NodeConfigError> {
+fn placement(config: PlacementConfig, cached: &CachedState, seed: u64) -> Result<Placement, NodeConfigError> {
     let new = |stored| Placement::new(config.clone(), stored, Moment::ZERO, seed);
     let begun = match new(cached.table.as_ref().map(|StoredTable(stored)| stored.clone())) {
         Err(ConfigError::Restored) => {
@@ -50,7 +50,7 @@
     let now = Moment::ZERO;
     let peers = Peers::new(setup.peers_config(this), seed, now, &cached.view.0)
         .map_err(config_error("fleet: membership"))?;
-    let accord = setup.accord_config(this).map(|config| accord(config, cached, seed)).transpose()?;
+    let placement = setup.placement_config(this).map(|config| placement(config, cached, seed)).transpose()?;
     let contracts = setup.contracts.as_ref().map(|(_, contracts)| contracts.clone());
     let budgets = setup.budgets_config(this).zip(contracts);
     let budgets = budgets.map(|(config, contracts)| Budgets::new(config, contracts, now, seed));
@@ -58,7 +58,7 @@
     let filter = DatagramFilter { realm: setup.file.realm_number(), this, configured: setup.configured() };
     let membership = &setup.file.membership;
     let rate = Rate { per_second: membership.datagrams_a_second, burst: membership.burst };
-    Ok(NodePlane::new(filter, rate, now, peers, accord, budgets))
+    Ok(NodePlane::new(filter, rate, now, peers, placement, budgets))
 }
 
 impl PlaneRuntime {
@@ -70,12 +70,12 @@
         setup: Setup,
         settings: &Settings,
         seed: u64,
-        figures: &Metrics,
+        metrics: &Metrics,
         messages: UnboundedSender<Message>,
     ) -> Result<Rc<Self>, NodeConfigError> {
         let RestoredState { incarnation, quiet_period, cached, state } = setup.restore();
         let this = NodeIncarnation { node: setup.this, incarnation };
-        let fleet = Rc::new(PlaneRuntime {
+        let plane_runtime = Rc::new(PlaneRuntime {
             started: Instant::now(),
             listen: setup.listen,
             plane: RefCell::new(plane(&setup, this, &cached, seed)?),
@@ -98,15 +98,15 @@
             messages,
             lost_datagrams: Cell::new(0),
         });
-        let shown = Rc::downgrade(&fleet);
-        figures.set_extra(move |out| {
-            if let Some(fleet) = shown.upgrade() {
-                fleet.write_metrics(out);
-                if let Some(state) = &*fleet.state.borrow() {
+        let shown = Rc::downgrade(&plane_runtime);
+        metrics.set_extra(move |out| {
+            if let Some(plane_runtime) = shown.upgrade() {
+                plane_runtime.write_metrics(out);
+                if let Some(state) = &*plane_runtime.state.borrow() {
                     state.write_metrics(out);
                 }
             }
         });
-        Ok(fleet)
+        Ok(plane_runtime)
     }
 }
--- a/crates/node/src/plane/tests.rs
+++ b/crates/node/src/plane/tests.rs
@@ -37,8 +37,8 @@
 }
 
 struct Node {
-    fleet: Rc<PlaneRuntime>,
-    figures: Rc<Metrics>,
+    plane_runtime: Rc<PlaneRuntime>,
+    metrics: Rc<Metrics>,
     task: JoinHandle<()>,
     messages: UnboundedReceiver<Message>,
 }
@@ -58,12 +58,12 @@
         let (this, zone, listen) = (NodeId(number), ZoneId(0), peers[usize::from(number)]);
         let setup =
             Setup { file, contracts, state: None, listen, peers: peers.to_vec(), this, zone, zones: 1 };
-        let figures = Metrics::new([]);
+        let metrics = Metrics::new([]);
         let (sender, messages) = unbounded_channel();
         let settings = Settings::default();
-        let fleet = PlaneRuntime::new(setup, &settings, u64::from(number), &figures, sender).unwrap();
-        let task = tokio::task::spawn_local(fleet.clone().run());
-        Node { fleet, figures, task, messages }
+        let plane_runtime = PlaneRuntime::new(setup, &settings, u64::from(number), &metrics, sender).unwrap();
+        let task = tokio::task::spawn_local(plane_runtime.clone().run());
+        Node { plane_runtime, metrics, task, messages }
     }
 
     /// A list of `boxes` boxes, numbered from 0, all at one address.
@@ -75,7 +75,7 @@
     }
 
     fn list_at(&self, revision: u64, boxes: usize, at: SocketAddr) {
-        self.fleet.apply_roster(&self.roster(revision, boxes, at));
+        self.plane_runtime.apply_roster(&self.roster(revision, boxes, at));
     }
 
     fn list(&self, revision: u64, boxes: usize) {
@@ -94,7 +94,7 @@
     }
 
     fn metric(&self, name: &str) -> u64 {
-        let text = self.figures.render(MemberCounts::default());
+        let text = self.metrics.render(MemberCounts::default());
         let value = |line: &str| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok();
         text.lines().find_map(value).unwrap_or_else(|| panic!("no {name} in {text}"))
     }
--- a/crates/node/src/plane/tests/budgets.rs
+++ b/crates/node/src/plane/tests/budgets.rs
@@ -51,10 +51,11 @@
                         connections.retain(CountedConnection::is_within_quota);
                         // Requests make up the demand. Connections are opened beyond the uses, as with values that are
                         // still being forwarded.
-                        let begin = |_| node.fleet.begin_use(&server, Some("a")).ok().flatten();
+                        let begin = |_| node.plane_runtime.begin_use(&server, Some("a")).ok().flatten();
                         let used: Vec<QuotaUse> = (0..CAPACITY).filter_map(begin).collect();
-                        connections.extend(std::iter::from_fn(|| node.fleet.open_connection(&server)));
-                        used.into_iter().for_each(|used| node.fleet.end_use(used));
+                        connections
+                            .extend(std::iter::from_fn(|| node.plane_runtime.open_connection(&server)));
+                        used.into_iter().for_each(|used| node.plane_runtime.end_use(used));
                     }
                     let open = connections.iter().map(|connections| connections.len() as u32).sum::<u32>();
                     assert!(open <= CAPACITY, "{open} open at a box that accepts {CAPACITY}");
@@ -87,8 +88,8 @@
         node.list_at(1, 1, listener.local_addr().unwrap());
         let bounds =
             Bounds { dial_timeout: TEST_TIMEOUT, idle_timeout: TEST_TIMEOUT * 100, grace: TEST_TIMEOUT };
-        let upstream = Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), node.figures.clone()));
-        upstream.apply_quotas(node.fleet.clone());
+        let upstream = Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), node.metrics.clone()));
+        upstream.apply_quotas(node.plane_runtime.clone());
         upstream.update_endpoints(&node.roster(1, 1, listener.local_addr().unwrap()));
         tokio::task::spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
@@ -103,9 +104,9 @@
         });
         let server = ServerId("s-0".into());
         let attempt = || async {
-            let Ok(used) = node.fleet.begin_use(&server, Some("a")) else { return None };
+            let Ok(used) = node.plane_runtime.begin_use(&server, Some("a")) else { return None };
             let ended = upstream.attempt(&server, &test_call(READ)).await;
-            used.into_iter().for_each(|used| node.fleet.end_use(used));
+            used.into_iter().for_each(|used| node.plane_runtime.end_use(used));
             Some(ended.status)
         };
         let attempt_concurrently = |count: usize| {
--- a/crates/node/src/plane/tests/membership.rs
+++ b/crates/node/src/plane/tests/membership.rs
@@ -28,7 +28,7 @@
     }
     // One node announces that it leaves. If more than two remain, another is killed and then restarted.
     let leaver = nodes.remove(0);
-    leaver.fleet.leave();
+    leaver.plane_runtime.leave();
     wait_until_alive(&nodes, count as u64 - 1).await;
     leaver.task.abort();
     if let Some(ended) = (nodes.len() > 2).then(|| nodes.remove(0)) {
--- a/crates/node/src/plane/tests/tables.rs
+++ b/crates/node/src/plane/tests/tables.rs
@@ -45,8 +45,8 @@
         observer.list(1, 2);
         other.list(1, 2);
         let server = ServerId("s-1".into());
-        let sent = observer.fleet.record_attempt(&server).expect("a box of the list");
-        observer.fleet.record_outcome(&sent, Status::TimedOut);
+        let sent = observer.plane_runtime.record_attempt(&server).expect("a box of the list");
+        observer.plane_runtime.record_outcome(&sent, Status::TimedOut);
         let evidence = loop {
             let message =
                 timeout(TEST_TIMEOUT, other.messages.recv()).await.expect("evidence").expect("a message");
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -138,11 +138,11 @@
 /// Shared components of the node.
 struct Node {
     lifecycle: Rc<Lifecycle>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     budget: Rc<Budget>,
     upstream: Rc<Upstream>,
     frontend: Rc<Frontend>,
-    fleet: Option<Rc<PlaneRuntime>>,
+    plane_runtime: Option<Rc<PlaneRuntime>>,
     messages: UnboundedSender<Message>,
 }
 
@@ -189,17 +189,18 @@
     fn build(configuration: &Configuration) -> Result<(Self, Inboxes), Failure> {
         let Configuration { config, settings, seed, clock, .. } = configuration;
         let lifecycle = Lifecycle::new();
-        let figures = Metrics::new(settings.classes.iter().map(|class| class.name.as_str()));
+        let metrics = Metrics::new(settings.classes.iter().map(|class| class.name.as_str()));
         let budget = Budget::new(&config.limits.within_system_limits());
         let bounds = configuration.upstream_bounds()?;
-        let upstream = Rc::new(Upstream::new(bounds, budget.clone(), figures.clone()));
+        let upstream = Rc::new(Upstream::new(bounds, budget.clone(), metrics.clone()));
         let (messages, inbox) = mpsc::unbounded_channel();
         let (call, calls) = mpsc::channel(1);
-        let fleet = configuration.fleet.clone();
-        let fleet = fleet.map(|setup| PlaneRuntime::new(setup, settings, *seed, &figures, messages.clone()));
-        let fleet = fleet.transpose()?;
-        if let Some(fleet) = &fleet {
-            upstream.apply_quotas(fleet.clone());
+        let plane_setup = configuration.fleet.clone();
+        let plane_runtime =
+            plane_setup.map(|setup| PlaneRuntime::new(setup, settings, *seed, &metrics, messages.clone()));
+        let plane_runtime = plane_runtime.transpose()?;
+        if let Some(plane_runtime) = &plane_runtime {
+            upstream.apply_quotas(plane_runtime.clone());
         }
         let around = DriverContext {
             clock: *clock,
@@ -207,8 +208,8 @@
             messages: messages.clone(),
             poll_requests: call,
             lifecycle: lifecycle.clone(),
-            metrics: figures.clone(),
-            fleet: fleet.clone(),
+            metrics: metrics.clone(),
+            plane_runtime: plane_runtime.clone(),
         };
         let mut driver = Driver::new(settings, *seed, around).map_err(config.config_error("settings"))?;
         if let Some(known) = &config.known {
@@ -223,13 +224,13 @@
             budget.clone(),
             configuration.error_delay,
         );
-        let node = Node { lifecycle, figures, budget, upstream, frontend, fleet, messages };
+        let node = Node { lifecycle, metrics, budget, upstream, frontend, plane_runtime, messages };
         Ok((node, Inboxes { driver, messages: inbox, calls }))
     }
 
     fn start_operator(&self, operator: Option<BoundOperator>) {
         let Some(BoundOperator { address, listener }) = operator else { return };
-        let operator = Operator::new(self.lifecycle.clone(), self.figures.clone(), self.messages.clone());
+        let operator = Operator::new(self.lifecycle.clone(), self.metrics.clone(), self.messages.clone());
         tokio::task::spawn_local(operator.run(address, listener));
     }
 
@@ -237,14 +238,14 @@
     fn start_tasks(&self, configuration: Configuration, inboxes: Inboxes, hangup: Signal) -> JoinHandle<()> {
         let Configuration { path, config, settings, clock, .. } = configuration;
         let (address_sender, discovery_address) = watch::channel(config.discovery);
-        tokio::task::spawn_local(reload(path, hangup, address_sender, self.fleet.clone()));
+        tokio::task::spawn_local(reload(path, hangup, address_sender, self.plane_runtime.clone()));
         let (list_sender, lists) = mpsc::unbounded_channel();
         let discovery = Discovery::new(discovery_address, &settings, clock, list_sender);
         tokio::task::spawn_local(discovery.run(inboxes.calls));
         let driver = tokio::task::spawn_local(inboxes.driver.run(inboxes.messages, lists));
         tokio::task::spawn_local(close_excess_connections(self.upstream.clone(), self.frontend.clone()));
-        if let Some(fleet) = self.fleet.clone() {
-            tokio::task::spawn_local(fleet.run());
+        if let Some(plane_runtime) = self.plane_runtime.clone() {
+            tokio::task::spawn_local(plane_runtime.run());
         }
         driver
     }
@@ -268,8 +269,8 @@
         times: ShutdownTimes,
     ) -> Result<(), Failure> {
         info!(target: LOG_TARGET, "stopping");
-        let relieved = *client_listener.successor_updates.borrow() == Successor::Serving;
-        self.lifecycle.stop(relieved, times);
+        let has_successor = *client_listener.successor_updates.borrow() == Successor::Serving;
+        self.lifecycle.stop(has_successor, times);
         let finish = async {
             // Connections in the queue shared with a predecessor are served by the predecessor.
             if client_listener.accepts.get() {
@@ -288,8 +289,8 @@
             _ = driver => return Err(Failure::DriverEnded),
         }
         // Left only after the last answer: until then the node uses the leases that it holds.
-        if let Some(fleet) = self.fleet {
-            fleet.leave();
+        if let Some(plane_runtime) = self.plane_runtime {
+            plane_runtime.leave();
         }
         Ok(())
     }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -17,7 +17,7 @@
     path: PathBuf,
     mut hangup: Signal,
     discovery: watch::Sender<SocketAddr>,
-    fleet: Option<Rc<PlaneRuntime>>,
+    plane_runtime: Option<Rc<PlaneRuntime>>,
 ) {
     while hangup.recv().await.is_some() {
         match Config::read(&path).and_then(|config| config.settings().map(|_| config.discovery)) {
@@ -26,8 +26,8 @@
             }
             Err(NodeConfigError(what)) => warn!("{what}; the old configuration stands"),
         }
-        if let Some(fleet) = &fleet {
-            fleet.reload();
+        if let Some(plane_runtime) = &plane_runtime {
+            plane_runtime.reload();
         }
     }
 }
--- a/crates/node/src/system_error/tests.rs
+++ b/crates/node/src/system_error/tests.rs
@@ -97,7 +97,7 @@
 /// Failures on this thread appear in the metrics for operators, starting at 0 for each registry.
 #[test]
 fn failures_are_shown_to_operators() {
-    let shown = |figures: &crate::metrics::Metrics| figures.render(Default::default());
+    let shown = |metrics: &crate::metrics::Metrics| metrics.render(Default::default());
     let before = crate::metrics::Metrics::new([]);
     report(Operation::AcceptOperator, &Errno::NFILE.into(), "trying again");
     assert!(shown(&before).contains("{operation=\"accept_operator\",errno=\"ENFILE\"} 1\n"));
--- a/crates/node/src/upstream/call.rs
+++ b/crates/node/src/upstream/call.rs
@@ -57,7 +57,7 @@
     /// Latest time to write the last byte, as far as is known now.
     pub(super) fn write_deadline(&self) -> Instant {
         let window =
-            self.repeat_window.and_then(|repeats| self.executions.first_written_at()?.checked_add(repeats));
+            self.repeat_window.and_then(|window| self.executions.first_written_at()?.checked_add(window));
         window.map_or(self.until, |ends| ends.min(self.until))
     }
 
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -69,7 +69,7 @@
     #[cfg(test)]
     pub(super) injected_write_delay: Cell<Duration>,
     /// Counts the connections to each cache server, if quotas are configured.
-    fleet: OnceCell<Rc<PlaneRuntime>>,
+    plane_runtime: OnceCell<Rc<PlaneRuntime>>,
 }
 
 impl Upstream {
@@ -84,7 +84,7 @@
             quantum: Cell::default(),
             #[cfg(test)]
             injected_write_delay: Cell::default(),
-            fleet: OnceCell::new(),
+            plane_runtime: OnceCell::new(),
         }
     }
 
@@ -104,15 +104,15 @@
     }
 
     /// From now on connections stay within this node's quotas.
-    pub fn apply_quotas(self: &Rc<Self>, fleet: Rc<PlaneRuntime>) {
-        if fleet.has_budgets() {
+    pub fn apply_quotas(self: &Rc<Self>, plane_runtime: Rc<PlaneRuntime>) {
+        if plane_runtime.has_budgets() {
             let keeper = Rc::downgrade(self);
-            fleet.set_idle_closer(move || {
+            plane_runtime.set_idle_closer(move || {
                 if let Some(upstream) = keeper.upgrade() {
                     upstream.close_revoked();
                 }
             });
-            let first = self.fleet.set(fleet).is_ok();
+            let first = self.plane_runtime.set(plane_runtime).is_ok();
             debug_assert!(first, "the control plane is attached once");
         }
     }
@@ -215,9 +215,9 @@
             // This node's own limit says nothing about the server.
             return Err(Status::Void);
         }
-        let opened = match self.fleet.get() {
+        let opened = match self.plane_runtime.get() {
             // Neither does its quota of the server's connections.
-            Some(fleet) => Some(fleet.open_connection(server).ok_or(Status::Void)?),
+            Some(plane_runtime) => Some(plane_runtime.open_connection(server).ok_or(Status::Void)?),
             None => None,
         };
         let slot = ConnectionSlot::take(&self.open_connections);
--- a/crates/node/src/upstream/tests/budgeted.rs
+++ b/crates/node/src/upstream/tests/budgeted.rs
@@ -11,7 +11,7 @@
 use crate::plane::{CountedConnection, PlaneRuntime, Setup};
 
 /// A single node without a lease, which uses the quota that is safe without one.
-fn fleet() -> Rc<PlaneRuntime> {
+fn plane_runtime() -> Rc<PlaneRuntime> {
     let file = "version = 1\nrealm = \"test\"\n[budgets]\ncontracts = \"c\"\nconnections_per_box = 40\n\
                 lease = \"400ms\"\n";
     let contracts = "version = 1\nrevision = 1\n[others]\nshare = 1\n[[tenants]]\nname = \"a\"\nshare = 3\n";
@@ -35,16 +35,17 @@
 async fn without_another_connection_a_busy_proves_nothing() {
     for (answer, status) in [("HD Oz c1\r\n", Status::Success), ("SERVER_ERROR busy\r\n", Status::Unknown)] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (upstream, fleet, server) = (upstream(LONG, 9), fleet(), ServerId("s".into()));
+        let (upstream, plane_runtime, server) = (upstream(LONG, 9), plane_runtime(), ServerId("s".into()));
         let list = roster(&listener, "ready");
-        fleet.apply_roster(&list);
-        upstream.apply_quotas(fleet.clone());
+        plane_runtime.apply_roster(&list);
+        upstream.apply_quotas(plane_runtime.clone());
         upstream.update_endpoints(&list);
         let mut connection = upstream.connect(&server, Instant::now() + LONG).await.ok().unwrap();
         let mut peer = listener.accept().await.unwrap().0;
         connection.answered(true);
         upstream.cache_connection(&server, connection);
-        let _others: Vec<CountedConnection> = std::iter::from_fn(|| fleet.open_connection(&server)).collect();
+        let _others: Vec<CountedConnection> =
+            std::iter::from_fn(|| plane_runtime.open_connection(&server)).collect();
         let once = UpstreamCall {
             repeat_window: Some(Duration::ZERO),
             ..test_call("ms k 1 Oz Pc=put,d=60000\r\nv\r\n")
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -7,7 +7,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod accord;
 mod config;
 mod coordinator;
 mod events;
@@ -17,13 +16,14 @@
 mod model;
 mod pages;
 mod peer;
+mod placement;
 mod protocol;
 mod replica;
 mod table;
 #[cfg(test)]
 mod tests;
 
-pub use accord::Placement;
 pub use config::{ConfigError, PlacementConfig, StoredPlacement};
 pub use events::{Metrics, PlacementEvent, PlacementState};
+pub use placement::Placement;
 pub use table::{Table, TableEntry, TableId, MAX_ENTRIES, MAX_SERVER};
--- a/crates/placement/src/tests.rs
+++ b/crates/placement/src/tests.rs
@@ -8,11 +8,11 @@
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
 
-use crate::accord::Payload;
 use crate::events::Outbox;
 use crate::fetch::{pages_for, Fetch};
 use crate::message::{decode, encode, Announcement, Grant, Message, Page, PageRequest, Report};
 use crate::pages::{apply, changes, pack};
+use crate::placement::Payload;
 use crate::table::{is_sound, Array, TableEntry, TableHeader, TableId, MAX_SERVER};
 use crate::{Placement, PlacementConfig};
 
@@ -21,11 +21,11 @@
     btree_map("[a-h]{1,64}", any::<u32>(), 0..60).prop_map(move |all| all.into_iter().map(entry).collect())
 }
 
-fn accord_and_view() -> (Placement, View) {
+fn placement_and_view() -> (Placement, View) {
     let this = NodeIncarnation { node: NodeId(0), incarnation: Incarnation(7) };
     let config = PlacementConfig::with_lease(this, ZoneId(0), 2, 3, Moment::from_secs(2), 20_000);
-    let accord = Placement::new(config, None, Moment::ZERO, 1).unwrap();
-    (accord, View::alone(this, ZoneId(0), 3, Moment::ZERO))
+    let placement = Placement::new(config, None, Moment::ZERO, 1).unwrap();
+    (placement, View::alone(this, ZoneId(0), 3, Moment::ZERO))
 }
 
 #[test]
@@ -66,24 +66,24 @@
 
 #[test]
 fn an_implausible_announcement_does_not_shut_out_the_coordinator() {
-    let (accord, _) = accord_and_view();
+    let (placement, _) = placement_and_view();
     let from = |node| NodeIncarnation { node: NodeId(node), incarnation: Incarnation(1) };
     let announcement = |epoch, header: Option<u64>| {
         let header =
             header.map(|epoch| TableHeader { id: TableId { epoch, version: 1 }, revision: 1, digest: 1 });
         Announcement { epoch, number: 1, history_known: true, decided: header, preparing: None, grant: None }
     };
-    let mut replica = accord.protocol.replica.clone();
+    let mut replica = placement.protocol.replica.clone();
     for (epoch, header) in [(u64::MAX, None), (9, Some(10))] {
         assert!(!replica.on_announcement(
-            &accord.protocol.config,
+            &placement.protocol.config,
             Moment::ZERO,
             from(1),
             &announcement(epoch, header)
         ));
     }
     assert!(replica.on_announcement(
-        &accord.protocol.config,
+        &placement.protocol.config,
         Moment::ZERO,
         from(2),
         &announcement(9, Some(9))
@@ -92,14 +92,14 @@
 
 #[test]
 fn a_lease_counts_from_the_report_and_for_its_incarnation_only() {
-    let (accord, _) = accord_and_view();
-    let config = &accord.protocol.config;
+    let (placement, _) = placement_and_view();
+    let config = &placement.protocol.config;
     let second = Moment::from_secs(1);
     let leased = |incarnation, reported_at: Moment, now| {
         let grant = Some(Grant { incarnation, stamp: reported_at.as_micros() as u64 });
         let announcement =
             Announcement { epoch: 9, number: 1, history_known: true, decided: None, preparing: None, grant };
-        let mut replica = accord.protocol.replica.clone();
+        let mut replica = placement.protocol.replica.clone();
         replica.on_announcement(
             config,
             now,
@@ -116,8 +116,8 @@
 
 #[test]
 fn a_report_to_another_coordinator_is_ignored() {
-    let (accord, view) = accord_and_view();
-    let mut protocol = accord.protocol;
+    let (placement, view) = placement_and_view();
+    let mut protocol = placement.protocol;
     protocol.set_endpoint_list(Moment::ZERO, 1, vec![TableEntry { server: "box".into(), weight_milli: 1 }]);
     let mut recovers_at_epoch = |epoch| {
         let mut out = Outbox::default();
@@ -153,35 +153,35 @@
 
 #[test]
 fn answers_to_a_flood_of_page_requests_are_bounded() {
-    let (mut accord, view) = accord_and_view();
-    accord.set_endpoint_list(
+    let (mut placement, view) = placement_and_view();
+    placement.set_endpoint_list(
         Moment::ZERO,
         1,
         (0..999).map(|n| TableEntry { server: format!("{n:04}"), weight_milli: n }).collect(),
     );
-    let digest = accord.protocol.replica.endpoint_list.as_ref().map(|(_, array)| array.digest).unwrap();
+    let digest = placement.protocol.replica.endpoint_list.as_ref().map(|(_, array)| array.digest).unwrap();
     let from = NodeIncarnation { node: NodeId(1), incarnation: Incarnation(1) };
     let request = PageRequest { target: digest, base: 0, first: 0, mask: u16::MAX };
     let request = encode(&Payload::Tables(Message::PageRequest(request))).unwrap();
-    (0..1000).for_each(|_| accord.receive(Moment::ZERO, &view, from, &request).unwrap());
-    assert_eq!(accord.take_outputs().len(), 32 * 16);
+    (0..1000).for_each(|_| placement.receive(Moment::ZERO, &view, from, &request).unwrap());
+    assert_eq!(placement.take_outputs().len(), 32 * 16);
 }
 
 proptest! {
     #[test]
     fn arbitrary_payloads_are_harmless(payload in vec(any::<u8>(), 0..300), tag in 0u8..4, node in 0u16..5) {
-        let (mut accord, view) = accord_and_view();
+        let (mut placement, view) = placement_and_view();
         let from = NodeIncarnation { node: NodeId(node), incarnation: Incarnation(1) };
         let mut with_valid_tag = vec![1, tag];
         with_valid_tag.extend(&payload);
         for payload in [payload, with_valid_tag] {
-            let before = accord.clone();
-            if accord.receive(Moment::from_secs(1), &view, from, &payload).is_err() {
-                prop_assert_eq!(&accord, &before);
+            let before = placement.clone();
+            if placement.receive(Moment::from_secs(1), &view, from, &payload).is_err() {
+                prop_assert_eq!(&placement, &before);
             }
-            accord.tick(Moment::from_secs(1), &view);
-            prop_assert!(accord.take_outputs().len() < 100);
-            prop_assert!(accord.in_force().is_none());
+            placement.tick(Moment::from_secs(1), &view);
+            prop_assert!(placement.take_outputs().len() < 100);
+            prop_assert!(placement.in_force().is_none());
         }
     }
 
--- a/crates/placement/tests/federation/random_faults.rs
+++ b/crates/placement/tests/federation/random_faults.rs
@@ -12,7 +12,7 @@
     let n = rng.random_range(0..count);
     match rng.random_range(0..9) {
         0 => world.kill(n, rng.random_bool(0.5)),
-        1 | 2 if world.nodes[usize::from(n)].accord.is_none() => world.start([n]),
+        1 | 2 if world.nodes[usize::from(n)].placement.is_none() => world.start([n]),
         1 => world.nodes[usize::from(n)].paused = true,
         2 => world.nodes[usize::from(n)].paused = false,
         3 => world.network.block_links(&[n], &[rng.random_range(0..count)]),
@@ -53,7 +53,7 @@
     (world.network.loss, world.network.view_loss) = (0.0, 0.0);
     for n in 0..count {
         world.nodes[usize::from(n)].paused = false;
-        if world.nodes[usize::from(n)].accord.is_none() {
+        if world.nodes[usize::from(n)].placement.is_none() {
             world.start([n]);
         }
     }
--- a/crates/placement/tests/federation/world.rs
+++ b/crates/placement/tests/federation/world.rs
@@ -16,7 +16,7 @@
 const VIEW_INTERVAL: Duration = Duration::from_millis(200);
 
 pub struct Node {
-    pub accord: Option<Placement>,
+    pub placement: Option<Placement>,
     pub stored: Option<StoredPlacement>,
     pub node_incarnation: NodeIncarnation,
     started_at: Duration,
@@ -33,7 +33,7 @@
     }
 
     fn due(&self) -> Option<Duration> {
-        let local = self.accord.as_ref().filter(|_| !self.paused)?.due()?.as_nanos() as i128;
+        let local = self.placement.as_ref().filter(|_| !self.paused)?.due()?.as_nanos() as i128;
         Some(
             self.started_at
                 + Duration::from_nanos((local * 1_000_000 / (1_000_000 + self.rate_ppm as i128)) as u64 + 1),
@@ -41,7 +41,7 @@
     }
 
     pub fn in_force(&self) -> Option<TableId> {
-        self.accord.as_ref()?.in_force().map(|table| table.id())
+        self.placement.as_ref()?.in_force().map(|table| table.id())
     }
 }
 
@@ -65,9 +65,9 @@
         let node = |n: u16| {
             let node_incarnation = NodeIncarnation { node: NodeId(n), incarnation: Incarnation(0) };
             let view = View::alone(node_incarnation, ZoneId(n % zones), count, Duration::ZERO);
-            let (accord, stored, events) = (None, None, Vec::new());
+            let (placement, stored, events) = (None, None, Vec::new());
             Node {
-                accord,
+                placement,
                 stored,
                 node_incarnation,
                 started_at: Duration::ZERO,
@@ -93,7 +93,7 @@
             node.view = View::alone(node_incarnation, zone, count, Duration::ZERO);
             let config =
                 PlacementConfig::with_lease(node_incarnation, zone, self.zones, count, LEASE, self.drift_ppm);
-            node.accord =
+            node.placement =
                 Some(Placement::new(config, node.stored.take(), Duration::ZERO, u64::from(n)).unwrap());
         }
     }
@@ -101,7 +101,7 @@
     /// Ends a process; its stored state is kept or lost.
     pub fn kill(&mut self, n: u16, keep_state: bool) {
         let node = &mut self.nodes[usize::from(n)];
-        node.stored = node.accord.take().filter(|_| keep_state).map(|accord| accord.stored());
+        node.stored = node.placement.take().filter(|_| keep_state).map(|placement| placement.stored());
         node.paused = false;
     }
 
@@ -114,7 +114,7 @@
     }
 
     pub fn set_list(&mut self, n: u16, revision: u64, entries: Vec<TableEntry>) {
-        self.call(n, |accord, now, _| accord.set_endpoint_list(now, revision, entries));
+        self.call(n, |placement, now, _| placement.set_endpoint_list(now, revision, entries));
     }
 
     pub fn set_all_lists(&mut self, revision: u64, servers: u64) {
@@ -136,7 +136,7 @@
     }
 
     pub fn states(&self) -> Vec<(Option<PlacementState>, Option<TableId>)> {
-        let state = |node: &Node| Some(node.accord.as_ref()?.state(node.local_clock(self.now)));
+        let state = |node: &Node| Some(node.placement.as_ref()?.state(node.local_clock(self.now)));
         self.nodes.iter().map(|node| (state(node), node.in_force())).collect()
     }
 
@@ -147,7 +147,9 @@
 
     pub fn coordinator(&self) -> Option<u16> {
         let coordinator = |node: &Node| {
-            node.accord.as_ref().is_some_and(|accord| accord.is_coordinator(node.local_clock(self.now)))
+            node.placement
+                .as_ref()
+                .is_some_and(|placement| placement.is_coordinator(node.local_clock(self.now)))
         };
         self.nodes.iter().position(coordinator).map(|n| n as u16)
     }
@@ -155,7 +157,7 @@
     /// Returns whether all given nodes have a lease on one table made from the list of this revision.
     pub fn agree(&self, nodes: impl IntoIterator<Item = u16>, revision: u64) -> bool {
         let mut ids = nodes.into_iter().map(|n| {
-            let table = self.nodes[usize::from(n)].accord.as_ref().and_then(Placement::in_force);
+            let table = self.nodes[usize::from(n)].placement.as_ref().and_then(Placement::in_force);
             table.filter(|table| table.revision == revision && self.is_leased(n)).map(|table| table.id())
         });
         let first = ids.next().flatten();
@@ -180,10 +182,10 @@
             self.next_view_update_at += VIEW_INTERVAL;
             (0..self.nodes.len()).for_each(|n| self.update_view(n));
         } else if let Some((_, n)) = due.filter(|(at, _)| *at == next) {
-            self.call(n, |accord, now, view| accord.tick(now, view));
+            self.call(n, |placement, now, view| placement.tick(now, view));
         } else if let Some(datagram) = self.network.take() {
-            self.call(datagram.to.0, |accord, now, view| {
-                accord.receive(now, view, datagram.from, &datagram.payload).unwrap();
+            self.call(datagram.to.0, |placement, now, view| {
+                placement.receive(now, view, datagram.from, &datagram.payload).unwrap();
             });
         }
         true
@@ -193,11 +195,11 @@
     fn call(&mut self, n: u16, call: impl FnOnce(&mut Placement, Moment, &View)) {
         let node = &mut self.nodes[usize::from(n)];
         let (local, before) = (node.local_clock(self.now), node.in_force());
-        let Some(accord) = node.accord.as_mut().filter(|_| !node.paused) else {
+        let Some(placement) = node.placement.as_mut().filter(|_| !node.paused) else {
             return;
         };
-        call(accord, local, &node.view);
-        for output in accord.take_outputs() {
+        call(placement, local, &node.view);
+        for output in placement.take_outputs() {
             match output {
                 Output::Send { to, payload } => {
                     self.network.send(self.now, node.node_incarnation, to, payload)
@@ -212,9 +214,9 @@
 
     fn sample(&mut self, n: usize) {
         let node = &self.nodes[n];
-        if let Some(accord) = &node.accord {
-            let in_force = accord.in_force().map(|table| (table.id(), table.digest()));
-            let (leased, held_tables) = (self.is_leased(n as u16), accord.held_tables().collect());
+        if let Some(placement) = &node.placement {
+            let in_force = placement.in_force().map(|table| (table.id(), table.digest()));
+            let (leased, held_tables) = (self.is_leased(n as u16), placement.held_tables().collect());
             self.history.push(Sample {
                 at_us: self.now.as_micros(),
                 node: n as u16,
@@ -231,7 +233,7 @@
             return;
         }
         let member_in_view = |(m, node): (usize, &Node)| {
-            let reachable = node.accord.is_some()
+            let reachable = node.placement.is_some()
                 && !node.paused
                 && !self.network.blocked_links.contains(&(m as u16, n as u16));
             let state = if reachable || m == n { MemberState::Alive } else { MemberState::Dead };
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -87,10 +87,10 @@
         let now = Moment::ZERO;
         let peers = Peers::new(PeersConfig::new(this, zone, configured), seed, now, &[])?;
         let with = || PlacementConfig::with_lease(this, zone, zones, configured, LEASE, DRIFT_PPM);
-        let accord =
+        let placement =
             (switch == Switch::Table).then(|| Placement::new(with(), None, now, seed)).transpose()?;
         let door = DatagramFilter { realm: REALM, this, configured };
-        let plane = Plane::new(door, RATE, now, peers, accord, None);
+        let plane = Plane::new(door, RATE, now, peers, placement, None);
         let boxes = Boxes::new(settings);
         Ok(Some(NodePlane { plane, boxes, started, gather_at: GATHER, tell_at: Moment::ZERO, wakes: None }))
     }
@@ -103,8 +103,8 @@
     pub fn learn(&mut self, now: Time, revision: Option<u64>, list: &[EndpointEntry]) {
         self.boxes.learn(list);
         let now = self.moment(now);
-        if let (Some(accord), Some(revision)) = (self.plane.accord(), revision) {
-            accord.set_endpoint_list(now, revision, self.boxes.table());
+        if let (Some(placement), Some(revision)) = (self.plane.placement(), revision) {
+            placement.set_endpoint_list(now, revision, self.boxes.table());
         }
     }
 
@@ -144,7 +144,7 @@
         for output in self.plane.take(now) {
             match output {
                 PlaneOutput::Datagram { to, bytes } => told.push(Told::Datagram(usize::from(to.0), bytes)),
-                PlaneOutput::Event(PlaneEvent::Accord(PlacementEvent::Switch(table))) => {
+                PlaneOutput::Event(PlaneEvent::Placement(PlacementEvent::Switch(table))) => {
                     told.push(switch(&table))
                 }
                 PlaneOutput::Event(PlaneEvent::Peers(PeersEvent::Evidence)) => self.tell_at = now,
