--- a/crates/fault-harness/benches/processes/budget.rs
+++ b/crates/fault-harness/benches/processes/budget.rs
@@ -1,4 +1,4 @@
-//! How much of the whole of boxes is used when all is wanted, and what a tenant loses to another's overdrive.
+//! Utilisation of the boxes' connection limits under full demand, and what a tenant loses when another raises its rate.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,8 @@
 use crate::run::{Failure, Stage};
 use crate::scenes::{EIGHTFOLD, WHOLE};
 
-/// From the begin of the load until parts are lent: one and a half leases of 2 s, and a lease to divide them by demand.
+/// Time in seconds from the start of the load until the limits are divided by demand: one and a half leases of 2 s, and
+/// one more lease for the division by demand.
 const LENT: f64 = 5.5;
 
 pub async fn used(stage: &mut Stage) -> Result<(), Failure> {
@@ -68,7 +69,7 @@
     }
 }
 
-/// The mean over a time of what records raise and lower.
+/// Time average over an interval of a level that events raise and lower.
 fn level(records: &[Record], (from, to): (Time, Time), step: impl Fn(&Event) -> f64) -> f64 {
     let (mut now, mut last, mut sum) = (0.0, from, 0.0);
     for record in records.iter().take_while(|record| record.at < to) {
@@ -82,7 +83,7 @@
     (sum + now * to.since(last).as_secs()) / to.since(from).as_secs()
 }
 
-/// The most connections that were open at a box at once.
+/// Maximum number of connections open at a box at once.
 pub fn peak(records: &[Record], of_box: usize) -> u32 {
     let (mut open, mut most) = (0_u32, 0);
     for record in records {
@@ -96,14 +97,14 @@
     most
 }
 
-/// Share served of a tenant's requests that were asked within a time.
+/// Share served of a tenant's requests that were issued within an interval.
 fn share(records: &[Record], tenant: usize, (from, to): (Time, Time)) -> f64 {
     let asks = asks(records, |of| of == tenant);
     let within: Vec<bool> = asks.iter().filter(|(at, _)| (from..to).contains(at)).map(|(_, s)| *s).collect();
     within.iter().filter(|served| **served).count() as f64 / within.len().max(1) as f64
 }
 
-/// Requests of some tenants: when they were asked, and whether they were served.
+/// Requests of some tenants: when they were issued, and whether they were served.
 pub fn asks(records: &[Record], whose: impl Fn(usize) -> bool) -> Vec<(Time, bool)> {
     let mut open: BTreeMap<u64, Time> = BTreeMap::new();
     let mut asks = Vec::new();
@@ -118,7 +119,7 @@
     asks
 }
 
-/// Share served of what was asked within a second from a point on; `None` where nothing was.
+/// Share served of the requests issued in the second from `from` on; `None` if there were none.
 pub fn second(asks: &[(Time, bool)], from: Time) -> Option<f64> {
     let (first, end) = (asks.partition_point(|a| a.0 < from), from + Span::from_millis(1000));
     let within: Vec<bool> = asks[first..].iter().take_while(|a| a.0 < end).map(|a| a.1).collect();
--- a/crates/fault-harness/benches/processes/crash.rs
+++ b/crates/fault-harness/benches/processes/crash.rs
@@ -1,7 +1,7 @@
-//! What the plane costs under a steady load, and how soon nodes agree after a crash and after a partition ends.
+//! Cost of the control plane under steady load, and time until the nodes agree after a crash and after a partition
+//! heals.
 //!
-//! When they agree is told by the operators' figure `app_peers_alive`, asked of each node; datagrams are counted by the
-//! relay between nodes.
+//! Agreement is read from the metric `app_peers_alive`, polled at each node; datagrams are counted by the relay.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::stat::{all_show, processor_time};
 
 const ALIVE: &str = "app_peers_alive";
-/// Agreement that takes longer is none.
+/// Timeout for agreement; a longer time is reported as never.
 const BOUND: Duration = Duration::from_secs(20);
 
 pub async fn play(stage: &mut Stage) -> Result<(), Failure> {
@@ -37,7 +37,7 @@
     Ok(stage.rig.quiet().await?)
 }
 
-/// Waits until each node holds all to be there; how long it took.
+/// Waits until every node sees all nodes alive, and returns how long that took.
 async fn all_agree(stage: &Stage) -> Result<Option<f64>, Failure> {
     let all = stage.run.nodes as u64;
     Ok(all_show(&stage.folder, 0..stage.run.nodes, ALIVE, |_, alive| alive == all, BOUND).await?)
@@ -51,7 +51,7 @@
     })
 }
 
-/// Processor time, datagrams and bytes of a node and second.
+/// Processor time, datagrams and bytes per node and second.
 async fn steady(stage: &mut Stage) -> Result<(), Failure> {
     let used =
         |stage: &Stage| stage.processes().into_iter().map(processor_time).sum::<std::io::Result<f64>>();
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// A third of the nodes is parted from the others until both sides agree on that, and two seconds more.
+/// Partitions a third of the nodes from the others until both sides agree on that and for two more seconds, then heals.
 async fn heal(stage: &mut Stage) -> Result<(), Failure> {
     let count = stage.run.nodes;
     let few = (count / 3).max(1);
--- a/crates/fault-harness/benches/processes/figures.rs
+++ b/crates/fault-harness/benches/processes/figures.rs
@@ -1,4 +1,4 @@
-//! Collects what was measured and tells medians and worst, and on how many runs they stand.
+//! Collects measured values, and prints the median and the worst of each metric with the number of runs.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,33 +8,33 @@
 
 use crate::run::Run;
 
-/// Which end of a figure's values is the worst.
+/// Which extreme of a metric's values is the worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Worst {
-    /// The greatest.
+    /// The largest.
     Most,
     /// The smallest.
     Least,
 }
 
-/// One figure of one run; `None` where it did not come about.
+/// The value of a metric in one run; `None` if the measured event did not happen.
 #[derive(Clone, Debug)]
 pub struct Value {
-    /// What, with its unit.
+    /// Name of the metric, with its unit.
     pub what: &'static str,
-    /// How much.
+    /// The value, in the unit of the metric.
     pub much: Option<f64>,
-    /// What is worst.
+    /// Which extreme is the worst.
     pub worst: Worst,
 }
 
 impl Value {
-    /// A figure that is the worse the greater it is.
+    /// A metric whose larger values are worse.
     pub fn less_is_better(what: &'static str, much: impl Into<Option<f64>>) -> Self {
         Value { what, much: much.into(), worst: Worst::Most }
     }
 
-    /// A figure that is the worse the smaller it is.
+    /// A metric whose smaller values are worse.
     pub fn more_is_better(what: &'static str, much: impl Into<Option<f64>>) -> Self {
         Value { what, much: much.into(), worst: Worst::Least }
     }
@@ -50,15 +50,15 @@
     much.map_or("never".into(), |much| format!("{much:.3}"))
 }
 
-/// All figures: by scene, figure, nodes, and whether the plane was on.
+/// All values, by scenario, metric, number of nodes, and whether the control plane was on.
 #[derive(Default)]
 pub struct Figures(BTreeMap<(String, &'static str, usize, bool), Runs>);
 
-/// What is worst of a figure, and its value in each run.
+/// Which extreme of a metric is the worst, and its value in each run.
 struct Runs(Worst, Vec<Option<f64>>);
 
 impl Figures {
-    /// Adds one of a run.
+    /// Adds a value of a run.
     pub fn add(&mut self, run: &Run, value: Value) {
         let key = (run.name(), value.what, run.nodes, run.on);
         let runs = self.0.entry(key).or_insert_with(|| Runs(value.worst, Vec::new()));
@@ -66,7 +66,7 @@
     }
 }
 
-/// Median and worst; one that did not come about is worse than all others.
+/// Median and worst; a missing value counts as worse than any other.
 fn median_and_worst(worst: Worst, values: &[Option<f64>]) -> (Option<f64>, Option<f64>) {
     let mut had: Vec<f64> = values.iter().copied().flatten().collect();
     had.sort_unstable_by(f64::total_cmp);
--- a/crates/fault-harness/benches/processes/main.rs
+++ b/crates/fault-harness/benches/processes/main.rs
@@ -1,4 +1,4 @@
-//! Measures several real nodes with the plane between them off and on, and prints medians and worst.
+//! Benchmarks several real nodes with the control plane between them off and on, and prints medians and worst values.
 //!
 //! `cargo build --release -p hallpin-node`, then
 //! `cargo bench -p hallpin-fault-harness --bench processes -- --nodes 5,15,30 --seeds 3 --only crash`.
@@ -22,16 +22,16 @@
 use figures::Figures;
 use run::{Failure, Run};
 
-/// What is played; each with the plane off and on, but for what there is only with it on.
+/// What is run, with the control plane off and on. Steps that need the control plane are skipped while it is off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Scene {
-    /// Steady load, and then with the plane on a crash, a return, a partition and its end
+    /// Steady load; with the control plane on, then a crash, a restart, a partition and its healing
     Crash,
-    /// A box joins; the list tells it to nodes spread over two seconds
+    /// A box joins; nodes are notified of it over two seconds
     Table,
-    /// Two tenants want twice what two boxes have
+    /// Two tenants demand twice the capacity of two boxes
     Use,
-    /// One tenant sends eightfold
+    /// One tenant raises its rate eightfold
     Overdrive,
     /// Seven nodes of ten are killed and started at once
     #[value(name = "restart-70")]
@@ -39,33 +39,33 @@
     /// All nodes are killed and started at once
     #[value(name = "restart-100")]
     Restart100,
-    /// As that, where boxes accept far more than is wanted
+    /// Like restart-100, where boxes accept far more connections than are needed
     #[value(name = "restart-100-wide")]
     Restart100Wide,
 }
 
-/// What the command line says.
+/// Command-line options.
 #[derive(Parser)]
 struct Options {
     /// Numbers of nodes
     #[arg(long, value_delimiter = ',', default_value = "5,15,30")]
     nodes: Vec<u16>,
-    /// Seeds of each, from the first on
+    /// Number of seeds for each number of nodes
     #[arg(long, default_value_t = 3)]
     seeds: u64,
     /// The first seed
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// Plays only these
+    /// Runs only these scenarios
     #[arg(long, value_enum, value_delimiter = ',')]
     only: Vec<Scene>,
-    /// The node's program, where it is not the one beside this bench's
+    /// The node's program; by default the one in this benchmark's build folder
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Keeps configurations, logs and states of the nodes here, and what the rig counted
+    /// Keeps the configurations, logs and state of the nodes in this folder, and the trace
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// What cargo says to every bench
+    /// Passed by cargo to every benchmark
     #[arg(long, hide = true)]
     bench: bool,
 }
@@ -80,7 +80,7 @@
     for nodes in &options.nodes {
         for seed in (options.first..).take(usize::try_from(options.seeds).unwrap_or(usize::MAX)) {
             for scene in &scenes {
-                // Neither always comes first, in case one warms the machine for the other.
+                // The order alternates with the seed, in case the first run warms up the machine for the second.
                 for on in [seed % 2 == 0, seed % 2 != 0] {
                     let run = Run { scene: *scene, nodes: usize::from(*nodes), seed, on };
                     if let Err(failure) = one(&run, &options, &mut figures) {
@@ -95,7 +95,7 @@
     ExitCode::from(u8::from(failed > 0))
 }
 
-/// Plays one, in a runtime of its own, of which nothing is left behind.
+/// Runs one benchmark in its own runtime, which leaves nothing behind.
 fn one(run: &Run, options: &Options, figures: &mut Figures) -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let keep = options.keep.as_ref().map(|keep| keep.join(run.to_string().replace([' ', ','], "-")));
--- a/crates/fault-harness/benches/processes/restart.rs
+++ b/crates/fault-harness/benches/processes/restart.rs
@@ -1,4 +1,4 @@
-//! How long after most or all nodes were killed and started at once all is served as before.
+//! Time until service is back to its earlier level after most or all nodes were killed and restarted at once.
 
 use hallpin_fault_harness::spec::{Doing, State};
 use hallpin_fault_harness::trace::Record;
@@ -8,13 +8,13 @@
 use crate::figures::Value;
 use crate::run::{nodes, Failure, Stage};
 
-/// Share of the share served before that counts as full service.
+/// Full service is this fraction of the share that was served before the kill.
 const FULL: f64 = 0.98;
-/// For so long each second must be full.
+/// How long every second must have full service, in milliseconds.
 const STEADY_MS: u64 = 5000;
-/// Steps in which it is told.
+/// Step in which the time to full service is determined, in milliseconds.
 const STEP_MS: u64 = 100;
-/// After the kill, in seconds; full service that begins later than after 6 of them is told as none.
+/// Time observed after the kill, in seconds; full service that starts later than 6 s after it is reported as never.
 const WATCHED: f64 = 11.0;
 
 pub async fn play(stage: &mut Stage, part: f64) -> Result<(), Failure> {
@@ -47,13 +47,13 @@
     Ok(())
 }
 
-/// By how much the connections open at any box passed the whole at most.
+/// By how much the open connections of any box exceeded its connection limit at most.
 fn over(records: &[Record], boxes: usize, whole: u32) -> f64 {
     let most = (0..boxes).map(|of| peak(records, of)).max().unwrap_or(0);
     f64::from(most.saturating_sub(whole))
 }
 
-/// From the kill until each second of the next five is full.
+/// Time in seconds from the kill until each second of the next five has full service.
 fn full(asks: &[(Time, bool)], killed: Time, end: Time, before: f64) -> Option<f64> {
     let steps = STEADY_MS / STEP_MS;
     let good = |at: Time| second(asks, at).is_none_or(|share| share >= before * FULL);
@@ -64,7 +64,7 @@
             return None;
         }
         row = if good(step(n)) { row + 1 } else { 0 };
-        // Seconds that begin within four make up five.
+        // Seconds that start within four seconds cover five.
         if row > steps - 10 {
             return Some(step(n + 1 - row).since(killed).as_secs());
         }
--- a/crates/fault-harness/benches/processes/run.rs
+++ b/crates/fault-harness/benches/processes/run.rs
@@ -1,4 +1,4 @@
-//! One run: the rig in the shape that its scene wants, and what was measured on it so far.
+//! One run: the harness with the configuration of its scenario, and the values measured so far.
 
 use std::fmt;
 use std::io;
@@ -19,43 +19,43 @@
 use crate::figures::Value;
 use crate::{scenes, Scene};
 
-/// Why a run has no figures.
+/// Why a run has no results.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// The rig did not come to its end.
+    /// The harness did not finish.
     #[error(transparent)]
     Rig(#[from] RigError),
-    /// What was waited for did not happen.
+    /// An expected event did not happen in time.
     #[error(transparent)]
     Waited(#[from] TraceError),
-    /// A file or socket could not be had.
+    /// A file or a socket could not be opened or used.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bench's own scenario makes no sense.
+    /// The benchmark's own scenario file is invalid.
     #[error("the scenario: {0}")]
     Scenario(#[from] Unreadable),
 }
 
-/// Which run it is.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
-    /// What is played.
+    /// The scenario.
     pub scene: Scene,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// What all draws follow from.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Whether the plane is on.
+    /// Whether the control plane is on.
     pub on: bool,
 }
 
 impl Run {
-    /// The scene's name.
+    /// The scenario's name.
     pub fn name(&self) -> String {
         self.scene.to_possible_value().map_or(String::new(), |value| value.get_name().into())
     }
 
-    /// Starts the nodes and what is round them.
+    /// Starts the nodes and the fakes around them.
     pub async fn stage(&self, program: Option<PathBuf>, folder: PathBuf) -> Result<Stage, Failure> {
         std::fs::create_dir_all(&folder)?;
         let beside = std::env::current_exe()?;
@@ -76,48 +76,48 @@
     }
 }
 
-/// A rig whose nodes are ready.
+/// A harness whose nodes are ready.
 pub struct Stage {
-    /// Which run it is.
+    /// The parameters of the run.
     pub run: Run,
-    /// The scenario.
+    /// The scenario file.
     pub spec: Spec,
-    /// The rig.
+    /// The harness.
     pub rig: Rig,
-    /// Where the nodes' files are.
+    /// Folder of the nodes' files.
     pub folder: PathBuf,
     values: Vec<Value>,
 }
 
 impl Stage {
-    /// Adds a figure.
+    /// Adds a measured value.
     pub fn tell(&mut self, value: Value) {
         self.values.push(value);
     }
 
-    /// Now, by the rig's clock.
+    /// The current time by the harness's clock.
     pub fn now(&self) -> Time {
         self.rig.recorder().now()
     }
 
-    /// Lets time pass under what is being done; when it began and ended.
+    /// Lets time pass while the load goes on; returns the start and the end of the interval.
     pub async fn pass(&self, seconds: f64) -> (Time, Time) {
         let began = self.now();
         sleep(Duration::from_secs_f64(seconds)).await;
         (began, self.now())
     }
 
-    /// Does a thing to the rig.
+    /// Injects a fault.
     pub async fn fault(&self, doing: Doing) -> Result<(), Failure> {
         Ok(self.rig.fault(&doing).await?)
     }
 
-    /// What was counted so far.
+    /// The trace so far.
     pub fn records(&self) -> Vec<Record> {
         self.rig.recorder().records()
     }
 
-    /// The processes of all nodes that were started last.
+    /// For each node the process id of its last started process.
     pub fn processes(&self) -> Vec<i32> {
         let mut last = vec![0; self.run.nodes];
         self.rig.recorder().each(0, |record| {
@@ -128,7 +128,7 @@
         last
     }
 
-    /// Ends all that was started. The figures, where all was measured; with the breaches that the referee found.
+    /// Ends everything that was started, and returns the values if the run succeeded. Prints the first violations.
     pub async fn end(
         mut self,
         played: Result<(), Failure>,
@@ -147,12 +147,12 @@
     }
 }
 
-/// Nodes as faults name them.
+/// Nodes in the form in which fault actions name them.
 pub fn nodes(these: impl IntoIterator<Item = usize>) -> Vec<Spanned<Site>> {
     these.into_iter().map(|node| Spanned::new(0..0, Site::Node(node))).collect()
 }
 
-/// A box as faults name it.
+/// A box in the form in which fault actions name it.
 pub fn cache_box(of: usize) -> Vec<Spanned<Site>> {
     vec![Spanned::new(0..0, Site::Box(of))]
 }
--- a/crates/fault-harness/benches/processes/scenes.rs
+++ b/crates/fault-harness/benches/processes/scenes.rs
@@ -1,4 +1,4 @@
-//! The scenario of each scene, as a file of the rig.
+//! The scenario file of each benchmark scenario.
 
 use std::io;
 use std::path::Path;
@@ -6,21 +6,21 @@
 use crate::run::Run;
 use crate::Scene;
 
-/// Connections that a box accepts in scenes where they are scarce.
+/// Connection limit of a box in scenarios where connections are scarce.
 pub const WHOLE: u32 = 120;
-/// Connections that a box accepts in the other scenes, the least of the operators' range.
+/// Connection limit of a box in the other scenarios, the lower end of the operators' range.
 const WIDE: u32 = 1200;
-/// How much one tenant sends more.
+/// Factor by which one tenant raises its rate.
 pub const EIGHTFOLD: f64 = 8.0;
 
-/// Sections of the operators' file.
+/// Sections of the operator file.
 struct Plane {
     table: bool,
-    /// The whole that it is told of each box.
+    /// The connection limit of each box that the file states, if it has a section for budgets.
     budgets: Option<u32>,
 }
 
-/// The scenario of a run. Its contracts are written beside the nodes' folders.
+/// The scenario file of a run. Its contracts file is written to `folder`.
 pub fn text(run: &Run, folder: &Path) -> io::Result<String> {
     let Run { scene, nodes, seed, on } = *run;
     let plane = match scene {
@@ -66,22 +66,23 @@
 fn rest(scene: Scene, nodes: usize) -> String {
     let nodes = nodes as f64;
     match scene {
-        // As much at each node, whatever their number.
+        // The same load on each node, whatever their number.
         Scene::Crash => boxes(4, WIDE, 16, 2, false) + &tenant("north", 30.0 * nodes, 400),
-        // So that each node has many sendings a second that tell which table it goes by: half of the keys move.
+        // Each node needs many attempts per second that tell which table it uses: half of the keys move.
         Scene::Table => {
             let rate = (200.0 * nodes).min(1800.0);
             boxes(4, WIDE, 4, 1, false) + &boxes(1, WIDE, 16, 1, true) + &tenant("north", rate, 400)
         }
-        // Each use lasts 0.4 s: two boxes have 600 a second between them, and twice that is wanted.
+        // Each command takes 0.4 s: two boxes have a capacity of 600 per second together, and the demand is twice that.
         Scene::Use => {
             boxes(2, WHOLE, WHOLE, 400, false) + &tenant("north", 600.0, 400) + &tenant("south", 600.0, 400)
         }
-        // Each use lasts 0.3 s: there are 800 a second; one wants 200 of its 400, the other 100 and then 800.
+        // Each command takes 0.3 s: the capacity is 800 per second; one tenant demands 200 of its 400, the other 100
+        // and then 800.
         Scene::Overdrive => {
             boxes(2, WHOLE, WHOLE, 300, false) + &tenant("north", 200.0, 400) + &tenant("south", 100.0, 400)
         }
-        // Each use lasts 0.2 s: there are 1,200 a second, of which half are wanted.
+        // Each command takes 0.2 s: the capacity is 1,200 per second, and the demand is half of that.
         Scene::Restart70 | Scene::Restart100 => {
             boxes(2, WHOLE, WHOLE, 200, false) + &tenant("north", 350.0, 400) + &tenant("south", 250.0, 400)
         }
--- a/crates/fault-harness/benches/processes/stat.rs
+++ b/crates/fault-harness/benches/processes/stat.rs
@@ -1,4 +1,4 @@
-//! Asks nodes for the operators' figures, and the kernel for the processor time of their processes.
+//! Polls nodes for their metrics, and the kernel for the processor time of their processes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Between two questions to a node.
+/// Interval between polls of a node.
 const ASK_AGAIN: Duration = Duration::from_millis(25);
-/// A question that is not answered by then is asked anew.
+/// Timeout of a poll, which is then repeated.
 const ASKED: Duration = Duration::from_millis(500);
-/// Ticks of the kernel's account a second: it tells hundredths on every architecture that nodes run on.
+/// Clock ticks per second in the kernel's accounting: 100 on every architecture that nodes run on.
 const TICKS: f64 = 100.0;
 
-/// Where a node's operators call, by the configuration that it was given.
+/// A node's operator address, read from its configuration file.
 fn operator(folder: &Path, node: usize) -> io::Result<SocketAddr> {
     let config: Value = serde_json::from_slice(&std::fs::read(folder.join(format!("n{node}/config.json")))?)?;
     let operator = config.get("operator").and_then(Value::as_str).unwrap_or_default();
@@ -34,8 +34,8 @@
     Ok(lines.filter(|(of, _)| *of == name).find_map(|(_, value)| value.trim().parse().ok()))
 }
 
-/// Waits until each of these nodes shows a figure that is as wanted of it; how long after the call the last one did.
-/// Told no more exactly than the time between two questions. `None` where they do not within the bound.
+/// Waits until each of these nodes reports a wanted value of a metric, and returns the seconds from the call until the
+/// last node did. The resolution is the interval between polls. `None` if a node does not within the bound.
 pub async fn all_show(
     folder: &Path,
     nodes: impl IntoIterator<Item = usize>,
@@ -49,7 +49,7 @@
     }
     let began = Instant::now();
     while began.elapsed() < bound {
-        // All at once: one after the other, many would be told late.
+        // Polls all nodes at once: one after the other would delay many of them.
         let mut asked = JoinSet::new();
         for (node, operator) in left.drain(..) {
             let name = name.to_owned();
@@ -57,7 +57,7 @@
         }
         while let Some(answer) = asked.join_next().await {
             let (node, operator, shown) = answer.map_err(io::Error::other)?;
-            // One that is busy, or not up yet, is asked again.
+            // A node that is busy, or not up yet, is polled again.
             if !matches!(shown, Ok(Ok(Some(value))) if is_wanted(node, value)) {
                 left.push((node, operator));
             }
@@ -73,7 +73,8 @@
 /// Seconds of processor time that a process has used so far.
 pub fn processor_time(pid: i32) -> io::Result<f64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The name in brackets may hold anything; behind it the state is the first field, and the times 11 and 12 further.
+    // The process name in parentheses may contain any character; behind it the first field is the state, and the times
+    // are 11 and 12 fields after that.
     let fields = text.rsplit_once(") ").map(|(_, fields)| fields.split(' ').collect::<Vec<_>>());
     let ticks = |at: usize| fields.as_ref()?.get(at)?.parse::<f64>().ok();
     let used = ticks(11).zip(ticks(12)).map(|(user, system)| (user + system) / TICKS);
--- a/crates/fault-harness/benches/processes/table.rs
+++ b/crates/fault-harness/benches/processes/table.rs
@@ -1,4 +1,5 @@
-//! When nodes go over to a table with a box that joined, told by where their sendings of moved keys arrive.
+//! When nodes switch to a placement table with a newly joined box, inferred from where their attempts for moved keys
+//! arrive.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,7 +32,7 @@
     let seen = Seen::of(&records, joined, count, &mut homes);
     let listed =
         records.iter().find(|r| r.at >= joined && matches!(r.event, Event::Listed { .. })).map(|r| r.at);
-    // Below zero: before the last node was told.
+    // Negative if it happened before the last node was notified.
     let after = |at: Option<Time>| Some(at?.0 as f64 / 1e6 - told?.0 as f64 / 1e6);
     let between = |from: Option<Time>, to: Option<Time>| Some(to?.since(from?).as_secs());
     let (first, last) = (seen.first(), seen.last());
@@ -48,7 +49,7 @@
         "last node's first by the new table, s after the list had it",
         between(listed, last),
     ));
-    // What was still sent by the old table after the first by the new one: no node is further behind than seen.
+    // The last attempt by the old table after the first by the new one: a lower bound of how far nodes are apart.
     let old = seen.old.iter().copied().flatten().max();
     stage.tell(Value::less_is_better("first to last node, s, at least", between(first, old)));
     let (back, all) = seen.keys;
@@ -57,7 +58,7 @@
     Ok(())
 }
 
-/// When the last of the nodes was told of the box; `None` where one never was.
+/// When the last node was notified of the box; `None` if a node never was.
 fn told(records: &[Record], joined: Time, count: usize) -> Option<Time> {
     let mut listed = None;
     let mut told: Vec<Option<Time>> = vec![None; count];
@@ -73,7 +74,7 @@
     told.into_iter().collect::<Option<Vec<Time>>>()?.into_iter().max()
 }
 
-/// The homes of keys without and with the box that joins.
+/// The owners of keys without and with the joining box.
 struct Homes {
     old: Vec<TableEntry>,
     new: Vec<TableEntry>,
@@ -90,7 +91,7 @@
         Homes { old: new[..late].to_vec(), new, known: BTreeMap::new() }
     }
 
-    /// Where a key was and is, if it has moved.
+    /// The old and the new owner of a key, if it has moved.
     fn moved(&mut self, key: u64) -> Option<(usize, usize)> {
         let Homes { old, new, known } = self;
         let place =
@@ -99,13 +100,14 @@
     }
 }
 
-/// What the boxes saw of each node.
+/// What the boxes received from each node.
 struct Seen {
-    /// Each node's first sending by the new table.
+    /// Time of each node's first attempt by the new table.
     new: Vec<Option<Time>>,
-    /// Each node's last by the old one before that.
+    /// Time of each node's last attempt by the old table before that.
     old: Vec<Option<Time>>,
-    /// Moved keys that arrived at their old home after any had come to its new one, and all moved ones.
+    /// Number of moved keys that arrived at their old owner after any attempt had reached the new one, and of all moved
+    /// keys.
     keys: (usize, usize),
 }
 
@@ -116,7 +118,7 @@
         let mut keys: BTreeMap<u64, (bool, bool)> = BTreeMap::new();
         for record in records {
             let Event::Attempt { of, node, id, key, write: false, .. } = record.event else { continue };
-            // Only the first sending of a request is placed by the table alone.
+            // Only the first attempt of a request goes where the table places it.
             if !sent.insert(id) || record.at < joined {
                 continue;
             }
@@ -140,7 +142,7 @@
         self.new.iter().copied().flatten().min()
     }
 
-    /// `None` where a node never sent by the new table.
+    /// `None` if a node never used the new table.
     fn last(&self) -> Option<Time> {
         self.new.iter().copied().collect::<Option<Vec<Time>>>()?.into_iter().max()
     }
--- a/crates/fault-harness/src/judge/cold_box.rs
+++ b/crates/fault-harness/src/judge/cold_box.rs
@@ -1,4 +1,4 @@
-//! ColdBoxKept: fetches of one cold box at once stay under a bound.
+//! Rule `cold-box-kept`: the concurrent fetches of one cold box stay within a bound.
 
 use super::out::Out;
 use super::{Found, Rule};
--- a/crates/fault-harness/src/judge/counts.rs
+++ b/crates/fault-harness/src/judge/counts.rs
@@ -1,4 +1,4 @@
-//! What was counted over a run.
+//! Totals over a run.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
 use crate::spec::Spec;
 use crate::trace::{BoxAnswer, ClientAnswer, Event, Record};
 
-/// Share of the share served before the first fault that counts as full service.
+/// Full service is this fraction of the share that was served before the first fault.
 const FULL: f64 = 0.98;
-/// Steps in which the time to full service is told.
+/// Step in which the time to full service is determined.
 const STEP: Span = Span::from_millis(100);
 const SECOND: Span = Span::from_millis(1000);
 
-/// What a box counted.
+/// What a box observed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct BoxCounts {
-    /// Connections that it takes.
+    /// Connection limit of the box.
     pub whole: u32,
-    /// The most that were open at once.
+    /// Maximum number of connections open at once.
     pub peak_open: u32,
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub opened: u64,
-    /// For each tenant the most commands that were out at once, each on a connection of its own.
+    /// For each tenant the maximum number of concurrent commands, each on its own connection.
     pub peak_used: Vec<u32>,
-    /// Commands by how they were answered.
+    /// Number of commands by answer.
     pub answers: BTreeMap<BoxAnswer, u64>,
     open: u32,
     used: Vec<u32>,
@@ -37,45 +37,45 @@
 /// Datagrams between nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Datagrams {
-    /// That came to the relay.
+    /// Datagrams that reached the relay.
     pub sent: u64,
-    /// That it did not pass on.
+    /// Datagrams that the relay did not deliver.
     pub lost: u64,
-    /// All their bytes.
+    /// Total bytes of all datagrams that reached the relay.
     pub bytes: u64,
-    /// The most of one node within a second.
+    /// Maximum number of datagrams sent by one node within a second.
     pub peak: usize,
 }
 
-/// What was counted.
+/// Totals over a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
-    /// For each box.
+    /// Totals of each box.
     pub boxes: Vec<BoxCounts>,
-    /// Fetches at the planner, and the most at once.
+    /// Number of fetches from the planner, and the maximum number in flight at once.
     pub fetches: (u64, u32),
-    /// Calls at the list, and the most within a second, of all nodes.
+    /// Number of calls by all nodes to the endpoint list, and the maximum within a second.
     pub list_calls: (u64, usize),
-    /// Datagrams.
+    /// Datagrams between nodes.
     pub datagrams: Datagrams,
-    /// For each tenant its requests, and those served.
+    /// For each tenant its name, the number of its requests, and the number served.
     pub tenants: Vec<(String, u64, u64)>,
-    /// Tries by how they ended.
+    /// Number of tries by outcome.
     pub tries: BTreeMap<ClientAnswer, u64>,
-    /// Tables of the list, first sendings of reads that went to no table's home, and all of those; counted where rules
-    /// on tables are judged.
+    /// Number of placement tables, first attempts of reads that went to no table's owner of the key, and all first
+    /// attempts of reads; counted if an invariant about tables is checked.
     pub placed: Option<(usize, u64, u64)>,
-    /// How long the rig itself did not get the processor; all limits of time were longer by it.
+    /// Total scheduling delay of the harness, by which time limits were extended.
     pub starved: Span,
-    /// For each node how often it was started.
+    /// Number of starts of each node.
     pub lives: Vec<u32>,
-    /// From the last fault until every further second serves 98% of the share served before the first; `None` where
-    /// there was no fault, nothing before it, or the last second does not.
+    /// Time from the last fault until every further second serves 98% of the share that was served before the first
+    /// fault; `None` if there was no fault, no request before it, or if the last second does not.
     pub full_service: Option<Span>,
 }
 
 impl Counts {
-    /// Counts a run.
+    /// Computes the totals of a run.
     pub fn of(spec: &Spec, records: &[Record]) -> Self {
         let tenants = spec.tenants.len();
         let one = BoxCounts { peak_used: vec![0; tenants], used: vec![0; tenants], ..BoxCounts::default() };
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Requests, and those served, of all tenants.
+    /// Number of requests of all tenants, and the number served.
     pub fn served(&self) -> (u64, u64) {
         self.tenants.iter().fold((0, 0), |(all, good), (_, a, g)| (all + a, good + g))
     }
@@ -169,7 +169,7 @@
     }
 }
 
-/// Requests of a time: those served of all.
+/// Share served of the requests issued in an interval; `None` if there were none.
 fn share(asks: &[(Time, bool)], from: Time, to: Time) -> Option<f64> {
     let within = || asks.iter().filter(|(at, _)| (from..to).contains(at));
     let all = within().count();
@@ -194,7 +194,7 @@
     let end = asks.last()?.0;
     let good = |from: Time| share(&asks, from, from + SECOND).is_none_or(|share| share >= before * FULL);
     let (mut at, mut since) = (last, Some(last));
-    // Whole seconds only: what is left at the end is no second.
+    // Only complete seconds count; the remainder at the end is ignored.
     while at + SECOND <= end {
         since = if good(at) { since.or(Some(at)) } else { None };
         at += STEP;
--- a/crates/fault-harness/src/judge/datagrams.rs
+++ b/crates/fault-harness/src/judge/datagrams.rs
@@ -1,5 +1,5 @@
-//! JoinStormBounded: no datagram is longer than the protocol's, and those of one node within any second stay under a
-//! bound.
+//! Rule `join-storm-bounded`: no datagram exceeds the protocol's maximum length, and the datagrams of one node within
+//! any second stay within a bound.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use crate::relay::Site;
 use crate::trace::{Event, Record};
 
-/// Longest datagram of the protocol, in bytes.
+/// Maximum length of a datagram in the protocol, in bytes.
 const LONGEST: usize = 256;
 
 pub(super) struct JoinStormBounded {
--- a/crates/fault-harness/src/judge/drain.rs
+++ b/crates/fault-harness/src/judge/drain.rs
@@ -1,8 +1,9 @@
-//! DrainHonoured: a node sends nothing new to a box that it was told drains or is gone, once a grace has passed, and
-//! nothing to one that it was never told of.
+//! Rule `drain-honoured`: a node sends no new commands to a box that it was notified is draining or gone, once a grace
+//! period has passed, and none to a box that it was never notified of.
 //!
-//! Boxes at one address are one machine to a node: what comes there is in order if any of them may be sent to. What a
-//! cut held back was sent before, or told later; a paused node hears what it was told when it is resumed.
+//! Boxes at one address are one host to a node: a command there is allowed if any of them may receive it. Data that a
+//! cut held back was sent, or a notification made, before the cut healed; a paused node receives notifications when it
+//! is resumed.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,13 +16,13 @@
 use crate::relay::Site;
 use crate::trace::{Event, Record};
 
-/// Commands this soon after a cut let go what it held count as held.
+/// Commands that arrive within this time after held data was delivered count as held.
 const HELD: Span = Span::from_millis(100);
 
 pub(super) struct DrainHonoured {
     machines: Vec<usize>,
     grace: Span,
-    /// For each node what it was told of each box, and when.
+    /// For each node the phase that it was notified of for each box, and since when.
     told: BTreeMap<usize, BTreeMap<usize, (Phase, Time)>>,
     held: BTreeMap<(Site, Site), Time>,
     starved: Rc<Starved>,
@@ -42,7 +43,8 @@
         }
         for (of, phase) in entries {
             let entry = told.entry(*of).or_insert((*phase, at));
-            // The grace begins with the first word that it is not to be sent to.
+            // The grace period starts with the first notification that the box is not ready, and is not restarted by
+            // further ones.
             if (entry.0 == Phase::Ready) != (*phase == Phase::Ready) {
                 entry.1 = at;
             }
@@ -50,7 +52,7 @@
         }
     }
 
-    /// What a node was told before reaches it only now.
+    /// Restarts the grace periods of a node that only now receives earlier notifications.
     fn hears(&mut self, node: usize, at: Time) {
         let told = self.told.entry(node).or_default().values_mut();
         told.filter(|(phase, _)| *phase != Phase::Ready).for_each(|(_, since)| *since = at);
@@ -102,7 +104,7 @@
     use super::super::tests::{found, NONE};
     use super::*;
 
-    /// The second box stands at the address of the first.
+    /// The second box has the address of the first.
     fn rule() -> DrainHonoured {
         DrainHonoured::new(vec![0, 0, 2], Span::from_millis(1000), Rc::default())
     }
@@ -125,11 +127,12 @@
             assert_eq!(judged(vec![drains(phase), (1100, sent(0)), (1200, sent(2))]), NONE);
             assert_eq!(judged(vec![drains(phase), (1101, sent(0)), (1200, sent(2))]), [1101]);
         }
-        // Left out of a whole list is gone, and the grace begins once.
+        // A box missing from a complete list is gone, and the grace period starts only once.
         assert_eq!(judged(vec![(100, told(true, &[(2, Ready)])), (1101, sent(0))]), [1101]);
         assert_eq!(judged(vec![drains(Draining), (900, told(false, &[(0, Gone)])), (1101, sent(0))]), [1101]);
         assert_eq!(found(rule(), vec![(5, sent(0))]), [5], "never told of it");
-        // Another one at its address may be sent to; what is held by a cut or a pause was sent, or told, before.
+        // Another box at the same address may receive commands; data held by a cut or a pause was sent, or notified,
+        // before.
         assert_eq!(judged(vec![drains(Gone), (200, told(false, &[(1, Ready)])), (3000, sent(1))]), NONE);
         let held = Event::Held { from: Site::Node(0), to: Site::Box(0) };
         assert_eq!(judged(vec![drains(Gone), (3000, held.clone()), (3050, sent(0))]), NONE);
--- a/crates/fault-harness/src/judge/final_answer.rs
+++ b/crates/fault-harness/src/judge/final_answer.rs
@@ -1,9 +1,10 @@
-//! OneFinalAnswer: a request that a node has taken gets one final answer of its own, and in time; nothing else comes,
-//! and no process ends unless it was told to.
+//! Rule `one-final-answer`: each try that a node has accepted gets exactly one final answer in time, nothing
+//! unsolicited is sent, and no process ends unless it was asked to.
 //!
-//! A try is taken once its last byte is written to a node's connection. A node that is killed loses what it has; one
-//! that is paused cannot answer meanwhile. A node may close a connection between requests: what crosses that was not
-//! taken, unless a box has seen it. Of what is taken after SIGTERM, see the platform's pages on planned restarts.
+//! A try is accepted once its last byte is written to a node's connection. A killed node loses its open tries; a paused
+//! node cannot answer while it is paused. A node may close a connection between requests: a try that crosses the close
+//! was not accepted, unless a box has received it. For tries after SIGTERM, see the operator documentation on planned
+//! restarts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,9 +16,10 @@
 use crate::trace::{ClientAnswer, End, Event, Record};
 
 const RULE: &str = "one-final-answer";
-/// A kept connection that ends this soon after a try was written on it was closed before the node had read that.
+/// If a reused connection ends within this time after a try was written on it, the node had closed it before reading
+/// the try.
 const CROSSED: Span = Span::from_millis(250);
-/// What was taken this long after SIGTERM has its whole deadline before the kill.
+/// A try accepted within this time after SIGTERM has its full deadline before the SIGKILL.
 const AFTER_TERM: Span = Span::from_millis(700);
 
 #[derive(Clone, Copy)]
@@ -27,13 +29,13 @@
     until: Time,
 }
 
-/// A taken try that ended without an answer.
+/// An accepted try that ended without an answer.
 struct Unanswered {
     id: u64,
     taken: Taken,
     at: Time,
     how: ClientAnswer,
-    /// A box had it.
+    /// Whether a box has received the try.
     seen: bool,
 }
 
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Whether the try's node could not have answered it.
+    /// Whether the node had a valid reason not to answer the try.
     fn excused(&self, lost: &Unanswered) -> bool {
         let Taken { node, at, until } = lost.taken;
         let pauses = self.pauses.get(&node).into_iter().flatten();
@@ -107,11 +109,11 @@
         if lost.how == ClientAnswer::Nothing && starved > self.leeway {
             return true;
         }
-        // Closed between requests, as it was on the way.
+        // The node closed the connection between requests, while the try was on its way.
         if lost.how == ClientAnswer::Crossed && !lost.seen && lost.at.since(at) < CROSSED + starved {
             return true;
         }
-        // The life that took it: the last that began before.
+        // The process generation that accepted the try: the last one started before it.
         let mut lives = self.lives.get(&node).into_iter().flatten();
         let Some(life) = lives.rfind(|life| life.from <= at) else { return false };
         let with_its_node =
@@ -188,7 +190,7 @@
         Event::Ended { id: 7, how }
     }
 
-    /// What is found where a try that is taken at 10 ms ends so, at `at`, and this happens besides.
+    /// Times of the violations if a try accepted at 10 ms ends with `how` at `at`, and these further events happen.
     fn judged(how: ClientAnswer, at: u64, more: Vec<(u64, Event)>) -> Vec<u64> {
         let mut events = vec![(0, started(1)), (10, taken()), (at, ended(how))];
         events.extend(more);
@@ -207,7 +209,7 @@
         assert_eq!(judged(ClientAnswer::Foreign, 20, vec![]), [20]);
         assert_eq!(judged(ClientAnswer::Crossed, 20, vec![]), NONE);
         assert_eq!(judged(ClientAnswer::Crossed, 20, vec![(15, seen)]), [20], "a box has seen it");
-        // With its node it may be lost, long before that it may not.
+        // A try may be lost when its node is killed, but not long before that.
         assert_eq!(judged(ClientAnswer::Broken, 20, gone(22, End::Killed)), NONE);
         assert_eq!(judged(ClientAnswer::Broken, 20, gone(200, End::Killed)), [20]);
         assert_eq!(judged(ClientAnswer::Broken, 20, gone(22, End::Stopped)), [20]);
--- a/crates/fault-harness/src/judge/list_calls.rs
+++ b/crates/fault-harness/src/judge/list_calls.rs
@@ -1,4 +1,4 @@
-//! ListCallsBounded: calls of one node at the list within any second stay under a bound.
+//! Rule `list-calls-bounded`: the calls of one node to the endpoint list within any second stay within a bound.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/fault-harness/src/judge/mod.rs
+++ b/crates/fault-harness/src/judge/mod.rs
@@ -1,4 +1,4 @@
-//! The referee of the rig: reads what was counted from outside, in order, and says which rules were broken. Pure.
+//! The invariant checker: reads the trace of a run in order, and reports which rules were violated. Pure.
 
 mod cold_box;
 mod counts;
@@ -33,26 +33,26 @@
 pub use counts::{BoxCounts, Counts, Datagrams};
 pub use report::Report;
 
-/// Breaches that are kept in words; all are counted.
+/// Maximum number of violations that are reported in full; all are counted.
 const MOST_TOLD: usize = 50;
 
-/// A rule was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
-    /// Which.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// When, in microseconds.
+    /// Time of the violation, in microseconds.
     pub at: Time,
-    /// What happened.
+    /// Description of what happened.
     pub what: String,
 }
 
-/// Breaches as they are found.
+/// The violations found so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Found {
-    /// The first of them.
+    /// The first violations, up to the maximum that is reported.
     pub told: Vec<Breach>,
-    /// All of them.
+    /// Number of all violations.
     pub count: u64,
 }
 
@@ -65,11 +65,11 @@
     }
 }
 
-/// One rule: it is shown every record in order, and then that there are no more.
+/// A rule: receives every record of the trace in order, and then the end of the trace.
 trait Rule {
     fn see(&mut self, record: &Record, found: &mut Found);
 
-    /// It is shown what was placed by which tables, after the record of the sending.
+    /// Receives a placement, after the record of the attempt that it was derived from.
     fn placed(&mut self, _at: Time, _placed: &Placed, _found: &mut Found) {}
 
     fn over(&mut self, _found: &mut Found) {}
@@ -118,7 +118,7 @@
     rules
 }
 
-/// Judges a run.
+/// Checks the trace of a run against all rules that apply.
 pub fn judge(spec: &Spec, records: &[Record]) -> Report {
     let mut found = Found::default();
     let mut rules = rules(spec, &Rc::new(Starved::of(records)));
@@ -136,21 +136,21 @@
     Report::new(spec, counts, found)
 }
 
-/// What the rules' tests share.
+/// Helpers for the tests of the rules.
 #[cfg(test)]
 mod tests {
     use super::*;
     use crate::trace::Event;
 
-    /// Nothing was found.
+    /// No violations.
     pub const NONE: [u64; 0] = [];
 
-    /// A history: each event with its time in milliseconds.
+    /// A trace from events and their times in milliseconds.
     pub fn history(events: Vec<(u64, Event)>) -> Vec<Record> {
         events.into_iter().map(|(ms, event)| Record { at: Time(ms * 1000), event }).collect()
     }
 
-    /// What a rule finds in a history with these placings.
+    /// Times in milliseconds of the violations that a rule finds in a trace with these placements.
     pub fn found_placed(
         mut rule: impl Rule,
         events: Vec<(u64, Event)>,
@@ -168,7 +168,7 @@
         found.told.iter().map(|breach| breach.at.0 / 1000).collect()
     }
 
-    /// What a rule finds in a history: when, in milliseconds.
+    /// Times in milliseconds of the violations that a rule finds in a trace.
     pub fn found(mut rule: impl Rule, events: Vec<(u64, Event)>) -> Vec<u64> {
         let mut found = Found::default();
         history(events).iter().for_each(|record| rule.see(record, &mut found));
--- a/crates/fault-harness/src/judge/no_early_switch.rs
+++ b/crates/fault-harness/src/judge/no_early_switch.rs
@@ -1,5 +1,6 @@
-//! NoEarlySwitch: no node places by a table that came after it was parted from another that still runs, before that
-//! one's lease has ended; and none at all does with those that it can talk with being half of all or fewer.
+//! Rule `no-early-switch`: after a partition from another running node, no node uses a placement table that is newer
+//! than the partition before that node's lease has ended; and no node ever does while it and the nodes that it can
+//! reach are half of all nodes or fewer.
 
 use std::collections::BTreeMap;
 
@@ -14,14 +15,14 @@
     nodes: usize,
     lease: Span,
     reach: Reach,
-    /// When the list last changed.
+    /// Time of the last change of the endpoint list.
     listed: Time,
-    /// For each node the newest table that it has placed by for sure.
+    /// For each node a lower bound of the newest table that it has used.
     reached: BTreeMap<usize, usize>,
 }
 
 impl NoEarlySwitch {
-    /// Leases end no sooner than `lease` after a cut.
+    /// `lease` is the minimum time between a cut and the end of a lease.
     pub fn new(nodes: usize, lease: Span) -> Self {
         NoEarlySwitch { nodes, lease, reach: Reach::new(nodes), listed: Time::ZERO, reached: BTreeMap::new() }
     }
@@ -70,7 +71,8 @@
     use crate::relay::Site;
     use hallpin_simulation::list::Phase;
 
-    /// Three nodes, of which one is cut off at 1 s; at 2 s the list has a new table, and a node goes on to it.
+    /// Times of the violations of a run with three nodes, one of which is cut off at 1 s; the list has a new table at 2
+    /// s, which `node` uses at `at`.
     fn judged(node: usize, at: u64, cut: bool) -> Vec<u64> {
         let started = |node| (0, Event::NodeStarted { node, life: 1, pid: 1 });
         let link = |a, b| (1000, Event::Link { from: Site::Node(a), to: Site::Node(b), cut });
--- a/crates/fault-harness/src/judge/no_older_table.rs
+++ b/crates/fault-harness/src/judge/no_older_table.rs
@@ -1,4 +1,4 @@
-//! NoOlderTable: no node places by an older table after it has placed by a newer one, in whichever of its lives.
+//! Rule `no-older-table`: no node uses an older placement table after a newer one, in any of its process generations.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use crate::trace::Record;
 
 pub(super) struct NoOlderTable {
-    /// For each node the oldest table by which its newest sending can have been placed.
+    /// For each node a lower bound of the newest table that it has used.
     reached: BTreeMap<usize, usize>,
     behind: Behind,
     starved: Rc<Starved>,
--- a/crates/fault-harness/src/judge/one_table.rs
+++ b/crates/fault-harness/src/judge/one_table.rs
@@ -1,5 +1,5 @@
-//! OneTablePerKey: once a node has placed by a table, all others do within a bound, but those that are out of it or were
-//! lately: cut off, paused or started.
+//! Rule `one-table-per-key`: once a node uses a placement table, all others do within a bound, except nodes that are or
+//! recently were cut off, paused or started.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
     spread: Span,
     catch_up: Span,
     reach: Reach,
-    /// For each table when a node first placed by it or a newer one.
+    /// For each table the time at which a node first used it or a newer one.
     begun: Vec<Option<Time>>,
     behind: Behind,
     starved: Rc<Starved>,
@@ -41,7 +41,7 @@
         for begun in self.begun.iter_mut().take(first + 1) {
             begun.get_or_insert(at);
         }
-        // The one before all others that this sending was not placed by.
+        // Of the tables newer than those that this attempt fits, the one that was first used earliest.
         let newer =
             self.begun.iter().enumerate().skip(last + 1).filter_map(|(t, begun)| Some((t, (*begun)?)));
         let newer = newer.min_by_key(|(_, begun)| *begun);
@@ -50,7 +50,7 @@
             !self.starved.lately(at) && at.since(begun) > self.spread + self.starved.between(begun, at)
         };
         let Some((table, begun)) = newer else {
-            // It can have been by the newest; told only where by no other.
+            // The attempt fits the newest table in use; it clears the node only if it fits no other table.
             if first == last {
                 self.behind.take(*node, false);
             }
--- a/crates/fault-harness/src/judge/out.rs
+++ b/crates/fault-harness/src/judge/out.rs
@@ -1,20 +1,20 @@
-//! Fetches that are out at the planner: how many at once, over all and for each box.
+//! Fetches in flight at the planner, in total and for each box.
 
 use std::collections::BTreeMap;
 
 use crate::trace::{Event, Record};
 
-/// Counts fetches as they begin and end.
+/// Counts fetches as they start and end.
 #[derive(Default)]
 pub(super) struct Out {
-    /// All that are out.
+    /// All fetches in flight.
     pub all: u32,
-    /// Those of boxes that were cold when they asked.
+    /// Fetches in flight for each box that was cold at their start.
     pub cold: BTreeMap<usize, u32>,
 }
 
 impl Out {
-    /// Takes a record; says whether a fetch has begun, and whose.
+    /// Processes a record; returns the box if the record starts a fetch.
     pub fn see(&mut self, record: &Record) -> Option<usize> {
         match record.event {
             Event::Fetch { of, cold, .. } => {
--- a/crates/fault-harness/src/judge/planner.rs
+++ b/crates/fault-harness/src/judge/planner.rs
@@ -1,4 +1,4 @@
-//! PlannerKept: fetches at the planner at once, over all boxes, stay under a bound.
+//! Rule `planner-kept`: the concurrent fetches from the planner, over all boxes, stay within a bound.
 
 use super::out::Out;
 use super::{Found, Rule};
--- a/crates/fault-harness/src/judge/reach.rs
+++ b/crates/fault-harness/src/judge/reach.rs
@@ -1,4 +1,5 @@
-//! Which nodes can hear each other, and which are or were lately out of it: cut off, paused or not there.
+//! Connectivity of the nodes: which can reach each other, and which are or recently were cut off, paused or not
+//! running.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,15 +8,15 @@
 use crate::relay::Site;
 use crate::trace::{Event, Record};
 
-/// What is known of links between nodes and of their processes.
+/// State of the links between nodes and of their processes.
 #[derive(Default)]
 pub(super) struct Reach {
     nodes: usize,
-    /// Directions that are cut, and since when.
+    /// Directions that are cut, with the time of the cut.
     cut: BTreeMap<(usize, usize), Time>,
     paused: BTreeSet<usize>,
     running: BTreeSet<usize>,
-    /// When a node was last out of it.
+    /// Time at which each node last rejoined: after a cut, a pause or a start.
     out: BTreeMap<usize, Time>,
 }
 
@@ -49,18 +50,18 @@
         }
     }
 
-    /// Since when two nodes cannot both hear each other, if so.
+    /// Time since which two nodes cannot reach each other in both directions, if they cannot.
     pub fn parted(&self, a: usize, b: usize) -> Option<Time> {
         let since = [(a, b), (b, a)].into_iter().filter_map(|way| self.cut.get(&way));
         since.min().copied()
     }
 
-    /// Whether a process of the node runs, be it paused.
+    /// Whether the node has a process, running or paused.
     pub fn runs(&self, node: usize) -> bool {
         self.running.contains(&node)
     }
 
-    /// Whether the node and those that it can talk with, both ways, are more than half of all.
+    /// Whether the node and those that it can reach in both directions are more than half of all nodes.
     pub fn has_majority(&self, node: usize) -> bool {
         let hears = |other: &usize| self.running.contains(other) && !self.paused.contains(other);
         let with = (0..self.nodes)
@@ -68,7 +69,7 @@
         with.count() * 2 > self.nodes
     }
 
-    /// Whether the node is out of it, or was within this time.
+    /// Whether the node is cut off or paused, or rejoined within the given time.
     pub fn was_out(&self, node: usize, at: Time, within: Span) -> bool {
         let cut = self.cut.keys().any(|(from, to)| *from == node || *to == node);
         cut || self.paused.contains(&node) || self.out.get(&node).is_some_and(|out| at.since(*out) <= within)
--- a/crates/fault-harness/src/judge/report.rs
+++ b/crates/fault-harness/src/judge/report.rs
@@ -1,24 +1,24 @@
-//! The verdict of a run: what was counted, which rules were broken, and which expected facts were not there.
+//! The report of a run: totals, violations, and expected results that were not reached.
 
 use serde::Serialize;
 
 use super::{Breach, Counts, Found};
 use crate::spec::Spec;
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The scenario's name.
     pub name: String,
-    /// What all draws followed from.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// What was counted.
+    /// Totals over the run.
     pub counts: Counts,
-    /// Breaches of rules, all of them.
+    /// Number of violations of rules.
     pub broken: u64,
-    /// The first of them in words.
+    /// The first violations, in full.
     pub breaches: Vec<Breach>,
-    /// Facts that the scenario expected and that were not there.
+    /// Results that the scenario expected and that were not reached.
     pub missing: Vec<String>,
 }
 
@@ -29,7 +29,7 @@
         Report { name: spec.name.clone(), seed: spec.seed, counts, broken, breaches, missing }
     }
 
-    /// No rule was broken, and all that was expected was there.
+    /// Whether no rule was violated and all expected results were reached.
     pub fn is_good(&self) -> bool {
         self.broken == 0 && self.missing.is_empty()
     }
--- a/crates/fault-harness/src/judge/starved.rs
+++ b/crates/fault-harness/src/judge/starved.rs
@@ -1,25 +1,25 @@
-//! How much processor time the rig itself did not get: every limit of time is that much longer where it falls.
+//! Scheduling delay of the harness itself: every time limit is extended by it where it falls.
 //!
-//! The rig sees its own lateness, by a beat that comes too late. Its nodes run on the same machine and are starved as
-//! well, at times of their own; so twice the lateness is allowed for.
+//! The harness measures its own delay by a periodic timer. The nodes run on the same machine and are delayed as well,
+//! at other times; so twice the harness's delay is allowed for.
 
 use hallpin_simulation::time::{Span, Time};
 
 use crate::trace::{Event, Record};
 
-/// Lateness is told when the beat comes, which may be a little after what it has made late.
+/// A delay is recorded when the timer fires, which may be a little after the events that it delayed.
 const TOLD_AFTER: Span = Span::from_millis(100);
 
 const SECOND: Span = Span::from_millis(1000);
-/// Twice the lateness within a second that is much.
+/// Threshold for twice the scheduling delay within a second.
 const MUCH: Span = Span::from_millis(100);
 
-/// The rig's lateness over a run.
+/// The scheduling delays over a run, with the times at which they were recorded.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Starved(Vec<(Time, Span)>);
 
 impl Starved {
-    /// Reads it off a run.
+    /// Reads the delays from a trace.
     pub fn of(records: &[Record]) -> Self {
         let late = |record: &Record| match record.event {
             Event::Late { by } => Some((record.at, Span(by))),
@@ -28,12 +28,13 @@
         Starved(records.iter().filter_map(late).collect())
     }
 
-    /// Whether the last second was so short of time that queues are full and sendings tell nothing of tables.
+    /// Whether the last second had so much delay that queues are full, so that attempts say nothing about placement
+    /// tables.
     pub fn lately(&self, at: Time) -> bool {
         self.between(at.back(SECOND), at) > MUCH
     }
 
-    /// How much longer what lasts from one point to the other may last.
+    /// By how much a time limit for this interval is extended.
     pub fn between(&self, from: Time, to: Time) -> Span {
         let first = self.0.partition_point(|(at, _)| *at < from);
         let within = self.0.iter().skip(first).take_while(|(at, _)| *at <= to + TOLD_AFTER);
--- a/crates/fault-harness/src/judge/tables.rs
+++ b/crates/fault-harness/src/judge/tables.rs
@@ -1,7 +1,8 @@
-//! By which table of the list a node has placed what it sent, as far as that can be told from outside.
+//! Infers from outside which placement table a node has used for an attempt, as far as possible.
 //!
-//! A table is what the list had ready at a revision. A node's first sending of a request goes to the home of its key in
-//! the table that it places by, if there is room; where tables have the same home for a key its sending tells nothing.
+//! A table consists of the boxes that were ready on the endpoint list at some revision. A node sends the first attempt
+//! of a request to the owner of its key in the table that it uses, if the owner has capacity; where several tables have
+//! the same owner for a key, the attempt fits all of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,19 +12,19 @@
 use crate::spec::Spec;
 use crate::trace::{Event, Record};
 
-/// Tables that are told apart; the oldest are kept, and a run with more changes is told nothing of the rest.
+/// Maximum number of tables that are told apart. The oldest are kept; later changes of the list are ignored.
 const MOST_TABLES: usize = 64;
 
-/// Sendings of a node in a row that must agree before it counts as behind: one that finds no room at its key's home
-/// goes elsewhere, now and then to where an older table has it.
+/// Number of consecutive attempts that must fit only older tables before a node counts as lagging: an attempt that
+/// finds no capacity at the key's owner goes elsewhere, sometimes to the owner in an older table.
 const IN_A_ROW: u32 = 3;
 
-/// How often in a row each node's sendings were those of an older table.
+/// For each node the number of consecutive attempts that fit only older tables.
 #[derive(Default)]
 pub(super) struct Behind(BTreeMap<usize, u32>);
 
 impl Behind {
-    /// Takes a sending that tells; whether the node counts as behind.
+    /// Counts an attempt that tells tables apart, and returns whether the node counts as lagging.
     pub fn take(&mut self, node: usize, older: bool) -> bool {
         let row = self.0.entry(node).or_default();
         *row = if older { *row + 1 } else { 0 };
@@ -31,7 +32,7 @@
     }
 }
 
-/// The first sending of a request by a node, and the tables by which it may have been placed, by their numbers.
+/// The first attempt of a request by a node, and the indices of the tables that it fits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Placed {
     pub node: usize,
@@ -39,15 +40,15 @@
     pub by: Vec<usize>,
 }
 
-/// The tables of a run as the list has had them, one after the other.
+/// The placement tables of a run, in order, as they follow from the endpoint list.
 pub(super) struct Tables {
     weights: Vec<f64>,
     ready: BTreeSet<usize>,
     tables: Vec<BTreeSet<usize>>,
     homes: BTreeMap<(usize, u64), Option<usize>>,
-    /// Requests that a box has seen.
+    /// Requests that a box has received.
     sent: BTreeSet<u64>,
-    /// Sendings that went to no table's home, and all.
+    /// Number of first attempts that went to no table's owner of the key, and of all first attempts.
     astray: (u64, u64),
 }
 
@@ -63,12 +64,12 @@
         }
     }
 
-    /// How many tables there were, first sendings that went to no table's home, and all of them.
+    /// Number of tables, of first attempts that went to no table's owner, and of all first attempts.
     pub fn counts(&self) -> (usize, u64, u64) {
         (self.tables.len(), self.astray.0, self.astray.1)
     }
 
-    /// Takes a record; of a first sending says by which tables it may have been placed.
+    /// Processes a record; for the first attempt of a read, returns the tables that it fits.
     pub fn see(&mut self, record: &Record) -> Option<Placed> {
         match record.event {
             Event::Listed { of, phase, .. } => {
@@ -76,7 +77,7 @@
                     Phase::Ready => self.ready.insert(of),
                     Phase::Draining | Phase::Gone => self.ready.remove(&of),
                 };
-                // Before the load only the last word counts.
+                // Before the load starts, only the latest table counts.
                 if self.sent.is_empty() {
                     self.tables.clear();
                     self.homes.clear();
--- a/crates/fault-harness/src/judge/tenant.rs
+++ b/crates/fault-harness/src/judge/tenant.rs
@@ -1,4 +1,5 @@
-//! TenantUnharmed: once one tenant overdrives, those that do not are served the share that they had before, less a bound.
+//! Rule `tenant-unharmed`: once a tenant's rate is raised, the other tenants are served at least the share that they
+//! were served before, less a bound.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -10,18 +11,18 @@
 use crate::spec::Spec;
 use crate::trace::{Event, Record};
 
-/// Requests, and those served.
+/// Number of requests issued, and of those served.
 type Counts = (u64, u64);
 
 pub(super) struct TenantUnharmed {
     names: Vec<String>,
     most_lost: f64,
-    /// Who has overdriven, and since when anybody has.
+    /// Tenants whose rate was raised, and the time of the first raise.
     overdrive: BTreeSet<usize>,
     since: Option<Time>,
-    /// For each request its tenant, and whether it came after that.
+    /// For each open request its tenant, and whether it was issued after the first raise.
     open: BTreeMap<u64, (usize, bool)>,
-    /// For each tenant before and after.
+    /// For each tenant the requests before and after the first raise.
     counts: Vec<[Counts; 2]>,
     last: Time,
     starved: Rc<Starved>,
@@ -63,7 +64,7 @@
 
     fn over(&mut self, found: &mut Found) {
         let Some(since) = self.since else { return };
-        // What was not served as the machine had no time is nobody's harm.
+        // Requests lost to scheduling delay of the machine do not count as harm by another tenant.
         let span = self.last.since(since).as_secs().max(1.0);
         let starved = self.starved.between(since, self.last).as_secs() / span;
         let quiet = (0..self.names.len()).filter(|tenant| !self.overdrive.contains(tenant));
@@ -88,7 +89,8 @@
     use super::super::tests::{found, NONE};
     use super::*;
 
-    /// Two tenants with a request each before and after the second overdrives: whether those after were served.
+    /// Times of the violations with two tenants and a request each before and after the second one's rate is raised;
+    /// the parameters say whether the requests after it were served.
     fn judged(quiet: bool, loud: bool) -> Vec<u64> {
         let asked = |ask, tenant| Event::Asked { ask, tenant, tries: 1 };
         let over = |ask, served| Event::Over { ask, served };
--- a/crates/fault-harness/src/judge/whole.rs
+++ b/crates/fault-harness/src/judge/whole.rs
@@ -1,4 +1,4 @@
-//! WholeKept: connections open at a box, in the box's own count, never pass the whole that it takes.
+//! Rule `whole-kept`: the connections open at a box, by the box's own count, never exceed its connection limit.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 #[derive(Default)]
 pub(super) struct WholeKept {
-    /// For each box its whole, and the connections that are open.
+    /// For each box its connection limit, and the number of open connections.
     boxes: BTreeMap<usize, (u32, u32)>,
 }
 
--- a/crates/fault-harness/src/judge/window.rs
+++ b/crates/fault-harness/src/judge/window.rs
@@ -1,4 +1,4 @@
-//! How many events fall within any second.
+//! Sliding window: counts the events within any second.
 
 use std::collections::VecDeque;
 
@@ -8,12 +8,12 @@
 
 const SECOND: Span = Span::from_millis(1000);
 
-/// The events of the last second. It holds as many as fall within one.
+/// The times of the events of the last second.
 #[derive(Default)]
 pub(super) struct Window(VecDeque<Time>);
 
 impl Window {
-    /// Takes an event; how many the second that ends with it has.
+    /// Adds an event; returns the number of events in the second that ends with it.
     pub fn take(&mut self, at: Time) -> usize {
         while self.0.front().is_some_and(|first| at.since(*first) >= SECOND) {
             self.0.pop_front();
@@ -23,8 +23,7 @@
     }
 }
 
-/// How many a second that ends then may have, where so many are the most: what a starved rig had not seen yet comes to
-/// that as well.
+/// Maximum number of events in the second that ends at `at`, extended for events that a delayed harness records late.
 pub(super) fn allowed(most: u32, at: Time, starved: &Starved) -> usize {
     let late = starved.between(at.back(SECOND), at).as_secs();
     (f64::from(most) * (1.0 + late)).floor() as usize
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -1,7 +1,8 @@
-//! Several real nodes, stand-ins round them, and faults on every link between.
+//! Fault-injection test harness: runs several real nodes against fake cache boxes, discovery, planner and clients, and
+//! injects faults into every link between them.
 //!
-//! [`rig::play`] plays a scenario file; [`rig::Rig`] is the same by hand, for tests. What is judged is what the
-//! stand-ins counted from outside, by [`judge`], and never what a node believes.
+//! [`harness::play`] runs a scenario file; tests drive [`harness::Harness`] directly. The invariant checker judges a
+//! run only by what the fakes observed from outside, never by what a node reports about itself.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/fault-harness/src/process/config.rs
+++ b/crates/fault-harness/src/process/config.rs
@@ -1,4 +1,4 @@
-//! What a node is told: its configuration, as the platform would write it.
+//! The configuration of a node's process, in the form in which the platform writes it.
 
 use hallpin_simulation::chance::Chance;
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use super::Place;
 use crate::spec::{Spec, Tenant};
 
-/// The configuration of a node's next life, with the list that it holds at its start.
+/// The configuration of a node's next process, including the endpoint list that the node has at its start.
 pub fn config(spec: &Spec, place: &Place, life: u32, known: Value) -> Value {
     let seed = Chance::new(spec.seed, &format!("n{} life {life}", place.node)).bits();
     json!({
--- a/crates/fault-harness/src/process/files.rs
+++ b/crates/fault-harness/src/process/files.rs
@@ -1,4 +1,4 @@
-//! What becomes of nodes' state folders between two lives.
+//! Changes nodes' state folders between two process generations.
 
 use std::fs::{self, OpenOptions};
 use std::io;
@@ -6,10 +6,10 @@
 
 use crate::spec::State;
 
-/// Does that to the folders of nodes whose processes have ended.
+/// Applies a change to the state folders of nodes whose processes have ended.
 ///
 /// # Errors
-/// Where a file cannot be changed.
+/// Fails if a file cannot be changed.
 pub fn change(folders: &[PathBuf], state: &State) -> io::Result<()> {
     match state {
         State::Kept => Ok(()),
@@ -24,7 +24,7 @@
     fs::create_dir(folder)
 }
 
-/// Cuts off the last half of each file, as a disk does that lost what was written last.
+/// Cuts off the last half of each file, like a disk that lost its most recent writes.
 fn tear(folder: &Path) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Each folder gets what the next one holds, and the last what the first held.
+/// Gives each folder the contents of the next one, and the last folder those of the first.
 fn swap(folders: &[PathBuf]) -> io::Result<()> {
     let Some(first) = folders.first() else { return Ok(()) };
     let aside = first.with_extension("aside");
@@ -56,7 +56,7 @@
 mod tests {
     use super::*;
 
-    /// Two folders with a file in each, of these bytes.
+    /// Two folders that contain a file each, with these bytes.
     fn folders(root: &Path, bytes: [&str; 2]) -> Vec<PathBuf> {
         let make = |(at, text): (usize, &&str)| {
             let folder = root.join(format!("state-{at}"));
--- a/crates/fault-harness/src/process/host.rs
+++ b/crates/fault-harness/src/process/host.rs
@@ -1,4 +1,4 @@
-//! A node's machine: at most one process at a time, started at the same address in each life.
+//! A node's host: runs at most one process at a time, each at the same address.
 
 use std::cell::{Cell, RefCell};
 use std::ffi::OsString;
@@ -16,69 +16,70 @@
 
 use crate::trace::{End, Event, Recorder};
 
-/// Between two questions whether a node wants clients.
+/// Interval between readiness checks of a node.
 const ASK_AGAIN: Duration = Duration::from_millis(10);
-/// A question that is not answered by then is asked anew: a process that is paused answers none.
+/// Timeout of a readiness check, which is then repeated: a paused process does not answer.
 const ASKED: Duration = Duration::from_millis(500);
-/// How long after SIGTERM new connections still go there, as the front hears of it late.
+/// How long after SIGTERM clients still open connections to the node, as a load balancer in front learns of the stop
+/// with a delay.
 const STILL_COMING: Duration = Duration::from_millis(300);
 
-/// Where a node is, for itself and for others.
+/// A node's addresses, and the addresses at which it reaches others.
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// Its number.
+    /// Index of the node.
     pub node: usize,
-    /// Where clients come.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Listen address for operators.
     pub operator: SocketAddr,
-    /// Where it sees its agent of the list.
+    /// Address at which the node reaches its discovery agent.
     pub discovery: SocketAddr,
-    /// Where its datagrams arrive.
+    /// Listen address for datagrams of peers.
     pub peer_listen: SocketAddr,
-    /// Where it sees each node, itself included.
+    /// Address at which the node reaches each node, itself included.
     pub peers: Vec<SocketAddr>,
-    /// Its configuration, its log and its state are here.
+    /// Folder of the node's configuration, log and state.
     pub folder: PathBuf,
 }
 
-/// The operators' files that switch the plane between nodes on, as texts.
+/// The texts of the operator files that turn on the control plane between nodes.
 #[derive(Clone, Debug, Default)]
 pub struct PlaneFiles {
-    /// The one that the node is started with; without it the plane is off.
+    /// The file that the node is started with; without it the control plane is off.
     pub fleet: Option<String>,
-    /// The one beside it that names the tenants' shares.
+    /// The contracts file in the same folder, which sets the tenants' shares.
     pub contracts: Option<String>,
 }
 
-/// A process could not be had.
+/// A process could not be started.
 #[derive(Debug, thiserror::Error)]
 #[error("node {node}: {error}")]
 pub struct HostError {
-    /// Which node's.
+    /// Index of the node.
     pub node: usize,
-    /// Why not.
+    /// The cause.
     #[source]
     pub error: io::Error,
 }
 
-/// A node's machine.
+/// A node's host.
 pub struct Host {
-    /// Where it is.
+    /// The node's addresses and folder.
     pub place: Place,
     program: Program,
     recorder: Rc<Recorder>,
     wanted: watch::Sender<bool>,
     life: Cell<u32>,
-    /// The process that runs, from its start until it has been waited for.
+    /// The running process, from its start until it has been waited for.
     pid: watch::Sender<Option<Pid>>,
     pids: RefCell<Vec<Pid>>,
-    /// How it is to end, once it was told to.
+    /// How the process was asked to end, if it was.
     told: Cell<Option<End>>,
 }
 
 impl Host {
-    /// A machine without a process. Clients hear by `wanted` whether new connections go there.
+    /// A host without a process. `wanted` tells clients whether they may open new connections to the node.
     pub fn new(
         place: Place,
         program: Program,
@@ -90,7 +91,7 @@
         Rc::new(Host { place, program, recorder, wanted, life, pid, pids, told })
     }
 
-    /// The number of the next life, from 1.
+    /// Generation number of the next process, from 1.
     pub fn next_life(&self) -> u32 {
         self.life.get() + 1
     }
@@ -100,30 +101,30 @@
         self.pid.borrow().is_some()
     }
 
-    /// All processes that were ever started here.
+    /// All processes that were ever started on this host.
     pub fn pids(&self) -> Vec<Pid> {
         self.pids.borrow().clone()
     }
 
-    /// The folder that the node's state is in.
+    /// The node's state folder.
     pub fn state(&self) -> PathBuf {
         self.place.folder.join("state")
     }
 
-    /// The file that its processes log to.
+    /// The file that the node's processes log to.
     pub fn log(&self) -> PathBuf {
         self.place.folder.join("log")
     }
 
-    /// Whether its last process ended though nobody told it to.
+    /// Whether the last process ended without having been asked to.
     pub fn fell(&self) -> bool {
         !self.runs() && self.life.get() > 0 && self.told.get().is_none()
     }
 
-    /// Starts a process, and looks after it until it has ended.
+    /// Starts a process, and supervises it until it has ended.
     ///
     /// # Errors
-    /// Where one runs already, or none can be had.
+    /// Fails if one is already running, or if it cannot be started.
     pub fn start(self: &Rc<Self>, config: &Value, plane: &PlaneFiles) -> Result<(), HostError> {
         let node = self.place.node;
         let running = self.spawn(config, plane).map_err(|error| HostError { node, error })?;
@@ -183,14 +184,14 @@
         self.pid.send_replace(None);
     }
 
-    /// Ends the process at once.
+    /// Kills the process with SIGKILL.
     pub fn kill(&self) {
         self.told.set(Some(End::Killed));
         self.wanted.send_replace(false);
         self.signal(Signal::KILL);
     }
 
-    /// Tells the process to stop, and ends it where it has not after this time.
+    /// Sends the process SIGTERM, and SIGKILL if it has not ended after `notice`.
     pub fn stop(self: &Rc<Self>, notice: Duration) {
         let (host, life) = (self.clone(), self.life.get());
         self.told.set(Some(End::Stopped));
@@ -209,13 +210,13 @@
         });
     }
 
-    /// Takes the processor away from the process, which does not notice.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
         self.recorder.record(Event::NodePaused { node: self.place.node });
     }
 
-    /// Gives it back.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.recorder.record(Event::NodeResumed { node: self.place.node });
         self.signal(Signal::CONT);
@@ -223,12 +224,12 @@
 
     /// Waits until no process runs.
     pub async fn ended(&self) {
-        // The sender is this machine's own.
+        // The sender is a field of this host, so the channel stays open.
         let _ = self.pid.subscribe().wait_for(Option::is_none).await;
     }
 
     fn signal(&self, signal: Signal) {
-        // Until it has been waited for, its id is nobody else's; then none is held here.
+        // The system does not reuse the id before the process has been waited for; after that, no id is stored here.
         if let Some(pid) = *self.pid.borrow() {
             let _ = rustix::process::kill_process(pid, signal);
         }
--- a/crates/fault-harness/src/process/mod.rs
+++ b/crates/fault-harness/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The nodes' processes: their files, their lives, and the signals that they are sent.
+//! The nodes' processes: their configuration and state files, their process generations, and the signals sent to them.
 
 mod config;
 mod files;
--- a/crates/fault-harness/src/relay/fate.rs
+++ b/crates/fault-harness/src/relay/fate.rs
@@ -1,4 +1,4 @@
-//! Decides what becomes of one datagram on a link: whether it comes, how often, and how late. Pure.
+//! Decides what happens to a datagram on a link: whether it is delivered, how often, and with what delay. Pure.
 
 use std::time::Duration;
 
@@ -6,50 +6,50 @@
 use hallpin_simulation::time::Span;
 use serde::{Deserialize, Serialize};
 
-/// How much longer a datagram is held that others are to overtake.
+/// Additional delay of a reordered datagram, during which later ones overtake it.
 pub const OVERTAKEN: Duration = Duration::from_millis(20);
 
-/// What one direction of a link does.
+/// Conditions of one direction of a link.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Conditions {
     /// Share of datagrams that are lost, 0 to 1.
     pub drop: f64,
-    /// Share of datagrams that come twice, 0 to 1.
+    /// Share of datagrams that are delivered twice, 0 to 1.
     pub duplicate: f64,
-    /// Share of datagrams that are held until others have overtaken them, 0 to 1.
+    /// Share of datagrams that are held back until later ones have overtaken them, 0 to 1.
     pub reorder: f64,
-    /// How long everything takes.
+    /// Fixed delay of all data.
     pub delay: Span,
-    /// How much longer at most; drawn anew for each datagram, and for each piece of a stream, whose order stays.
+    /// Maximum additional delay, drawn for each datagram and for each chunk of a stream, whose order is kept.
     pub jitter: Span,
-    /// Nothing comes through: datagrams are lost, streams stand still, and new connections never come up.
+    /// Nothing passes: datagrams are lost, streams stall, and new connections are never established.
     pub cut: bool,
 }
 
-/// What became of a datagram.
+/// What happened to a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fate {
-    /// It comes once.
+    /// Delivered once.
     Passed,
-    /// It comes twice.
+    /// Delivered twice.
     Doubled,
-    /// It comes after later ones.
+    /// Delivered after later ones.
     Held,
-    /// It never comes.
+    /// Never delivered.
     Lost,
 }
 
 impl Conditions {
-    /// How late the next one comes.
+    /// Draws the delay of the next datagram or chunk.
     pub fn lateness(&self, chance: &mut Chance) -> Duration {
         let jitter = chance.between(0.0, self.jitter.as_secs());
         Duration::from_micros(self.delay.0) + Duration::from_secs_f64(jitter)
     }
 
-    /// What becomes of the next datagram, and after how long each copy of it comes. Every datagram costs the same
-    /// draws, so that one's fate does not hang on what others' conditions were.
+    /// Draws the fate of the next datagram and the delay of each of its copies. Every datagram takes the same number of
+    /// draws, so that its fate does not depend on the conditions that applied to earlier ones.
     pub fn fate(&self, chance: &mut Chance) -> (Fate, Vec<Duration>) {
         let [lost, doubled, held] =
             [self.drop, self.duplicate, self.reorder].map(|share| chance.unit() < share);
--- a/crates/fault-harness/src/relay/mod.rs
+++ b/crates/fault-harness/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! The links between nodes, boxes and the list: what each does to what is sent over it, per direction.
+//! The links between nodes, boxes and the endpoint list, with conditions for each direction.
 
 mod fate;
 mod network;
--- a/crates/fault-harness/src/relay/network.rs
+++ b/crates/fault-harness/src/relay/network.rs
@@ -1,4 +1,4 @@
-//! Who is linked with whom, and what each direction of a link does just now.
+//! All links by their ends, and the current conditions of each direction.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,15 +11,15 @@
 
 use super::Conditions;
 
-/// An end of a link, by its place in the scenario.
+/// An end of a link, by its index in the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum Site {
-    /// A node's machine: `n0`, `n1`, ...
+    /// A node's host: `n0`, `n1`, ...
     Node(usize),
-    /// A box's machine: `b0`, `b1`, ...
+    /// A box's host: `b0`, `b1`, ...
     Box(usize),
-    /// The list's agent on a node's own machine: `list`.
+    /// The discovery agent on a node's own host: `list`.
     List,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Both directions of all links. A direction that nothing was said of passes everything at once.
+/// Both directions of all links. A direction without conditions passes everything without delay.
 #[derive(Debug)]
 pub struct Network {
     seed: u64,
@@ -72,7 +72,7 @@
     resets: RefCell<BTreeMap<(Site, Site), watch::Sender<u64>>>,
 }
 
-/// One direction, as the one who carries over it sees it.
+/// One direction of a link, as used by one carrier of data over it.
 #[derive(Clone, Debug)]
 pub struct Way {
     conditions: watch::Receiver<Conditions>,
@@ -80,19 +80,19 @@
 }
 
 impl Network {
-    /// With nothing in the way. What links draw follows from the seed and their ends' names.
+    /// A network without conditions. The random draws of each link follow from the seed and the names of its ends.
     pub fn new(seed: u64) -> Self {
         Network { seed, ways: RefCell::default(), resets: RefCell::default() }
     }
 
-    /// A direction of a link, for the carrier of this number over it.
+    /// A direction of a link, for the carrier with this number.
     pub fn way(&self, from: Site, to: Site, carrier: u64) -> Way {
         let mut ways = self.ways.borrow_mut();
         let conditions = ways.entry((from, to)).or_default().subscribe();
         Way { conditions, chance: Chance::new(self.seed, &format!("{from}>{to}#{carrier}")) }
     }
 
-    /// Changes what a direction does; whether it is cut now.
+    /// Changes the conditions of a direction, and returns whether it is cut now.
     pub fn change(&self, from: Site, to: Site, change: impl FnOnce(&mut Conditions)) -> bool {
         let mut ways = self.ways.borrow_mut();
         let way = ways.entry((from, to)).or_default();
@@ -101,14 +101,14 @@
         cut
     }
 
-    /// Nothing is in the way any more; the directions that were cut.
+    /// Removes all conditions, and returns the directions that were cut.
     pub fn heal(&self) -> Vec<(Site, Site)> {
         let ways = self.ways.borrow();
         let healed = ways.iter().filter(|(_, way)| way.send_replace(Conditions::default()).cut);
         healed.map(|(ends, _)| *ends).collect()
     }
 
-    /// Counts the resets of a link, whose connections end with each.
+    /// The number of resets of a link; each reset ends its connections.
     pub fn resets(&self, a: Site, b: Site) -> watch::Receiver<u64> {
         self.resets.borrow_mut().entry((a.min(b), a.max(b))).or_default().subscribe()
     }
@@ -120,34 +120,34 @@
 }
 
 impl Way {
-    /// What it does now.
+    /// The current conditions.
     pub fn now(&self) -> Conditions {
         self.conditions.borrow().clone()
     }
 
-    /// Whether nothing comes through.
+    /// Whether nothing passes.
     pub fn is_cut(&self) -> bool {
         self.conditions.borrow().cut
     }
 
-    /// Draws what becomes of the next datagram.
+    /// Draws the fate of the next datagram.
     pub fn fate(&mut self) -> (super::Fate, Vec<std::time::Duration>) {
         self.conditions.borrow().fate(&mut self.chance)
     }
 
-    /// Draws how late the next piece of a stream comes.
+    /// Draws the delay of the next chunk of a stream.
     pub fn lateness(&mut self) -> std::time::Duration {
         self.conditions.borrow().lateness(&mut self.chance)
     }
 
-    /// Waits until something comes through; for ever where the network is gone.
+    /// Waits until the direction is not cut; for ever if the network was dropped.
     pub async fn open(&mut self) {
         if self.conditions.wait_for(|conditions| !conditions.cut).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Waits until what it does has changed; for ever where the network is gone.
+    /// Waits until the conditions change; for ever if the network was dropped.
     pub async fn changed(&mut self) {
         if self.conditions.changed().await.is_err() {
             std::future::pending::<()>().await;
--- a/crates/fault-harness/src/relay/tcp.rs
+++ b/crates/fault-harness/src/relay/tcp.rs
@@ -1,6 +1,7 @@
-//! Connections from a node to a box or to its list: carried both ways, stalled where a way is cut, reset on command.
+//! TCP connections from a node to a box or to its discovery agent: forwarded both ways, stalled while a direction is
+//! cut, reset on command.
 //!
-//! What a cut holds back comes when it heals, as a sender's kernel would send it again.
+//! Data that a cut holds back is delivered when the cut heals, as TCP retransmission would.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -16,33 +17,33 @@
 use super::{Network, Site};
 use crate::trace::{Event, Recorder};
 
-/// Pieces of one direction that are on the way at most; whoever sends more waits.
+/// Maximum number of chunks in flight in one direction; beyond it the sender waits.
 const ON_THE_WAY: usize = 64;
-/// Longest piece, in bytes.
+/// Maximum length of a chunk, in bytes.
 const PIECE: usize = 16 * 1024;
-/// Between an accept that failed and the next.
+/// Delay before the next accept after one that failed.
 const PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
 
-/// One link and where its ends are.
+/// One link and the addresses of its ends.
 #[derive(Clone, Debug)]
 pub struct TcpLink {
-    /// Who opens connections.
+    /// The end that opens connections.
     pub from: Site,
-    /// Who accepts them.
+    /// The end that accepts connections.
     pub to: Site,
-    /// Where the opener sees the other end.
+    /// Address at which the opener reaches the other end.
     pub listen: SocketAddr,
-    /// Where the other end is.
+    /// Actual address of the other end.
     pub target: SocketAddr,
-    /// Where connections to the other end come from, by which that knows the opener.
+    /// Source address of connections to the other end, which identifies the opener there.
     pub source: Ipv4Addr,
-    /// Whether a process listens at the other end; where none does, connections are refused.
+    /// Whether a process listens at the other end; if none does, connections are refused.
     pub up: watch::Receiver<bool>,
-    /// Told what a cut held back.
+    /// Records when data that a cut held back is delivered.
     pub recorder: Rc<Recorder>,
 }
 
-/// How a link looks to who wants a new connection.
+/// How the link treats new connections.
 #[derive(Clone, Copy, PartialEq)]
 enum Door {
     Open,
@@ -51,7 +52,7 @@
 }
 
 impl TcpLink {
-    /// Carries connections until it is dropped.
+    /// Forwards connections until the future is dropped.
     pub async fn run(mut self, network: Rc<Network>) {
         let (mut out, mut back) = (network.way(self.from, self.to, 0), network.way(self.to, self.from, 0));
         loop {
@@ -121,7 +122,7 @@
 /// The connection was broken at one of its ends.
 struct Broken;
 
-/// Carries one direction until its sender has ended it and all has come, or it breaks.
+/// Forwards one direction until its sender has closed it and everything is delivered, or the connection breaks.
 async fn pump(
     mut from: tokio::net::tcp::ReadHalf<'_>,
     mut to: tokio::net::tcp::WriteHalf<'_>,
@@ -135,7 +136,7 @@
         loop {
             let mut piece = BytesMut::with_capacity(PIECE);
             let read = from.read_buf(&mut piece).await;
-            // Order stays, so that none comes before the one ahead of it.
+            // Keeps the order: no chunk is delivered before an earlier one.
             last = last.max(Instant::now() + late.lateness());
             let (piece, ends) = match read {
                 Ok(0) => (Some(Bytes::new()), true),
--- a/crates/fault-harness/src/relay/udp.rs
+++ b/crates/fault-harness/src/relay/udp.rs
@@ -1,7 +1,7 @@
-//! Datagrams between nodes: for each ordered pair a socket at which the one sees the other.
+//! Datagrams between nodes, with one relay socket for each ordered pair of nodes.
 //!
-//! A node sends to the address at which it sees a peer, and the peer gets it from the address at which it sees the
-//! sender, as the platform has it.
+//! A node sends to the relay address that stands for a peer, and the peer receives the datagram from the relay address
+//! that stands for the sender, as with address translation on the platform.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,31 +15,31 @@
 use super::{Fate, Network, Site};
 use crate::trace::{Event, Recorder};
 
-/// Longest datagram that the relay carries whole; none of the protocol's comes near.
+/// Maximum length in bytes of a datagram that the relay forwards in full, far above the protocol's maximum.
 const LONGEST: usize = 2048;
 
-/// Why there is no mesh.
+/// The relay's sockets could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("sockets between nodes: {0}")]
 pub struct MeshError(#[from] io::Error);
 
-/// The sockets between all nodes.
+/// The relay sockets between all nodes.
 #[derive(Debug)]
 pub struct Mesh {
-    /// Where each node listens for datagrams.
+    /// Each node's listen address for datagrams.
     listens: Vec<SocketAddr>,
-    /// `seen[a][b]`: where node a sees node b. Of itself, its own socket.
+    /// `seen[a][b]` is the socket at which node a reaches node b; for a = b it is unused.
     seen: Vec<Vec<Rc<UdpSocket>>>,
 }
 
 impl Mesh {
-    /// Sockets for so many nodes, each at its own address of the loopback net.
+    /// Opens the sockets for as many nodes as there are addresses, each at its own loopback address.
     ///
     /// # Errors
-    /// Where no socket can be had.
+    /// Fails if a socket cannot be opened.
     pub async fn bind(machines: &[Ipv4Addr]) -> Result<Self, MeshError> {
         let count = machines.len();
-        // Held until all others are bound, so that no port is given twice, and then left to the nodes.
+        // Held until all other sockets are bound, so that no port is assigned twice, and then released for the nodes.
         let listeners: Vec<_> =
             machines.iter().map(|ip| std::net::UdpSocket::bind((*ip, 0))).collect::<io::Result<_>>()?;
         let listens = listeners.iter().map(std::net::UdpSocket::local_addr).collect::<io::Result<_>>()?;
@@ -54,15 +54,15 @@
         Ok(Mesh { listens, seen })
     }
 
-    /// Where a node listens for datagrams.
+    /// A node's listen address for datagrams.
     pub fn listen(&self, node: usize) -> SocketAddr {
         self.listens[node]
     }
 
-    /// The addresses of all nodes as one of them sees them, its own included.
+    /// The addresses at which one node reaches every node, its own listen address included.
     ///
     /// # Errors
-    /// Where the system does not say where a socket is.
+    /// Fails if the system does not report the address of a socket.
     pub fn peers(&self, of: usize) -> io::Result<Vec<SocketAddr>> {
         let address = |(to, socket): (usize, &Rc<UdpSocket>)| {
             if to == of {
@@ -74,7 +74,7 @@
         self.seen[of].iter().enumerate().map(address).collect()
     }
 
-    /// Carries what nodes send, each ordered pair in a task of its own, until the tasks are dropped.
+    /// Forwards datagrams between nodes, each ordered pair in its own task, until the tasks are dropped.
     pub fn run(self: &Rc<Self>, network: &Network, recorder: &Rc<Recorder>) {
         for from in 0..self.listens.len() {
             for to in (0..self.listens.len()).filter(|to| *to != from) {
@@ -84,10 +84,10 @@
         }
     }
 
-    /// Sends a node what looks as if it came from another, by no node and with no condition of the link.
+    /// Sends a node a datagram that appears to come from another node, regardless of the link's conditions.
     ///
     /// # Errors
-    /// Where the system does not take it.
+    /// Fails if the system does not accept the datagram.
     pub async fn forge(&self, as_from: usize, to: usize, bytes: &[u8]) -> io::Result<()> {
         self.seen[to][as_from].send_to(bytes, self.listens[to]).await.map(drop)
     }
@@ -95,7 +95,7 @@
     async fn carry(self: Rc<Self>, from: usize, to: usize, mut way: Way, recorder: Rc<Recorder>) {
         let mut buffer = vec![0; LONGEST];
         loop {
-            // A send to a node that is down makes the next call fail, which says nothing of the socket.
+            // After a send to a node that is down the next call fails, but the socket stays usable.
             let Ok((bytes, sender)) = self.seen[from][to].recv_from(&mut buffer).await else { continue };
             if sender != self.listens[from] {
                 continue;
@@ -117,7 +117,7 @@
     }
 
     async fn deliver(&self, from: usize, to: usize, datagram: &[u8]) {
-        // One that is down hears nothing.
+        // The datagram is lost if the node is down.
         let _ = self.seen[to][from].send_to(datagram, self.listens[to]).await;
     }
 }
--- a/crates/fault-harness/src/rig/build.rs
+++ b/crates/fault-harness/src/rig/build.rs
@@ -1,4 +1,4 @@
-//! Builds the rig: addresses, links, stand-ins, and the first life of each node.
+//! Builds the harness: reserves addresses, starts links and fakes, and starts each node's first process.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,53 +20,53 @@
 use crate::stand_in::{CacheBox, Door, List, Load, Planner};
 use crate::trace::{Recorder, TraceError};
 
-/// A node that is not ready by then will not be.
+/// A node that is not ready within this time fails the run.
 pub(super) const READY_WITHIN: Duration = Duration::from_secs(20);
-/// The places of a net that are no node's.
+/// Last address octets, within the harness's /24 network, of the boxes and the discovery agents. Nodes use 1 to 90.
 const BOXES: u8 = 250;
 const AGENTS: u8 = 251;
 
-/// How a rig is built.
+/// Options for building a harness.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The node's program.
+    /// The node program to run.
     pub program: Program,
-    /// Where configurations, logs and states of the nodes go.
+    /// Folder for the nodes' configurations, logs and state.
     pub folder: PathBuf,
 }
 
-/// Why a run did not come to its end.
+/// Why a run did not finish.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
-    /// No socket or file could be had.
+    /// A socket or a file could not be opened or used.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// No sockets between nodes.
+    /// The sockets between the nodes could not be opened.
     #[error(transparent)]
     Mesh(#[from] MeshError),
-    /// No process.
+    /// A node's process could not be started.
     #[error(transparent)]
     Host(#[from] HostError),
-    /// A node ended by itself in place of getting ready.
+    /// A node's process ended by itself before it was ready.
     #[error("n{node} ended by itself; its log is {log}", log = .log.display())]
     Fell {
-        /// Which.
+        /// Index of the node.
         node: usize,
-        /// Where its log is.
+        /// Path of the node's log.
         log: PathBuf,
     },
-    /// What was waited for did not happen.
+    /// An expected event did not happen in time.
     #[error(transparent)]
     Waited(#[from] TraceError),
-    /// A process still runs though it was killed and waited for.
+    /// Processes still run although they were killed and waited for.
     #[error("processes left behind: {0:?}")]
     LeftBehind(Vec<i32>),
-    /// More happened than is kept.
+    /// More events happened than the trace holds.
     #[error("{0} records beyond the most that are kept")]
     TooMuch(u64),
 }
 
-/// Several real nodes, and all round them.
+/// Several real nodes with the fakes and links around them.
 pub struct Rig {
     pub(super) spec: Rc<Spec>,
     pub(super) recorder: Rc<Recorder>,
@@ -80,7 +80,8 @@
     pub(super) marks: Marks,
 }
 
-/// A net of the loopback's that other rigs are not likely to have: machines `1` to `90`, and those of the stand-ins.
+/// A /24 network of the loopback range that other harnesses are unlikely to use, as a function of the last octet: `1`
+/// to `90` for nodes, `250` and `251` for the fakes.
 fn net() -> impl Fn(u8) -> Ipv4Addr {
     static RIGS: AtomicU32 = AtomicU32::new(0);
     let own = std::process::id().wrapping_mul(37).wrapping_add(RIGS.fetch_add(1, Ordering::Relaxed));
@@ -93,10 +94,10 @@
 }
 
 impl Rig {
-    /// Builds all and starts the nodes; they want clients when this returns.
+    /// Builds the harness and starts the nodes. They accept clients when this returns.
     ///
     /// # Errors
-    /// Where a socket, a file or a process cannot be had, or a node does not get ready.
+    /// Fails if a socket, a file or a process is not available, or if a node does not become ready.
     pub async fn start(spec: Spec, options: &Options) -> Result<Self, RigError> {
         let (spec, recorder, net) = (Rc::new(spec), Recorder::new(), net());
         open_many();
@@ -137,7 +138,7 @@
         Ok(rig)
     }
 
-    /// Starts the next life of nodes.
+    /// Starts a new process for each of these nodes.
     pub(super) fn start_nodes(&self, nodes: &[usize]) -> Result<(), RigError> {
         for host in nodes.iter().map(|node| &self.hosts[*node]) {
             let node = host.place.node;
--- a/crates/fault-harness/src/rig/doing.rs
+++ b/crates/fault-harness/src/rig/doing.rs
@@ -1,4 +1,4 @@
-//! Does what a scenario or a test wants done: to processes, links, boxes, the list and the load.
+//! Injects faults into processes, links, boxes, the endpoint list and the load.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 use crate::spec::{Doing, Ends};
 use crate::trace::Event;
 
-/// What a node that was told to stop is given beyond its longest deadline.
+/// Time that a node has to stop, in addition to its longest deadline.
 const LEAVE: Duration = Duration::from_millis(700);
-/// The longest that a deadline counts for that.
+/// Upper bound of the deadline in the stop timeout.
 const MOST_NOTICE: Duration = Duration::from_secs(3);
-/// Between two bursts of garbage.
+/// Interval between bursts of malformed datagrams.
 const BURST: Duration = Duration::from_millis(5);
 
 impl Rig {
-    /// Does one thing now, and tells it.
+    /// Performs an action now and records it.
     ///
     /// # Errors
-    /// Where a process or a file cannot be had.
+    /// Fails if a process or a file is not available.
     pub async fn fault(&self, doing: &Doing) -> Result<(), RigError> {
         let what = serde_json::to_string(doing).unwrap_or_else(|error| error.to_string());
         self.recorder.record(Event::Fault { what });
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// How long a node that is told to stop has.
+    /// Time between SIGTERM and SIGKILL for a node that is stopped.
     fn notice(&self) -> Duration {
         Duration::from_micros(self.spec.longest_deadline().0).min(MOST_NOTICE) + LEAVE
     }
@@ -102,7 +102,7 @@
         });
     }
 
-    /// Each pair of ends, a box by the first at its address.
+    /// Calls `take` with each pair of ends. A box stands for the first box at its address.
     fn each(&self, from: &[Spanned<Site>], to: &[Spanned<Site>], mut take: impl FnMut(Site, Site)) {
         let machines = self.spec.machines();
         let end = |site: &Spanned<Site>| match *site.as_ref() {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Sends a node datagrams that are no good, from its peers' addresses and from one that is no peer's.
+    /// Sends malformed datagrams to a node, from its peers' addresses and from one that belongs to no peer.
     async fn garbage(&self, to: usize, rate: u32, lasts: Span) -> Result<(), RigError> {
         let (mesh, nodes, listen) = (self.mesh.clone(), self.hosts.len(), self.hosts[to].place.peer_listen);
         let stranger = UdpSocket::bind((listen.ip(), 0)).await?;
@@ -130,7 +130,7 @@
                     owed -= 1.0;
                     let datagram = bad_datagram(&mut chance);
                     let from = usize::try_from(chance.below(nodes as u64)).unwrap_or(0);
-                    // What the node's socket has no room for is lost, as it would be.
+                    // A datagram that finds the node's socket buffer full is lost, as on a real network.
                     let _ = match from == to {
                         true => stranger.send_to(&datagram, listen).await.map(drop),
                         false => mesh.forge(from, to, &datagram).await,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Noise, too long a datagram, one of a newer form, or one cut short.
+/// Random bytes, a datagram that is too long, one of a newer version, or one that is truncated.
 fn bad_datagram(chance: &mut Chance) -> Vec<u8> {
     let noise =
         |chance: &mut Chance, length: u64| (0..length).map(|_| chance.bits() as u8).collect::<Vec<u8>>();
--- a/crates/fault-harness/src/rig/links.rs
+++ b/crates/fault-harness/src/rig/links.rs
@@ -1,4 +1,4 @@
-//! Links each node's machine with those of the boxes and with its agent of the list.
+//! Links each node to the boxes and to its discovery agent.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,7 +13,7 @@
 use crate::stand_in::{CacheBox, Life, List};
 use crate::trace::Recorder;
 
-/// Links a node's machine with those of the boxes; where it sees each box.
+/// Links a node to the boxes, and returns the address at which the node reaches each box.
 pub(super) fn link_boxes(
     spec: &Spec,
     recorder: &Rc<Recorder>,
@@ -41,7 +41,7 @@
     Ok(machines.iter().map(|machine| seen[*machine]).collect())
 }
 
-/// Whether any of the boxes at an address has a process.
+/// Whether any of the boxes at one address has a running process.
 fn any_up(mut there: Vec<watch::Receiver<Life>>) -> watch::Receiver<bool> {
     let is_up = |there: &mut Vec<watch::Receiver<Life>>| {
         there.iter_mut().any(|lives| lives.borrow_and_update().is_up())
@@ -58,7 +58,8 @@
     up
 }
 
-/// Starts a node's agent and links it with the node's machine; where the node sees it.
+/// Starts a node's discovery agent and links it to the node, and returns the address at which the node reaches the
+/// agent.
 pub(super) async fn link_list(
     list: &Rc<List>,
     recorder: &Rc<Recorder>,
--- a/crates/fault-harness/src/rig/mod.rs
+++ b/crates/fault-harness/src/rig/mod.rs
@@ -1,4 +1,4 @@
-//! The whole: processes, stand-ins and links between them, faults done to them, and what came of it.
+//! The harness: starts nodes, fakes and the links between them, injects faults, and reports the result.
 
 mod build;
 mod doing;
--- a/crates/fault-harness/src/rig/play.rs
+++ b/crates/fault-harness/src/rig/play.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario from its beginning to its report.
+//! Runs a scenario from its start to its report.
 
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
@@ -12,14 +12,14 @@
 use crate::stand_in::longest;
 use crate::trace::{Event, Recorder, TraceError};
 
-/// What a fault waits for happens within this, or the run fails.
+/// Maximum time that the trigger of a fault may take; a longer wait fails the run.
 const HAPPENS_WITHIN: Duration = Duration::from_secs(30);
 
-/// Plays a scenario: builds the rig, does its faults in order, lets the load end, and judges what was counted. Nothing
-/// that it started runs on.
+/// Runs a scenario: builds the harness, injects the faults in order, lets the load end, and checks the invariants. No
+/// process outlives the call.
 ///
 /// # Errors
-/// Where the rig cannot be had, or what a fault waits for does not happen.
+/// Fails if the harness cannot be built, or if the trigger of a fault does not happen.
 pub async fn play(spec: Spec, options: &Options, trace: Option<&Path>) -> Result<Report, RigError> {
     let rig = Rig::start(spec, options).await?;
     let played = async {
@@ -36,12 +36,12 @@
 }
 
 impl Rig {
-    /// What has happened so far, and more as it happens.
+    /// The trace of the run so far, which grows while the run goes on.
     pub fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// Begins the load.
+    /// Starts the load.
     pub fn begin(&self) {
         let here = (self.recorder.mark(), Instant::now());
         self.marks.load.set(here);
@@ -50,19 +50,19 @@
         self.load.begin(self.spec.length);
     }
 
-    /// Waits until the load's time is over, and its last request.
+    /// Waits until the load's duration has passed and the last request is finished.
     ///
     /// # Errors
-    /// Where a request never is.
+    /// Fails if a request does not finish.
     pub async fn over(&self) -> Result<(), RigError> {
         sleep_until(self.marks.load.get().1 + Duration::from_micros(self.spec.length.0)).await;
         self.quiet().await
     }
 
-    /// Ends the load, and waits until its last request is over.
+    /// Stops the load, and waits until the last request is finished.
     ///
     /// # Errors
-    /// Where a request never is.
+    /// Fails if a request does not finish.
     pub async fn quiet(&self) -> Result<(), RigError> {
         self.load.end();
         let (mut open, bound) = (self.load.open(), longest(&self.spec) + HAPPENS_WITHIN);
@@ -70,10 +70,10 @@
         Ok(over.map_err(|_| TraceError { what: "the last request over".into(), bound })?)
     }
 
-    /// Ends all that was started, looks that nothing is left, and judges what was counted.
+    /// Ends everything that was started, verifies that no process is left, and checks the invariants.
     ///
     /// # Errors
-    /// Where a process is left, or the trace cannot be written.
+    /// Fails if a process is left, or if the trace cannot be written or overflowed.
     pub async fn finish(self, trace: Option<&Path>) -> Result<Report, RigError> {
         self.load.end();
         let all: Vec<usize> = (0..self.hosts.len()).collect();
@@ -97,7 +97,8 @@
     }
 }
 
-/// Whether a process of this rig's still runs: its command line names the rig's folder, in case the id was given anew.
+/// Whether a process of this harness still runs. The command line must contain the harness's folder, as the system may
+/// have reused the process id.
 fn runs(pid: i32, folder: &Path) -> bool {
     let line: io::Result<Vec<u8>> = std::fs::read(format!("/proc/{pid}/cmdline"));
     let folder = folder.as_os_str().as_encoded_bytes();
--- a/crates/fault-harness/src/rig/run.rs
+++ b/crates/fault-harness/src/rig/run.rs
@@ -1,4 +1,4 @@
-//! One thread for all that the rig does, so that its record has one order.
+//! The single-threaded runtime of the harness, which gives the trace one total order.
 
 use std::future::Future;
 use std::io;
@@ -9,29 +9,30 @@
 
 use crate::trace::{Event, Recorder};
 
-/// How often the rig looks whether it gets the processor.
+/// Interval at which the harness measures its own scheduling delay.
 const BEAT: Duration = Duration::from_millis(5);
-/// A beat that is less late is not told.
+/// Minimum scheduling delay that is recorded.
 const LATE: Duration = Duration::from_millis(20);
 
-/// Runs what uses a rig to its end; all tasks that it began end with it.
+/// Runs a future that uses a harness to completion; all tasks that it spawned end with it.
 ///
 /// # Errors
-/// Where no runtime can be had.
+/// Fails if no runtime can be created.
 pub fn block_on<T>(what: impl Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, what))
 }
 
-/// Lets this process open as many files as the system allows it: links between fifteen nodes want some two thousand.
+/// Raises this process's limit of open files to the hard limit: the links between 15 nodes need about 2,000.
 pub(super) fn open_many() {
     let mut limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit.current = limit.maximum;
-    // Where that is not granted, a socket that cannot be had says so.
+    // If the limit is not raised, the first socket that cannot be opened reports the error.
     let _ = rustix::process::setrlimit(rustix::process::Resource::Nofile, limit);
 }
 
-/// Tells when the rig itself is late, until it is dropped: then what it counts came later than it should have.
+/// Records scheduling delays of the harness until it is dropped: during a delay, events are recorded later than they
+/// happened.
 pub(super) async fn beat(recorder: Rc<Recorder>) {
     loop {
         let began = Instant::now();
--- a/crates/fault-harness/src/rig/waiting.rs
+++ b/crates/fault-harness/src/rig/waiting.rs
@@ -1,4 +1,4 @@
-//! Waiting for what happens, always with a bound.
+//! Waits for events, always with a bound.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use crate::spec::When;
 use crate::trace::{Event, Record, TraceError};
 
-/// Points of a run that conditions count from.
+/// Points of the run from which triggers count.
 #[derive(Debug)]
 pub(super) struct Marks {
-    /// The first record under load, and when.
+    /// Position in the trace and instant at which the load started.
     pub load: Cell<(usize, Instant)>,
-    /// The first record after the last fault, and when.
+    /// Position in the trace and instant at which the last fault was injected.
     pub fault: Cell<(usize, Instant)>,
 }
 
@@ -27,10 +27,10 @@
 }
 
 impl Rig {
-    /// Waits until it is time, or what is looked for has happened.
+    /// Waits until the trigger's time has come or its event has happened.
     ///
     /// # Errors
-    /// Says what did not happen within the bound. Points of time are waited for whatever the bound.
+    /// Names the event that did not happen within `bound`. Triggers that are points of time ignore the bound.
     pub async fn until(&self, when: &When, bound: Duration) -> Result<(), RigError> {
         let ((load, began), (fault, done)) = (self.marks.load.get(), self.marks.fault.get());
         match when {
@@ -58,10 +58,10 @@
         Ok(())
     }
 
-    /// Waits until so many records from a mark on are what is looked for.
+    /// Waits until `count` records from a position on satisfy the predicate.
     ///
     /// # Errors
-    /// Where there are fewer within the bound.
+    /// Fails if there are fewer within `bound`.
     pub async fn count(
         &self,
         from: usize,
@@ -79,10 +79,10 @@
         Ok(())
     }
 
-    /// Waits until nodes want clients, in the lives that they are in.
+    /// Waits until the current process of each of these nodes accepts clients.
     ///
     /// # Errors
-    /// Where one does not within the bound, or has ended by itself.
+    /// Fails if one does not within `bound`, or has ended by itself.
     pub async fn ready(&self, nodes: &[usize], bound: Duration) -> Result<(), RigError> {
         for node in nodes {
             let life = self.hosts[*node].next_life() - 1;
@@ -100,10 +100,10 @@
         Ok(())
     }
 
-    /// Waits until nodes' processes have ended.
+    /// Waits until the processes of these nodes have ended.
     ///
     /// # Errors
-    /// Where one has not within the bound.
+    /// Fails if one has not within `bound`.
     pub async fn ended(&self, nodes: &[usize], bound: Duration) -> Result<(), RigError> {
         let end = Instant::now() + bound;
         for node in nodes {
@@ -114,7 +114,7 @@
     }
 }
 
-/// The numbers of nodes or boxes.
+/// The indices of nodes or boxes.
 pub(super) fn places(sites: &[toml::Spanned<Site>]) -> Vec<usize> {
     let place = |site: &toml::Spanned<Site>| match *site.as_ref() {
         Site::Node(place) | Site::Box(place) => Some(place),
--- a/crates/fault-harness/src/spec/check.rs
+++ b/crates/fault-harness/src/spec/check.rs
@@ -1,16 +1,17 @@
-//! Checks what the form cannot say: that names and numbers mean something, and that shares are shares.
+//! Validates what the schema cannot express: ranges of numbers, references to boxes, nodes and tenants, and shares
+//! within 0 to 1.
 
 use toml::Spanned;
 
 use super::{Doing, Ends, Spec, When, Wrong};
 use crate::relay::{Conditions, Site};
 
-/// Nodes that a scenario may have.
+/// Maximum number of nodes in a scenario.
 pub const MOST_NODES: u16 = 90;
-/// Boxes that a scenario may have.
+/// Maximum number of boxes in a scenario.
 const MOST_BOXES: usize = 100;
 
-/// Which ends of links something may name.
+/// Which kinds of link ends a field may name.
 #[derive(Clone, Copy, PartialEq)]
 enum May {
     Node,
@@ -24,7 +25,8 @@
 
 impl Spec {
     pub(super) fn check(&self, text: &str) -> Result<(), Wrong> {
-        // Of plain values only the path is known: the line is that of the key, where it stands alone there.
+        // Unspanned values have only a path: the error points to the first `key =` in the file with the path's last
+        // segment.
         let find = |key: &str| text.find(&format!("{key} =")).unwrap_or(0);
         let plain = |ok: bool, path: &str, what: String| {
             let key = path.rsplit('.').next().unwrap_or(path);
--- a/crates/fault-harness/src/spec/expected.rs
+++ b/crates/fault-harness/src/spec/expected.rs
@@ -1,40 +1,42 @@
-//! Bounds of the rules, and facts that a run must show besides.
+//! Bounds of the invariants, and further results that a run must show.
 
 use hallpin_simulation::time::Span;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Bounds of the rules. A rule without its bound here is not judged; those without bounds always are.
+/// Bounds of the invariants. One whose bound is not set here is not checked; those that need no bound always are.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Connections open at a box never pass the whole that it takes.
+    /// Whether to check that the connections open at a box never exceed its connection limit.
     pub whole_kept: bool,
-    /// After a node was told that a box drains or is gone, it sends it nothing new once this has passed.
+    /// Time after which a node must send no new commands to a box that it was notified is draining or gone.
     pub drain_grace: Span,
-    /// How much later every limit of time is, for the rig's own lateness.
+    /// Added to every time limit, for delays of the harness itself.
     pub leeway: Span,
-    /// Fetches at the planner at once, at most.
+    /// Maximum number of concurrent fetches from the planner.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub planner_fetches: Option<u32>,
-    /// Fetches of one cold box at once, at most.
+    /// Maximum number of concurrent fetches by one cold box.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cold_fetches: Option<u32>,
-    /// Calls of one node at the list within any second, at most.
+    /// Maximum number of calls by one node to the endpoint list within any second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_calls: Option<u32>,
-    /// Datagrams of one node within any second, at most.
+    /// Maximum number of datagrams sent by one node within any second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub datagrams: Option<u32>,
-    /// Once a `rate` fault makes a tenant overdrive, the share served of others falls by this at most, 0 to 1.
+    /// Maximum drop, 0 to 1, of the share of requests served of other tenants once a `rate` fault raises a tenant's
+    /// load.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant_loss: Option<f64>,
-    /// From the first node that places by a table until all do, at most; with tables on. None goes back to an older one.
+    /// With placement tables on: maximum time from the first node that places keys by a table until all do. No node
+    /// goes back to an older table.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub table_spread: Option<Span>,
-    /// How long a node that was cut off, paused or started may stay behind.
+    /// How long a node that was cut off, paused or started may lag behind.
     pub table_catch_up: Span,
-    /// No lease on a table ends sooner than this after its node was cut off; with tables on.
+    /// With placement tables on: minimum time between a node being cut off and the end of its lease on the table.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub table_lease: Option<Span>,
 }
@@ -57,17 +59,18 @@
     }
 }
 
-/// What else must have been counted. What is not given is not looked at.
+/// Further results that a run must show. Those that are not set are not checked.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expected {
-    /// Share of all requests that were served, at least, 0 to 1.
+    /// Minimum share of all requests that were served, 0 to 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub served: Option<f64>,
-    /// Requests that were served, at least.
+    /// Minimum number of requests that were served.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub requests: Option<u64>,
-    /// How long after the last fault every further second serves at least 98% of the share served before the first.
+    /// Maximum time after the last fault until every further second serves at least 98% of the share that was served
+    /// before the first fault.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub full_service: Option<Span>,
 }
--- a/crates/fault-harness/src/spec/faults.rs
+++ b/crates/fault-harness/src/spec/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when.
+//! Fault events of a scenario: what is injected, and when.
 
 use hallpin_simulation::time::Span;
 use schemars::JsonSchema;
@@ -7,35 +7,35 @@
 
 use crate::relay::{Conditions, Site};
 
-/// One thing that goes wrong, or right again.
+/// One fault, or the repair of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When.
+    /// When the action is performed.
     pub when: When,
-    /// What.
+    /// The action to perform.
     #[serde(rename = "do")]
     #[schemars(with = "Doing")]
     pub doing: Doing,
 }
 
-/// When something is done. Faults are done in their order: one waits for those before it.
+/// The trigger of a fault. Faults are injected in order: each waits for those before it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum When {
-    /// So long after the load began.
+    /// This long after the load started.
     At(Span),
-    /// So long after the fault before this one was done.
+    /// This long after the previous fault was injected.
     Later(Span),
-    /// Once a box has counted so many commands since the load began.
+    /// Once a box has received this many commands since the load started.
     Attempts {
         /// The box.
         #[schemars(with = "String")]
         of: Spanned<Site>,
-        /// How many.
+        /// Number of commands.
         count: u64,
     },
-    /// Once a node has been told this revision of the list, or a later one.
+    /// Once a node was notified of this revision of the endpoint list, or of a later one.
     Told {
         /// The node.
         #[schemars(with = "String")]
@@ -43,69 +43,69 @@
         /// The revision.
         revision: u64,
     },
-    /// Once these nodes want clients.
+    /// Once these nodes accept clients.
     #[schemars(with = "Vec<String>")]
     Ready(Vec<Spanned<Site>>),
     /// Once these nodes' processes have ended.
     #[schemars(with = "Vec<String>")]
     Ended(Vec<Spanned<Site>>),
-    /// Once a node has sent so many datagrams since the fault before this one.
+    /// Once a node has sent this many datagrams since the previous fault.
     Datagrams {
         /// The node.
         #[schemars(with = "String")]
         from: Spanned<Site>,
-        /// How many.
+        /// Number of datagrams.
         count: u64,
     },
 }
 
-/// What becomes of a node's state folder between two lives.
+/// What happens to a node's state folder between two process generations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum State {
     /// It stays as the process left it.
     #[default]
     Kept,
-    /// It is gone.
+    /// Its contents are deleted.
     Lost,
-    /// The last half of each file is gone.
+    /// The last half of each file is cut off.
     Torn,
-    /// Each has that of the next node named; the last has the first's.
+    /// Each node gets the folder of the next one listed, and the last one that of the first.
     Swapped,
 }
 
-/// What is done. Nodes are `n0`, boxes `b0`.
+/// The action of a fault. Nodes are `n0`, `n1`, ..., boxes `b0`, `b1`, ...
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Doing {
-    /// SIGKILL, to all at once.
+    /// Sends SIGKILL to all nodes at once.
     #[schemars(with = "Vec<String>")]
     Kill(Vec<Spanned<Site>>),
-    /// SIGTERM, and SIGKILL once the time to stop is up.
+    /// Sends SIGTERM, and SIGKILL once the stop timeout has expired.
     #[schemars(with = "Vec<String>")]
     Stop(Vec<Spanned<Site>>),
-    /// Starts nodes that have ended, at the addresses that they had.
+    /// Starts nodes that have ended, at their previous addresses.
     Start {
         /// The nodes.
         #[schemars(with = "Vec<String>")]
         nodes: Vec<Spanned<Site>>,
-        /// What became of their state.
+        /// What happens to their state folders.
         #[serde(default)]
         state: State,
     },
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     #[schemars(with = "Vec<String>")]
     Pause(Vec<Spanned<Site>>),
-    /// SIGCONT.
+    /// Sends SIGCONT.
     #[schemars(with = "Vec<String>")]
     Resume(Vec<Spanned<Site>>),
-    /// Nothing comes from any of the one to any of the other, and back neither.
+    /// Cuts all links between the two sides, in both directions.
     Part(Ends),
-    /// Nothing comes from any of the one to any of the other; back it does.
+    /// Cuts all links from the first side to the second; the opposite direction stays open.
     Cut(Ends),
-    /// All links are as at the beginning.
+    /// Resets all links to their initial conditions.
     Heal,
-    /// What one direction of links does from now on.
+    /// Sets the conditions of one direction of links from now on.
     Link {
         /// Senders.
         #[schemars(with = "Vec<String>")]
@@ -113,54 +113,54 @@
         /// Receivers.
         #[schemars(with = "Vec<String>")]
         to: Vec<Spanned<Site>>,
-        /// What it does.
+        /// The conditions.
         #[schemars(with = "std::collections::BTreeMap<String, f64>")]
         conditions: Conditions,
     },
-    /// All connections between these are reset.
+    /// Resets all connections between the two sides.
     Reset(Ends),
-    /// Boxes' processes start with empty stores, and the list says so.
+    /// Starts boxes' processes with empty stores, and lists the boxes as ready with their start time.
     #[schemars(with = "Vec<String>")]
     BoxUp(Vec<Spanned<Site>>),
-    /// Boxes come on the list that have run for long: their processes start as if before the run.
+    /// Adds long-running boxes to the endpoint list: they are started as if before the run, and so count as warm.
     #[schemars(with = "Vec<String>")]
     Join(Vec<Spanned<Site>>),
-    /// Boxes' processes end, and the list says so.
+    /// Ends boxes' processes, and lists the boxes as gone.
     #[schemars(with = "Vec<String>")]
     BoxDown(Vec<Spanned<Site>>),
-    /// The list says that boxes drain. They go on.
+    /// Lists boxes as draining. Their processes go on.
     #[schemars(with = "Vec<String>")]
     Drain(Vec<Spanned<Site>>),
-    /// Whether the list's agents say anything.
+    /// Whether discovery's agents are silent: they answer nothing while it is true.
     Silence(bool),
-    /// A tenant's rate is multiplied; 1 is as at the beginning.
+    /// Multiplies a tenant's initial request rate; a factor of 1 restores it.
     Rate {
         /// The tenant.
         #[schemars(with = "String")]
         tenant: Spanned<String>,
-        /// By what.
+        /// Multiplier of the initial rate.
         factor: f64,
     },
-    /// Datagrams that are no good come to a node, so many a second, for a while.
+    /// Sends malformed datagrams to a node for a while.
     Garbage {
         /// The node.
         #[schemars(with = "String")]
         to: Spanned<Site>,
-        /// How many a second.
+        /// Datagrams per second.
         rate: u32,
-        /// How long.
+        /// How long the datagrams are sent.
         lasts: Span,
     },
 }
 
-/// Two sides.
+/// The two sides of links that an action applies to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Ends {
-    /// The one.
+    /// The first side, which sends.
     #[schemars(with = "Vec<String>")]
     pub from: Vec<Spanned<Site>>,
-    /// The other.
+    /// The second side, which receives.
     #[schemars(with = "Vec<String>")]
     pub to: Vec<Spanned<Site>>,
 }
--- a/crates/fault-harness/src/spec/mod.rs
+++ b/crates/fault-harness/src/spec/mod.rs
@@ -1,4 +1,4 @@
-//! The scenario file: processes, links, load, what goes wrong, which rules are judged and what is expected.
+//! The scenario file: processes, links, load, faults, bounds of the invariants and expected results.
 
 mod check;
 mod expected;
@@ -19,15 +19,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Spec {
-    /// Version of this form: 1.
+    /// Version of this file format: 1.
     pub version: u32,
     /// The scenario's name.
     pub name: String,
-    /// What all draws follow from.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long requests come; the run goes on until the last is over and all faults are done.
+    /// How long clients issue requests; the run goes on until the last request is finished and all faults are injected.
     pub length: Span,
-    /// The depots' names.
+    /// Names of the depots.
     pub depots: Vec<String>,
     /// The nodes.
     pub nodes: Nodes,
@@ -35,15 +35,15 @@
     pub boxes: Vec<Boxes>,
     /// The planner.
     pub planner: Planner,
-    /// The list.
+    /// The endpoint list of service discovery.
     pub list: ListSpec,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// What goes wrong, in order.
+    /// Faults, injected in order.
     pub faults: Vec<Fault>,
-    /// Bounds of the rules.
+    /// Bounds of the invariants.
     pub rules: Rules,
-    /// What else must have been counted.
+    /// Further results that the run must show.
     pub expected: Expected,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// A value that makes no sense, and where it stands.
+/// An invalid value, with its byte offset in the file and its path.
 struct Wrong {
     offset: usize,
     path: String,
@@ -75,10 +75,10 @@
 }
 
 impl Spec {
-    /// Reads and checks a file.
+    /// Parses and validates a scenario file.
     ///
     /// # Errors
-    /// Where it stands, which field it is, and what was expected.
+    /// Gives the line, the column, the path of the field and what was expected there.
     pub fn parse(text: &str) -> Result<Self, Unreadable> {
         let at = |offset: usize, path: String, what: String| {
             let before = text.get(..offset).unwrap_or(text);
@@ -98,24 +98,24 @@
         Ok(spec)
     }
 
-    /// The boxes, each with its group.
+    /// All boxes by index, each as its group.
     pub fn each_box(&self) -> impl Iterator<Item = &Boxes> {
         self.boxes.iter().flat_map(|group| std::iter::repeat_n(group, usize::from(group.count)))
     }
 
-    /// The depot of a node.
+    /// The name of the depot that a node is in.
     pub fn depot_of(&self, node: usize) -> &str {
         &self.depots[node % self.depots.len()]
     }
 
-    /// For each box the first that stands at its address.
+    /// For each box the index of the first box at its address.
     pub fn machines(&self) -> Vec<usize> {
         let at =
             |(place, group): (usize, &Boxes)| group.at.as_ref().map_or(place, |at| usize::from(*at.as_ref()));
         self.each_box().enumerate().map(at).collect()
     }
 
-    /// The longest deadline.
+    /// The longest deadline of all tenants.
     pub fn longest_deadline(&self) -> Span {
         self.tenants.iter().map(|t| t.deadline).max().unwrap_or_default()
     }
--- a/crates/fault-harness/src/spec/parts.rs
+++ b/crates/fault-harness/src/spec/parts.rs
@@ -1,25 +1,26 @@
-//! What a scenario is made of: nodes, boxes, planner, list, tenants.
+//! The participants of a scenario: nodes, boxes, planner, endpoint list, tenants.
 
 use hallpin_simulation::time::Span;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-/// The nodes, numbered from 0. Node `n` stands in depot `n` modulo the number of depots.
+/// The nodes, numbered from 0. Node `n` is in depot `n` modulo the number of depots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Nodes {
-    /// How many, from 1 to 90.
+    /// Number of nodes, from 1 to 90.
     pub count: u16,
-    /// How many of them, the last ones, are not started before a fault does so.
+    /// Number of nodes, counted from the last, that are started only by a fault.
     pub late: u16,
-    /// Descriptors that each may have open.
+    /// Maximum number of file descriptors that each node may have open.
     pub sockets: u32,
-    /// The operator file that switches the plane between nodes on; without it the plane is off. The words `{state}`,
-    /// `{node}` and `{nodes}` in it stand for the node's state folder, its number and how many there are.
+    /// The operator file that turns on the control plane between nodes; without it the control plane is off. The
+    /// placeholders `{state}`, `{node}` and `{nodes}` stand for the node's state folder, its index and the number of
+    /// nodes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet: Option<String>,
-    /// The file of contracts, which the operator file finds beside it as `contracts.toml`.
+    /// The contracts file, which the operator file refers to as `contracts.toml` in its own folder.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub contracts: Option<String>,
 }
@@ -30,28 +31,28 @@
     }
 }
 
-/// Boxes that are alike, numbered from 0 over all groups.
+/// A group of identical boxes, numbered from 0 across all groups.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Boxes {
-    /// How many.
+    /// Number of boxes.
     pub count: u16,
-    /// The depot that they stand in.
+    /// The depot that the boxes are in.
     #[schemars(with = "String")]
     pub depot: Spanned<String>,
-    /// The whole: connections that one takes. On one more it turns every command away.
+    /// Connection limit of a box. On a connection beyond it the box rejects every command.
     pub connections: u32,
-    /// Commands that one works on at once.
+    /// Number of commands that a box executes concurrently.
     pub slots: u32,
-    /// Commands that wait for a slot at most; further ones are turned away.
+    /// Maximum number of commands that wait for a slot; further ones are rejected.
     pub waiting: u32,
-    /// What a command takes of a slot.
+    /// How long a command occupies a slot.
     pub work: Span,
-    /// How long one counts as cold after a start with an empty store.
+    /// How long a box counts as cold after a start with an empty store.
     pub cold: Span,
-    /// Not there when the run begins: no process, and not on the list.
+    /// Absent when the run starts: no process, and not on the endpoint list.
     pub late: bool,
-    /// The box at whose address these are, one after the other being there.
+    /// Index of the box whose address these boxes share, one after the other being there.
     #[schemars(with = "Option<u16>")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at: Option<Spanned<u16>>,
@@ -77,9 +78,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Planner {
-    /// Fetches that it works on at once; further ones wait.
+    /// Number of concurrent fetches; further ones wait.
     pub fetches: u32,
-    /// How long one takes.
+    /// How long one fetch takes.
     pub fetch: Span,
 }
 
@@ -89,34 +90,34 @@
     }
 }
 
-/// Discovery's list.
+/// The endpoint list of service discovery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListSpec {
-    /// Each agent gets each change this much later at most, drawn anew.
+    /// Maximum delay until an agent has a change; drawn for each agent and change.
     pub spread: Span,
 }
 
-/// Requests of a tenant, open loop: they come whether or not earlier ones were answered.
+/// The clients of a tenant. Their requests are open loop: they are issued whether or not earlier ones were answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     pub rate: f64,
-    /// Its quota, requests a second, as the settings have it.
+    /// The tenant's quota in requests per second, as in the nodes' settings.
     pub quota: f64,
-    /// Distinct keys.
+    /// Number of distinct keys.
     pub keys: u32,
-    /// Share of requests that write, 0 to 1.
+    /// Share of requests that are writes, 0 to 1.
     pub writes: f64,
-    /// How long a client waits.
+    /// How long a client waits for the answer to a try.
     pub deadline: Span,
-    /// How often a client tries, at another node each time; a refusal is not tried again.
+    /// Maximum number of tries of a request, each at another node; a rejected request is not retried.
     pub tries: u32,
-    /// Connections that stand to each node all the time and send one request after the other, for as long as they stay
-    /// open, besides the rate.
+    /// Number of persistent connections to each node, in addition to the rate. Each sends one request after the other
+    /// for as long as it stays open.
     pub standing: u32,
 }
 
--- a/crates/fault-harness/src/stand_in/cache_box.rs
+++ b/crates/fault-harness/src/stand_in/cache_box.rs
@@ -1,4 +1,4 @@
-//! A box's process: its lives, its slots, its copies, and the fetches that are out for it.
+//! A fake box: its process generations, its slots, its cached copies, and its fetches in flight.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,14 +17,14 @@
 use crate::spec::Boxes;
 use crate::trace::{BoxAnswer, Event, Recorder};
 
-/// Between an accept that failed and the next.
+/// Delay before the next accept after one that failed.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// One box: where it listens, and its process, if that runs.
+/// One box: its address, and its process while that runs.
 pub struct CacheBox {
-    /// Its place in the scenario.
+    /// Index of the box in the scenario.
     pub at: usize,
-    /// Where its process listens.
+    /// Listen address of the box's process.
     pub address: SocketAddr,
     pub(super) recorder: Rc<Recorder>,
     pub(super) tenants: Vec<String>,
@@ -39,7 +39,7 @@
     fetches: RefCell<BTreeMap<u64, watch::Receiver<bool>>>,
 }
 
-/// Which life of the process it is, and whether that is still going on.
+/// Generation of the box's process, and whether it is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Life {
     number: u32,
@@ -47,14 +47,14 @@
 }
 
 impl Life {
-    /// Whether its process runs.
+    /// Whether the box's process is running.
     pub fn is_up(self) -> bool {
         self.up
     }
 }
 
 impl CacheBox {
-    /// A box whose process does not run yet.
+    /// A box whose process is not running yet.
     pub fn new(
         at: usize,
         spec: Boxes,
@@ -81,17 +81,17 @@
         })
     }
 
-    /// Its lives, each as it begins and ends.
+    /// The current process generation, updated at each start and end.
     pub fn lives(&self) -> watch::Receiver<Life> {
         self.life.subscribe()
     }
 
-    /// When its process started, if that was after the run began.
+    /// Start time of the process, if it was started during the run.
     pub fn started(&self) -> Option<Time> {
         self.started.get()
     }
 
-    /// Starts the process with an empty store. One that was there before the run counts as warm.
+    /// Starts the process with an empty store. With `before`, it counts as started before the run, and so as warm.
     pub fn start(&self, before: bool) {
         self.stop();
         self.planner.clear(self.at);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Accepts connections whenever its process runs, until it is dropped.
+    /// Accepts connections while the box's process is running, until the future is dropped.
     pub async fn run(self: Rc<Self>) {
         let mut lives = self.lives();
         loop {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A connection is accepted: its number, and whether it is one too many.
+    /// Counts an accepted connection; returns its number, and whether it exceeds the connection limit.
     pub(super) fn opened(&self, node: usize) -> (u64, bool) {
         let connection = self.connections.get();
         self.connections.set(connection + 1);
@@ -152,14 +152,14 @@
         self.recorder.record(Event::Closed { of: self.at, connection });
     }
 
-    /// Does what a command asks for: the version that it comes to, or that it is turned away.
+    /// Executes a command; returns how it was answered, and the resulting version of the key.
     pub(super) async fn work(self: &Rc<Self>, command: &Command) -> (BoxAnswer, u64) {
         if self.waiting.get() >= self.spec.waiting && self.slots.available_permits() == 0 {
             return (BoxAnswer::Busy, 0);
         }
         {
             let _place = Place::take(&self.waiting);
-            // It is never closed.
+            // The semaphore is never closed.
             let Ok(slot) = self.slots.acquire().await else { return (BoxAnswer::Busy, 0) };
             drop(_place);
             sleep(Duration::from_micros(self.spec.work.0)).await;
@@ -173,13 +173,13 @@
             return (BoxAnswer::Hit, version);
         }
         let mut fetch = self.fetch(key);
-        // A fetch that breaks off ends with its box.
+        // A fetch that breaks off ends with the box's process.
         let done = fetch.wait_for(|done| *done).await.is_ok();
         let answer = if done { BoxAnswer::Miss } else { BoxAnswer::Failed };
         (answer, self.planner.held(self.at, key).unwrap_or(0))
     }
 
-    /// The fetch of a key that is out, or a new one, which goes on whoever still waits for it.
+    /// The fetch of a key that is in flight, or a new one, which goes on even if nobody waits for it.
     fn fetch(self: &Rc<Self>, key: u64) -> watch::Receiver<bool> {
         if let Some(out) = self.fetches.borrow().get(&key) {
             return out.clone();
@@ -206,7 +206,7 @@
     }
 }
 
-/// A place among those who wait, given back when dropped.
+/// A place in the queue for a slot, given back when it is dropped.
 struct Place<'a>(&'a Cell<u32>);
 
 impl<'a> Place<'a> {
@@ -222,7 +222,7 @@
     }
 }
 
-/// Which node's machine an address is: they are numbered from 1 in the last place.
+/// The index of the node with this address: the last octet is the index plus 1.
 fn node_of(ip: IpAddr) -> Option<usize> {
     match ip {
         IpAddr::V4(ip) => usize::from(ip.octets()[3]).checked_sub(1),
--- a/crates/fault-harness/src/stand_in/client.rs
+++ b/crates/fault-harness/src/stand_in/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection to a node: one try at a time on it, and what may come back.
+//! A client's connection to a node: sends one try at a time and classifies the answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     pub deadline: Duration,
 }
 
-/// A connection to a node that no answer is owed on.
+/// A connection to a node on which no answer is outstanding.
 pub(super) struct Connection {
     stream: TcpStream,
     input: BytesMut,
@@ -32,7 +32,7 @@
     used: bool,
 }
 
-/// Nobody took the try: the connection never came up, or broke before its last byte was written.
+/// The try reached no node: the connection was not established, or broke before the last byte was written.
 pub(super) struct Unreached;
 
 impl Connection {
@@ -43,7 +43,8 @@
         Ok(Connection { stream, input: BytesMut::new(), node, used: false })
     }
 
-    /// Whether it may be used again: the node has neither closed it nor said anything unasked, which is told.
+    /// Whether the connection may be reused: the node has neither closed it nor sent unsolicited bytes, which are
+    /// recorded.
     pub fn is_quiet(&mut self, recorder: &Recorder) -> bool {
         let read = self.stream.try_read_buf(&mut self.input);
         if !self.input.is_empty() {
@@ -52,9 +53,9 @@
         self.input.is_empty() && matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Makes one try; the connection comes back where it can be used again.
+    /// Sends one try, and returns the connection if it can be reused.
     ///
-    /// The client listens until its time is up and `leeway` more, so that what is late is told from what is lost.
+    /// The client reads until the deadline plus `leeway`, which tells a late answer from a lost one.
     pub async fn ask(
         mut self,
         request: &Request,
@@ -86,7 +87,7 @@
         Ok((how, good.then_some(self)))
     }
 
-    /// What comes back, and whether the connection may be used again.
+    /// How the try was answered, and whether the connection may be reused.
     async fn answer(&mut self, opaque: &str, end: Instant) -> (ClientAnswer, bool) {
         loop {
             match timeout_at(end, self.stream.read_buf(&mut self.input)).await {
--- a/crates/fault-harness/src/stand_in/connection.rs
+++ b/crates/fault-harness/src/stand_in/connection.rs
@@ -1,4 +1,4 @@
-//! One connection from a node to a box: commands in, answers out in their order.
+//! One connection from a node to a box: reads commands and answers them in order.
 
 use std::rc::Rc;
 
@@ -13,10 +13,10 @@
 use super::cache_box::{CacheBox, Life};
 use crate::trace::{BoxAnswer, Event};
 
-/// Bytes that wait to be read behind a command in work, at most; more end the connection.
+/// Maximum number of buffered bytes behind a command that is being executed; more end the connection.
 const AHEAD: usize = 1 << 20;
 
-/// The connection has ended, by itself or with its box's process.
+/// Why the connection ended: it was closed, or the box's process ended.
 #[derive(Clone, Copy, PartialEq)]
 enum Over {
     Closed,
@@ -27,11 +27,11 @@
     cache: Rc<CacheBox>,
     node: usize,
     number: u64,
-    /// The box has more than it takes.
+    /// The connection exceeds the box's connection limit.
     excess: bool,
 }
 
-/// Serves a connection until it ends, and counts it.
+/// Serves a connection until it ends, and records its start and end.
 pub(super) async fn run(cache: Rc<CacheBox>, life: Life, node: usize, mut stream: TcpStream) {
     let mut lives = cache.lives();
     if *lives.borrow_and_update() != life {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Works on a command, and hears meanwhile whether the node gives it up.
+    /// Executes a command, and watches meanwhile whether the node closes the connection.
     async fn command(
         &self,
         stream: &mut TcpStream,
@@ -90,7 +90,7 @@
         let (of, connection, write) = (cache.at, *number, command.verb == Verb::Set);
         let key = command.key.0;
         cache.recorder.record(Event::Attempt { of, node: *node, connection, id, tenant, key, write });
-        // Told also where the box's process ends in the middle.
+        // Records the answer also if the box's process ends meanwhile.
         let mut ended = Ended { connection: self, id, how: BoxAnswer::Gone };
         let work = async {
             match self.excess {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Tells how a command ended when it is dropped.
+/// Records how a command ended when it is dropped.
 struct Ended<'a> {
     connection: &'a Connection,
     id: u64,
--- a/crates/fault-harness/src/stand_in/list.rs
+++ b/crates/fault-harness/src/stand_in/list.rs
@@ -1,4 +1,4 @@
-//! Discovery's list, and on each node's machine an agent that has it a little later.
+//! Fake service discovery: the endpoint list, and an agent on each node's host that receives each change with a delay.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::spec::Spec;
 use crate::trace::{Event, Recorder};
 
-/// The list and its agents.
+/// The endpoint list and its agents.
 pub struct List {
     recorder: Rc<Recorder>,
     spec: Rc<Spec>,
@@ -25,14 +25,14 @@
     agents: Vec<watch::Sender<u64>>,
     silence: watch::Sender<u32>,
     chance: RefCell<Chance>,
-    /// `seen[node][box]`: where a node sees a box.
+    /// `seen[node][box]` is the address at which a node reaches a box.
     seen: Vec<Vec<SocketAddr>>,
-    /// The wall clock at the rig's beginning, in milliseconds.
+    /// Unix time of the harness's start, in milliseconds.
     began_ms: u64,
 }
 
 impl List {
-    /// An empty list.
+    /// An empty endpoint list.
     pub fn new(spec: Rc<Spec>, seen: Vec<Vec<SocketAddr>>, recorder: Rc<Recorder>) -> Rc<Self> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let began = unix.as_millis().saturating_sub(u128::from(recorder.now().0 / 1000));
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Enters what is known of a box; each agent has it after a time of its own.
+    /// Sets the phase of a box; each agent receives the change after its own delay.
     pub fn set(self: &Rc<Self>, of: usize, phase: Phase, started: Option<Time>) {
         let listing = Listing { cache_box: of, phase, started };
         let Some(revision) = self.list.borrow_mut().set(listing) else { return };
@@ -67,23 +67,23 @@
         }
     }
 
-    /// Whether the agents say nothing.
+    /// Sets whether the agents are silent.
     pub fn silence(&self, silent: bool) {
         self.silence.send_replace(u32::from(silent));
     }
 
-    /// A node's agent.
+    /// The agent on a node's host.
     pub fn agent(self: &Rc<Self>, node: usize) -> impl Agent {
         NodeAgent { list: self.clone(), node }
     }
 
-    /// What a node holds at its start, which counts as told.
+    /// The endpoint list that a node has at its start, recorded as a notification.
     pub fn known(&self, node: usize) -> Value {
         let news = self.list.borrow().until(*self.agents[node].borrow()).whole();
         self.told(node, &news)
     }
 
-    /// Unix time in milliseconds of a point on the rig's clock.
+    /// Unix time in milliseconds of a time on the harness's clock.
     pub fn unix_ms(&self, at: Time) -> u64 {
         self.began_ms + at.0 / 1000
     }
--- a/crates/fault-harness/src/stand_in/load.rs
+++ b/crates/fault-harness/src/stand_in/load.rs
@@ -1,4 +1,4 @@
-//! The clients of all tenants: open-loop requests, and standing connections that send for as long as they stay open.
+//! The clients of all tenants: open-loop requests, and persistent connections that send for as long as they stay open.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,30 +15,31 @@
 use crate::spec::{Spec, Tenant};
 use crate::trace::{ClientAnswer, Event, Recorder};
 
-/// A new connection to a node that is not up by then is tried elsewhere.
+/// Timeout for a new connection to a node, after which the client tries another node.
 const CONNECT: Duration = Duration::from_millis(250);
-/// Between two requests of a standing connection, and before it is opened anew.
+/// Delay between two requests on a persistent connection, and before it is opened again.
 const PACE: Duration = Duration::from_millis(20);
-/// Idle connections that clients keep to a node at most.
+/// Maximum number of idle connections that clients keep to a node.
 const KEPT: usize = 64;
 
 /// What clients know of a node.
 pub struct Door {
-    /// Where it listens.
+    /// The node's listen address for clients.
     pub listen: SocketAddr,
-    /// Whether new connections go there. Open ones are used for as long as they stay open.
+    /// Whether clients open new connections to the node. Established connections are used for as long as they stay
+    /// open.
     pub wanted: watch::Sender<bool>,
     kept: RefCell<VecDeque<Connection>>,
 }
 
 impl Door {
-    /// Of a node that nobody wants yet.
+    /// An endpoint that clients do not connect to yet.
     pub fn new(listen: SocketAddr) -> Self {
         Door { listen, wanted: watch::Sender::new(false), kept: RefCell::default() }
     }
 }
 
-/// The clients.
+/// The load generator.
 pub struct Load {
     spec: Rc<Spec>,
     doors: Rc<Vec<Door>>,
@@ -51,7 +52,7 @@
 }
 
 impl Load {
-    /// Clients that send nothing yet.
+    /// A load generator that sends nothing yet.
     pub fn new(spec: Rc<Spec>, doors: Rc<Vec<Door>>, recorder: Rc<Recorder>) -> Rc<Self> {
         let factors = spec.tenants.iter().map(|_| Cell::new(1.0)).collect();
         Rc::new(Load {
@@ -71,7 +72,7 @@
         self.factors[tenant].set(factor);
     }
 
-    /// Begins: requests come until the length is over, or until [`Load::end`].
+    /// Starts the load: requests are issued until `length` has passed, or until [`LoadGenerator::end`].
     pub fn begin(self: &Rc<Self>, length: Span) {
         let until = Instant::now() + Duration::from_micros(length.0);
         for (at, tenant) in self.spec.tenants.iter().enumerate() {
@@ -84,12 +85,12 @@
         }
     }
 
-    /// No further request comes.
+    /// Issues no further requests.
     pub fn end(&self) {
         self.over.set(true);
     }
 
-    /// Requests that are not over.
+    /// Number of unfinished requests.
     pub fn open(&self) -> watch::Receiver<u64> {
         self.open.subscribe()
     }
@@ -127,7 +128,7 @@
         Request { ask, tenant, name, key, write, deadline: Duration::from_micros(spec.deadline.0) }
     }
 
-    /// One request over all its tries, each at another node where there is one.
+    /// Runs one request over all its tries, each at another node if there is one.
     async fn see_through(self: Rc<Self>, request: Request, first: u64, tries: u32) {
         let Request { ask, tenant, .. } = request;
         self.recorder.record(Event::Asked { ask, tenant, tries });
@@ -152,7 +153,7 @@
         self.open.send_modify(|open| *open -= 1);
     }
 
-    /// One try at a node, and once more on a new connection for each kept one that it crossed.
+    /// Makes one try at a node, and repeats it on another connection each time the node had closed a reused one.
     async fn one_try(&self, node: usize, request: &Request) -> Option<ClientAnswer> {
         let door = &self.doors[node];
         loop {
@@ -192,8 +193,8 @@
         connection.ask(request, id, leeway, &self.recorder).await
     }
 
-    /// A standing connection to a node: one request after the other for as long as it stays open, whatever the node
-    /// is told; then a new one once the node is wanted.
+    /// Runs a persistent connection to a node: sends one request after the other for as long as the connection stays
+    /// open, even while the node is stopping, and then opens a new one once clients may connect to the node.
     async fn stand(self: Rc<Self>, at: usize, tenant: Tenant, node: usize, until: Instant) {
         let name = format!("standing {} {node} {}", tenant.name, self.asks.get());
         let mut chance = Chance::new(self.spec.seed, &name);
@@ -224,7 +225,7 @@
     }
 }
 
-/// How long a request may be out at most.
+/// Maximum time that a request may take.
 pub(crate) fn longest(spec: &Spec) -> Duration {
     let tries = spec.tenants.iter().map(|t| t.tries.max(1)).max().unwrap_or(1);
     let each = spec.longest_deadline() + spec.rules.leeway;
--- a/crates/fault-harness/src/stand_in/mod.rs
+++ b/crates/fault-harness/src/stand_in/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what nodes meet: boxes, the planner behind them, the list, clients. They count from outside.
+//! Fakes of what nodes interact with: boxes, the planner behind them, service discovery and clients. They record what
+//! they observe from outside the nodes.
 
 mod cache_box;
 mod client;
--- a/crates/fault-harness/src/stand_in/planner.rs
+++ b/crates/fault-harness/src/stand_in/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: how many fetches it works on, and which box holds a copy of which key.
+//! The fake planner: limits concurrent fetches, and tracks which box has a copy of which key.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,7 @@
     held: RefCell<Vec<BTreeSet<u64>>>,
 }
 
-/// A fetch that is out; however it ends, it is told.
+/// A fetch in flight; its end is recorded when it is dropped.
 struct Out<'a> {
     recorder: &'a Recorder,
     of: usize,
@@ -37,7 +37,7 @@
 }
 
 impl Planner {
-    /// With nothing written, and nothing held by any of so many boxes.
+    /// A planner without writes, for this many boxes without copies.
     pub fn new(spec: &spec::Planner, boxes: usize, recorder: Rc<Recorder>) -> Rc<Self> {
         Rc::new(Planner {
             recorder,
@@ -48,24 +48,24 @@
         })
     }
 
-    /// The version that a box holds of a key, if any.
+    /// The version of a key that a box has cached, if any.
     pub fn held(&self, of: usize, key: u64) -> Option<u64> {
         self.held.borrow()[of].contains(&key).then(|| self.version(key))
     }
 
-    /// A box has lost all that it held.
+    /// Forgets all copies of a box.
     pub fn clear(&self, of: usize) {
         self.held.borrow_mut()[of].clear();
     }
 
-    /// Works for a box; its version is what the box holds from then on.
+    /// Fetches a key for a box, which has the returned version cached from then on.
     pub async fn fetch(&self, of: usize, key: u64, cold: bool) -> u64 {
         self.work(of, key, cold).await;
         self.held.borrow_mut()[of].insert(key);
         self.version(key)
     }
 
-    /// Takes a write that a box passes on: a new version, which no box holds but that one.
+    /// Takes a write that a box passes on: a new version, cached by that box alone.
     pub async fn write(&self, of: usize, key: u64, cold: bool) -> u64 {
         self.work(of, key, cold).await;
         *self.versions.borrow_mut().entry(key).or_default() += 1;
@@ -86,7 +86,7 @@
     async fn work(&self, of: usize, key: u64, cold: bool) {
         self.recorder.record(Event::Fetch { of, key, cold });
         let mut out = Out { recorder: &self.recorder, of, key, cold, ok: false };
-        // It is never closed.
+        // The semaphore is never closed.
         let _working = self.working.acquire().await;
         sleep(self.takes).await;
         out.ok = true;
--- a/crates/fault-harness/src/trace/event.rs
+++ b/crates/fault-harness/src/trace/event.rs
@@ -1,4 +1,4 @@
-//! The events of a run. Boxes, nodes and tenants go by their places in the scenario, from 0.
+//! The events of a run. Boxes, nodes and tenants are identified by their index in the scenario, from 0.
 
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::time::Time;
@@ -6,12 +6,12 @@
 
 use crate::relay::{Fate, Site};
 
-/// Something that happened, and when.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Microseconds since the rig began.
+    /// Microseconds since the harness started.
     pub at: Time,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -20,13 +20,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum End {
-    /// By SIGKILL, at once.
+    /// Killed with SIGKILL on request.
     Killed,
-    /// After SIGTERM, in time.
+    /// Exited after SIGTERM within the stop timeout.
     Stopped,
-    /// By SIGKILL, as its time to stop was up.
+    /// Killed with SIGKILL because the stop timeout after SIGTERM expired.
     Overdue,
-    /// By itself, though nobody told it to.
+    /// Exited or crashed without a request, or exited with an error after SIGTERM.
     Fell,
 }
 
@@ -34,17 +34,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BoxAnswer {
-    /// From a copy that it held.
+    /// Served from the box's cached copy.
     Hit,
     /// Fetched from the planner.
     Miss,
-    /// A write, passed to the planner.
+    /// A write that was passed to the planner.
     Wrote,
-    /// Turned away: it never ran.
+    /// Rejected without being executed.
     Busy,
-    /// The planner failed it.
+    /// The planner's fetch failed.
     Failed,
-    /// Its connection ended before.
+    /// The connection ended before the answer.
     Gone,
 }
 
@@ -52,83 +52,84 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClientAnswer {
-    /// With a value or a receipt of its own.
+    /// With a value, or a receipt for a write, that carries the try's own opaque.
     Served,
-    /// Refused.
+    /// Rejected with `busy`.
     Busy,
-    /// With any other line.
+    /// With any other failure answer.
     Failed,
-    /// With the answer of another try, or what can be no answer.
+    /// With the answer to another try, or with bytes that do not parse as an answer.
     Foreign,
-    /// Its connection, which had been used before, ended with no word: it may have crossed that. It is sent once more.
+    /// The node closed a reused idle connection, possibly before it read the try. The client sends the request once
+    /// more.
     Crossed,
-    /// Its connection ended.
+    /// The connection ended without an answer.
     Broken,
-    /// Nothing came within its deadline.
+    /// No answer arrived within the deadline.
     Nothing,
 }
 
-/// What happened. The line above each says what its fields are.
+/// What happened. The comment on each variant describes its fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
-    /// A node's process runs.
+    /// A node's process was started.
     NodeStarted { node: usize, life: u32, pid: i32 },
-    /// It wants clients.
+    /// The node accepts clients.
     NodeReady { node: usize, life: u32 },
-    /// It was sent SIGTERM.
+    /// The node was sent SIGTERM.
     NodeLeaves { node: usize, life: u32 },
-    /// It has ended.
+    /// The node's process has ended.
     NodeEnded { node: usize, life: u32, end: End },
-    /// It was sent SIGSTOP.
+    /// The node was sent SIGSTOP.
     NodePaused { node: usize },
-    /// It was sent SIGCONT.
+    /// The node was sent SIGCONT.
     NodeResumed { node: usize },
-    /// The list has a new revision.
+    /// The endpoint list has a new revision, in which box `of` is in `phase`.
     Listed { revision: u64, of: usize, phase: Phase },
-    /// A node asks the list.
+    /// A node polls the endpoint list.
     ListAsked { node: usize },
-    /// A node was told boxes' phases, the whole list or changes.
+    /// A node received box phases: the complete endpoint list, or only the changes.
     Told { node: usize, revision: u64, complete: bool, entries: Vec<(usize, Phase)> },
-    /// A box's process runs: the connections that it takes, and whether its store is empty.
+    /// A box's process was started: `whole` is its connection limit, `cold` whether its store is empty.
     BoxUp { of: usize, life: u32, whole: u32, cold: bool },
-    /// It does not any more.
+    /// The box's process has ended.
     BoxDown { of: usize, life: u32 },
     /// A box has accepted a connection from a node.
     Opened { of: usize, node: usize, connection: u64 },
-    /// The connection is no more.
+    /// The box's connection was closed.
     Closed { of: usize, connection: u64 },
-    /// A command has come whole to a box.
+    /// A box has read a complete command.
     Attempt { of: usize, node: usize, connection: u64, id: u64, tenant: Option<usize>, key: u64, write: bool },
-    /// The box is done with it.
+    /// The box has finished the command.
     Answer { of: usize, connection: u64, id: u64, how: BoxAnswer },
-    /// A box fetches a key at the planner, and whether its store is still filling.
+    /// A box starts to fetch a key from the planner; `cold` says whether its store is still filling.
     Fetch { of: usize, key: u64, cold: bool },
-    /// The planner has answered.
+    /// The box's fetch has ended; `ok` says whether the planner answered.
     Fetched { of: usize, key: u64, cold: bool, ok: bool },
-    /// The rig itself did not get the processor for so many microseconds.
+    /// The harness itself was not scheduled for `by` microseconds.
     Late { by: u64 },
-    /// The load begins.
+    /// The load starts.
     LoadBegins,
-    /// A client has a request of a tenant, and how many tries it may make of it.
+    /// A tenant's client issues a request, for which it may make up to `tries` tries.
     Asked { ask: u64, tenant: usize, tries: u32 },
-    /// A try's last byte is written to a node.
+    /// The last byte of a try was written to a node's connection.
     Taken { id: u64, ask: u64, node: usize, tenant: usize, until: Time },
-    /// How the try ended.
+    /// The try ended.
     Ended { id: u64, how: ClientAnswer },
-    /// A node said something on a client's connection that nobody had asked for.
+    /// A node sent unsolicited bytes on a client's connection.
     Stray { node: usize },
-    /// The request is over, served or not.
+    /// The request is finished, served or not.
     Over { ask: u64, served: bool },
-    /// A datagram came to the relay.
+    /// A datagram reached the relay.
     Datagram { from: Site, to: Site, bytes: usize, fate: Fate },
-    /// A tenant's rate is multiplied from now on.
+    /// A tenant's request rate is multiplied by `factor` from now on.
     Rate { tenant: usize, factor: f64 },
-    /// What a direction of a link does has changed; whether anything comes through.
+    /// The conditions of one direction of a link changed; `cut` says whether nothing passes now.
     Link { from: Site, to: Site, cut: bool },
-    /// What a cut had held back goes on to the other end of a link.
+    /// Data that a cut had held back is now delivered to the other end of the link.
     Held { from: Site, to: Site },
-    /// The rig did this, by the scenario or the test.
+    /// The harness injected a fault, on behalf of the scenario or the test.
     Fault { what: String },
 }
--- a/crates/fault-harness/src/trace/mod.rs
+++ b/crates/fault-harness/src/trace/mod.rs
@@ -1,4 +1,5 @@
-//! What the rig saw from outside, in its own order and by its one clock: the only thing that is judged.
+//! The trace of a run: events that the harness observed from outside, in order and by one clock. It is the only input
+//! of the invariant checker.
 
 mod event;
 mod recorder;
--- a/crates/fault-harness/src/trace/recorder.rs
+++ b/crates/fault-harness/src/trace/recorder.rs
@@ -1,4 +1,4 @@
-//! Keeps what happened in order, and lets others wait for it.
+//! Stores the events of a run in order, and lets tasks wait for an event.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, Write};
@@ -11,20 +11,20 @@
 
 use super::{Event, Record};
 
-/// Records that are kept; what comes beyond is counted and fails the run.
+/// Maximum number of records that are kept. Further ones are only counted, and fail the run.
 pub const MOST_RECORDS: usize = 2_000_000;
 
-/// What was waited for has not happened.
+/// An expected event did not happen in time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{what}: not within {bound:?}")]
 pub struct TraceError {
-    /// What was waited for.
+    /// The expected event.
     pub what: String,
-    /// For how long.
+    /// How long it was waited for.
     pub bound: Duration,
 }
 
-/// The run's record and its one clock.
+/// The trace of a run, and the run's clock.
 #[derive(Debug)]
 pub struct Recorder {
     began: Instant,
@@ -34,7 +34,7 @@
 }
 
 impl Recorder {
-    /// Begins now.
+    /// Starts the clock with an empty trace.
     pub fn new() -> Rc<Self> {
         Rc::new(Recorder {
             began: Instant::now(),
@@ -44,17 +44,17 @@
         })
     }
 
-    /// Now, by the rig's clock.
+    /// The current time by the harness's clock.
     pub fn now(&self) -> Time {
         Time(u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// The instant of a point on the rig's clock.
+    /// The instant that corresponds to a time on the harness's clock.
     pub fn instant(&self, at: Time) -> Instant {
         self.began + Duration::from_micros(at.0)
     }
 
-    /// Enters what has just happened.
+    /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
         let mut records = self.records.borrow_mut();
         if records.len() >= MOST_RECORDS {
@@ -65,30 +65,31 @@
         self.came.notify_waiters();
     }
 
-    /// How many records there are: where one who waits may begin to look.
+    /// The number of records: the position from which a later wait may start.
     pub fn mark(&self) -> usize {
         self.records.borrow().len()
     }
 
-    /// How many were not kept for want of room.
+    /// Number of records that were dropped because the trace was full.
     pub fn lost(&self) -> u64 {
         self.lost.get()
     }
 
-    /// Hands all records on, from a mark on.
+    /// Calls `look` with each record from a position on.
     pub fn each(&self, from: usize, mut look: impl FnMut(&Record)) {
         self.records.borrow().iter().skip(from).for_each(&mut look);
     }
 
-    /// All records.
+    /// A copy of all records.
     pub fn records(&self) -> Vec<Record> {
         self.records.borrow().clone()
     }
 
-    /// Waits until a record from the mark on is what is looked for; the place behind it.
+    /// Waits until a record from the given position on satisfies the predicate, and returns the position behind that
+    /// record.
     ///
     /// # Errors
-    /// Says what was waited for, where it did not happen within the bound.
+    /// Names the expected event if it does not happen within `bound`.
     pub async fn until(
         &self,
         from: usize,
@@ -100,7 +101,7 @@
         loop {
             let came = self.came.notified();
             tokio::pin!(came);
-            // From here on nothing is missed.
+            // From here on, every notification wakes this task.
             came.as_mut().enable();
             {
                 let records = self.records.borrow();
@@ -116,10 +117,10 @@
         }
     }
 
-    /// Writes all records, one JSON object a line.
+    /// Writes all records as JSON, one object a line.
     ///
     /// # Errors
-    /// Where they cannot be written.
+    /// Fails if the records cannot be written.
     pub fn write(&self, to: &mut impl Write) -> io::Result<()> {
         for record in self.records.borrow().iter() {
             serde_json::to_writer(&mut *to, record)?;
--- a/crates/fault-harness/tests/relay.rs
+++ b/crates/fault-harness/tests/relay.rs
@@ -1,4 +1,5 @@
-//! The relay between real sockets: what each condition of a link does, and that all else comes through as it was sent.
+//! Tests of the relay between real sockets: the effect of each link condition, and that everything else is delivered
+//! unchanged.
 
 use std::future::Future;
 use std::net::Ipv4Addr;
@@ -15,9 +16,9 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Only a failing test waits for it.
+/// Timeout that only a failing test reaches.
 const LONG: Duration = Duration::from_secs(20);
-/// What must not come is waited for so long.
+/// How long a test waits for something that must not happen.
 const SHORT: Duration = Duration::from_millis(60);
 
 fn run<T>(test: impl Future<Output = T>) -> T {
@@ -46,7 +47,7 @@
     assert_eq!(cut.fate(&mut Chance::new(7, "link")), (Fate::Lost, vec![]));
 }
 
-/// Two nodes' sockets with the relay between them.
+/// The sockets of two nodes with the relay between them.
 async fn two_nodes(network: &Network, recorder: &Rc<Recorder>) -> (Rc<Mesh>, UdpSocket, UdpSocket) {
     let machines = [Ipv4Addr::new(127, 60, 1, 1), Ipv4Addr::new(127, 60, 1, 2)];
     let mesh = Rc::new(Mesh::bind(&machines).await.unwrap());
@@ -105,7 +106,7 @@
     });
 }
 
-/// A link to a listener, and where to connect to it.
+/// A link to a listener, with the listener behind it.
 struct Line {
     network: Rc<Network>,
     far: TcpListener,
@@ -178,7 +179,7 @@
         line.out(|c| c.cut = false);
         read(&mut far, b"two").await;
         let _ = line.connect().await;
-        // The end of one side is the end of that side alone, after all that came before it.
+        // Closing one direction leaves the other open, and everything sent before the close is delivered.
         line.out(|c| (c.delay, c.jitter) = (Span::from_millis(5), Span::from_millis(5)));
         for _ in 0..200 {
             near.write_all(&[7; 1000]).await.unwrap();
@@ -203,14 +204,14 @@
             let broken = soon(end.read(&mut byte)).await.map_err(|e| e.kind());
             assert_eq!(broken, Err(std::io::ErrorKind::ConnectionReset));
         }
-        // A process that dies resets: so does the relay towards the other end.
+        // A process that dies resets its connections; the relay passes the reset on to the other end.
         let (mut near, far) = line.connect().await;
         loopback::reset(&far);
         drop(far);
         let broken = soon(near.read(&mut byte)).await.map_err(|e| e.kind());
         assert_eq!(broken, Err(std::io::ErrorKind::ConnectionReset));
         line.up.send_replace(false);
-        // One that came just before is reset.
+        // A connection that was established just before is reset.
         let refused = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
         soon(async {
             while !TcpStream::connect(line.link.listen).await.is_err_and(refused) {
--- a/crates/fault-harness/tests/scenario.rs
+++ b/crates/fault-harness/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario file: what is wrong with one is told with its place, field and what was expected.
+//! Tests of the scenario file: an invalid one is reported with its position, its field and what was expected.
 
 use hallpin_fault_harness::Spec;
 
