--- a/crates/fault-harness/benches/processes/budget.rs
+++ b/crates/fault-harness/benches/processes/budget.rs
@@ -2,27 +2,27 @@
 
 use std::collections::BTreeMap;
 
-use hallpin_fault_harness::spec::Doing;
+use hallpin_fault_harness::spec::Action;
 use hallpin_fault_harness::trace::{Event, Record};
 use hallpin_simulation::time::{Span, Time};
 use toml::Spanned;
 
-use crate::figures::Value;
-use crate::run::{Failure, Stage};
-use crate::scenes::{EIGHTFOLD, WHOLE};
+use crate::metrics::Value;
+use crate::run::{Failure, Session};
+use crate::scenarios::{RATE_FACTOR, SCARCE_LIMIT};
 
 /// Time in seconds from the start of the load until the limits are divided by demand: one and a half leases of 2 s, and
 /// one more lease for the division by demand.
-const LENT: f64 = 5.5;
+const DIVISION_TIME_S: f64 = 5.5;
 
-pub async fn used(stage: &mut Stage) -> Result<(), Failure> {
-    stage.rig.begin();
-    stage.pass(LENT).await;
-    let window = stage.pass(6.0).await;
-    stage.rig.quiet().await?;
-    let records = stage.records();
-    let boxes = stage.spec.each_box().count();
-    let whole = f64::from(WHOLE) * boxes as f64;
+pub async fn utilisation(session: &mut Session) -> Result<(), Failure> {
+    session.harness.start_load();
+    session.let_pass(DIVISION_TIME_S).await;
+    let window = session.let_pass(6.0).await;
+    session.harness.drain_load().await?;
+    let records = session.records();
+    let boxes = session.spec.each_box().count();
+    let whole = f64::from(SCARCE_LIMIT) * boxes as f64;
     let attempts = level(&records, window, |event| match event {
         Event::Attempt { .. } => 1.0,
         Event::Answer { .. } => -1.0,
@@ -30,34 +30,36 @@
     });
     let open = level(&records, window, connections);
     let peak = (0..boxes).map(|of| peak(&records, of)).max().unwrap_or(0);
-    stage.tell(Value::more_is_better("commands under way at boxes over the whole, mean", attempts / whole));
-    stage.tell(Value::more_is_better("connections open at boxes over the whole, mean", open / whole));
-    let over = f64::from(peak) - f64::from(WHOLE);
-    stage.tell(Value::less_is_better(
+    session
+        .report(Value::more_is_better("commands under way at boxes over the whole, mean", attempts / whole));
+    session.report(Value::more_is_better("connections open at boxes over the whole, mean", open / whole));
+    let over = f64::from(peak) - f64::from(SCARCE_LIMIT);
+    session.report(Value::less_is_better(
         "most connections over the whole at a box, in all the run",
         over.max(0.0),
     ));
     let (north, south) = (share(&records, 0, window), share(&records, 1, window));
-    stage.tell(Value::more_is_better("share served of what is wanted, the lesser tenant", north.min(south)));
+    session
+        .report(Value::more_is_better("share served of what is wanted, the lesser tenant", north.min(south)));
     Ok(())
 }
 
-pub async fn overdrive(stage: &mut Stage) -> Result<(), Failure> {
-    stage.rig.begin();
-    stage.pass(LENT).await;
-    let alone = stage.pass(4.0).await;
-    stage.fault(Doing::Rate { tenant: Spanned::new(0..0, "south".into()), factor: EIGHTFOLD }).await?;
-    let beside = stage.pass(5.0).await;
-    stage.rig.quiet().await?;
-    let records = stage.records();
+pub async fn overdrive(session: &mut Session) -> Result<(), Failure> {
+    session.harness.start_load();
+    session.let_pass(DIVISION_TIME_S).await;
+    let alone = session.let_pass(4.0).await;
+    session.inject(Action::Rate { tenant: Spanned::new(0..0, "south".into()), factor: RATE_FACTOR }).await?;
+    let beside = session.let_pass(5.0).await;
+    session.harness.drain_load().await?;
+    let records = session.records();
     let (before, during) = (share(&records, 0, alone), share(&records, 0, beside));
-    stage.tell(Value::less_is_better(
+    session.report(Value::less_is_better(
         "what the other loses, % of its share served before",
         100.0 * (1.0 - during / before),
     ));
-    stage.tell(Value::more_is_better("share served of the other, before", before));
-    stage.tell(Value::more_is_better("share served of the other, beside the overdrive", during));
-    stage.tell(Value::more_is_better("share served of who overdrives", share(&records, 1, beside)));
+    session.report(Value::more_is_better("share served of the other, before", before));
+    session.report(Value::more_is_better("share served of the other, beside the overdrive", during));
+    session.report(Value::more_is_better("share served of who overdrives", share(&records, 1, beside)));
     Ok(())
 }
 
@@ -99,30 +101,31 @@
 
 /// Share served of a tenant's requests that were issued within an interval.
 fn share(records: &[Record], tenant: usize, (from, to): (Time, Time)) -> f64 {
-    let asks = asks(records, |of| of == tenant);
-    let within: Vec<bool> = asks.iter().filter(|(at, _)| (from..to).contains(at)).map(|(_, s)| *s).collect();
+    let requests = requests(records, |of| of == tenant);
+    let within: Vec<bool> =
+        requests.iter().filter(|(at, _)| (from..to).contains(at)).map(|(_, s)| *s).collect();
     within.iter().filter(|served| **served).count() as f64 / within.len().max(1) as f64
 }
 
 /// Requests of some tenants: when they were issued, and whether they were served.
-pub fn asks(records: &[Record], whose: impl Fn(usize) -> bool) -> Vec<(Time, bool)> {
+pub fn requests(records: &[Record], whose: impl Fn(usize) -> bool) -> Vec<(Time, bool)> {
     let mut open: BTreeMap<u64, Time> = BTreeMap::new();
-    let mut asks = Vec::new();
+    let mut requests = Vec::new();
     for record in records {
         match record.event {
             Event::Asked { ask, tenant, .. } if whose(tenant) => drop(open.insert(ask, record.at)),
-            Event::Over { ask, served } => asks.extend(open.remove(&ask).map(|at| (at, served))),
+            Event::Over { ask, served } => requests.extend(open.remove(&ask).map(|at| (at, served))),
             _ => {}
         }
     }
-    asks.sort_unstable();
-    asks
+    requests.sort_unstable();
+    requests
 }
 
 /// Share served of the requests issued in the second from `from` on; `None` if there were none.
-pub fn second(asks: &[(Time, bool)], from: Time) -> Option<f64> {
-    let (first, end) = (asks.partition_point(|a| a.0 < from), from + Span::from_millis(1000));
-    let within: Vec<bool> = asks[first..].iter().take_while(|a| a.0 < end).map(|a| a.1).collect();
+pub fn second(requests: &[(Time, bool)], from: Time) -> Option<f64> {
+    let (first, end) = (requests.partition_point(|a| a.0 < from), from + Span::from_millis(1000));
+    let within: Vec<bool> = requests[first..].iter().take_while(|a| a.0 < end).map(|a| a.1).collect();
     let served = within.iter().filter(|served| **served).count();
     (!within.is_empty()).then(|| served as f64 / within.len() as f64)
 }
--- a/crates/fault-harness/benches/processes/crash.rs
+++ b/crates/fault-harness/benches/processes/crash.rs
@@ -6,99 +6,124 @@
 use std::time::Duration;
 
 use hallpin_fault_harness::relay::Site;
-use hallpin_fault_harness::spec::{Doing, Ends, State};
+use hallpin_fault_harness::spec::{Action, Ends, StateFolderChange};
 use hallpin_fault_harness::trace::{Event, Record};
 use hallpin_simulation::time::Time;
 
-use crate::figures::Value;
-use crate::run::{nodes, Failure, Stage};
-use crate::stat::{all_show, processor_time};
+use crate::metrics::Value;
+use crate::poll::{processor_time, wait_all_report};
+use crate::run::{nodes, Failure, Session};
 
-const ALIVE: &str = "app_peers_alive";
+const PEERS_ALIVE_METRIC: &str = "app_peers_alive";
 /// Timeout for agreement; a longer time is reported as never.
-const BOUND: Duration = Duration::from_secs(20);
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub async fn play(stage: &mut Stage) -> Result<(), Failure> {
-    let count = stage.run.nodes;
-    stage.rig.begin();
-    if stage.run.on {
-        all_agree(stage).await?;
+pub async fn play(session: &mut Session) -> Result<(), Failure> {
+    let count = session.run.nodes;
+    session.harness.start_load();
+    if session.run.control_plane_on {
+        all_agree(session).await?;
     }
-    stage.pass(3.0).await;
-    steady(stage).await?;
-    if stage.run.on {
-        let victim = usize::try_from(stage.run.seed).unwrap_or(0) % count;
-        crash(stage, victim).await?;
-        stage.fault(Doing::Start { nodes: nodes([victim]), state: State::Kept }).await?;
-        all_agree(stage).await?;
-        stage.pass(2.0).await;
-        heal(stage).await?;
+    session.let_pass(3.0).await;
+    steady(session).await?;
+    if session.run.control_plane_on {
+        let victim = usize::try_from(session.run.seed).unwrap_or(0) % count;
+        crash(session, victim).await?;
+        session.inject(Action::Start { nodes: nodes([victim]), state: StateFolderChange::Kept }).await?;
+        all_agree(session).await?;
+        session.let_pass(2.0).await;
+        heal(session).await?;
     }
-    Ok(stage.rig.quiet().await?)
+    Ok(session.harness.drain_load().await?)
 }
 
 /// Waits until every node sees all nodes alive, and returns how long that took.
-async fn all_agree(stage: &Stage) -> Result<Option<f64>, Failure> {
-    let all = stage.run.nodes as u64;
-    Ok(all_show(&stage.folder, 0..stage.run.nodes, ALIVE, |_, alive| alive == all, BOUND).await?)
+async fn all_agree(session: &Session) -> Result<Option<f64>, Failure> {
+    let all = session.run.nodes as u64;
+    Ok(wait_all_report(
+        &session.folder,
+        0..session.run.nodes,
+        PEERS_ALIVE_METRIC,
+        |_, alive| alive == all,
+        AGREEMENT_TIMEOUT,
+    )
+    .await?)
 }
 
-fn datagrams(records: &[Record], (from, to): (Time, Time), is_it: impl Fn(Site, Site) -> bool) -> (u64, u64) {
+fn datagrams(
+    records: &[Record],
+    (from, to): (Time, Time),
+    is_counted: impl Fn(Site, Site) -> bool,
+) -> (u64, u64) {
     let within = records.iter().filter(|record| (from..to).contains(&record.at));
     within.fold((0, 0), |(number, sum), record| match record.event {
-        Event::Datagram { from, to, bytes, .. } if is_it(from, to) => (number + 1, sum + bytes as u64),
+        Event::Datagram { from, to, bytes, .. } if is_counted(from, to) => (number + 1, sum + bytes as u64),
         _ => (number, sum),
     })
 }
 
 /// Processor time, datagrams and bytes per node and second.
-async fn steady(stage: &mut Stage) -> Result<(), Failure> {
+async fn steady(session: &mut Session) -> Result<(), Failure> {
     let used =
-        |stage: &Stage| stage.processes().into_iter().map(processor_time).sum::<std::io::Result<f64>>();
-    let before = used(stage)?;
-    let window = stage.pass(6.0).await;
-    let spent = used(stage)? - before;
-    let each = stage.run.nodes as f64 * window.1.since(window.0).as_secs();
-    let (number, bytes) = datagrams(&stage.records(), window, |_, _| true);
-    stage.tell(Value::less_is_better("processor of a node, % of a core", 100.0 * spent / each));
-    stage.tell(Value::less_is_better("datagrams a node and second", number as f64 / each));
-    stage.tell(Value::less_is_better("bytes a node and second", bytes as f64 / each));
+        |session: &Session| session.processes().into_iter().map(processor_time).sum::<std::io::Result<f64>>();
+    let before = used(session)?;
+    let window = session.let_pass(6.0).await;
+    let spent = used(session)? - before;
+    let each = session.run.nodes as f64 * window.1.since(window.0).as_secs();
+    let (number, bytes) = datagrams(&session.records(), window, |_, _| true);
+    session.report(Value::less_is_better("processor of a node, % of a core", 100.0 * spent / each));
+    session.report(Value::less_is_better("datagrams a node and second", number as f64 / each));
+    session.report(Value::less_is_better("bytes a node and second", bytes as f64 / each));
     Ok(())
 }
 
-async fn crash(stage: &mut Stage, victim: usize) -> Result<(), Failure> {
-    let count = stage.run.nodes;
-    let to_it = |stage: &Stage, window: (Time, Time)| {
-        let (number, _) = datagrams(&stage.records(), window, |_, to| to == Site::Node(victim));
+async fn crash(session: &mut Session, victim: usize) -> Result<(), Failure> {
+    let count = session.run.nodes;
+    let to_it = |session: &Session, window: (Time, Time)| {
+        let (number, _) = datagrams(&session.records(), window, |_, to| to == Site::Node(victim));
         number as f64 / window.1.since(window.0).as_secs() / (count - 1) as f64
     };
-    let before = to_it(stage, stage.pass(2.0).await);
-    stage.fault(Doing::Kill(nodes([victim]))).await?;
+    let before = to_it(session, session.let_pass(2.0).await);
+    session.inject(Action::Kill(nodes([victim]))).await?;
     let left = (0..count).filter(|node| *node != victim);
-    let took = all_show(&stage.folder, left, ALIVE, |_, alive| alive == count as u64 - 1, BOUND).await?;
-    stage.tell(Value::less_is_better("agreement after a crash, s", took));
-    let after = to_it(stage, stage.pass(2.0).await);
-    stage.tell(Value::less_is_better("datagrams to the dead of a node and second, before", before));
-    let later = to_it(stage, stage.pass(3.0).await);
-    stage
-        .tell(Value::less_is_better("datagrams to the dead of a node and second, in 2 s once agreed", after));
-    stage
-        .tell(Value::less_is_better("datagrams to the dead of a node and second, in 3 s after those", later));
+    let took = wait_all_report(
+        &session.folder,
+        left,
+        PEERS_ALIVE_METRIC,
+        |_, alive| alive == count as u64 - 1,
+        AGREEMENT_TIMEOUT,
+    )
+    .await?;
+    session.report(Value::less_is_better("agreement after a crash, s", took));
+    let after = to_it(session, session.let_pass(2.0).await);
+    session.report(Value::less_is_better("datagrams to the dead of a node and second, before", before));
+    let later = to_it(session, session.let_pass(3.0).await);
+    session.report(Value::less_is_better(
+        "datagrams to the dead of a node and second, in 2 s once agreed",
+        after,
+    ));
+    session.report(Value::less_is_better(
+        "datagrams to the dead of a node and second, in 3 s after those",
+        later,
+    ));
     Ok(())
 }
 
 /// Partitions a third of the nodes from the others until both sides agree on that and for two more seconds, then heals.
-async fn heal(stage: &mut Stage) -> Result<(), Failure> {
-    let count = stage.run.nodes;
-    let few = (count / 3).max(1);
-    stage.fault(Doing::Part(Ends { from: nodes(0..few), to: nodes(few..count) })).await?;
-    let side = |node: usize| if node < few { few } else { count - few };
+async fn heal(session: &mut Session) -> Result<(), Failure> {
+    let count = session.run.nodes;
+    let minority_count = (count / 3).max(1);
+    session
+        .inject(Action::Part(Ends { from: nodes(0..minority_count), to: nodes(minority_count..count) }))
+        .await?;
+    let side = |node: usize| if node < minority_count { minority_count } else { count - minority_count };
     let is_side = |node: usize, alive: u64| alive == side(node) as u64;
-    let parted = all_show(&stage.folder, 0..count, ALIVE, is_side, BOUND).await?;
-    stage.tell(Value::less_is_better("agreement of both sides after a partition, s", parted));
-    stage.pass(2.0).await;
-    stage.fault(Doing::Heal).await?;
-    let healed = all_agree(stage).await?;
-    stage.tell(Value::less_is_better("agreement after a heal, s", healed));
+    let parted =
+        wait_all_report(&session.folder, 0..count, PEERS_ALIVE_METRIC, is_side, AGREEMENT_TIMEOUT).await?;
+    session.report(Value::less_is_better("agreement of both sides after a partition, s", parted));
+    session.let_pass(2.0).await;
+    session.inject(Action::Heal).await?;
+    let healed = all_agree(session).await?;
+    session.report(Value::less_is_better("agreement after a heal, s", healed));
     Ok(())
 }
--- a/crates/fault-harness/benches/processes/main.rs
+++ b/crates/fault-harness/benches/processes/main.rs
@@ -6,11 +6,11 @@
 
 mod budget;
 mod crash;
-mod figures;
+mod metrics;
+mod poll;
 mod restart;
 mod run;
-mod scenes;
-mod stat;
+mod scenarios;
 mod table;
 
 use std::path::PathBuf;
@@ -19,12 +19,12 @@
 use clap::{Parser, ValueEnum};
 use hallpin_fault_harness::block_on;
 
-use figures::Figures;
+use metrics::Metrics;
 use run::{Failure, Run};
 
 /// What is run, with the control plane off and on. Steps that need the control plane are skipped while it is off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Scene {
+pub enum Scenario {
     /// Steady load; with the control plane on, then a crash, a restart, a partition and its healing
     Crash,
     /// A box joins; nodes are notified of it over two seconds
@@ -58,7 +58,7 @@
     first: u64,
     /// Runs only these scenarios
     #[arg(long, value_enum, value_delimiter = ',')]
-    only: Vec<Scene>,
+    only: Vec<Scenario>,
     /// The node's program; by default the one in this benchmark's build folder
     #[arg(long)]
     program: Option<PathBuf>,
@@ -72,18 +72,18 @@
 
 fn main() -> ExitCode {
     let options = Options::parse();
-    let scenes = match options.only.as_slice() {
-        [] => Scene::value_variants().to_vec(),
+    let scenarios = match options.only.as_slice() {
+        [] => Scenario::value_variants().to_vec(),
         only => only.to_vec(),
     };
-    let (mut figures, mut failed) = (Figures::default(), 0_u32);
+    let (mut metrics, mut failed) = (Metrics::default(), 0_u32);
     for nodes in &options.nodes {
         for seed in (options.first..).take(usize::try_from(options.seeds).unwrap_or(usize::MAX)) {
-            for scene in &scenes {
+            for scenario in &scenarios {
                 // The order alternates with the seed, in case the first run warms up the machine for the second.
-                for on in [seed % 2 == 0, seed % 2 != 0] {
-                    let run = Run { scene: *scene, nodes: usize::from(*nodes), seed, on };
-                    if let Err(failure) = one(&run, &options, &mut figures) {
+                for control_plane_on in [seed % 2 == 0, seed % 2 != 0] {
+                    let run = Run { scenario: *scenario, nodes: usize::from(*nodes), seed, control_plane_on };
+                    if let Err(failure) = run_one(&run, &options, &mut metrics) {
                         println!("{run}: NOT HAD: {failure}");
                         failed += 1;
                     }
@@ -91,31 +91,31 @@
             }
         }
     }
-    println!("\n{figures}\nruns that did not come to their end: {failed}");
+    println!("\n{metrics}\nruns that did not come to their end: {failed}");
     ExitCode::from(u8::from(failed > 0))
 }
 
 /// Runs one benchmark in its own runtime, which leaves nothing behind.
-fn one(run: &Run, options: &Options, figures: &mut Figures) -> Result<(), Failure> {
+fn run_one(run: &Run, options: &Options, metrics: &mut Metrics) -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let keep = options.keep.as_ref().map(|keep| keep.join(run.to_string().replace([' ', ','], "-")));
     let trace = keep.as_ref().map(|keep| keep.join("trace.jsonl"));
     let folder = keep.unwrap_or_else(|| folder.path().into());
     let values = block_on(async {
-        let mut stage = run.stage(options.program.clone(), folder).await?;
-        let played = match run.scene {
-            Scene::Crash => crash::play(&mut stage).await,
-            Scene::Table => table::play(&mut stage).await,
-            Scene::Use => budget::used(&mut stage).await,
-            Scene::Overdrive => budget::overdrive(&mut stage).await,
-            Scene::Restart70 => restart::play(&mut stage, 0.7).await,
-            Scene::Restart100 | Scene::Restart100Wide => restart::play(&mut stage, 1.0).await,
+        let mut session = run.session(options.program.clone(), folder).await?;
+        let played = match run.scenario {
+            Scenario::Crash => crash::play(&mut session).await,
+            Scenario::Table => table::play(&mut session).await,
+            Scenario::Use => budget::utilisation(&mut session).await,
+            Scenario::Overdrive => budget::overdrive(&mut session).await,
+            Scenario::Restart70 => restart::play(&mut session, 0.7).await,
+            Scenario::Restart100 | Scenario::Restart100Wide => restart::play(&mut session, 1.0).await,
         };
-        stage.end(played, trace.as_deref()).await
+        session.end(played, trace.as_deref()).await
     })??;
     for value in values {
         println!("{run}: {value}");
-        figures.add(run, value);
+        metrics.add(run, value);
     }
     Ok(())
 }
--- a/crates/fault-harness/benches/processes/figures.rs
+++ b/crates/fault-harness/benches/processes/metrics.rs
@@ -23,46 +23,46 @@
     /// Name of the metric, with its unit.
     pub what: &'static str,
     /// The value, in the unit of the metric.
-    pub much: Option<f64>,
+    pub value: Option<f64>,
     /// Which extreme is the worst.
     pub worst: Worst,
 }
 
 impl Value {
     /// A metric whose larger values are worse.
-    pub fn less_is_better(what: &'static str, much: impl Into<Option<f64>>) -> Self {
-        Value { what, much: much.into(), worst: Worst::Most }
+    pub fn less_is_better(what: &'static str, value: impl Into<Option<f64>>) -> Self {
+        Value { what, value: value.into(), worst: Worst::Most }
     }
 
     /// A metric whose smaller values are worse.
-    pub fn more_is_better(what: &'static str, much: impl Into<Option<f64>>) -> Self {
-        Value { what, much: much.into(), worst: Worst::Least }
+    pub fn more_is_better(what: &'static str, value: impl Into<Option<f64>>) -> Self {
+        Value { what, value: value.into(), worst: Worst::Least }
     }
 }
 
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.what, number(self.much))
+        write!(f, "{}: {}", self.what, number(self.value))
     }
 }
 
-fn number(much: Option<f64>) -> String {
-    much.map_or("never".into(), |much| format!("{much:.3}"))
+fn number(value: Option<f64>) -> String {
+    value.map_or("never".into(), |value| format!("{value:.3}"))
 }
 
 /// All values, by scenario, metric, number of nodes, and whether the control plane was on.
 #[derive(Default)]
-pub struct Figures(BTreeMap<(String, &'static str, usize, bool), Runs>);
+pub struct Metrics(BTreeMap<(String, &'static str, usize, bool), MetricRuns>);
 
 /// Which extreme of a metric is the worst, and its value in each run.
-struct Runs(Worst, Vec<Option<f64>>);
+struct MetricRuns(Worst, Vec<Option<f64>>);
 
-impl Figures {
+impl Metrics {
     /// Adds a value of a run.
     pub fn add(&mut self, run: &Run, value: Value) {
-        let key = (run.name(), value.what, run.nodes, run.on);
-        let runs = self.0.entry(key).or_insert_with(|| Runs(value.worst, Vec::new()));
-        runs.1.push(value.much);
+        let key = (run.name(), value.what, run.nodes, run.control_plane_on);
+        let runs = self.0.entry(key).or_insert_with(|| MetricRuns(value.worst, Vec::new()));
+        runs.1.push(value.value);
     }
 }
 
@@ -82,16 +82,16 @@
     (median, at(last))
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for Metrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut table = Table::new();
         table.load_preset(ASCII_MARKDOWN);
         table.set_header(["scene", "figure", "nodes", "plane", "median", "worst", "runs"]);
-        for ((scene, what, nodes, on), Runs(worst, values)) in &self.0 {
+        for ((scenario, what, nodes, control_plane_on), MetricRuns(worst, values)) in &self.0 {
             let (median, last) = median_and_worst(*worst, values);
-            let plane = if *on { "on" } else { "off" };
+            let plane = if *control_plane_on { "on" } else { "off" };
             table.add_row([
-                scene.clone(),
+                scenario.clone(),
                 (*what).into(),
                 nodes.to_string(),
                 plane.into(),
--- a/crates/fault-harness/benches/processes/stat.rs
+++ b/crates/fault-harness/benches/processes/poll.rs
@@ -12,11 +12,11 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Interval between polls of a node.
-const ASK_AGAIN: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Timeout of a poll, which is then repeated.
-const ASKED: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Clock ticks per second in the kernel's accounting: 100 on every architecture that nodes run on.
-const TICKS: f64 = 100.0;
+const TICKS_PER_S: f64 = 100.0;
 
 /// A node's operator address, read from its configuration file.
 fn operator(folder: &Path, node: usize) -> io::Result<SocketAddr> {
@@ -25,7 +25,7 @@
     operator.parse().map_err(io::Error::other)
 }
 
-async fn figure(operator: SocketAddr, name: &str) -> io::Result<Option<u64>> {
+async fn metric(operator: SocketAddr, name: &str) -> io::Result<Option<u64>> {
     let mut stream = TcpStream::connect(operator).await?;
     stream.write_all(b"show-stat\n").await?;
     let mut text = String::new();
@@ -36,7 +36,7 @@
 
 /// Waits until each of these nodes reports a wanted value of a metric, and returns the seconds from the call until the
 /// last node did. The resolution is the interval between polls. `None` if a node does not within the bound.
-pub async fn all_show(
+pub async fn wait_all_report(
     folder: &Path,
     nodes: impl IntoIterator<Item = usize>,
     name: &str,
@@ -53,7 +53,9 @@
         let mut asked = JoinSet::new();
         for (node, operator) in left.drain(..) {
             let name = name.to_owned();
-            asked.spawn_local(async move { (node, operator, timeout(ASKED, figure(operator, &name)).await) });
+            asked.spawn_local(async move {
+                (node, operator, timeout(POLL_TIMEOUT, metric(operator, &name)).await)
+            });
         }
         while let Some(answer) = asked.join_next().await {
             let (node, operator, shown) = answer.map_err(io::Error::other)?;
@@ -65,7 +67,7 @@
         if left.is_empty() {
             return Ok(Some(began.elapsed().as_secs_f64()));
         }
-        sleep(ASK_AGAIN).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(None)
 }
@@ -77,6 +79,6 @@
     // are 11 and 12 fields after that.
     let fields = text.rsplit_once(") ").map(|(_, fields)| fields.split(' ').collect::<Vec<_>>());
     let ticks = |at: usize| fields.as_ref()?.get(at)?.parse::<f64>().ok();
-    let used = ticks(11).zip(ticks(12)).map(|(user, system)| (user + system) / TICKS);
+    let used = ticks(11).zip(ticks(12)).map(|(user, system)| (user + system) / TICKS_PER_S);
     used.ok_or_else(|| io::Error::other("no times in the kernel's account"))
 }
--- a/crates/fault-harness/benches/processes/run.rs
+++ b/crates/fault-harness/benches/processes/run.rs
@@ -8,26 +8,26 @@
 use clap::ValueEnum;
 use hallpin_emulator::process::Program;
 use hallpin_fault_harness::relay::Site;
-use hallpin_fault_harness::spec::Doing;
-use hallpin_fault_harness::trace::{Event, Record, TraceError};
-use hallpin_fault_harness::{Options, Rig, RigError, Spec};
+use hallpin_fault_harness::spec::Action;
+use hallpin_fault_harness::trace::{Event, Record, WaitTimeout};
+use hallpin_fault_harness::{Harness, Options, RigError, Spec};
 use hallpin_simulation::scenario::Unreadable;
 use hallpin_simulation::time::Time;
 use tokio::time::sleep;
 use toml::Spanned;
 
-use crate::figures::Value;
-use crate::{scenes, Scene};
+use crate::metrics::Value;
+use crate::{scenarios, Scenario};
 
 /// Why a run has no results.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// The harness did not finish.
     #[error(transparent)]
-    Rig(#[from] RigError),
+    Harness(#[from] RigError),
     /// An expected event did not happen in time.
     #[error(transparent)]
-    Waited(#[from] TraceError),
+    Timeout(#[from] WaitTimeout),
     /// A file or a socket could not be opened or used.
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -40,87 +40,87 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     /// The scenario.
-    pub scene: Scene,
+    pub scenario: Scenario,
     /// Number of nodes.
     pub nodes: usize,
     /// Seed of all random draws.
     pub seed: u64,
     /// Whether the control plane is on.
-    pub on: bool,
+    pub control_plane_on: bool,
 }
 
 impl Run {
     /// The scenario's name.
     pub fn name(&self) -> String {
-        self.scene.to_possible_value().map_or(String::new(), |value| value.get_name().into())
+        self.scenario.to_possible_value().map_or(String::new(), |value| value.get_name().into())
     }
 
     /// Starts the nodes and the fakes around them.
-    pub async fn stage(&self, program: Option<PathBuf>, folder: PathBuf) -> Result<Stage, Failure> {
+    pub async fn session(&self, program: Option<PathBuf>, folder: PathBuf) -> Result<Session, Failure> {
         std::fs::create_dir_all(&folder)?;
         let beside = std::env::current_exe()?;
         let beside = beside.ancestors().nth(2).map(|built| built.join("hallpin-node")).unwrap_or_default();
         let program = Program { path: program.unwrap_or(beside), arguments: Vec::new() };
-        let spec = Spec::parse(&scenes::text(self, &folder)?)?;
+        let spec = Spec::parse(&scenarios::text(self, &folder)?)?;
         let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
         println!("{self}: load of the machine {}", load.trim());
-        let rig = Rig::start(spec.clone(), &Options { program, folder: folder.clone() }).await?;
-        Ok(Stage { run: *self, spec, rig, folder, values: Vec::new() })
+        let harness = Harness::start(spec.clone(), &Options { program, folder: folder.clone() }).await?;
+        Ok(Session { run: *self, spec, harness, folder, values: Vec::new() })
     }
 }
 
 impl fmt::Display for Run {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let plane = if self.on { "on" } else { "off" };
+        let plane = if self.control_plane_on { "on" } else { "off" };
         write!(f, "{}, {} nodes, seed {}, {plane}", self.name(), self.nodes, self.seed)
     }
 }
 
 /// A harness whose nodes are ready.
-pub struct Stage {
+pub struct Session {
     /// The parameters of the run.
     pub run: Run,
     /// The scenario file.
     pub spec: Spec,
     /// The harness.
-    pub rig: Rig,
+    pub harness: Harness,
     /// Folder of the nodes' files.
     pub folder: PathBuf,
     values: Vec<Value>,
 }
 
-impl Stage {
+impl Session {
     /// Adds a measured value.
-    pub fn tell(&mut self, value: Value) {
+    pub fn report(&mut self, value: Value) {
         self.values.push(value);
     }
 
     /// The current time by the harness's clock.
     pub fn now(&self) -> Time {
-        self.rig.recorder().now()
+        self.harness.recorder().now()
     }
 
     /// Lets time pass while the load goes on; returns the start and the end of the interval.
-    pub async fn pass(&self, seconds: f64) -> (Time, Time) {
+    pub async fn let_pass(&self, seconds: f64) -> (Time, Time) {
         let began = self.now();
         sleep(Duration::from_secs_f64(seconds)).await;
         (began, self.now())
     }
 
     /// Injects a fault.
-    pub async fn fault(&self, doing: Doing) -> Result<(), Failure> {
-        Ok(self.rig.fault(&doing).await?)
+    pub async fn inject(&self, action: Action) -> Result<(), Failure> {
+        Ok(self.harness.inject(&action).await?)
     }
 
     /// The trace so far.
     pub fn records(&self) -> Vec<Record> {
-        self.rig.recorder().records()
+        self.harness.recorder().records()
     }
 
     /// For each node the process id of its last started process.
     pub fn processes(&self) -> Vec<i32> {
         let mut last = vec![0; self.run.nodes];
-        self.rig.recorder().each(0, |record| {
+        self.harness.recorder().for_each(0, |record| {
             if let Event::NodeStarted { node, pid, .. } = record.event {
                 last[node] = pid;
             }
@@ -134,7 +134,7 @@
         played: Result<(), Failure>,
         trace: Option<&Path>,
     ) -> Result<Vec<Value>, Failure> {
-        let report = self.rig.finish(trace).await;
+        let report = self.harness.finish(trace).await;
         played?;
         let report = report?;
         for breach in report.breaches.iter().take(3) {
--- a/crates/fault-harness/benches/processes/scenes.rs
+++ b/crates/fault-harness/benches/processes/scenarios.rs
@@ -4,14 +4,14 @@
 use std::path::Path;
 
 use crate::run::Run;
-use crate::Scene;
+use crate::Scenario;
 
 /// Connection limit of a box in scenarios where connections are scarce.
-pub const WHOLE: u32 = 120;
+pub const SCARCE_LIMIT: u32 = 120;
 /// Connection limit of a box in the other scenarios, the lower end of the operators' range.
-const WIDE: u32 = 1200;
+const AMPLE_LIMIT: u32 = 1200;
 /// Factor by which one tenant raises its rate.
-pub const EIGHTFOLD: f64 = 8.0;
+pub const RATE_FACTOR: f64 = 8.0;
 
 /// Sections of the operator file.
 struct Plane {
@@ -22,17 +22,17 @@
 
 /// The scenario file of a run. Its contracts file is written to `folder`.
 pub fn text(run: &Run, folder: &Path) -> io::Result<String> {
-    let Run { scene, nodes, seed, on } = *run;
-    let plane = match scene {
-        Scene::Table => Plane { table: true, budgets: None },
-        Scene::Use | Scene::Overdrive => Plane { table: false, budgets: Some(WHOLE) },
-        Scene::Restart70 | Scene::Restart100 => Plane { table: true, budgets: Some(WHOLE) },
-        Scene::Crash | Scene::Restart100Wide => Plane { table: true, budgets: Some(WIDE) },
+    let Run { scenario, nodes, seed, control_plane_on } = *run;
+    let plane = match scenario {
+        Scenario::Table => Plane { table: true, budgets: None },
+        Scenario::Use | Scenario::Overdrive => Plane { table: false, budgets: Some(SCARCE_LIMIT) },
+        Scenario::Restart70 | Scenario::Restart100 => Plane { table: true, budgets: Some(SCARCE_LIMIT) },
+        Scenario::Crash | Scenario::Restart100Wide => Plane { table: true, budgets: Some(AMPLE_LIMIT) },
     };
-    let fleet = if on { fleet(&plane, folder)? } else { String::new() };
+    let fleet = if control_plane_on { fleet(&plane, folder)? } else { String::new() };
     let head = format!("version = 1\nname = \"{}\"\nseed = {seed}\nlength = \"120s\"\n", run.name());
-    let list = if scene == Scene::Table { "[list]\nspread = \"2s\"\n" } else { "" };
-    Ok(format!("{head}{list}[nodes]\ncount = {nodes}\n{fleet}{}", rest(scene, nodes)))
+    let list = if scenario == Scenario::Table { "[list]\nspread = \"2s\"\n" } else { "" };
+    Ok(format!("{head}{list}[nodes]\ncount = {nodes}\n{fleet}{}", sections(scenario, nodes)))
 }
 
 fn fleet(plane: &Plane, folder: &Path) -> io::Result<String> {
@@ -63,32 +63,40 @@
     )
 }
 
-fn rest(scene: Scene, nodes: usize) -> String {
+fn sections(scenario: Scenario, nodes: usize) -> String {
     let nodes = nodes as f64;
-    match scene {
+    match scenario {
         // The same load on each node, whatever their number.
-        Scene::Crash => boxes(4, WIDE, 16, 2, false) + &tenant("north", 30.0 * nodes, 400),
+        Scenario::Crash => boxes(4, AMPLE_LIMIT, 16, 2, false) + &tenant("north", 30.0 * nodes, 400),
         // Each node needs many attempts per second that tell which table it uses: half of the keys move.
-        Scene::Table => {
+        Scenario::Table => {
             let rate = (200.0 * nodes).min(1800.0);
-            boxes(4, WIDE, 4, 1, false) + &boxes(1, WIDE, 16, 1, true) + &tenant("north", rate, 400)
+            boxes(4, AMPLE_LIMIT, 4, 1, false)
+                + &boxes(1, AMPLE_LIMIT, 16, 1, true)
+                + &tenant("north", rate, 400)
         }
         // Each command takes 0.4 s: two boxes have a capacity of 600 per second together, and the demand is twice that.
-        Scene::Use => {
-            boxes(2, WHOLE, WHOLE, 400, false) + &tenant("north", 600.0, 400) + &tenant("south", 600.0, 400)
+        Scenario::Use => {
+            boxes(2, SCARCE_LIMIT, SCARCE_LIMIT, 400, false)
+                + &tenant("north", 600.0, 400)
+                + &tenant("south", 600.0, 400)
         }
         // Each command takes 0.3 s: the capacity is 800 per second; one tenant demands 200 of its 400, the other 100
         // and then 800.
-        Scene::Overdrive => {
-            boxes(2, WHOLE, WHOLE, 300, false) + &tenant("north", 200.0, 400) + &tenant("south", 100.0, 400)
+        Scenario::Overdrive => {
+            boxes(2, SCARCE_LIMIT, SCARCE_LIMIT, 300, false)
+                + &tenant("north", 200.0, 400)
+                + &tenant("south", 100.0, 400)
         }
         // Each command takes 0.2 s: the capacity is 1,200 per second, and the demand is half of that.
-        Scene::Restart70 | Scene::Restart100 => {
-            boxes(2, WHOLE, WHOLE, 200, false) + &tenant("north", 350.0, 400) + &tenant("south", 250.0, 400)
+        Scenario::Restart70 | Scenario::Restart100 => {
+            boxes(2, SCARCE_LIMIT, SCARCE_LIMIT, 200, false)
+                + &tenant("north", 350.0, 400)
+                + &tenant("south", 250.0, 400)
         }
-        Scene::Restart100Wide => {
+        Scenario::Restart100Wide => {
             let south = tenant("south", 150.0, 400) + "writes = 0.1\n";
-            boxes(4, WIDE, 16, 2, false) + &tenant("north", 250.0, 400) + &south
+            boxes(4, AMPLE_LIMIT, 16, 2, false) + &tenant("north", 250.0, 400) + &south
         }
     }
 }
--- a/crates/fault-harness/benches/processes/table.rs
+++ b/crates/fault-harness/benches/processes/table.rs
@@ -5,95 +5,98 @@
 use std::time::Duration;
 
 use hallpin_balancer::{key_owner, Key, ServerId, TableEntry};
-use hallpin_fault_harness::spec::Doing;
+use hallpin_fault_harness::spec::Action;
 use hallpin_fault_harness::trace::{Event, Record};
 use hallpin_simulation::time::Time;
 
-use crate::figures::Value;
-use crate::run::{cache_box, Failure, Stage};
-use crate::stat::all_show;
+use crate::metrics::Value;
+use crate::poll::wait_all_report;
+use crate::run::{cache_box, Failure, Session};
 
-pub async fn play(stage: &mut Stage) -> Result<(), Failure> {
-    let count = stage.run.nodes;
-    stage.rig.begin();
-    if stage.run.on {
+pub async fn play(session: &mut Session) -> Result<(), Failure> {
+    let count = session.run.nodes;
+    session.harness.start_load();
+    if session.run.control_plane_on {
         let first = Duration::from_secs(20);
-        all_show(&stage.folder, 0..count, "app_table_version", |_, version| version > 0, first).await?;
+        wait_all_report(&session.folder, 0..count, "app_table_version", |_, version| version > 0, first)
+            .await?;
     }
-    stage.pass(3.0).await;
-    let joined = stage.now();
-    let late = stage.spec.each_box().count() - 1;
-    stage.fault(Doing::Join(cache_box(late))).await?;
-    stage.pass(7.0).await;
-    stage.rig.quiet().await?;
-    let records = stage.records();
-    let told = told(&records, joined, count);
-    let mut homes = Homes::of(stage, late);
-    let seen = Seen::of(&records, joined, count, &mut homes);
+    session.let_pass(3.0).await;
+    let joined = session.now();
+    let late = session.spec.each_box().count() - 1;
+    session.inject(Action::Join(cache_box(late))).await?;
+    session.let_pass(7.0).await;
+    session.harness.drain_load().await?;
+    let records = session.records();
+    let notified = notified(&records, joined, count);
+    let mut key_owners = KeyOwners::of(session, late);
+    let received = ReceivedAttempts::of(&records, joined, count, &mut key_owners);
     let listed =
         records.iter().find(|r| r.at >= joined && matches!(r.event, Event::Listed { .. })).map(|r| r.at);
     // Negative if it happened before the last node was notified.
-    let after = |at: Option<Time>| Some(at?.0 as f64 / 1e6 - told?.0 as f64 / 1e6);
+    let after = |at: Option<Time>| Some(at?.0 as f64 / 1e6 - notified?.0 as f64 / 1e6);
     let between = |from: Option<Time>, to: Option<Time>| Some(to?.since(from?).as_secs());
-    let (first, last) = (seen.first(), seen.last());
-    stage.tell(Value::less_is_better(
+    let (first, last) = (received.first(), received.last());
+    session.report(Value::less_is_better(
         "first sending by the new table, s after the last was told",
         after(first),
     ));
-    stage.tell(Value::less_is_better(
+    session.report(Value::less_is_better(
         "last node's first by the new table, s after the last was told",
         after(last),
     ));
-    stage.tell(Value::less_is_better("first to last node, s, at most", between(first, last)));
-    stage.tell(Value::less_is_better(
+    session.report(Value::less_is_better("first to last node, s, at most", between(first, last)));
+    session.report(Value::less_is_better(
         "last node's first by the new table, s after the list had it",
         between(listed, last),
     ));
     // The last attempt by the old table after the first by the new one: a lower bound of how far nodes are apart.
-    let old = seen.old.iter().copied().flatten().max();
-    stage.tell(Value::less_is_better("first to last node, s, at least", between(first, old)));
-    let (back, all) = seen.keys;
-    stage
-        .tell(Value::less_is_better("moved keys sent to both homes, share", back as f64 / all.max(1) as f64));
+    let old = received.old.iter().copied().flatten().max();
+    session.report(Value::less_is_better("first to last node, s, at least", between(first, old)));
+    let (back, all) = received.keys;
+    session.report(Value::less_is_better(
+        "moved keys sent to both homes, share",
+        back as f64 / all.max(1) as f64,
+    ));
     Ok(())
 }
 
 /// When the last node was notified of the box; `None` if a node never was.
-fn told(records: &[Record], joined: Time, count: usize) -> Option<Time> {
+fn notified(records: &[Record], joined: Time, count: usize) -> Option<Time> {
     let mut listed = None;
-    let mut told: Vec<Option<Time>> = vec![None; count];
+    let mut notified: Vec<Option<Time>> = vec![None; count];
     for record in records.iter().filter(|record| record.at >= joined) {
         match record.event {
             Event::Listed { revision, .. } => listed = listed.or(Some(revision)),
             Event::Told { node, revision, .. } if listed.is_some_and(|listed| revision >= listed) => {
-                told[node] = told[node].or(Some(record.at));
+                notified[node] = notified[node].or(Some(record.at));
             }
             _ => {}
         }
     }
-    told.into_iter().collect::<Option<Vec<Time>>>()?.into_iter().max()
+    notified.into_iter().collect::<Option<Vec<Time>>>()?.into_iter().max()
 }
 
 /// The owners of keys without and with the joining box.
-struct Homes {
+struct KeyOwners {
     old: Vec<TableEntry>,
     new: Vec<TableEntry>,
     known: BTreeMap<u64, Option<(usize, usize)>>,
 }
 
-impl Homes {
-    fn of(stage: &Stage, late: usize) -> Self {
+impl KeyOwners {
+    fn of(session: &Session, late: usize) -> Self {
         let entry = |(of, group): (usize, &hallpin_fault_harness::spec::Boxes)| TableEntry {
             server: ServerId(format!("b{of}").into()),
             weight: f64::from(group.slots),
         };
-        let new: Vec<TableEntry> = stage.spec.each_box().enumerate().map(entry).collect();
-        Homes { old: new[..late].to_vec(), new, known: BTreeMap::new() }
+        let new: Vec<TableEntry> = session.spec.each_box().enumerate().map(entry).collect();
+        KeyOwners { old: new[..late].to_vec(), new, known: BTreeMap::new() }
     }
 
     /// The old and the new owner of a key, if it has moved.
     fn moved(&mut self, key: u64) -> Option<(usize, usize)> {
-        let Homes { old, new, known } = self;
+        let KeyOwners { old, new, known } = self;
         let place =
             |table: &[TableEntry]| key_owner(table, Key(key))?.0.strip_prefix('b')?.parse::<usize>().ok();
         *known.entry(key).or_insert_with(|| place(old).zip(place(new)).filter(|(old, new)| old != new))
@@ -101,7 +104,7 @@
 }
 
 /// What the boxes received from each node.
-struct Seen {
+struct ReceivedAttempts {
     /// Time of each node's first attempt by the new table.
     new: Vec<Option<Time>>,
     /// Time of each node's last attempt by the old table before that.
@@ -111,8 +114,8 @@
     keys: (usize, usize),
 }
 
-impl Seen {
-    fn of(records: &[Record], joined: Time, count: usize, homes: &mut Homes) -> Self {
+impl ReceivedAttempts {
+    fn of(records: &[Record], joined: Time, count: usize, key_owners: &mut KeyOwners) -> Self {
         let (mut new, mut old) = (vec![None; count], vec![None; count]);
         let mut sent = std::collections::BTreeSet::new();
         let mut keys: BTreeMap<u64, (bool, bool)> = BTreeMap::new();
@@ -122,7 +125,7 @@
             if !sent.insert(id) || record.at < joined {
                 continue;
             }
-            let Some((was, is)) = homes.moved(key) else { continue };
+            let Some((was, is)) = key_owners.moved(key) else { continue };
             let (came, back) = keys.entry(key).or_default();
             if of == is {
                 *came = true;
@@ -135,7 +138,7 @@
             }
         }
         let back = keys.values().filter(|(_, back)| *back).count();
-        Seen { new, old, keys: (back, keys.len()) }
+        ReceivedAttempts { new, old, keys: (back, keys.len()) }
     }
 
     fn first(&self) -> Option<Time> {
--- a/crates/fault-harness/src/stand_in/cache_box.rs
+++ b/crates/fault-harness/src/fakes/cache_box.rs
@@ -18,7 +18,7 @@
 use crate::trace::{BoxAnswer, Event, Recorder};
 
 /// Delay before the next accept after one that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// One box: its address, and its process while that runs.
 pub struct CacheBox {
@@ -30,10 +30,10 @@
     pub(super) tenants: Vec<String>,
     spec: Boxes,
     planner: Rc<Planner>,
-    life: watch::Sender<Life>,
+    generation: watch::Sender<ProcessGeneration>,
     slots: Semaphore,
     waiting: Cell<u32>,
-    open: Cell<u32>,
+    open_connections: Cell<u32>,
     connections: Cell<u64>,
     started: Cell<Option<Time>>,
     fetches: RefCell<BTreeMap<u64, watch::Receiver<bool>>>,
@@ -41,12 +41,12 @@
 
 /// Generation of the box's process, and whether it is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct ProcessGeneration {
     number: u32,
     up: bool,
 }
 
-impl Life {
+impl ProcessGeneration {
     /// Whether the box's process is running.
     pub fn is_up(self) -> bool {
         self.up
@@ -71,10 +71,10 @@
             tenants,
             spec,
             planner,
-            life: watch::Sender::new(Life { number: 0, up: false }),
+            generation: watch::Sender::new(ProcessGeneration { number: 0, up: false }),
             slots,
             waiting: Cell::new(0),
-            open: Cell::new(0),
+            open_connections: Cell::new(0),
             connections: Cell::new(0),
             started: Cell::new(None),
             fetches: RefCell::default(),
@@ -82,8 +82,8 @@
     }
 
     /// The current process generation, updated at each start and end.
-    pub fn lives(&self) -> watch::Receiver<Life> {
-        self.life.subscribe()
+    pub fn generations(&self) -> watch::Receiver<ProcessGeneration> {
+        self.generation.subscribe()
     }
 
     /// Start time of the process, if it was started during the run.
@@ -92,39 +92,39 @@
     }
 
     /// Starts the process with an empty store. With `before`, it counts as started before the run, and so as warm.
-    pub fn start(&self, before: bool) {
+    pub fn start(&self, started_before_run: bool) {
         self.stop();
         self.planner.clear(self.at);
-        self.started.set((!before).then(|| self.recorder.now()));
-        let life = self.life.borrow().number + 1;
+        self.started.set((!started_before_run).then(|| self.recorder.now()));
+        let life = self.generation.borrow().number + 1;
         let whole = self.spec.connections;
-        self.recorder.record(Event::BoxUp { of: self.at, life, whole, cold: !before });
-        self.life.send_replace(Life { number: life, up: true });
+        self.recorder.record(Event::BoxUp { of: self.at, life, whole, cold: !started_before_run });
+        self.generation.send_replace(ProcessGeneration { number: life, up: true });
     }
 
     /// Ends the process; all its connections are reset.
     pub fn stop(&self) {
-        let Life { number, up } = *self.life.borrow();
+        let ProcessGeneration { number, up } = *self.generation.borrow();
         if up {
             self.fetches.borrow_mut().clear();
-            self.life.send_replace(Life { number, up: false });
+            self.generation.send_replace(ProcessGeneration { number, up: false });
             self.recorder.record(Event::BoxDown { of: self.at, life: number });
         }
     }
 
     /// Accepts connections while the box's process is running, until the future is dropped.
     pub async fn run(self: Rc<Self>) {
-        let mut lives = self.lives();
+        let mut generations = self.generations();
         loop {
-            let Ok(life) = lives.wait_for(|life| life.up).await.map(|life| *life) else { return };
+            let Ok(life) = generations.wait_for(|life| life.up).await.map(|life| *life) else { return };
             tokio::select! {
                 () = self.accept(life) => {}
-                gone = lives.wait_for(|now| *now != life) => if gone.is_err() { return },
+                gone = generations.wait_for(|now| *now != life) => if gone.is_err() { return },
             }
         }
     }
 
-    async fn accept(self: &Rc<Self>, life: Life) {
+    async fn accept(self: &Rc<Self>, life: ProcessGeneration) {
         let listener = loopback::listen(self.address).await;
         loop {
             match listener.accept().await {
@@ -133,7 +133,7 @@
                     let connection = connection::run(self.clone(), life, node, stream);
                     tokio::task::spawn_local(connection);
                 }
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
@@ -142,13 +142,13 @@
     pub(super) fn opened(&self, node: usize) -> (u64, bool) {
         let connection = self.connections.get();
         self.connections.set(connection + 1);
-        self.open.set(self.open.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
         self.recorder.record(Event::Opened { of: self.at, node, connection });
-        (connection, self.open.get() > self.spec.connections)
+        (connection, self.open_connections.get() > self.spec.connections)
     }
 
     pub(super) fn closed(&self, connection: u64) {
-        self.open.set(self.open.get().saturating_sub(1));
+        self.open_connections.set(self.open_connections.get().saturating_sub(1));
         self.recorder.record(Event::Closed { of: self.at, connection });
     }
 
@@ -158,7 +158,7 @@
             return (BoxAnswer::Busy, 0);
         }
         {
-            let _place = Place::take(&self.waiting);
+            let _place = QueuePlace::take(&self.waiting);
             // The semaphore is never closed.
             let Ok(slot) = self.slots.acquire().await else { return (BoxAnswer::Busy, 0) };
             drop(_place);
@@ -169,32 +169,32 @@
         if command.verb == Verb::Set {
             return (BoxAnswer::Wrote, self.planner.write(self.at, key, self.is_cold()).await);
         }
-        if let Some(version) = self.planner.held(self.at, key) {
+        if let Some(version) = self.planner.cached_version(self.at, key) {
             return (BoxAnswer::Hit, version);
         }
         let mut fetch = self.fetch(key);
         // A fetch that breaks off ends with the box's process.
         let done = fetch.wait_for(|done| *done).await.is_ok();
         let answer = if done { BoxAnswer::Miss } else { BoxAnswer::Failed };
-        (answer, self.planner.held(self.at, key).unwrap_or(0))
+        (answer, self.planner.cached_version(self.at, key).unwrap_or(0))
     }
 
     /// The fetch of a key that is in flight, or a new one, which goes on even if nobody waits for it.
     fn fetch(self: &Rc<Self>, key: u64) -> watch::Receiver<bool> {
-        if let Some(out) = self.fetches.borrow().get(&key) {
-            return out.clone();
+        if let Some(in_flight) = self.fetches.borrow().get(&key) {
+            return in_flight.clone();
         }
         let (done, is_done) = watch::channel(false);
         self.fetches.borrow_mut().insert(key, is_done.clone());
-        let (cache, cold, mut lives) = (self.clone(), self.is_cold(), self.lives());
-        let life = *lives.borrow_and_update();
+        let (cache_box, cold, mut generations) = (self.clone(), self.is_cold(), self.generations());
+        let life = *generations.borrow_and_update();
         tokio::task::spawn_local(async move {
             tokio::select! {
-                _ = cache.planner.fetch(cache.at, key, cold) => {
-                    cache.fetches.borrow_mut().remove(&key);
+                _ = cache_box.planner.fetch(cache_box.at, key, cold) => {
+                    cache_box.fetches.borrow_mut().remove(&key);
                     done.send_replace(true);
                 }
-                _ = lives.wait_for(|now| *now != life) => {}
+                _ = generations.wait_for(|now| *now != life) => {}
             }
         });
         is_done
@@ -207,16 +207,16 @@
 }
 
 /// A place in the queue for a slot, given back when it is dropped.
-struct Place<'a>(&'a Cell<u32>);
+struct QueuePlace<'a>(&'a Cell<u32>);
 
-impl<'a> Place<'a> {
+impl<'a> QueuePlace<'a> {
     fn take(waiting: &'a Cell<u32>) -> Self {
         waiting.set(waiting.get() + 1);
-        Place(waiting)
+        QueuePlace(waiting)
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/fault-harness/src/stand_in/client.rs
+++ b/crates/fault-harness/src/fakes/client.rs
@@ -33,19 +33,19 @@
 }
 
 /// The try reached no node: the connection was not established, or broke before the last byte was written.
-pub(super) struct Unreached;
+pub(super) struct NodeUnreached;
 
 impl Connection {
-    pub async fn open(node: usize, at: SocketAddr, within: Duration) -> Result<Self, Unreached> {
+    pub async fn open(node: usize, at: SocketAddr, within: Duration) -> Result<Self, NodeUnreached> {
         let stream = tokio::time::timeout(within, TcpStream::connect(at)).await;
-        let stream = stream.map_err(|_| Unreached)?.map_err(|_| Unreached)?;
+        let stream = stream.map_err(|_| NodeUnreached)?.map_err(|_| NodeUnreached)?;
         let _ = stream.set_nodelay(true);
         Ok(Connection { stream, input: BytesMut::new(), node, used: false })
     }
 
     /// Whether the connection may be reused: the node has neither closed it nor sent unsolicited bytes, which are
     /// recorded.
-    pub fn is_quiet(&mut self, recorder: &Recorder) -> bool {
+    pub fn is_reusable(&mut self, recorder: &Recorder) -> bool {
         let read = self.stream.try_read_buf(&mut self.input);
         if !self.input.is_empty() {
             recorder.record(Event::Stray { node: self.node });
@@ -56,13 +56,13 @@
     /// Sends one try, and returns the connection if it can be reused.
     ///
     /// The client reads until the deadline plus `leeway`, which tells a late answer from a lost one.
-    pub async fn ask(
+    pub async fn send_try(
         mut self,
         request: &Request,
         id: u64,
         leeway: Duration,
         recorder: &Recorder,
-    ) -> Result<(ClientAnswer, Option<Self>), Unreached> {
+    ) -> Result<(ClientAnswer, Option<Self>), NodeUnreached> {
         let opaque = format!("{id:x}");
         let text = Ask {
             key: &request.key,
@@ -75,22 +75,22 @@
             effect_key: request.write.then_some(opaque.as_str()),
             retry: false,
         };
-        self.stream.write_all(&text.to_bytes()).await.map_err(|_| Unreached)?;
+        self.stream.write_all(&text.to_bytes()).await.map_err(|_| NodeUnreached)?;
         let written = Instant::now();
         let now = recorder.now();
         let until = Time(now.0 + u64::try_from(request.deadline.as_micros()).unwrap_or(u64::MAX / 2));
         let Request { ask, tenant, .. } = *request;
         recorder.record(Event::Taken { id, ask, node: self.node, tenant, until });
-        let (how, good) = self.answer(&opaque, written + request.deadline + leeway).await;
+        let (how, reusable) = self.answer(&opaque, written + request.deadline + leeway).await;
         recorder.record(Event::Ended { id, how });
         self.used = true;
-        Ok((how, good.then_some(self)))
+        Ok((how, reusable.then_some(self)))
     }
 
     /// How the try was answered, and whether the connection may be reused.
-    async fn answer(&mut self, opaque: &str, end: Instant) -> (ClientAnswer, bool) {
+    async fn answer(&mut self, opaque: &str, give_up_at: Instant) -> (ClientAnswer, bool) {
         loop {
-            match timeout_at(end, self.stream.read_buf(&mut self.input)).await {
+            match timeout_at(give_up_at, self.stream.read_buf(&mut self.input)).await {
                 Err(_) => return (ClientAnswer::Nothing, false),
                 Ok(Ok(read)) if read > 0 => {}
                 Ok(_) if self.used && self.input.is_empty() => {
--- a/crates/fault-harness/src/stand_in/list.rs
+++ b/crates/fault-harness/src/fakes/discovery.rs
@@ -17,34 +17,34 @@
 use crate::trace::{Event, Recorder};
 
 /// The endpoint list and its agents.
-pub struct List {
+pub struct Discovery {
     recorder: Rc<Recorder>,
     spec: Rc<Spec>,
     list: RefCell<list::List>,
     /// The revision that each node's agent has.
     agents: Vec<watch::Sender<u64>>,
     silence: watch::Sender<u32>,
-    chance: RefCell<Chance>,
-    /// `seen[node][box]` is the address at which a node reaches a box.
-    seen: Vec<Vec<SocketAddr>>,
+    rng: RefCell<Chance>,
+    /// `box_addresses[node][box]` is the address at which a node reaches a box.
+    box_addresses: Vec<Vec<SocketAddr>>,
     /// Unix time of the harness's start, in milliseconds.
-    began_ms: u64,
+    started_unix_ms: u64,
 }
 
-impl List {
+impl Discovery {
     /// An empty endpoint list.
-    pub fn new(spec: Rc<Spec>, seen: Vec<Vec<SocketAddr>>, recorder: Rc<Recorder>) -> Rc<Self> {
+    pub fn new(spec: Rc<Spec>, box_addresses: Vec<Vec<SocketAddr>>, recorder: Rc<Recorder>) -> Rc<Self> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let began = unix.as_millis().saturating_sub(u128::from(recorder.now().0 / 1000));
-        Rc::new(List {
+        let started_unix_ms = unix.as_millis().saturating_sub(u128::from(recorder.now().0 / 1000));
+        Rc::new(Discovery {
             recorder,
             list: RefCell::default(),
-            agents: seen.iter().map(|_| watch::Sender::new(0)).collect(),
+            agents: box_addresses.iter().map(|_| watch::Sender::new(0)).collect(),
             silence: watch::Sender::new(0),
-            chance: RefCell::new(Chance::new(spec.seed, "list")),
+            rng: RefCell::new(Chance::new(spec.seed, "list")),
             spec,
-            seen,
-            began_ms: u64::try_from(began).unwrap_or(0),
+            box_addresses,
+            started_unix_ms: u64::try_from(started_unix_ms).unwrap_or(0),
         })
     }
 
@@ -54,91 +54,91 @@
         let Some(revision) = self.list.borrow_mut().set(listing) else { return };
         self.recorder.record(Event::Listed { revision, of, phase });
         for node in 0..self.agents.len() {
-            let late = self.chance.borrow_mut().between(0.0, self.spec.list.spread.as_secs());
-            if late == 0.0 {
-                self.send(node, revision);
+            let delay = self.rng.borrow_mut().between(0.0, self.spec.list.spread.as_secs());
+            if delay == 0.0 {
+                self.deliver(node, revision);
                 continue;
             }
-            let list = self.clone();
+            let discovery = self.clone();
             tokio::task::spawn_local(async move {
-                sleep(Duration::from_micros(Span::from_secs(late).0)).await;
-                list.send(node, revision);
+                sleep(Duration::from_micros(Span::from_secs(delay).0)).await;
+                discovery.deliver(node, revision);
             });
         }
     }
 
     /// Sets whether the agents are silent.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.silence.send_replace(u32::from(silent));
     }
 
     /// The agent on a node's host.
     pub fn agent(self: &Rc<Self>, node: usize) -> impl Agent {
-        NodeAgent { list: self.clone(), node }
+        NodeAgent { discovery: self.clone(), node }
     }
 
     /// The endpoint list that a node has at its start, recorded as a notification.
-    pub fn known(&self, node: usize) -> Value {
-        let news = self.list.borrow().until(*self.agents[node].borrow()).whole();
-        self.told(node, &news)
+    pub fn initial_list(&self, node: usize) -> Value {
+        let update = self.list.borrow().until(*self.agents[node].borrow()).whole();
+        self.notify(node, &update)
     }
 
     /// Unix time in milliseconds of a time on the harness's clock.
     pub fn unix_ms(&self, at: Time) -> u64 {
-        self.began_ms + at.0 / 1000
+        self.started_unix_ms + at.0 / 1000
     }
 
-    fn send(&self, node: usize, revision: u64) {
-        self.agents[node].send_if_modified(|has| {
-            let newer = revision > *has;
-            *has = revision.max(*has);
+    fn deliver(&self, node: usize, revision: u64) {
+        self.agents[node].send_if_modified(|current| {
+            let newer = revision > *current;
+            *current = revision.max(*current);
             newer
         });
     }
 
-    fn told(&self, node: usize, news: &News) -> Value {
-        let entries = news.listings.iter().map(|l| (l.cache_box, l.phase)).collect();
-        let News { revision, complete, .. } = *news;
+    fn notify(&self, node: usize, update: &News) -> Value {
+        let entries = update.listings.iter().map(|l| (l.cache_box, l.phase)).collect();
+        let News { revision, complete, .. } = *update;
         self.recorder.record(Event::Told { node, revision, complete, entries });
         let boxes: Vec<_> = self.spec.each_box().collect();
         let member = |l: &Listing| {
             json!({
-                "id": format!("b{}", l.cache_box), "host_port": self.seen[node][l.cache_box],
+                "id": format!("b{}", l.cache_box), "host_port": self.box_addresses[node][l.cache_box],
                 "locality": boxes[l.cache_box].depot.as_ref(), "flavor": "box", "cell": l.cache_box, "phase": l.phase,
                 "size": f64::from(boxes[l.cache_box].slots),
                 "up_since_ms": l.started.map_or(0, |at| self.unix_ms(at)),
             })
         };
-        let members: Vec<Value> = news.listings.iter().map(member).collect();
+        let members: Vec<Value> = update.listings.iter().map(member).collect();
         json!({"revision": revision, "complete": complete, "members": members})
     }
 }
 
 #[derive(Clone)]
 struct NodeAgent {
-    list: Rc<List>,
+    discovery: Rc<Discovery>,
     node: usize,
 }
 
 impl Agent for NodeAgent {
     fn silence(&self) -> watch::Receiver<u32> {
-        self.list.silence.subscribe()
+        self.discovery.silence.subscribe()
     }
 
     fn revision(&self) -> watch::Receiver<u64> {
-        self.list.agents[self.node].subscribe()
+        self.discovery.agents[self.node].subscribe()
     }
 
     fn asked(&self, _after: Option<u64>) {
-        self.list.recorder.record(Event::ListAsked { node: self.node });
+        self.discovery.recorder.record(Event::ListAsked { node: self.node });
     }
 
     fn tell(&self, after: Option<u64>) -> String {
-        let (list, has) = (self.list.list.borrow(), *self.list.agents[self.node].borrow());
-        let news = match after {
-            Some(after) => list.between(after, has),
-            None => list.until(has).whole(),
+        let (list, revision) = (self.discovery.list.borrow(), *self.discovery.agents[self.node].borrow());
+        let update = match after {
+            Some(after) => list.between(after, revision),
+            None => list.until(revision).whole(),
         };
-        self.list.told(self.node, &news).to_string()
+        self.discovery.notify(self.node, &update).to_string()
     }
 }
--- a/crates/fault-harness/src/stand_in/mod.rs
+++ b/crates/fault-harness/src/fakes/mod.rs
@@ -4,12 +4,12 @@
 mod cache_box;
 mod client;
 mod connection;
-mod list;
+mod discovery;
 mod load;
 mod planner;
 
-pub use cache_box::{CacheBox, Life};
-pub use list::List;
-pub(crate) use load::longest;
-pub use load::{Door, Load};
+pub use cache_box::{CacheBox, ProcessGeneration};
+pub use discovery::Discovery;
+pub(crate) use load::max_request_duration;
+pub use load::{LoadGenerator, NodeEndpoint};
 pub use planner::Planner;
--- a/crates/fault-harness/src/stand_in/planner.rs
+++ b/crates/fault-harness/src/fakes/planner.rs
@@ -14,14 +14,14 @@
 /// The planner behind all boxes.
 pub struct Planner {
     recorder: Rc<Recorder>,
-    working: Semaphore,
-    takes: Duration,
+    slots: Semaphore,
+    fetch_duration: Duration,
     versions: RefCell<BTreeMap<u64, u64>>,
-    held: RefCell<Vec<BTreeSet<u64>>>,
+    cached_keys: RefCell<Vec<BTreeSet<u64>>>,
 }
 
 /// A fetch in flight; its end is recorded when it is dropped.
-struct Out<'a> {
+struct InFlightFetch<'a> {
     recorder: &'a Recorder,
     of: usize,
     key: u64,
@@ -29,9 +29,9 @@
     ok: bool,
 }
 
-impl Drop for Out<'_> {
+impl Drop for InFlightFetch<'_> {
     fn drop(&mut self) {
-        let Out { of, key, cold, ok, .. } = *self;
+        let InFlightFetch { of, key, cold, ok, .. } = *self;
         self.recorder.record(Event::Fetched { of, key, cold, ok });
     }
 }
@@ -41,27 +41,27 @@
     pub fn new(spec: &spec::Planner, boxes: usize, recorder: Rc<Recorder>) -> Rc<Self> {
         Rc::new(Planner {
             recorder,
-            working: Semaphore::new(spec.fetches.max(1) as usize),
-            takes: Duration::from_micros(spec.fetch.0),
+            slots: Semaphore::new(spec.fetches.max(1) as usize),
+            fetch_duration: Duration::from_micros(spec.fetch.0),
             versions: RefCell::default(),
-            held: RefCell::new(vec![BTreeSet::new(); boxes]),
+            cached_keys: RefCell::new(vec![BTreeSet::new(); boxes]),
         })
     }
 
     /// The version of a key that a box has cached, if any.
-    pub fn held(&self, of: usize, key: u64) -> Option<u64> {
-        self.held.borrow()[of].contains(&key).then(|| self.version(key))
+    pub fn cached_version(&self, of: usize, key: u64) -> Option<u64> {
+        self.cached_keys.borrow()[of].contains(&key).then(|| self.version(key))
     }
 
     /// Forgets all copies of a box.
     pub fn clear(&self, of: usize) {
-        self.held.borrow_mut()[of].clear();
+        self.cached_keys.borrow_mut()[of].clear();
     }
 
     /// Fetches a key for a box, which has the returned version cached from then on.
     pub async fn fetch(&self, of: usize, key: u64, cold: bool) -> u64 {
         self.work(of, key, cold).await;
-        self.held.borrow_mut()[of].insert(key);
+        self.cached_keys.borrow_mut()[of].insert(key);
         self.version(key)
     }
 
@@ -69,11 +69,11 @@
     pub async fn write(&self, of: usize, key: u64, cold: bool) -> u64 {
         self.work(of, key, cold).await;
         *self.versions.borrow_mut().entry(key).or_default() += 1;
-        for (at, held) in self.held.borrow_mut().iter_mut().enumerate() {
+        for (at, cached_keys) in self.cached_keys.borrow_mut().iter_mut().enumerate() {
             if at == of {
-                held.insert(key);
+                cached_keys.insert(key);
             } else {
-                held.remove(&key);
+                cached_keys.remove(&key);
             }
         }
         self.version(key)
@@ -85,10 +85,10 @@
 
     async fn work(&self, of: usize, key: u64, cold: bool) {
         self.recorder.record(Event::Fetch { of, key, cold });
-        let mut out = Out { recorder: &self.recorder, of, key, cold, ok: false };
+        let mut in_flight = InFlightFetch { recorder: &self.recorder, of, key, cold, ok: false };
         // The semaphore is never closed.
-        let _working = self.working.acquire().await;
-        sleep(self.takes).await;
-        out.ok = true;
+        let _slot = self.slots.acquire().await;
+        sleep(self.fetch_duration).await;
+        in_flight.ok = true;
     }
 }
--- a/crates/fault-harness/src/rig/build.rs
+++ b/crates/fault-harness/src/harness/build.rs
@@ -11,20 +11,20 @@
 use hallpin_emulator::process::Program;
 use hallpin_simulation::list::Phase;
 
-use super::links::{link_boxes, link_list};
-use super::run::{beat, open_many};
-use super::waiting::Marks;
-use crate::process::{self, Host, HostError, Place, PlaneFiles};
-use crate::relay::{Mesh, MeshError, Network};
+use super::links::{link_boxes, link_discovery};
+use super::runtime::{raise_file_limit, record_scheduling_delay};
+use super::wait::TriggerOrigins;
+use crate::fakes::{CacheBox, Discovery, LoadGenerator, NodeEndpoint, Planner};
+use crate::process::{self, ControlPlaneFiles, Host, HostError, NodeAddresses};
+use crate::relay::{DatagramMesh, Network, RelaySocketError};
 use crate::spec::Spec;
-use crate::stand_in::{CacheBox, Door, List, Load, Planner};
-use crate::trace::{Recorder, TraceError};
+use crate::trace::{Recorder, WaitTimeout};
 
 /// A node that is not ready within this time fails the run.
-pub(super) const READY_WITHIN: Duration = Duration::from_secs(20);
+pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Last address octets, within the harness's /24 network, of the boxes and the discovery agents. Nodes use 1 to 90.
-const BOXES: u8 = 250;
-const AGENTS: u8 = 251;
+const BOXES_OCTET: u8 = 250;
+const AGENTS_OCTET: u8 = 251;
 
 /// Options for building a harness.
 #[derive(Clone, Debug)]
@@ -43,13 +43,13 @@
     Io(#[from] io::Error),
     /// The sockets between the nodes could not be opened.
     #[error(transparent)]
-    Mesh(#[from] MeshError),
+    DatagramMesh(#[from] RelaySocketError),
     /// A node's process could not be started.
     #[error(transparent)]
     Host(#[from] HostError),
     /// A node's process ended by itself before it was ready.
     #[error("n{node} ended by itself; its log is {log}", log = .log.display())]
-    Fell {
+    NodeEnded {
         /// Index of the node.
         node: usize,
         /// Path of the node's log.
@@ -57,106 +57,125 @@
     },
     /// An expected event did not happen in time.
     #[error(transparent)]
-    Waited(#[from] TraceError),
+    Timeout(#[from] WaitTimeout),
     /// Processes still run although they were killed and waited for.
     #[error("processes left behind: {0:?}")]
-    LeftBehind(Vec<i32>),
+    ProcessesLeft(Vec<i32>),
     /// More events happened than the trace holds.
     #[error("{0} records beyond the most that are kept")]
-    TooMuch(u64),
+    TraceOverflow(u64),
 }
 
 /// Several real nodes with the fakes and links around them.
-pub struct Rig {
+pub struct Harness {
     pub(super) spec: Rc<Spec>,
     pub(super) recorder: Rc<Recorder>,
     pub(super) network: Rc<Network>,
-    pub(super) mesh: Rc<Mesh>,
+    pub(super) mesh: Rc<DatagramMesh>,
     pub(super) boxes: Vec<Rc<CacheBox>>,
-    pub(super) list: Rc<List>,
+    pub(super) discovery: Rc<Discovery>,
     pub(super) hosts: Vec<Rc<Host>>,
-    pub(super) load: Rc<Load>,
+    pub(super) load: Rc<LoadGenerator>,
     pub(super) folder: PathBuf,
-    pub(super) marks: Marks,
+    pub(super) origins: TriggerOrigins,
 }
 
 /// A /24 network of the loopback range that other harnesses are unlikely to use, as a function of the last octet: `1`
 /// to `90` for nodes, `250` and `251` for the fakes.
-fn net() -> impl Fn(u8) -> Ipv4Addr {
+fn loopback_network() -> impl Fn(u8) -> Ipv4Addr {
     static RIGS: AtomicU32 = AtomicU32::new(0);
     let own = std::process::id().wrapping_mul(37).wrapping_add(RIGS.fetch_add(1, Ordering::Relaxed));
     let [.., high, low] = (own % (60 << 8)).to_be_bytes();
     move |place| Ipv4Addr::new(127, 64 + high, low, place)
 }
 
-fn machine(node: usize) -> u8 {
+fn node_octet(node: usize) -> u8 {
     u8::try_from(node + 1).unwrap_or(u8::MAX)
 }
 
-impl Rig {
+impl Harness {
     /// Builds the harness and starts the nodes. They accept clients when this returns.
     ///
     /// # Errors
     /// Fails if a socket, a file or a process is not available, or if a node does not become ready.
     pub async fn start(spec: Spec, options: &Options) -> Result<Self, RigError> {
-        let (spec, recorder, net) = (Rc::new(spec), Recorder::new(), net());
-        open_many();
-        tokio::task::spawn_local(beat(recorder.clone()));
+        let (spec, recorder, network_address) = (Rc::new(spec), Recorder::new(), loopback_network());
+        raise_file_limit();
+        tokio::task::spawn_local(record_scheduling_delay(recorder.clone()));
         let network = Rc::new(Network::new(spec.seed));
         let nodes = usize::from(spec.nodes.count);
-        let machines: Vec<Ipv4Addr> = (0..nodes).map(|node| net(machine(node))).collect();
-        let mesh = Rc::new(Mesh::bind(&machines).await?);
+        let machines: Vec<Ipv4Addr> = (0..nodes).map(|node| network_address(node_octet(node))).collect();
+        let mesh = Rc::new(DatagramMesh::bind(&machines).await?);
         mesh.run(&network, &recorder);
 
-        let boxes = boxes(&spec, &recorder, net(BOXES))?;
-        let mut seen = vec![Vec::new(); nodes];
+        let boxes = start_boxes(&spec, &recorder, network_address(BOXES_OCTET))?;
+        let mut box_addresses = vec![Vec::new(); nodes];
         for (node, machine) in machines.iter().enumerate() {
-            seen[node] = link_boxes(&spec, &recorder, &network, &boxes, node, *machine)?;
+            box_addresses[node] = link_boxes(&spec, &recorder, &network, &boxes, node, *machine)?;
         }
-        let list = List::new(spec.clone(), seen, recorder.clone());
-        for (cache, _) in boxes.iter().zip(spec.each_box()).filter(|(_, group)| !group.late) {
-            cache.start(true);
-            list.set(cache.at, Phase::Ready, None);
+        let discovery = Discovery::new(spec.clone(), box_addresses, recorder.clone());
+        for (cache_box, _) in boxes.iter().zip(spec.each_box()).filter(|(_, group)| !group.late) {
+            cache_box.start(true);
+            discovery.set(cache_box.at, Phase::Ready, None);
         }
-        let mut places = Vec::new();
+        let mut addresses_of_nodes = Vec::new();
         for (node, machine) in machines.iter().enumerate() {
-            let discovery = link_list(&list, &recorder, &network, node, *machine, net(AGENTS)).await?;
-            places.push(place(&mesh, node, *machine, discovery, &options.folder)?);
+            let discovery = link_discovery(
+                &discovery,
+                &recorder,
+                &network,
+                node,
+                *machine,
+                network_address(AGENTS_OCTET),
+            )
+            .await?;
+            addresses_of_nodes.push(node_addresses(&mesh, node, *machine, discovery, &options.folder)?);
         }
-        let doors: Rc<Vec<Door>> = Rc::new(places.iter().map(|place| Door::new(place.listen)).collect());
-        let host = |(place, door): (Place, &Door)| {
-            Host::new(place, options.program.clone(), door.wanted.clone(), recorder.clone())
+        let endpoints: Rc<Vec<NodeEndpoint>> =
+            Rc::new(addresses_of_nodes.iter().map(|place| NodeEndpoint::new(place.listen)).collect());
+        let host = |(place, endpoint): (NodeAddresses, &NodeEndpoint)| {
+            Host::new(place, options.program.clone(), endpoint.accepts_connections.clone(), recorder.clone())
         };
-        let hosts = places.into_iter().zip(doors.iter()).map(host).collect();
-        let load = Load::new(spec.clone(), doors.clone(), recorder.clone());
+        let hosts = addresses_of_nodes.into_iter().zip(endpoints.iter()).map(host).collect();
+        let load = LoadGenerator::new(spec.clone(), endpoints.clone(), recorder.clone());
         let folder = options.folder.clone();
-        let rig =
-            Rig { spec, recorder, network, mesh, boxes, list, hosts, load, folder, marks: Marks::new() };
+        let rig = Harness {
+            spec,
+            recorder,
+            network,
+            mesh,
+            boxes,
+            discovery,
+            hosts,
+            load,
+            folder,
+            origins: TriggerOrigins::new(),
+        };
         let first: Vec<usize> = (0..nodes.saturating_sub(usize::from(rig.spec.nodes.late))).collect();
         rig.start_nodes(&first)?;
-        rig.ready(&first, READY_WITHIN).await?;
+        rig.wait_ready(&first, READY_TIMEOUT).await?;
         Ok(rig)
     }
 
     /// Starts a new process for each of these nodes.
     pub(super) fn start_nodes(&self, nodes: &[usize]) -> Result<(), RigError> {
         for host in nodes.iter().map(|node| &self.hosts[*node]) {
-            let node = host.place.node;
-            let known = self.list.known(node);
-            let config = process::config(&self.spec, &host.place, host.next_life(), known);
+            let node = host.addresses.node;
+            let known = self.discovery.initial_list(node);
+            let config = process::config(&self.spec, &host.addresses, host.next_generation(), known);
             let fleet = self.spec.nodes.fleet.as_ref().map(|text| {
                 text.replace("{state}", &host.state().display().to_string())
                     .replace("{node}", &node.to_string())
                     .replace("{nodes}", &self.spec.nodes.count.to_string())
             });
-            let plane = PlaneFiles { fleet, contracts: self.spec.nodes.contracts.clone() };
+            let plane = ControlPlaneFiles { fleet, contracts: self.spec.nodes.contracts.clone() };
             host.start(&config, &plane)?;
         }
         Ok(())
     }
 }
 
-fn boxes(spec: &Rc<Spec>, recorder: &Rc<Recorder>, at: Ipv4Addr) -> io::Result<Vec<Rc<CacheBox>>> {
+fn start_boxes(spec: &Rc<Spec>, recorder: &Rc<Recorder>, at: Ipv4Addr) -> io::Result<Vec<Rc<CacheBox>>> {
     let machines = spec.machines();
     let addresses = loopback::reserve(at, machines.len())?;
     let planner = Planner::new(&spec.planner, machines.len(), recorder.clone());
@@ -166,24 +185,24 @@
         CacheBox::new(number, group.clone(), addresses[*machine], tenants.clone(), planner, recorder)
     };
     let boxes: Vec<_> = spec.each_box().zip(&machines).enumerate().map(one).collect();
-    for cache in &boxes {
-        tokio::task::spawn_local(cache.clone().run());
+    for cache_box in &boxes {
+        tokio::task::spawn_local(cache_box.clone().run());
     }
     Ok(boxes)
 }
 
-fn place(
-    mesh: &Mesh,
+fn node_addresses(
+    mesh: &DatagramMesh,
     node: usize,
     machine: Ipv4Addr,
     discovery: SocketAddr,
     folder: &Path,
-) -> io::Result<Place> {
+) -> io::Result<NodeAddresses> {
     let folder = folder.join(format!("n{node}"));
     std::fs::create_dir_all(&folder)?;
     let own = loopback::reserve(machine, 2)?;
     let (listen, operator) = (own[0], own[1]);
-    Ok(Place {
+    Ok(NodeAddresses {
         node,
         listen,
         operator,
--- a/crates/fault-harness/src/rig/links.rs
+++ b/crates/fault-harness/src/harness/links.rs
@@ -8,9 +8,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
+use crate::fakes::{CacheBox, Discovery, ProcessGeneration};
 use crate::relay::{Network, Site, TcpLink};
 use crate::spec::Spec;
-use crate::stand_in::{CacheBox, Life, List};
 use crate::trace::Recorder;
 
 /// Links a node to the boxes, and returns the address at which the node reaches each box.
@@ -24,16 +24,20 @@
 ) -> io::Result<Vec<SocketAddr>> {
     let machines = spec.machines();
     let seen = loopback::reserve(machine, boxes.len())?;
-    for (number, cache) in boxes.iter().enumerate().filter(|(number, _)| machines[*number] == *number) {
-        let there: Vec<_> =
-            boxes.iter().zip(&machines).filter(|(_, m)| **m == number).map(|(b, _)| b.lives()).collect();
+    for (number, cache_box) in boxes.iter().enumerate().filter(|(number, _)| machines[*number] == *number) {
+        let members: Vec<_> = boxes
+            .iter()
+            .zip(&machines)
+            .filter(|(_, m)| **m == number)
+            .map(|(b, _)| b.generations())
+            .collect();
         let link = TcpLink {
             from: Site::Node(node),
             to: Site::Box(number),
             listen: seen[number],
-            target: cache.address,
+            target: cache_box.address,
             source: machine,
-            up: any_up(there),
+            up: any_up(members),
             recorder: recorder.clone(),
         };
         tokio::task::spawn_local(link.run(network.clone()));
@@ -42,16 +46,16 @@
 }
 
 /// Whether any of the boxes at one address has a running process.
-fn any_up(mut there: Vec<watch::Receiver<Life>>) -> watch::Receiver<bool> {
-    let is_up = |there: &mut Vec<watch::Receiver<Life>>| {
-        there.iter_mut().any(|lives| lives.borrow_and_update().is_up())
+fn any_up(mut members: Vec<watch::Receiver<ProcessGeneration>>) -> watch::Receiver<bool> {
+    let is_up = |members: &mut Vec<watch::Receiver<ProcessGeneration>>| {
+        members.iter_mut().any(|generations| generations.borrow_and_update().is_up())
     };
-    let (tell, up) = watch::channel(is_up(&mut there));
-    for at in 0..there.len() {
-        let (mut there, mut own, tell) = (there.clone(), there[at].clone(), tell.clone());
+    let (up_sender, up) = watch::channel(is_up(&mut members));
+    for at in 0..members.len() {
+        let (mut members, mut own, up_sender) = (members.clone(), members[at].clone(), up_sender.clone());
         tokio::task::spawn_local(async move {
             while own.changed().await.is_ok() {
-                tell.send_replace(is_up(&mut there));
+                up_sender.send_replace(is_up(&mut members));
             }
         });
     }
@@ -60,8 +64,8 @@
 
 /// Starts a node's discovery agent and links it to the node, and returns the address at which the node reaches the
 /// agent.
-pub(super) async fn link_list(
-    list: &Rc<List>,
+pub(super) async fn link_discovery(
+    list: &Rc<Discovery>,
     recorder: &Rc<Recorder>,
     network: &Rc<Network>,
     node: usize,
--- a/crates/fault-harness/src/rig/mod.rs
+++ b/crates/fault-harness/src/harness/mod.rs
@@ -1,12 +1,12 @@
 //! The harness: starts nodes, fakes and the links between them, injects faults, and reports the result.
 
 mod build;
-mod doing;
+mod inject;
 mod links;
 mod play;
-mod run;
-mod waiting;
+mod runtime;
+mod wait;
 
-pub use build::{Options, Rig, RigError};
+pub use build::{Harness, Options, RigError};
 pub use play::play;
-pub use run::block_on;
+pub use runtime::block_on;
--- a/crates/fault-harness/src/judge/counts.rs
+++ b/crates/fault-harness/src/judge/counts.rs
@@ -5,14 +5,14 @@
 use hallpin_simulation::time::{Span, Time};
 use serde::Serialize;
 
-use super::out::Out;
+use super::fetches_in_flight::FetchesInFlight;
 use super::window::Window;
 use crate::relay::{Fate, Site};
 use crate::spec::Spec;
 use crate::trace::{BoxAnswer, ClientAnswer, Event, Record};
 
 /// Full service is this fraction of the share that was served before the first fault.
-const FULL: f64 = 0.98;
+const FULL_SHARE: f64 = 0.98;
 /// Step in which the time to full service is determined.
 const STEP: Span = Span::from_millis(100);
 const SECOND: Span = Span::from_millis(1000);
@@ -78,47 +78,48 @@
     /// Computes the totals of a run.
     pub fn of(spec: &Spec, records: &[Record]) -> Self {
         let tenants = spec.tenants.len();
-        let one = BoxCounts { peak_used: vec![0; tenants], used: vec![0; tenants], ..BoxCounts::default() };
+        let template =
+            BoxCounts { peak_used: vec![0; tenants], used: vec![0; tenants], ..BoxCounts::default() };
         let mut counts = Counts {
-            boxes: spec.each_box().map(|_| one.clone()).collect(),
+            boxes: spec.each_box().map(|_| template.clone()).collect(),
             tenants: spec.tenants.iter().map(|t| (t.name.clone(), 0, 0)).collect(),
             lives: vec![0; usize::from(spec.nodes.count)],
             full_service: full_service(records),
             ..Counts::default()
         };
-        let (mut out, mut calls) = (Out::default(), Window::default());
+        let (mut fetches_in_flight, mut list_calls_window) = (FetchesInFlight::default(), Window::default());
         let mut sent: BTreeMap<Site, Window> = BTreeMap::new();
-        let (mut asks, mut commands) = (BTreeMap::new(), BTreeMap::new());
+        let (mut requests, mut commands) = (BTreeMap::new(), BTreeMap::new());
         for record in records {
-            if out.see(record).is_some() {
-                counts.fetches = (counts.fetches.0 + 1, counts.fetches.1.max(out.all));
+            if fetches_in_flight.observe(record).is_some() {
+                counts.fetches = (counts.fetches.0 + 1, counts.fetches.1.max(fetches_in_flight.all));
             }
             match &record.event {
                 Event::ListAsked { .. } => {
-                    let peak = counts.list_calls.1.max(calls.take(record.at));
+                    let peak = counts.list_calls.1.max(list_calls_window.add(record.at));
                     counts.list_calls = (counts.list_calls.0 + 1, peak);
                 }
                 Event::Datagram { from, bytes, fate, .. } => {
-                    let peak = sent.entry(*from).or_default().take(record.at);
-                    counts.datagrams.take(*bytes, *fate, peak);
+                    let peak = sent.entry(*from).or_default().add(record.at);
+                    counts.datagrams.count(*bytes, *fate, peak);
                 }
-                Event::Asked { ask, tenant, .. } => drop(asks.insert(*ask, *tenant)),
+                Event::Asked { ask, tenant, .. } => drop(requests.insert(*ask, *tenant)),
                 Event::Over { ask, served } => {
-                    let tenant = asks.remove(ask).and_then(|tenant| counts.tenants.get_mut(tenant));
-                    if let Some((_, all, good)) = tenant {
-                        (*all, *good) = (*all + 1, *good + u64::from(*served));
+                    let tenant = requests.remove(ask).and_then(|tenant| counts.tenants.get_mut(tenant));
+                    if let Some((_, all, served_count)) = tenant {
+                        (*all, *served_count) = (*all + 1, *served_count + u64::from(*served));
                     }
                 }
                 Event::Ended { how, .. } => *counts.tries.entry(*how).or_default() += 1,
                 Event::NodeStarted { node, .. } => counts.lives[*node] += 1,
                 Event::Attempt { of, connection, tenant: Some(tenant), .. } => {
                     commands.insert((*of, *connection), *tenant);
-                    counts.boxes[*of].used(*tenant, true);
+                    counts.boxes[*of].count_command(*tenant, true);
                 }
                 Event::Answer { of, connection, how, .. } => {
                     *counts.boxes[*of].answers.entry(*how).or_default() += 1;
                     if let Some(tenant) = commands.remove(&(*of, *connection)) {
-                        counts.boxes[*of].used(tenant, false);
+                        counts.boxes[*of].count_command(tenant, false);
                     }
                 }
                 Event::Late { by } => counts.starved = counts.starved + Span(*by),
@@ -132,13 +133,13 @@
         match event {
             Event::BoxUp { of, whole, .. } => self.boxes[*of].whole = *whole,
             Event::Opened { of, .. } => {
-                let one = &mut self.boxes[*of];
-                (one.opened, one.open) = (one.opened + 1, one.open + 1);
-                one.peak_open = one.peak_open.max(one.open);
+                let counts = &mut self.boxes[*of];
+                (counts.opened, counts.open) = (counts.opened + 1, counts.open + 1);
+                counts.peak_open = counts.peak_open.max(counts.open);
             }
             Event::Closed { of, .. } => {
-                let one = &mut self.boxes[*of];
-                one.open = one.open.saturating_sub(1);
+                let counts = &mut self.boxes[*of];
+                counts.open = counts.open.saturating_sub(1);
             }
             _ => {}
         }
@@ -146,12 +147,12 @@
 
     /// Number of requests of all tenants, and the number served.
     pub fn served(&self) -> (u64, u64) {
-        self.tenants.iter().fold((0, 0), |(all, good), (_, a, g)| (all + a, good + g))
+        self.tenants.iter().fold((0, 0), |(all, served), (_, a, g)| (all + a, served + g))
     }
 }
 
 impl BoxCounts {
-    fn used(&mut self, tenant: usize, more: bool) {
+    fn count_command(&mut self, tenant: usize, more: bool) {
         let (Some(used), Some(peak)) = (self.used.get_mut(tenant), self.peak_used.get_mut(tenant)) else {
             return;
         };
@@ -161,7 +162,7 @@
 }
 
 impl Datagrams {
-    fn take(&mut self, bytes: usize, fate: Fate, peak: usize) {
+    fn count(&mut self, bytes: usize, fate: Fate, peak: usize) {
         self.sent += 1;
         self.lost += u64::from(fate == Fate::Lost);
         self.bytes += bytes as u64;
@@ -170,8 +171,8 @@
 }
 
 /// Share served of the requests issued in an interval; `None` if there were none.
-fn share(asks: &[(Time, bool)], from: Time, to: Time) -> Option<f64> {
-    let within = || asks.iter().filter(|(at, _)| (from..to).contains(at));
+fn share(requests: &[(Time, bool)], from: Time, to: Time) -> Option<f64> {
+    let within = || requests.iter().filter(|(at, _)| (from..to).contains(at));
     let all = within().count();
     (all > 0).then(|| within().filter(|(_, served)| *served).count() as f64 / all as f64)
 }
@@ -180,23 +181,23 @@
     let begins = records.iter().find(|r| matches!(r.event, Event::LoadBegins))?.at;
     let faults = || records.iter().filter(|r| matches!(r.event, Event::Fault { .. }) && r.at >= begins);
     let (first, last) = (faults().next()?.at, faults().next_back()?.at);
-    let mut asked = BTreeMap::new();
-    let mut asks = Vec::new();
+    let mut open = BTreeMap::new();
+    let mut issued = Vec::new();
     for record in records {
         match record.event {
-            Event::Asked { ask, .. } => drop(asked.insert(ask, record.at)),
-            Event::Over { ask, served } => asks.extend(asked.remove(&ask).map(|at| (at, served))),
+            Event::Asked { ask, .. } => drop(open.insert(ask, record.at)),
+            Event::Over { ask, served } => issued.extend(open.remove(&ask).map(|at| (at, served))),
             _ => {}
         }
     }
-    asks.sort_unstable();
-    let before = share(&asks, begins, first)?;
-    let end = asks.last()?.0;
-    let good = |from: Time| share(&asks, from, from + SECOND).is_none_or(|share| share >= before * FULL);
+    issued.sort_unstable();
+    let before = share(&issued, begins, first)?;
+    let end = issued.last()?.0;
+    let is_full = |at: Time| share(&issued, at, at + SECOND).is_none_or(|share| share >= before * FULL_SHARE);
     let (mut at, mut since) = (last, Some(last));
     // Only complete seconds count; the remainder at the end is ignored.
     while at + SECOND <= end {
-        since = if good(at) { since.or(Some(at)) } else { None };
+        since = if is_full(at) { since.or(Some(at)) } else { None };
         at += STEP;
     }
     since.map(|since| since.since(last))
--- a/crates/fault-harness/src/judge/drain.rs
+++ b/crates/fault-harness/src/judge/drain_honoured.rs
@@ -11,38 +11,38 @@
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::time::{Span, Time};
 
-use super::starved::Starved;
-use super::{Found, Rule};
+use super::scheduling_delay::SchedulingDelay;
+use super::{Rule, Violations};
 use crate::relay::Site;
 use crate::trace::{Event, Record};
 
 /// Commands that arrive within this time after held data was delivered count as held.
-const HELD: Span = Span::from_millis(100);
+const HELD_WINDOW: Span = Span::from_millis(100);
 
 pub(super) struct DrainHonoured {
-    machines: Vec<usize>,
+    hosts: Vec<usize>,
     grace: Span,
     /// For each node the phase that it was notified of for each box, and since when.
-    told: BTreeMap<usize, BTreeMap<usize, (Phase, Time)>>,
+    notified: BTreeMap<usize, BTreeMap<usize, (Phase, Time)>>,
     held: BTreeMap<(Site, Site), Time>,
-    starved: Rc<Starved>,
+    delays: Rc<SchedulingDelay>,
 }
 
 impl DrainHonoured {
-    pub fn new(machines: Vec<usize>, grace: Span, starved: Rc<Starved>) -> Self {
-        DrainHonoured { machines, grace, told: BTreeMap::new(), held: BTreeMap::new(), starved }
+    pub fn new(hosts: Vec<usize>, grace: Span, delays: Rc<SchedulingDelay>) -> Self {
+        DrainHonoured { hosts, grace, notified: BTreeMap::new(), held: BTreeMap::new(), delays }
     }
 
-    fn tell(&mut self, node: usize, at: Time, complete: bool, entries: &[(usize, Phase)]) {
-        let told = self.told.entry(node).or_default();
+    fn notify(&mut self, node: usize, at: Time, complete: bool, entries: &[(usize, Phase)]) {
+        let notified = self.notified.entry(node).or_default();
         if complete {
             let named = |of: &usize| entries.iter().any(|(named, _)| named == of);
-            for (_, entry) in told.iter_mut().filter(|(of, entry)| !named(of) && entry.0 != Phase::Gone) {
+            for (_, entry) in notified.iter_mut().filter(|(of, entry)| !named(of) && entry.0 != Phase::Gone) {
                 *entry = (Phase::Gone, at);
             }
         }
         for (of, phase) in entries {
-            let entry = told.entry(*of).or_insert((*phase, at));
+            let entry = notified.entry(*of).or_insert((*phase, at));
             // The grace period starts with the first notification that the box is not ready, and is not restarted by
             // further ones.
             if (entry.0 == Phase::Ready) != (*phase == Phase::Ready) {
@@ -53,45 +53,46 @@
     }
 
     /// Restarts the grace periods of a node that only now receives earlier notifications.
-    fn hears(&mut self, node: usize, at: Time) {
-        let told = self.told.entry(node).or_default().values_mut();
-        told.filter(|(phase, _)| *phase != Phase::Ready).for_each(|(_, since)| *since = at);
+    fn restart_grace(&mut self, node: usize, at: Time) {
+        let notified = self.notified.entry(node).or_default().values_mut();
+        notified.filter(|(phase, _)| *phase != Phase::Ready).for_each(|(_, since)| *since = at);
     }
 
-    fn attempt(&self, node: usize, of: usize, at: Time, found: &mut Found) {
-        let Some(machine) = self.machines.get(of).copied() else { return };
-        let held = self.held.get(&(Site::Node(node), Site::Box(machine)));
-        if held.is_some_and(|held| at.since(*held) < HELD + self.starved.between(*held, at)) {
+    fn attempt(&self, node: usize, of: usize, at: Time, violations: &mut Violations) {
+        let Some(host) = self.hosts.get(of).copied() else { return };
+        let held = self.held.get(&(Site::Node(node), Site::Box(host)));
+        if held.is_some_and(|held| at.since(*held) < HELD_WINDOW + self.delays.allowance(*held, at)) {
             return;
         }
-        let told = self.told.get(&node);
-        let there = |of: &&usize| self.machines.get(**of) == Some(&machine);
-        let entries = told.into_iter().flatten().filter(|(of, _)| there(of)).map(|(_, entry)| *entry);
-        let mut last = None;
+        let notified = self.notified.get(&node);
+        let is_at_host = |of: &&usize| self.hosts.get(**of) == Some(&host);
+        let entries =
+            notified.into_iter().flatten().filter(|(of, _)| is_at_host(of)).map(|(_, entry)| *entry);
+        let mut latest_notification = None;
         for (phase, since) in entries {
-            if phase == Phase::Ready || at.since(since) <= self.grace + self.starved.between(since, at) {
+            if phase == Phase::Ready || at.since(since) <= self.grace + self.delays.allowance(since, at) {
                 return;
             }
-            last = last.max(Some(since));
+            latest_notification = latest_notification.max(Some(since));
         }
-        let what = match last {
+        let what = match latest_notification {
             Some(since) => {
                 format!("n{node} sent to b{of}, which it had been told to leave at {} us", since.0)
             }
             None => format!("n{node} sent to b{of}, which it was never told of"),
         };
-        found.add("drain-honoured", at, what);
+        violations.add("drain-honoured", at, what);
     }
 }
 
 impl Rule for DrainHonoured {
-    fn see(&mut self, record: &Record, found: &mut Found) {
+    fn observe(&mut self, record: &Record, violations: &mut Violations) {
         let at = record.at;
         match &record.event {
-            Event::Told { node, complete, entries, .. } => self.tell(*node, at, *complete, entries),
-            Event::Attempt { of, node, .. } => self.attempt(*node, *of, at, found),
+            Event::Told { node, complete, entries, .. } => self.notify(*node, at, *complete, entries),
+            Event::Attempt { of, node, .. } => self.attempt(*node, *of, at, violations),
             Event::Held { from: Site::List, to: Site::Node(node) } | Event::NodeResumed { node } => {
-                self.hears(*node, at);
+                self.restart_grace(*node, at);
             }
             Event::Held { from, to } => drop(self.held.insert((*from, *to), at)),
             _ => {}
@@ -101,7 +102,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found, NONE};
+    use super::super::tests::{violations, NONE};
     use super::*;
 
     /// The second box has the address of the first.
@@ -109,7 +110,7 @@
         DrainHonoured::new(vec![0, 0, 2], Span::from_millis(1000), Rc::default())
     }
 
-    fn told(complete: bool, entries: &[(usize, Phase)]) -> Event {
+    fn notified(complete: bool, entries: &[(usize, Phase)]) -> Event {
         Event::Told { node: 0, revision: 1, complete, entries: entries.to_vec() }
     }
 
@@ -120,28 +121,34 @@
     #[test]
     fn what_is_sent_after_the_grace_is_found() {
         use Phase::{Draining, Gone, Ready};
-        let start = (0, told(true, &[(0, Ready), (2, Ready)]));
-        let drains = |phase| (100, told(false, &[(0, phase)]));
-        let judged = |events: Vec<(u64, Event)>| found(rule(), [vec![start.clone()], events].concat());
+        let start = (0, notified(true, &[(0, Ready), (2, Ready)]));
+        let notified_of = |phase| (100, notified(false, &[(0, phase)]));
+        let check = |events: Vec<(u64, Event)>| violations(rule(), [vec![start.clone()], events].concat());
         for phase in [Draining, Gone] {
-            assert_eq!(judged(vec![drains(phase), (1100, sent(0)), (1200, sent(2))]), NONE);
-            assert_eq!(judged(vec![drains(phase), (1101, sent(0)), (1200, sent(2))]), [1101]);
+            assert_eq!(check(vec![notified_of(phase), (1100, sent(0)), (1200, sent(2))]), NONE);
+            assert_eq!(check(vec![notified_of(phase), (1101, sent(0)), (1200, sent(2))]), [1101]);
         }
         // A box missing from a complete list is gone, and the grace period starts only once.
-        assert_eq!(judged(vec![(100, told(true, &[(2, Ready)])), (1101, sent(0))]), [1101]);
-        assert_eq!(judged(vec![drains(Draining), (900, told(false, &[(0, Gone)])), (1101, sent(0))]), [1101]);
-        assert_eq!(found(rule(), vec![(5, sent(0))]), [5], "never told of it");
+        assert_eq!(check(vec![(100, notified(true, &[(2, Ready)])), (1101, sent(0))]), [1101]);
+        assert_eq!(
+            check(vec![notified_of(Draining), (900, notified(false, &[(0, Gone)])), (1101, sent(0))]),
+            [1101]
+        );
+        assert_eq!(violations(rule(), vec![(5, sent(0))]), [5], "never told of it");
         // Another box at the same address may receive commands; data held by a cut or a pause was sent, or notified,
         // before.
-        assert_eq!(judged(vec![drains(Gone), (200, told(false, &[(1, Ready)])), (3000, sent(1))]), NONE);
+        assert_eq!(
+            check(vec![notified_of(Gone), (200, notified(false, &[(1, Ready)])), (3000, sent(1))]),
+            NONE
+        );
         let held = Event::Held { from: Site::Node(0), to: Site::Box(0) };
-        assert_eq!(judged(vec![drains(Gone), (3000, held.clone()), (3050, sent(0))]), NONE);
-        assert_eq!(judged(vec![drains(Gone), (3000, held), (3150, sent(0))]), [3150]);
+        assert_eq!(check(vec![notified_of(Gone), (3000, held.clone()), (3050, sent(0))]), NONE);
+        assert_eq!(check(vec![notified_of(Gone), (3000, held), (3150, sent(0))]), [3150]);
         let resumed = Event::NodeResumed { node: 0 };
         let held = Event::Held { from: Site::List, to: Site::Node(0) };
         for heard in [resumed, held] {
-            assert_eq!(judged(vec![drains(Gone), (3000, heard.clone()), (3900, sent(0))]), NONE);
-            assert_eq!(judged(vec![drains(Gone), (3000, heard), (4001, sent(0))]), [4001]);
+            assert_eq!(check(vec![notified_of(Gone), (3000, heard.clone()), (3900, sent(0))]), NONE);
+            assert_eq!(check(vec![notified_of(Gone), (3000, heard), (4001, sent(0))]), [4001]);
         }
     }
 }
--- a/crates/fault-harness/src/judge/out.rs
+++ b/crates/fault-harness/src/judge/fetches_in_flight.rs
@@ -6,16 +6,16 @@
 
 /// Counts fetches as they start and end.
 #[derive(Default)]
-pub(super) struct Out {
+pub(super) struct FetchesInFlight {
     /// All fetches in flight.
     pub all: u32,
     /// Fetches in flight for each box that was cold at their start.
     pub cold: BTreeMap<usize, u32>,
 }
 
-impl Out {
+impl FetchesInFlight {
     /// Processes a record; returns the box if the record starts a fetch.
-    pub fn see(&mut self, record: &Record) -> Option<usize> {
+    pub fn observe(&mut self, record: &Record) -> Option<usize> {
         match record.event {
             Event::Fetch { of, cold, .. } => {
                 self.all += 1;
--- a/crates/fault-harness/src/judge/mod.rs
+++ b/crates/fault-harness/src/judge/mod.rs
@@ -1,22 +1,22 @@
 //! The invariant checker: reads the trace of a run in order, and reports which rules were violated. Pure.
 
-mod cold_box;
+mod cold_box_kept;
+mod connectivity;
 mod counts;
-mod datagrams;
-mod drain;
-mod final_answer;
-mod list_calls;
+mod drain_honoured;
+mod fetches_in_flight;
+mod join_storm_bounded;
+mod list_calls_bounded;
 mod no_early_switch;
 mod no_older_table;
-mod one_table;
-mod out;
-mod planner;
-mod reach;
+mod one_final_answer;
+mod one_table_per_key;
+mod planner_kept;
 mod report;
-mod starved;
-mod tables;
-mod tenant;
-mod whole;
+mod scheduling_delay;
+mod table_history;
+mod tenant_unharmed;
+mod whole_kept;
 mod window;
 
 use std::rc::Rc;
@@ -27,18 +27,18 @@
 use crate::spec::Spec;
 use crate::trace::Record;
 
-use starved::Starved;
-use tables::{Placed, Tables};
+use scheduling_delay::SchedulingDelay;
+use table_history::{Placement, TableHistory};
 
 pub use counts::{BoxCounts, Counts, Datagrams};
 pub use report::Report;
 
 /// Maximum number of violations that are reported in full; all are counted.
-const MOST_TOLD: usize = 50;
+const MAX_REPORTED: usize = 50;
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// Name of the rule.
     pub rule: &'static str,
     /// Time of the violation, in microseconds.
@@ -49,67 +49,67 @@
 
 /// The violations found so far.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct Violations {
     /// The first violations, up to the maximum that is reported.
-    pub told: Vec<Breach>,
+    pub reported: Vec<Violation>,
     /// Number of all violations.
     pub count: u64,
 }
 
-impl Found {
+impl Violations {
     fn add(&mut self, rule: &'static str, at: Time, what: String) {
         self.count += 1;
-        if self.told.len() < MOST_TOLD {
-            self.told.push(Breach { rule, at, what });
+        if self.reported.len() < MAX_REPORTED {
+            self.reported.push(Violation { rule, at, what });
         }
     }
 }
 
 /// A rule: receives every record of the trace in order, and then the end of the trace.
 trait Rule {
-    fn see(&mut self, record: &Record, found: &mut Found);
+    fn observe(&mut self, record: &Record, violations: &mut Violations);
 
     /// Receives a placement, after the record of the attempt that it was derived from.
-    fn placed(&mut self, _at: Time, _placed: &Placed, _found: &mut Found) {}
+    fn observe_placement(&mut self, _at: Time, _placed: &Placement, _found: &mut Violations) {}
 
-    fn over(&mut self, _found: &mut Found) {}
+    fn finish(&mut self, _found: &mut Violations) {}
 }
 
-fn rules(spec: &Spec, starved: &Rc<Starved>) -> Vec<Box<dyn Rule>> {
+fn rules(spec: &Spec, delays: &Rc<SchedulingDelay>) -> Vec<Box<dyn Rule>> {
     let bounds = &spec.rules;
     let mut rules: Vec<Box<dyn Rule>> = vec![
-        Box::new(final_answer::OneFinalAnswer::new(bounds.leeway, starved.clone())),
-        Box::new(drain::DrainHonoured::new(
+        Box::new(one_final_answer::OneFinalAnswer::new(bounds.leeway, delays.clone())),
+        Box::new(drain_honoured::DrainHonoured::new(
             spec.machines(),
             bounds.drain_grace + bounds.leeway,
-            starved.clone(),
+            delays.clone(),
         )),
-        Box::new(datagrams::JoinStormBounded::new(bounds.datagrams, starved.clone())),
+        Box::new(join_storm_bounded::JoinStormBounded::new(bounds.datagrams, delays.clone())),
     ];
     if bounds.whole_kept {
-        rules.push(Box::new(whole::WholeKept::new()));
+        rules.push(Box::new(whole_kept::WholeKept::new()));
     }
     if let Some(most) = bounds.planner_fetches {
-        rules.push(Box::new(planner::PlannerKept::new(most)));
+        rules.push(Box::new(planner_kept::PlannerKept::new(most)));
     }
     if let Some(most) = bounds.cold_fetches {
-        rules.push(Box::new(cold_box::ColdBoxKept::new(most)));
+        rules.push(Box::new(cold_box_kept::ColdBoxKept::new(most)));
     }
     if let Some(most) = bounds.list_calls {
-        rules.push(Box::new(list_calls::ListCallsBounded::new(most, starved.clone())));
+        rules.push(Box::new(list_calls_bounded::ListCallsBounded::new(most, delays.clone())));
     }
     if let Some(most) = bounds.tenant_loss {
-        rules.push(Box::new(tenant::TenantUnharmed::new(spec, most, starved.clone())));
+        rules.push(Box::new(tenant_unharmed::TenantUnharmed::new(spec, most, delays.clone())));
     }
     let nodes = usize::from(spec.nodes.count);
     if let Some(spread) = bounds.table_spread {
-        rules.push(Box::new(no_older_table::NoOlderTable::new(starved.clone())));
+        rules.push(Box::new(no_older_table::NoOlderTable::new(delays.clone())));
         let spread = spread + bounds.leeway;
-        rules.push(Box::new(one_table::OneTablePerKey::new(
+        rules.push(Box::new(one_table_per_key::OneTablePerKey::new(
             nodes,
             spread,
             bounds.table_catch_up,
-            starved.clone(),
+            delays.clone(),
         )));
     }
     if let Some(lease) = bounds.table_lease {
@@ -119,21 +119,21 @@
 }
 
 /// Checks the trace of a run against all rules that apply.
-pub fn judge(spec: &Spec, records: &[Record]) -> Report {
-    let mut found = Found::default();
-    let mut rules = rules(spec, &Rc::new(Starved::of(records)));
-    let tabled = spec.rules.table_spread.is_some() || spec.rules.table_lease.is_some();
-    let mut tables = tabled.then(|| Tables::new(spec));
+pub fn check_invariants(spec: &Spec, records: &[Record]) -> Report {
+    let mut violations = Violations::default();
+    let mut rules = rules(spec, &Rc::new(SchedulingDelay::of(records)));
+    let checks_tables = spec.rules.table_spread.is_some() || spec.rules.table_lease.is_some();
+    let mut table_history = checks_tables.then(|| TableHistory::new(spec));
     for record in records {
-        rules.iter_mut().for_each(|rule| rule.see(record, &mut found));
-        if let Some(placed) = tables.as_mut().and_then(|tables| tables.see(record)) {
-            rules.iter_mut().for_each(|rule| rule.placed(record.at, &placed, &mut found));
+        rules.iter_mut().for_each(|rule| rule.observe(record, &mut violations));
+        if let Some(placed) = table_history.as_mut().and_then(|table_history| table_history.observe(record)) {
+            rules.iter_mut().for_each(|rule| rule.observe_placement(record.at, &placed, &mut violations));
         }
     }
-    rules.iter_mut().for_each(|rule| rule.over(&mut found));
+    rules.iter_mut().for_each(|rule| rule.finish(&mut violations));
     let mut counts = Counts::of(spec, records);
-    counts.placed = tables.map(|tables| tables.counts());
-    Report::new(spec, counts, found)
+    counts.placed = table_history.map(|table_history| table_history.counts());
+    Report::new(spec, counts, violations)
 }
 
 /// Helpers for the tests of the rules.
@@ -151,28 +151,28 @@
     }
 
     /// Times in milliseconds of the violations that a rule finds in a trace with these placements.
-    pub fn found_placed(
+    pub fn times_with_placements(
         mut rule: impl Rule,
         events: Vec<(u64, Event)>,
-        placed: Vec<(u64, Placed)>,
+        placed: Vec<(u64, Placement)>,
     ) -> Vec<u64> {
-        let (mut found, records) = (Found::default(), history(events));
+        let (mut violations, records) = (Violations::default(), history(events));
         let mut records = records.iter().peekable();
         for (ms, placed) in placed {
             let at = Time(ms * 1000);
             while let Some(record) = records.next_if(|record| record.at <= at) {
-                rule.see(record, &mut found);
+                rule.observe(record, &mut violations);
             }
-            rule.placed(at, &placed, &mut found);
+            rule.observe_placement(at, &placed, &mut violations);
         }
-        found.told.iter().map(|breach| breach.at.0 / 1000).collect()
+        violations.reported.iter().map(|breach| breach.at.0 / 1000).collect()
     }
 
     /// Times in milliseconds of the violations that a rule finds in a trace.
-    pub fn found(mut rule: impl Rule, events: Vec<(u64, Event)>) -> Vec<u64> {
-        let mut found = Found::default();
-        history(events).iter().for_each(|record| rule.see(record, &mut found));
-        rule.over(&mut found);
-        found.told.iter().map(|breach| breach.at.0 / 1000).collect()
+    pub fn violations(mut rule: impl Rule, events: Vec<(u64, Event)>) -> Vec<u64> {
+        let mut violations = Violations::default();
+        history(events).iter().for_each(|record| rule.observe(record, &mut violations));
+        rule.finish(&mut violations);
+        violations.reported.iter().map(|breach| breach.at.0 / 1000).collect()
     }
 }
--- a/crates/fault-harness/src/judge/no_early_switch.rs
+++ b/crates/fault-harness/src/judge/no_early_switch.rs
@@ -6,46 +6,52 @@
 
 use hallpin_simulation::time::{Span, Time};
 
-use super::reach::Reach;
-use super::tables::Placed;
-use super::{Found, Rule};
+use super::connectivity::Connectivity;
+use super::table_history::Placement;
+use super::{Rule, Violations};
 use crate::trace::{Event, Record};
 
 pub(super) struct NoEarlySwitch {
-    nodes: usize,
+    node_count: usize,
     lease: Span,
-    reach: Reach,
+    connectivity: Connectivity,
     /// Time of the last change of the endpoint list.
     listed: Time,
     /// For each node a lower bound of the newest table that it has used.
-    reached: BTreeMap<usize, usize>,
+    newest_used: BTreeMap<usize, usize>,
 }
 
 impl NoEarlySwitch {
     /// `lease` is the minimum time between a cut and the end of a lease.
-    pub fn new(nodes: usize, lease: Span) -> Self {
-        NoEarlySwitch { nodes, lease, reach: Reach::new(nodes), listed: Time::ZERO, reached: BTreeMap::new() }
+    pub fn new(node_count: usize, lease: Span) -> Self {
+        NoEarlySwitch {
+            node_count,
+            lease,
+            connectivity: Connectivity::new(node_count),
+            listed: Time::ZERO,
+            newest_used: BTreeMap::new(),
+        }
     }
 }
 
 impl Rule for NoEarlySwitch {
-    fn see(&mut self, record: &Record, _: &mut Found) {
-        self.reach.see(record);
+    fn observe(&mut self, record: &Record, _: &mut Violations) {
+        self.connectivity.observe(record);
         if let Event::Listed { .. } = record.event {
             self.listed = record.at;
         }
     }
 
-    fn placed(&mut self, at: Time, placed: &Placed, found: &mut Found) {
-        let Placed { node, by, .. } = placed;
+    fn observe_placement(&mut self, at: Time, placement: &Placement, violations: &mut Violations) {
+        let Placement { node, by, .. } = placement;
         let Some(first) = by.first() else { return };
-        let reached = self.reached.entry(*node).or_insert(*first);
-        if first <= reached {
+        let newest_used = self.newest_used.entry(*node).or_insert(*first);
+        if first <= newest_used {
             return;
         }
-        *reached = *first;
-        let parted = (0..self.nodes).filter(|other| self.reach.runs(*other));
-        let parted = parted.filter_map(|other| Some((other, self.reach.parted(*node, other)?)));
+        *newest_used = *first;
+        let parted = (0..self.node_count).filter(|other| self.connectivity.is_running(*other));
+        let parted = parted.filter_map(|other| Some((other, self.connectivity.cut_since(*node, other)?)));
         for (other, since) in parted.filter(|(_, since)| *since <= self.listed) {
             let passed = at.since(since);
             let what = match passed < self.lease {
@@ -53,12 +59,12 @@
                     "n{node} went on to table {first}, parted from n{other} for {:.3} s",
                     passed.as_secs()
                 ),
-                false if !self.reach.has_majority(*node) => {
+                false if !self.connectivity.has_majority(*node) => {
                     format!("n{node} went on to table {first} with half of all nodes or fewer")
                 }
                 false => continue,
             };
-            found.add("no-early-switch", at, what);
+            violations.add("no-early-switch", at, what);
             return;
         }
     }
@@ -66,14 +72,14 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found_placed, NONE};
+    use super::super::tests::{times_with_placements, NONE};
     use super::*;
     use crate::relay::Site;
     use hallpin_simulation::list::Phase;
 
     /// Times of the violations of a run with three nodes, one of which is cut off at 1 s; the list has a new table at 2
     /// s, which `node` uses at `at`.
-    fn judged(node: usize, at: u64, cut: bool) -> Vec<u64> {
+    fn check(node: usize, at: u64, cut: bool) -> Vec<u64> {
         let started = |node| (0, Event::NodeStarted { node, life: 1, pid: 1 });
         let link = |a, b| (1000, Event::Link { from: Site::Node(a), to: Site::Node(b), cut });
         let events = vec![
@@ -84,15 +90,19 @@
             link(1, 2),
             (2000, Event::Listed { revision: 2, of: 4, phase: Phase::Ready }),
         ];
-        let by = |by: usize| Placed { node, key: 1, by: vec![by] };
-        found_placed(NoEarlySwitch::new(3, Span::from_millis(1800)), events, vec![(500, by(0)), (at, by(1))])
+        let by = |by: usize| Placement { node, key: 1, by: vec![by] };
+        times_with_placements(
+            NoEarlySwitch::new(3, Span::from_millis(1800)),
+            events,
+            vec![(500, by(0)), (at, by(1))],
+        )
     }
 
     #[test]
     fn a_switch_before_the_lease_of_one_that_is_cut_off_is_found_and_so_is_one_of_its_own() {
-        assert_eq!(judged(0, 2799, true), [2799]);
-        assert_eq!(judged(0, 2800, true), NONE);
-        assert_eq!(judged(2, 2800, true), [2800], "the smaller side never may");
-        assert_eq!(judged(0, 2100, false), NONE);
+        assert_eq!(check(0, 2799, true), [2799]);
+        assert_eq!(check(0, 2800, true), NONE);
+        assert_eq!(check(2, 2800, true), [2800], "the smaller side never may");
+        assert_eq!(check(0, 2100, false), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/no_older_table.rs
+++ b/crates/fault-harness/src/judge/no_older_table.rs
@@ -5,56 +5,56 @@
 
 use hallpin_simulation::time::Time;
 
-use super::starved::Starved;
-use super::tables::{Behind, Placed};
-use super::{Found, Rule};
+use super::scheduling_delay::SchedulingDelay;
+use super::table_history::{LaggingNodes, Placement};
+use super::{Rule, Violations};
 use crate::trace::Record;
 
 pub(super) struct NoOlderTable {
     /// For each node a lower bound of the newest table that it has used.
-    reached: BTreeMap<usize, usize>,
-    behind: Behind,
-    starved: Rc<Starved>,
+    newest_used: BTreeMap<usize, usize>,
+    lagging: LaggingNodes,
+    delays: Rc<SchedulingDelay>,
 }
 
 impl NoOlderTable {
-    pub fn new(starved: Rc<Starved>) -> Self {
-        NoOlderTable { reached: BTreeMap::new(), behind: Behind::default(), starved }
+    pub fn new(delays: Rc<SchedulingDelay>) -> Self {
+        NoOlderTable { newest_used: BTreeMap::new(), lagging: LaggingNodes::default(), delays }
     }
 }
 
 impl Rule for NoOlderTable {
-    fn see(&mut self, _: &Record, _: &mut Found) {}
-
-    fn placed(&mut self, at: Time, placed: &Placed, found: &mut Found) {
-        let (Some(first), Some(last)) = (placed.by.first(), placed.by.last()) else { return };
-        let reached = self.reached.entry(placed.node).or_insert(*first);
-        let tells = first >= reached || (last < reached && !self.starved.lately(at));
-        if tells && self.behind.take(placed.node, last < reached) {
-            let Placed { node, key, .. } = placed;
-            let what = format!("n{node} placed key {key:016x} by table {last}, after table {reached}");
-            found.add("no-older-table", at, what);
+    fn observe(&mut self, _: &Record, _: &mut Violations) {}
+
+    fn observe_placement(&mut self, at: Time, placement: &Placement, violations: &mut Violations) {
+        let (Some(first), Some(last)) = (placement.by.first(), placement.by.last()) else { return };
+        let newest_used = self.newest_used.entry(placement.node).or_insert(*first);
+        let is_conclusive = first >= newest_used || (last < newest_used && !self.delays.is_excessive(at));
+        if is_conclusive && self.lagging.count_attempt(placement.node, last < newest_used) {
+            let Placement { node, key, .. } = placement;
+            let what = format!("n{node} placed key {key:016x} by table {last}, after table {newest_used}");
+            violations.add("no-older-table", at, what);
         }
-        *reached = (*reached).max(*first);
+        *newest_used = (*newest_used).max(*first);
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found_placed, NONE};
+    use super::super::tests::{times_with_placements, NONE};
     use super::*;
 
     #[test]
     fn an_older_table_after_a_newer_one_is_found() {
-        let by = |node, by: &[usize]| Placed { node, key: 1, by: by.to_vec() };
+        let by = |node, by: &[usize]| Placement { node, key: 1, by: by.to_vec() };
         let rule = || NoOlderTable::new(Rc::default());
         let forwards = vec![(1, by(0, &[0])), (2, by(0, &[0, 1])), (3, by(0, &[1])), (5, by(1, &[0]))];
         let stray = |at| (at, by(0, &[0]));
-        let judged = |more: Vec<_>| found_placed(rule(), vec![], [forwards.clone(), more].concat());
-        assert_eq!(judged(vec![]), NONE);
-        assert_eq!(judged(vec![stray(6), stray(7), (8, by(0, &[0, 1])), stray(9)]), [9]);
+        let check = |more: Vec<_>| times_with_placements(rule(), vec![], [forwards.clone(), more].concat());
+        assert_eq!(check(vec![]), NONE);
+        assert_eq!(check(vec![stray(6), stray(7), (8, by(0, &[0, 1])), stray(9)]), [9]);
         assert_eq!(
-            judged(vec![stray(6), stray(7), (8, by(0, &[1])), stray(9)]),
+            check(vec![stray(6), stray(7), (8, by(0, &[1])), stray(9)]),
             NONE,
             "two went astray, and one"
         );
--- a/crates/fault-harness/src/judge/final_answer.rs
+++ b/crates/fault-harness/src/judge/one_final_answer.rs
@@ -11,16 +11,16 @@
 
 use hallpin_simulation::time::{Span, Time};
 
-use super::starved::Starved;
-use super::{Found, Rule};
+use super::scheduling_delay::SchedulingDelay;
+use super::{Rule, Violations};
 use crate::trace::{ClientAnswer, End, Event, Record};
 
 const RULE: &str = "one-final-answer";
 /// If a reused connection ends within this time after a try was written on it, the node had closed it before reading
 /// the try.
-const CROSSED: Span = Span::from_millis(250);
+const CROSSING_WINDOW: Span = Span::from_millis(250);
 /// A try accepted within this time after SIGTERM has its full deadline before the SIGKILL.
-const AFTER_TERM: Span = Span::from_millis(700);
+const FULL_DEADLINE_AFTER_TERM: Span = Span::from_millis(700);
 
 #[derive(Clone, Copy)]
 struct Taken {
@@ -30,7 +30,7 @@
 }
 
 /// An accepted try that ended without an answer.
-struct Unanswered {
+struct UnansweredTry {
     id: u64,
     taken: Taken,
     at: Time,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Default)]
-struct Life {
+struct ProcessGeneration {
     from: Time,
     leaves: Option<Time>,
     ended: Option<(Time, End)>,
@@ -48,44 +48,47 @@
 
 pub(super) struct OneFinalAnswer {
     leeway: Span,
-    starved: Rc<Starved>,
+    delays: Rc<SchedulingDelay>,
     open: BTreeMap<u64, Taken>,
     seen: BTreeSet<u64>,
-    unanswered: Vec<Unanswered>,
-    lives: BTreeMap<usize, Vec<Life>>,
+    unanswered: Vec<UnansweredTry>,
+    generations: BTreeMap<usize, Vec<ProcessGeneration>>,
     pauses: BTreeMap<usize, Vec<(Time, Time)>>,
 }
 
 impl OneFinalAnswer {
-    pub fn new(leeway: Span, starved: Rc<Starved>) -> Self {
+    pub fn new(leeway: Span, delays: Rc<SchedulingDelay>) -> Self {
         OneFinalAnswer {
             leeway,
-            starved,
+            delays,
             open: BTreeMap::new(),
             seen: BTreeSet::new(),
             unanswered: Vec::new(),
-            lives: BTreeMap::new(),
+            generations: BTreeMap::new(),
             pauses: BTreeMap::new(),
         }
     }
 
-    fn process(&mut self, record: &Record, found: &mut Found) {
+    fn process(&mut self, record: &Record, violations: &mut Violations) {
         let at = record.at;
         match record.event {
             Event::NodeStarted { node, .. } => {
-                self.lives.entry(node).or_default().push(Life { from: at, ..Life::default() });
+                self.generations
+                    .entry(node)
+                    .or_default()
+                    .push(ProcessGeneration { from: at, ..ProcessGeneration::default() });
             }
             Event::NodeLeaves { node, .. } => {
-                if let Some(life) = self.lives.entry(node).or_default().last_mut() {
-                    life.leaves = Some(at);
+                if let Some(generation) = self.generations.entry(node).or_default().last_mut() {
+                    generation.leaves = Some(at);
                 }
             }
             Event::NodeEnded { node, end, .. } => {
-                if let Some(life) = self.lives.entry(node).or_default().last_mut() {
-                    life.ended = Some((at, end));
+                if let Some(generation) = self.generations.entry(node).or_default().last_mut() {
+                    generation.ended = Some((at, end));
                 }
                 if end == End::Fell {
-                    found.add(RULE, at, format!("n{node} ended though nobody told it to"));
+                    violations.add(RULE, at, format!("n{node} ended though nobody told it to"));
                 }
             }
             Event::NodePaused { node } => self.pauses.entry(node).or_default().push((at, Time(u64::MAX))),
@@ -99,30 +102,30 @@
     }
 
     /// Whether the node had a valid reason not to answer the try.
-    fn excused(&self, lost: &Unanswered) -> bool {
+    fn is_excused(&self, lost: &UnansweredTry) -> bool {
         let Taken { node, at, until } = lost.taken;
         let pauses = self.pauses.get(&node).into_iter().flatten();
         if pauses.into_iter().any(|(from, to)| *from <= until && at <= *to) {
             return true;
         }
-        let starved = self.starved.between(at, lost.at);
-        if lost.how == ClientAnswer::Nothing && starved > self.leeway {
+        let delays = self.delays.allowance(at, lost.at);
+        if lost.how == ClientAnswer::Nothing && delays > self.leeway {
             return true;
         }
         // The node closed the connection between requests, while the try was on its way.
-        if lost.how == ClientAnswer::Crossed && !lost.seen && lost.at.since(at) < CROSSED + starved {
+        if lost.how == ClientAnswer::Crossed && !lost.seen && lost.at.since(at) < CROSSING_WINDOW + delays {
             return true;
         }
         // The process generation that accepted the try: the last one started before it.
-        let mut lives = self.lives.get(&node).into_iter().flatten();
-        let Some(life) = lives.rfind(|life| life.from <= at) else { return false };
-        let with_its_node =
-            |ended: Time| lost.at + self.leeway + self.starved.between(lost.at, ended) >= ended;
-        match life.ended {
-            Some((ended, End::Killed)) => with_its_node(ended),
+        let mut generations = self.generations.get(&node).into_iter().flatten();
+        let Some(generation) = generations.rfind(|generation| generation.from <= at) else { return false };
+        let ended_with_process =
+            |ended: Time| lost.at + self.leeway + self.delays.allowance(lost.at, ended) >= ended;
+        match generation.ended {
+            Some((ended, End::Killed)) => ended_with_process(ended),
             Some((ended, End::Overdue)) => {
-                let early = life.leaves.is_some_and(|leaves| at <= leaves + AFTER_TERM);
-                early && until > ended && with_its_node(ended)
+                let early = generation.leaves.is_some_and(|leaves| at <= leaves + FULL_DEADLINE_AFTER_TERM);
+                early && until > ended && ended_with_process(ended)
             }
             _ => false,
         }
@@ -130,14 +133,14 @@
 }
 
 impl Rule for OneFinalAnswer {
-    fn see(&mut self, record: &Record, found: &mut Found) {
+    fn observe(&mut self, record: &Record, violations: &mut Violations) {
         match record.event {
             Event::Taken { id, node, until, .. } => {
                 self.open.insert(id, Taken { node, at: record.at, until });
             }
             Event::Attempt { id, .. } => drop(self.seen.insert(id)),
             Event::Stray { node } => {
-                found.add(RULE, record.at, format!("n{node} said something that nobody had asked for"));
+                violations.add(RULE, record.at, format!("n{node} said something that nobody had asked for"));
             }
             Event::Ended { id, how } => {
                 let Some(taken) = self.open.remove(&id) else { return };
@@ -145,35 +148,35 @@
                     ClientAnswer::Served | ClientAnswer::Busy | ClientAnswer::Failed => {}
                     ClientAnswer::Foreign => {
                         let what = format!("n{} gave try {id:x} what is no answer to it", taken.node);
-                        found.add(RULE, record.at, what);
+                        violations.add(RULE, record.at, what);
                     }
                     ClientAnswer::Crossed | ClientAnswer::Broken | ClientAnswer::Nothing => {
                         let seen = self.seen.contains(&id);
-                        self.unanswered.push(Unanswered { id, taken, at: record.at, how, seen });
+                        self.unanswered.push(UnansweredTry { id, taken, at: record.at, how, seen });
                     }
                 }
                 self.seen.remove(&id);
             }
-            _ => self.process(record, found),
+            _ => self.process(record, violations),
         }
     }
 
-    fn over(&mut self, found: &mut Found) {
-        for lost in self.unanswered.iter().filter(|lost| !self.excused(lost)) {
-            let Unanswered { id, taken, how, .. } = lost;
+    fn finish(&mut self, violations: &mut Violations) {
+        for lost in self.unanswered.iter().filter(|lost| !self.is_excused(lost)) {
+            let UnansweredTry { id, taken, how, .. } = lost;
             let what = match how {
                 ClientAnswer::Nothing => "did not answer it in time",
                 _ => "ended its connection without an answer",
             };
             let text = format!("n{} took try {id:x} at {} us and {what}", taken.node, taken.at.0);
-            found.add(RULE, lost.at, text);
+            violations.add(RULE, lost.at, text);
         }
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found, NONE};
+    use super::super::tests::{violations, NONE};
     use super::*;
 
     const LEEWAY: Span = Span::from_millis(50);
@@ -191,11 +194,11 @@
     }
 
     /// Times of the violations if a try accepted at 10 ms ends with `how` at `at`, and these further events happen.
-    fn judged(how: ClientAnswer, at: u64, more: Vec<(u64, Event)>) -> Vec<u64> {
+    fn check(how: ClientAnswer, at: u64, more: Vec<(u64, Event)>) -> Vec<u64> {
         let mut events = vec![(0, started(1)), (10, taken()), (at, ended(how))];
         events.extend(more);
         events.sort_by_key(|(at, _)| *at);
-        found(OneFinalAnswer::new(LEEWAY, Rc::default()), events)
+        violations(OneFinalAnswer::new(LEEWAY, Rc::default()), events)
     }
 
     #[test]
@@ -203,22 +206,22 @@
         let gone = |at, end| vec![(at, Event::NodeEnded { node: 0, life: 1, end })];
         let seen =
             Event::Attempt { of: 0, node: 0, connection: 1, id: 7, tenant: None, key: 1, write: false };
-        assert_eq!(judged(ClientAnswer::Served, 20, vec![]), NONE);
-        assert_eq!(judged(ClientAnswer::Broken, 20, vec![]), [20]);
-        assert_eq!(judged(ClientAnswer::Nothing, 1020, vec![]), [1020]);
-        assert_eq!(judged(ClientAnswer::Foreign, 20, vec![]), [20]);
-        assert_eq!(judged(ClientAnswer::Crossed, 20, vec![]), NONE);
-        assert_eq!(judged(ClientAnswer::Crossed, 20, vec![(15, seen)]), [20], "a box has seen it");
+        assert_eq!(check(ClientAnswer::Served, 20, vec![]), NONE);
+        assert_eq!(check(ClientAnswer::Broken, 20, vec![]), [20]);
+        assert_eq!(check(ClientAnswer::Nothing, 1020, vec![]), [1020]);
+        assert_eq!(check(ClientAnswer::Foreign, 20, vec![]), [20]);
+        assert_eq!(check(ClientAnswer::Crossed, 20, vec![]), NONE);
+        assert_eq!(check(ClientAnswer::Crossed, 20, vec![(15, seen)]), [20], "a box has seen it");
         // A try may be lost when its node is killed, but not long before that.
-        assert_eq!(judged(ClientAnswer::Broken, 20, gone(22, End::Killed)), NONE);
-        assert_eq!(judged(ClientAnswer::Broken, 20, gone(200, End::Killed)), [20]);
-        assert_eq!(judged(ClientAnswer::Broken, 20, gone(22, End::Stopped)), [20]);
-        assert_eq!(judged(ClientAnswer::Served, 20, gone(22, End::Fell)), [22]);
+        assert_eq!(check(ClientAnswer::Broken, 20, gone(22, End::Killed)), NONE);
+        assert_eq!(check(ClientAnswer::Broken, 20, gone(200, End::Killed)), [20]);
+        assert_eq!(check(ClientAnswer::Broken, 20, gone(22, End::Stopped)), [20]);
+        assert_eq!(check(ClientAnswer::Served, 20, gone(22, End::Fell)), [22]);
         let paused = vec![(500, Event::NodePaused { node: 0 }), (2000, Event::NodeResumed { node: 0 })];
-        assert_eq!(judged(ClientAnswer::Nothing, 1060, paused), NONE);
+        assert_eq!(check(ClientAnswer::Nothing, 1060, paused), NONE);
         let earlier = vec![(2, Event::NodePaused { node: 0 }), (5, Event::NodeResumed { node: 0 })];
-        assert_eq!(judged(ClientAnswer::Nothing, 1060, earlier), [1060]);
-        assert_eq!(judged(ClientAnswer::Served, 20, vec![(30, Event::Stray { node: 0 })]), [30]);
+        assert_eq!(check(ClientAnswer::Nothing, 1060, earlier), [1060]);
+        assert_eq!(check(ClientAnswer::Served, 20, vec![(30, Event::Stray { node: 0 })]), [30]);
     }
 
     #[test]
@@ -228,17 +231,17 @@
             vec![(leaves, Event::NodeLeaves { node: 0, life: 1 }), (ended, end)]
         };
         assert_eq!(
-            judged(ClientAnswer::Broken, 900, stop(5, 910)),
+            check(ClientAnswer::Broken, 900, stop(5, 910)),
             NONE,
             "its deadline was later than the kill"
         );
-        assert_eq!(judged(ClientAnswer::Broken, 1020, stop(5, 1020)), [1020]);
+        assert_eq!(check(ClientAnswer::Broken, 1020, stop(5, 1020)), [1020]);
         let late = Event::Taken { id: 7, ask: 1, node: 0, tenant: 0, until: Time(1_750_000) };
         let mut events = vec![(0, started(1)), (750, late), (1020, ended(ClientAnswer::Broken))];
         events.extend(stop(5, 1021));
         events.sort_by_key(|(at, _)| *at);
         assert_eq!(
-            found(OneFinalAnswer::new(LEEWAY, Rc::default()), events),
+            violations(OneFinalAnswer::new(LEEWAY, Rc::default()), events),
             [1020],
             "taken 0.75 s after SIGTERM"
         );
--- a/crates/fault-harness/src/judge/planner.rs
+++ b/crates/fault-harness/src/judge/planner_kept.rs
@@ -1,36 +1,36 @@
 //! Rule `planner-kept`: the concurrent fetches from the planner, over all boxes, stay within a bound.
 
-use super::out::Out;
-use super::{Found, Rule};
+use super::fetches_in_flight::FetchesInFlight;
+use super::{Rule, Violations};
 use crate::trace::Record;
 
 pub(super) struct PlannerKept {
-    most: u32,
-    out: Out,
+    limit: u32,
+    fetches_in_flight: FetchesInFlight,
 }
 
 impl PlannerKept {
-    pub fn new(most: u32) -> Self {
-        PlannerKept { most, out: Out::default() }
+    pub fn new(limit: u32) -> Self {
+        PlannerKept { limit, fetches_in_flight: FetchesInFlight::default() }
     }
 }
 
 impl Rule for PlannerKept {
-    fn see(&mut self, record: &Record, found: &mut Found) {
-        let Some(of) = self.out.see(record) else { return };
-        if self.out.all > self.most {
+    fn observe(&mut self, record: &Record, violations: &mut Violations) {
+        let Some(of) = self.fetches_in_flight.observe(record) else { return };
+        if self.fetches_in_flight.all > self.limit {
             let what = format!(
                 "{} fetches out at the planner, at most {}; the last of b{of}",
-                self.out.all, self.most
+                self.fetches_in_flight.all, self.limit
             );
-            found.add("planner-kept", record.at, what);
+            violations.add("planner-kept", record.at, what);
         }
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found, NONE};
+    use super::super::tests::{violations, NONE};
     use super::*;
     use crate::trace::Event;
 
@@ -44,7 +44,7 @@
 
     #[test]
     fn one_fetch_too_many_is_found_and_one_after_another_is_not() {
-        assert_eq!(found(PlannerKept::new(2), history(5)), [4]);
-        assert_eq!(found(PlannerKept::new(2), history(3)), NONE);
+        assert_eq!(violations(PlannerKept::new(2), history(5)), [4]);
+        assert_eq!(violations(PlannerKept::new(2), history(3)), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/report.rs
+++ b/crates/fault-harness/src/judge/report.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use super::{Breach, Counts, Found};
+use super::{Counts, Violation, Violations};
 use crate::spec::Spec;
 
 /// The result of a run.
@@ -17,15 +17,15 @@
     /// Number of violations of rules.
     pub broken: u64,
     /// The first violations, in full.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// Results that the scenario expected and that were not reached.
     pub missing: Vec<String>,
 }
 
 impl Report {
-    pub(super) fn new(spec: &Spec, counts: Counts, found: Found) -> Self {
+    pub(super) fn new(spec: &Spec, counts: Counts, violations: Violations) -> Self {
         let missing = missing(spec, &counts);
-        let Found { told: breaches, count: broken } = found;
+        let Violations { reported: breaches, count: broken } = violations;
         Report { name: spec.name.clone(), seed: spec.seed, counts, broken, breaches, missing }
     }
 
--- a/crates/fault-harness/src/judge/tables.rs
+++ b/crates/fault-harness/src/judge/table_history.rs
@@ -13,64 +13,64 @@
 use crate::trace::{Event, Record};
 
 /// Maximum number of tables that are told apart. The oldest are kept; later changes of the list are ignored.
-const MOST_TABLES: usize = 64;
+const MAX_TABLES: usize = 64;
 
 /// Number of consecutive attempts that must fit only older tables before a node counts as lagging: an attempt that
 /// finds no capacity at the key's owner goes elsewhere, sometimes to the owner in an older table.
-const IN_A_ROW: u32 = 3;
+const MIN_CONSECUTIVE: u32 = 3;
 
 /// For each node the number of consecutive attempts that fit only older tables.
 #[derive(Default)]
-pub(super) struct Behind(BTreeMap<usize, u32>);
+pub(super) struct LaggingNodes(BTreeMap<usize, u32>);
 
-impl Behind {
+impl LaggingNodes {
     /// Counts an attempt that tells tables apart, and returns whether the node counts as lagging.
-    pub fn take(&mut self, node: usize, older: bool) -> bool {
-        let row = self.0.entry(node).or_default();
-        *row = if older { *row + 1 } else { 0 };
-        *row >= IN_A_ROW
+    pub fn count_attempt(&mut self, node: usize, older: bool) -> bool {
+        let consecutive = self.0.entry(node).or_default();
+        *consecutive = if older { *consecutive + 1 } else { 0 };
+        *consecutive >= MIN_CONSECUTIVE
     }
 }
 
 /// The first attempt of a request by a node, and the indices of the tables that it fits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Placed {
+pub(super) struct Placement {
     pub node: usize,
     pub key: u64,
     pub by: Vec<usize>,
 }
 
 /// The placement tables of a run, in order, as they follow from the endpoint list.
-pub(super) struct Tables {
+pub(super) struct TableHistory {
     weights: Vec<f64>,
     ready: BTreeSet<usize>,
     tables: Vec<BTreeSet<usize>>,
-    homes: BTreeMap<(usize, u64), Option<usize>>,
+    owners: BTreeMap<(usize, u64), Option<usize>>,
     /// Requests that a box has received.
-    sent: BTreeSet<u64>,
+    received: BTreeSet<u64>,
     /// Number of first attempts that went to no table's owner of the key, and of all first attempts.
-    astray: (u64, u64),
+    unplaced: (u64, u64),
 }
 
-impl Tables {
+impl TableHistory {
     pub fn new(spec: &Spec) -> Self {
-        Tables {
+        TableHistory {
             weights: spec.each_box().map(|group| f64::from(group.slots)).collect(),
             ready: BTreeSet::new(),
             tables: Vec::new(),
-            homes: BTreeMap::new(),
-            sent: BTreeSet::new(),
-            astray: (0, 0),
+            owners: BTreeMap::new(),
+            received: BTreeSet::new(),
+            unplaced: (0, 0),
         }
     }
 
     /// Number of tables, of first attempts that went to no table's owner, and of all first attempts.
     pub fn counts(&self) -> (usize, u64, u64) {
-        (self.tables.len(), self.astray.0, self.astray.1)
+        (self.tables.len(), self.unplaced.0, self.unplaced.1)
     }
 
     /// Processes a record; for the first attempt of a read, returns the tables that it fits.
-    pub fn see(&mut self, record: &Record) -> Option<Placed> {
+    pub fn observe(&mut self, record: &Record) -> Option<Placement> {
         match record.event {
             Event::Listed { of, phase, .. } => {
                 match phase {
@@ -78,28 +78,28 @@
                     Phase::Draining | Phase::Gone => self.ready.remove(&of),
                 };
                 // Before the load starts, only the latest table counts.
-                if self.sent.is_empty() {
+                if self.received.is_empty() {
                     self.tables.clear();
-                    self.homes.clear();
+                    self.owners.clear();
                 }
-                if self.tables.len() < MOST_TABLES && self.tables.last() != Some(&self.ready) {
+                if self.tables.len() < MAX_TABLES && self.tables.last() != Some(&self.ready) {
                     self.tables.push(self.ready.clone());
                 }
                 None
             }
-            Event::Attempt { of, node, id, key, write: false, .. } if self.sent.insert(id) => {
+            Event::Attempt { of, node, id, key, write: false, .. } if self.received.insert(id) => {
                 let by: Vec<usize> =
-                    (0..self.tables.len()).filter(|t| self.home(*t, key) == Some(of)).collect();
-                self.astray = (self.astray.0 + u64::from(by.is_empty()), self.astray.1 + 1);
-                Some(Placed { node, key, by })
+                    (0..self.tables.len()).filter(|t| self.owner(*t, key) == Some(of)).collect();
+                self.unplaced = (self.unplaced.0 + u64::from(by.is_empty()), self.unplaced.1 + 1);
+                Some(Placement { node, key, by })
             }
             _ => None,
         }
     }
 
-    fn home(&mut self, table: usize, key: u64) -> Option<usize> {
-        let Tables { weights, tables, homes, .. } = self;
-        *homes.entry((table, key)).or_insert_with(|| {
+    fn owner(&mut self, table: usize, key: u64) -> Option<usize> {
+        let TableHistory { weights, tables, owners, .. } = self;
+        *owners.entry((table, key)).or_insert_with(|| {
             let entry =
                 |of: &usize| TableEntry { server: ServerId(format!("b{of}").into()), weight: weights[*of] };
             let entries: Vec<TableEntry> = tables[table].iter().map(entry).collect();
--- a/crates/fault-harness/src/judge/tenant.rs
+++ b/crates/fault-harness/src/judge/tenant_unharmed.rs
@@ -6,8 +6,8 @@
 
 use hallpin_simulation::time::Time;
 
-use super::starved::Starved;
-use super::{Found, Rule};
+use super::scheduling_delay::SchedulingDelay;
+use super::{Rule, Violations};
 use crate::spec::Spec;
 use crate::trace::{Event, Record};
 
@@ -16,16 +16,16 @@
 
 pub(super) struct TenantUnharmed {
     names: Vec<String>,
-    most_lost: f64,
+    max_loss: f64,
     /// Tenants whose rate was raised, and the time of the first raise.
-    overdrive: BTreeSet<usize>,
+    raised: BTreeSet<usize>,
     since: Option<Time>,
     /// For each open request its tenant, and whether it was issued after the first raise.
     open: BTreeMap<u64, (usize, bool)>,
     /// For each tenant the requests before and after the first raise.
     counts: Vec<[Counts; 2]>,
     last: Time,
-    starved: Rc<Starved>,
+    delays: Rc<SchedulingDelay>,
 }
 
 fn share((asked, served): Counts) -> f64 {
@@ -33,20 +33,20 @@
 }
 
 impl TenantUnharmed {
-    pub fn new(spec: &Spec, most_lost: f64, starved: Rc<Starved>) -> Self {
+    pub fn new(spec: &Spec, max_loss: f64, delays: Rc<SchedulingDelay>) -> Self {
         let names: Vec<String> = spec.tenants.iter().map(|tenant| tenant.name.clone()).collect();
         let counts = vec![Default::default(); names.len()];
-        let (overdrive, open) = (BTreeSet::new(), BTreeMap::new());
-        TenantUnharmed { names, most_lost, overdrive, since: None, open, counts, last: Time::ZERO, starved }
+        let (raised, open) = (BTreeSet::new(), BTreeMap::new());
+        TenantUnharmed { names, max_loss, raised, since: None, open, counts, last: Time::ZERO, delays }
     }
 }
 
 impl Rule for TenantUnharmed {
-    fn see(&mut self, record: &Record, _: &mut Found) {
+    fn observe(&mut self, record: &Record, _: &mut Violations) {
         self.last = record.at;
         match record.event {
             Event::Rate { tenant, factor } if factor > 1.0 => {
-                self.overdrive.insert(tenant);
+                self.raised.insert(tenant);
                 self.since.get_or_insert(record.at);
             }
             Event::Asked { ask, tenant, .. } => drop(self.open.insert(ask, (tenant, self.since.is_some()))),
@@ -62,23 +62,23 @@
         }
     }
 
-    fn over(&mut self, found: &mut Found) {
+    fn finish(&mut self, violations: &mut Violations) {
         let Some(since) = self.since else { return };
         // Requests lost to scheduling delay of the machine do not count as harm by another tenant.
         let span = self.last.since(since).as_secs().max(1.0);
-        let starved = self.starved.between(since, self.last).as_secs() / span;
-        let quiet = (0..self.names.len()).filter(|tenant| !self.overdrive.contains(tenant));
+        let delays = self.delays.allowance(since, self.last).as_secs() / span;
+        let others = (0..self.names.len()).filter(|tenant| !self.raised.contains(tenant));
         for (name, [before, after]) in
-            quiet.filter_map(|tenant| Some((self.names.get(tenant)?, self.counts.get(tenant)?)))
+            others.filter_map(|tenant| Some((self.names.get(tenant)?, self.counts.get(tenant)?)))
         {
-            let least = (share(*before) - self.most_lost - starved).max(0.0);
+            let least = (share(*before) - self.max_loss - delays).max(0.0);
             if after.0 > 0 && share(*after) < least {
                 let (asked, served) = after;
                 let what = format!(
                     "{name}: {served} of {asked} requests served while another overdrove, {:.3} before",
                     share(*before)
                 );
-                found.add("tenant-unharmed", self.last, what);
+                violations.add("tenant-unharmed", self.last, what);
             }
         }
     }
@@ -86,12 +86,12 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found, NONE};
+    use super::super::tests::{violations, NONE};
     use super::*;
 
     /// Times of the violations with two tenants and a request each before and after the second one's rate is raised;
     /// the parameters say whether the requests after it were served.
-    fn judged(quiet: bool, loud: bool) -> Vec<u64> {
+    fn check(others: bool, loud: bool) -> Vec<u64> {
         let asked = |ask, tenant| Event::Asked { ask, tenant, tries: 1 };
         let over = |ask, served| Event::Over { ask, served };
         let events = vec![
@@ -102,16 +102,16 @@
             (4, Event::Rate { tenant: 1, factor: 8.0 }),
             (5, asked(3, 0)),
             (6, asked(4, 1)),
-            (7, over(3, quiet)),
+            (7, over(3, others)),
             (8, over(4, loud)),
         ];
         let spec = Spec::parse("[[tenants]]\nname = \"quiet\"\n[[tenants]]\nname = \"loud\"\n").unwrap();
-        found(TenantUnharmed::new(&spec, 0.02, Rc::default()), events)
+        violations(TenantUnharmed::new(&spec, 0.02, Rc::default()), events)
     }
 
     #[test]
     fn who_overdrives_may_lose_and_no_other_may() {
-        assert_eq!(judged(false, true), [8]);
-        assert_eq!(judged(true, false), NONE);
+        assert_eq!(check(false, true), [8]);
+        assert_eq!(check(true, false), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/whole.rs
+++ b/crates/fault-harness/src/judge/whole_kept.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Found, Rule};
+use super::{Rule, Violations};
 use crate::trace::{Event, Record};
 
 #[derive(Default)]
@@ -18,7 +18,7 @@
 }
 
 impl Rule for WholeKept {
-    fn see(&mut self, record: &Record, found: &mut Found) {
+    fn observe(&mut self, record: &Record, violations: &mut Violations) {
         match record.event {
             Event::BoxUp { of, whole, .. } => self.boxes.entry(of).or_default().0 = whole,
             Event::Opened { of, node, .. } => {
@@ -27,7 +27,7 @@
                 if open > whole {
                     let what =
                         format!("b{of} has {open} connections open, the last from n{node}; it takes {whole}");
-                    found.add("whole-kept", record.at, what);
+                    violations.add("whole-kept", record.at, what);
                 }
             }
             Event::Closed { of, .. } => {
@@ -41,7 +41,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found, NONE};
+    use super::super::tests::{violations, NONE};
     use super::*;
 
     fn history(third_at: u64) -> Vec<(u64, Event)> {
@@ -59,7 +59,7 @@
 
     #[test]
     fn one_connection_over_the_whole_is_found_and_one_in_place_of_another_is_not() {
-        assert_eq!(found(WholeKept::new(), history(3)), [3]);
-        assert_eq!(found(WholeKept::new(), history(5)), NONE);
+        assert_eq!(violations(WholeKept::new(), history(3)), [3]);
+        assert_eq!(violations(WholeKept::new(), history(5)), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/window.rs
+++ b/crates/fault-harness/src/judge/window.rs
@@ -4,7 +4,7 @@
 
 use hallpin_simulation::time::{Span, Time};
 
-use super::starved::Starved;
+use super::scheduling_delay::SchedulingDelay;
 
 const SECOND: Span = Span::from_millis(1000);
 
@@ -14,7 +14,7 @@
 
 impl Window {
     /// Adds an event; returns the number of events in the second that ends with it.
-    pub fn take(&mut self, at: Time) -> usize {
+    pub fn add(&mut self, at: Time) -> usize {
         while self.0.front().is_some_and(|first| at.since(*first) >= SECOND) {
             self.0.pop_front();
         }
@@ -24,7 +24,7 @@
 }
 
 /// Maximum number of events in the second that ends at `at`, extended for events that a delayed harness records late.
-pub(super) fn allowed(most: u32, at: Time, starved: &Starved) -> usize {
-    let late = starved.between(at.back(SECOND), at).as_secs();
-    (f64::from(most) * (1.0 + late)).floor() as usize
+pub(super) fn extended_limit(limit: u32, at: Time, delays: &SchedulingDelay) -> usize {
+    let delay = delays.allowance(at.back(SECOND), at).as_secs();
+    (f64::from(limit) * (1.0 + delay)).floor() as usize
 }
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -6,14 +6,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod fakes;
+pub mod harness;
 pub mod judge;
 pub mod process;
 pub mod relay;
-pub mod rig;
 pub mod spec;
-pub mod stand_in;
 pub mod trace;
 
+pub use harness::{block_on, play, Harness, Options, RigError};
 pub use judge::Report;
-pub use rig::{block_on, play, Options, Rig, RigError};
 pub use spec::Spec;
--- a/crates/fault-harness/src/process/config.rs
+++ b/crates/fault-harness/src/process/config.rs
@@ -3,18 +3,18 @@
 use hallpin_simulation::chance::Chance;
 use serde_json::{json, Value};
 
-use super::Place;
+use super::NodeAddresses;
 use crate::spec::{Spec, Tenant};
 
 /// The configuration of a node's next process, including the endpoint list that the node has at its start.
-pub fn config(spec: &Spec, place: &Place, life: u32, known: Value) -> Value {
-    let seed = Chance::new(spec.seed, &format!("n{} life {life}", place.node)).bits();
+pub fn config(spec: &Spec, addresses: &NodeAddresses, life: u32, known: Value) -> Value {
+    let seed = Chance::new(spec.seed, &format!("n{} life {life}", addresses.node)).bits();
     json!({
-        "name": format!("n{}", place.node), "listen": place.listen, "operator": place.operator,
-        "discovery": place.discovery, "seed": format!("{seed:016x}"),
+        "name": format!("n{}", addresses.node), "listen": addresses.listen, "operator": addresses.operator,
+        "discovery": addresses.discovery, "seed": format!("{seed:016x}"),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": spec.nodes.sockets},
-        "peer_listen": place.peer_listen, "peers": place.peers,
-        "known": known, "settings": settings(spec, place.node),
+        "peer_listen": addresses.peer_listen, "peers": addresses.peers,
+        "known": known, "settings": settings(spec, addresses.node),
     })
 }
 
@@ -27,14 +27,14 @@
         })
     };
     let tenant = |t: &Tenant| json!({"name": t.name, "share": 1.0, "quota-per-s": t.quota});
-    let cold = spec.each_box().map(|group| group.cold).max().unwrap_or_default();
+    let warm_up = spec.each_box().map(|group| group.cold).max().unwrap_or_default();
     json!({
         "areas": spec.depots, "locality": spec.depot_of(node), "balancers": spec.nodes.count, "me": node,
         "family": "cache", "family-info": {"mode": "through", "origin-kind": -1},
         "grades": [grade("read", "free"), grade("write", "guarded")],
         "tenants": spec.tenants.iter().map(tenant).collect::<Vec<_>>(),
         "guarantees": {
-            "ask-every-s": 10.0, "cold-from": 0.3, "ramp-time-s": cold.as_secs(),
+            "ask-every-s": 10.0, "cold-from": 0.3, "ramp-time-s": warm_up.as_secs(),
             "drain-grace-s": spec.rules.drain_grace.as_secs(), "fall-multiple": 3.0, "fall-s": 2.0,
             "grace-to-answer-s": 0.05,
         },
--- a/crates/fault-harness/src/process/files.rs
+++ b/crates/fault-harness/src/process/files.rs
@@ -4,32 +4,32 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::spec::State;
+use crate::spec::StateFolderChange;
 
 /// Applies a change to the state folders of nodes whose processes have ended.
 ///
 /// # Errors
 /// Fails if a file cannot be changed.
-pub fn change(folders: &[PathBuf], state: &State) -> io::Result<()> {
+pub fn apply_state_change(folders: &[PathBuf], state: &StateFolderChange) -> io::Result<()> {
     match state {
-        State::Kept => Ok(()),
-        State::Lost => folders.iter().try_for_each(|folder| empty(folder)),
-        State::Torn => folders.iter().try_for_each(|folder| tear(folder)),
-        State::Swapped => swap(folders),
+        StateFolderChange::Kept => Ok(()),
+        StateFolderChange::Lost => folders.iter().try_for_each(|folder| clear(folder)),
+        StateFolderChange::Torn => folders.iter().try_for_each(|folder| truncate_files(folder)),
+        StateFolderChange::Swapped => rotate(folders),
     }
 }
 
-fn empty(folder: &Path) -> io::Result<()> {
+fn clear(folder: &Path) -> io::Result<()> {
     fs::remove_dir_all(folder)?;
     fs::create_dir(folder)
 }
 
 /// Cuts off the last half of each file, like a disk that lost its most recent writes.
-fn tear(folder: &Path) -> io::Result<()> {
+fn truncate_files(folder: &Path) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
         if path.is_dir() {
-            tear(&path)?;
+            truncate_files(&path)?;
         } else {
             let length = fs::metadata(&path)?.len();
             OpenOptions::new().write(true).open(&path)?.set_len(length / 2)?;
@@ -39,7 +39,7 @@
 }
 
 /// Gives each folder the contents of the next one, and the last folder those of the first.
-fn swap(folders: &[PathBuf]) -> io::Result<()> {
+fn rotate(folders: &[PathBuf]) -> io::Result<()> {
     let Some(first) = folders.first() else { return Ok(()) };
     let aside = first.with_extension("aside");
     fs::rename(first, &aside)?;
@@ -67,22 +67,22 @@
         bytes.iter().enumerate().map(make).collect()
     }
 
-    fn held(folder: &Path) -> Option<String> {
+    fn content(folder: &Path) -> Option<String> {
         fs::read_to_string(folder.join("store")).ok()
     }
 
     #[test]
     fn state_is_kept_lost_torn_or_swapped() {
         for (state, first, second) in [
-            (State::Kept, Some("aaaa"), Some("bb")),
-            (State::Lost, None, None),
-            (State::Torn, Some("aa"), Some("b")),
-            (State::Swapped, Some("bb"), Some("aaaa")),
+            (StateFolderChange::Kept, Some("aaaa"), Some("bb")),
+            (StateFolderChange::Lost, None, None),
+            (StateFolderChange::Torn, Some("aa"), Some("b")),
+            (StateFolderChange::Swapped, Some("bb"), Some("aaaa")),
         ] {
             let root = tempfile::tempdir().unwrap();
             let folders = folders(root.path(), ["aaaa", "bb"]);
-            change(&folders, &state).unwrap();
-            let got = [held(&folders[0]), held(&folders[1])];
+            apply_state_change(&folders, &state).unwrap();
+            let got = [content(&folders[0]), content(&folders[1])];
             assert_eq!(got, [first.map(String::from), second.map(String::from)], "{state:?}");
             assert!(folders.iter().all(|folder| folder.is_dir()));
         }
--- a/crates/fault-harness/src/process/host.rs
+++ b/crates/fault-harness/src/process/host.rs
@@ -17,16 +17,16 @@
 use crate::trace::{End, Event, Recorder};
 
 /// Interval between readiness checks of a node.
-const ASK_AGAIN: Duration = Duration::from_millis(10);
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Timeout of a readiness check, which is then repeated: a paused process does not answer.
-const ASKED: Duration = Duration::from_millis(500);
+const READY_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long after SIGTERM clients still open connections to the node, as a load balancer in front learns of the stop
 /// with a delay.
-const STILL_COMING: Duration = Duration::from_millis(300);
+const ROUTING_DELAY: Duration = Duration::from_millis(300);
 
 /// A node's addresses, and the addresses at which it reaches others.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct NodeAddresses {
     /// Index of the node.
     pub node: usize,
     /// Listen address for clients.
@@ -45,7 +45,7 @@
 
 /// The texts of the operator files that turn on the control plane between nodes.
 #[derive(Clone, Debug, Default)]
-pub struct PlaneFiles {
+pub struct ControlPlaneFiles {
     /// The file that the node is started with; without it the control plane is off.
     pub fleet: Option<String>,
     /// The contracts file in the same folder, which sets the tenants' shares.
@@ -66,38 +66,47 @@
 /// A node's host.
 pub struct Host {
     /// The node's addresses and folder.
-    pub place: Place,
+    pub addresses: NodeAddresses,
     program: Program,
     recorder: Rc<Recorder>,
-    wanted: watch::Sender<bool>,
-    life: Cell<u32>,
+    accepts_connections: watch::Sender<bool>,
+    generation: Cell<u32>,
     /// The running process, from its start until it has been waited for.
     pid: watch::Sender<Option<Pid>>,
     pids: RefCell<Vec<Pid>>,
     /// How the process was asked to end, if it was.
-    told: Cell<Option<End>>,
+    requested_end: Cell<Option<End>>,
 }
 
 impl Host {
-    /// A host without a process. `wanted` tells clients whether they may open new connections to the node.
+    /// A host without a process. `accepts_connections` tells clients whether they may open new connections to the node.
     pub fn new(
-        place: Place,
+        addresses: NodeAddresses,
         program: Program,
-        wanted: watch::Sender<bool>,
+        accepts_connections: watch::Sender<bool>,
         recorder: Rc<Recorder>,
     ) -> Rc<Self> {
         let pid = watch::Sender::new(None);
-        let (life, pids, told) = (Cell::new(0), RefCell::default(), Cell::new(None));
-        Rc::new(Host { place, program, recorder, wanted, life, pid, pids, told })
+        let (generation, pids, requested_end) = (Cell::new(0), RefCell::default(), Cell::new(None));
+        Rc::new(Host {
+            addresses,
+            program,
+            recorder,
+            accepts_connections,
+            generation,
+            pid,
+            pids,
+            requested_end,
+        })
     }
 
     /// Generation number of the next process, from 1.
-    pub fn next_life(&self) -> u32 {
-        self.life.get() + 1
+    pub fn next_generation(&self) -> u32 {
+        self.generation.get() + 1
     }
 
     /// Whether a process runs.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.pid.borrow().is_some()
     }
 
@@ -108,103 +117,104 @@
 
     /// The node's state folder.
     pub fn state(&self) -> PathBuf {
-        self.place.folder.join("state")
+        self.addresses.folder.join("state")
     }
 
     /// The file that the node's processes log to.
     pub fn log(&self) -> PathBuf {
-        self.place.folder.join("log")
+        self.addresses.folder.join("log")
     }
 
     /// Whether the last process ended without having been asked to.
-    pub fn fell(&self) -> bool {
-        !self.runs() && self.life.get() > 0 && self.told.get().is_none()
+    pub fn ended_unexpectedly(&self) -> bool {
+        !self.is_running() && self.generation.get() > 0 && self.requested_end.get().is_none()
     }
 
     /// Starts a process, and supervises it until it has ended.
     ///
     /// # Errors
     /// Fails if one is already running, or if it cannot be started.
-    pub fn start(self: &Rc<Self>, config: &Value, plane: &PlaneFiles) -> Result<(), HostError> {
-        let node = self.place.node;
+    pub fn start(self: &Rc<Self>, config: &Value, plane: &ControlPlaneFiles) -> Result<(), HostError> {
+        let node = self.addresses.node;
         let running = self.spawn(config, plane).map_err(|error| HostError { node, error })?;
-        let (life, pid) = (self.next_life(), running.pid);
-        self.life.set(life);
-        self.told.set(None);
+        let (life, pid) = (self.next_generation(), running.pid);
+        self.generation.set(life);
+        self.requested_end.set(None);
         self.pids.borrow_mut().push(pid);
         self.pid.send_replace(Some(pid));
         self.recorder.record(Event::NodeStarted { node, life, pid: pid.as_raw_nonzero().get() });
-        tokio::task::spawn_local(self.clone().look_after(running, life));
+        tokio::task::spawn_local(self.clone().supervise(running, life));
         Ok(())
     }
 
-    fn spawn(&self, config: &Value, plane: &PlaneFiles) -> io::Result<Running> {
-        if self.runs() {
+    fn spawn(&self, config: &Value, plane: &ControlPlaneFiles) -> io::Result<Running> {
+        if self.is_running() {
             return Err(io::Error::other("its process runs already"));
         }
-        let Place { folder, .. } = &self.place;
+        let NodeAddresses { folder, .. } = &self.addresses;
         std::fs::create_dir_all(self.state())?;
         let (path, log) = (folder.join("config.json"), self.log());
         std::fs::write(&path, config.to_string())?;
-        let mut more: Vec<OsString> = Vec::new();
+        let mut arguments: Vec<OsString> = Vec::new();
         if let Some(text) = &plane.contracts {
             std::fs::write(folder.join("contracts.toml"), text)?;
         }
         if let Some(text) = &plane.fleet {
             let file = folder.join("fleet.toml");
             std::fs::write(&file, text)?;
-            more = vec!["--fleet".into(), file.into()];
+            arguments = vec!["--fleet".into(), file.into()];
         }
-        self.program.start(&path, &log, more)
+        self.program.start(&path, &log, arguments)
     }
 
-    async fn look_after(self: Rc<Self>, mut running: Running, life: u32) {
-        let node = self.place.node;
+    async fn supervise(self: Rc<Self>, mut running: Running, life: u32) {
+        let node = self.addresses.node;
         let ready = async {
-            while !matches!(timeout(ASKED, is_ready(self.place.listen)).await, Ok(Ok(true))) {
-                sleep(ASK_AGAIN).await;
+            while !matches!(timeout(READY_CHECK_TIMEOUT, is_ready(self.addresses.listen)).await, Ok(Ok(true)))
+            {
+                sleep(READY_CHECK_INTERVAL).await;
             }
         };
         let status = tokio::select! {
             status = running.child.wait() => status,
             () = ready => {
                 self.recorder.record(Event::NodeReady { node, life });
-                self.wanted.send_replace(self.told.get().is_none());
+                self.accepts_connections.send_replace(self.requested_end.get().is_none());
                 running.child.wait().await
             }
         };
-        let good = status.is_ok_and(|status| status.success());
-        let end = match self.told.get() {
-            Some(End::Stopped) if !good => End::Fell,
+        let succeeded = status.is_ok_and(|status| status.success());
+        let end = match self.requested_end.get() {
+            Some(End::Stopped) if !succeeded => End::Fell,
             Some(end) => end,
             None => End::Fell,
         };
-        self.wanted.send_replace(false);
+        self.accepts_connections.send_replace(false);
         self.recorder.record(Event::NodeEnded { node, life, end });
         self.pid.send_replace(None);
     }
 
     /// Kills the process with SIGKILL.
     pub fn kill(&self) {
-        self.told.set(Some(End::Killed));
-        self.wanted.send_replace(false);
+        self.requested_end.set(Some(End::Killed));
+        self.accepts_connections.send_replace(false);
         self.signal(Signal::KILL);
     }
 
     /// Sends the process SIGTERM, and SIGKILL if it has not ended after `notice`.
-    pub fn stop(self: &Rc<Self>, notice: Duration) {
-        let (host, life) = (self.clone(), self.life.get());
-        self.told.set(Some(End::Stopped));
-        self.recorder.record(Event::NodeLeaves { node: self.place.node, life });
+    pub fn stop(self: &Rc<Self>, timeout_after_term: Duration) {
+        let (host, life) = (self.clone(), self.generation.get());
+        self.requested_end.set(Some(End::Stopped));
+        self.recorder.record(Event::NodeLeaves { node: self.addresses.node, life });
         self.signal(Signal::TERM);
         tokio::task::spawn_local(async move {
-            sleep(STILL_COMING).await;
-            if host.life.get() == life {
-                host.wanted.send_replace(false);
+            sleep(ROUTING_DELAY).await;
+            if host.generation.get() == life {
+                host.accepts_connections.send_replace(false);
             }
-            sleep(notice.saturating_sub(STILL_COMING)).await;
-            if host.life.get() == life && host.runs() {
-                host.told.set(Some(End::Overdue));
+            sleep(timeout_after_term.saturating_sub(ROUTING_DELAY)).await;
+            if host.generation.get() == life && host.is_running() {
+                host.requested_end.set(Some(End::Overdue));
                 host.signal(Signal::KILL);
             }
         });
@@ -213,17 +223,17 @@
     /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
-        self.recorder.record(Event::NodePaused { node: self.place.node });
+        self.recorder.record(Event::NodePaused { node: self.addresses.node });
     }
 
     /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
-        self.recorder.record(Event::NodeResumed { node: self.place.node });
+        self.recorder.record(Event::NodeResumed { node: self.addresses.node });
         self.signal(Signal::CONT);
     }
 
     /// Waits until no process runs.
-    pub async fn ended(&self) {
+    pub async fn wait_ended(&self) {
         // The sender is a field of this host, so the channel stays open.
         let _ = self.pid.subscribe().wait_for(Option::is_none).await;
     }
--- a/crates/fault-harness/src/process/mod.rs
+++ b/crates/fault-harness/src/process/mod.rs
@@ -5,5 +5,5 @@
 mod host;
 
 pub use config::config;
-pub use files::change;
-pub use host::{Host, HostError, Place, PlaneFiles};
+pub use files::apply_state_change;
+pub use host::{ControlPlaneFiles, Host, HostError, NodeAddresses};
--- a/crates/fault-harness/src/relay/fate.rs
+++ b/crates/fault-harness/src/relay/fate.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Additional delay of a reordered datagram, during which later ones overtake it.
-pub const OVERTAKEN: Duration = Duration::from_millis(20);
+pub const REORDER_DELAY: Duration = Duration::from_millis(20);
 
 /// Conditions of one direction of a link.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -43,21 +43,21 @@
 
 impl Conditions {
     /// Draws the delay of the next datagram or chunk.
-    pub fn lateness(&self, chance: &mut Chance) -> Duration {
+    pub fn draw_delay(&self, chance: &mut Chance) -> Duration {
         let jitter = chance.between(0.0, self.jitter.as_secs());
         Duration::from_micros(self.delay.0) + Duration::from_secs_f64(jitter)
     }
 
     /// Draws the fate of the next datagram and the delay of each of its copies. Every datagram takes the same number of
     /// draws, so that its fate does not depend on the conditions that applied to earlier ones.
-    pub fn fate(&self, chance: &mut Chance) -> (Fate, Vec<Duration>) {
+    pub fn draw_fate(&self, chance: &mut Chance) -> (Fate, Vec<Duration>) {
         let [lost, doubled, held] =
             [self.drop, self.duplicate, self.reorder].map(|share| chance.unit() < share);
-        let [first, second] = [self.lateness(chance), self.lateness(chance)];
+        let [first, second] = [self.draw_delay(chance), self.draw_delay(chance)];
         match (self.cut || lost, doubled, held) {
             (true, ..) => (Fate::Lost, Vec::new()),
             (_, true, _) => (Fate::Doubled, vec![first, second]),
-            (_, _, true) => (Fate::Held, vec![first + OVERTAKEN]),
+            (_, _, true) => (Fate::Held, vec![first + REORDER_DELAY]),
             _ => (Fate::Passed, vec![first]),
         }
     }
--- a/crates/fault-harness/src/relay/mod.rs
+++ b/crates/fault-harness/src/relay/mod.rs
@@ -8,4 +8,4 @@
 pub use fate::{Conditions, Fate};
 pub use network::{Network, Site};
 pub use tcp::TcpLink;
-pub use udp::{Mesh, MeshError};
+pub use udp::{DatagramMesh, RelaySocketError};
--- a/crates/fault-harness/src/relay/network.rs
+++ b/crates/fault-harness/src/relay/network.rs
@@ -51,11 +51,11 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let place = |rest: &str| rest.parse::<u16>().ok().map(usize::from);
+        let index = |rest: &str| rest.parse::<u16>().ok().map(usize::from);
         let site = match text.split_at_checked(1) {
             _ if text == "list" => Some(Site::List),
-            Some(("n", rest)) => place(rest).map(Site::Node),
-            Some(("b", rest)) => place(rest).map(Site::Box),
+            Some(("n", rest)) => index(rest).map(Site::Node),
+            Some(("b", rest)) => index(rest).map(Site::Box),
             _ => None,
         };
         site.ok_or_else(|| {
@@ -68,13 +68,13 @@
 #[derive(Debug)]
 pub struct Network {
     seed: u64,
-    ways: RefCell<BTreeMap<(Site, Site), watch::Sender<Conditions>>>,
+    directions: RefCell<BTreeMap<(Site, Site), watch::Sender<Conditions>>>,
     resets: RefCell<BTreeMap<(Site, Site), watch::Sender<u64>>>,
 }
 
 /// One direction of a link, as used by one carrier of data over it.
 #[derive(Clone, Debug)]
-pub struct Way {
+pub struct LinkDirection {
     conditions: watch::Receiver<Conditions>,
     chance: Chance,
 }
@@ -82,29 +82,30 @@
 impl Network {
     /// A network without conditions. The random draws of each link follow from the seed and the names of its ends.
     pub fn new(seed: u64) -> Self {
-        Network { seed, ways: RefCell::default(), resets: RefCell::default() }
+        Network { seed, directions: RefCell::default(), resets: RefCell::default() }
     }
 
     /// A direction of a link, for the carrier with this number.
-    pub fn way(&self, from: Site, to: Site, carrier: u64) -> Way {
-        let mut ways = self.ways.borrow_mut();
-        let conditions = ways.entry((from, to)).or_default().subscribe();
-        Way { conditions, chance: Chance::new(self.seed, &format!("{from}>{to}#{carrier}")) }
+    pub fn direction(&self, from: Site, to: Site, carrier: u64) -> LinkDirection {
+        let mut directions = self.directions.borrow_mut();
+        let conditions = directions.entry((from, to)).or_default().subscribe();
+        LinkDirection { conditions, chance: Chance::new(self.seed, &format!("{from}>{to}#{carrier}")) }
     }
 
     /// Changes the conditions of a direction, and returns whether it is cut now.
     pub fn change(&self, from: Site, to: Site, change: impl FnOnce(&mut Conditions)) -> bool {
-        let mut ways = self.ways.borrow_mut();
-        let way = ways.entry((from, to)).or_default();
-        way.send_modify(change);
-        let cut = way.borrow().cut;
+        let mut directions = self.directions.borrow_mut();
+        let direction = directions.entry((from, to)).or_default();
+        direction.send_modify(change);
+        let cut = direction.borrow().cut;
         cut
     }
 
     /// Removes all conditions, and returns the directions that were cut.
     pub fn heal(&self) -> Vec<(Site, Site)> {
-        let ways = self.ways.borrow();
-        let healed = ways.iter().filter(|(_, way)| way.send_replace(Conditions::default()).cut);
+        let directions = self.directions.borrow();
+        let healed =
+            directions.iter().filter(|(_, direction)| direction.send_replace(Conditions::default()).cut);
         healed.map(|(ends, _)| *ends).collect()
     }
 
@@ -119,9 +120,9 @@
     }
 }
 
-impl Way {
+impl LinkDirection {
     /// The current conditions.
-    pub fn now(&self) -> Conditions {
+    pub fn current(&self) -> Conditions {
         self.conditions.borrow().clone()
     }
 
@@ -131,17 +132,17 @@
     }
 
     /// Draws the fate of the next datagram.
-    pub fn fate(&mut self) -> (super::Fate, Vec<std::time::Duration>) {
-        self.conditions.borrow().fate(&mut self.chance)
+    pub fn draw_fate(&mut self) -> (super::Fate, Vec<std::time::Duration>) {
+        self.conditions.borrow().draw_fate(&mut self.chance)
     }
 
     /// Draws the delay of the next chunk of a stream.
-    pub fn lateness(&mut self) -> std::time::Duration {
-        self.conditions.borrow().lateness(&mut self.chance)
+    pub fn draw_delay(&mut self) -> std::time::Duration {
+        self.conditions.borrow().draw_delay(&mut self.chance)
     }
 
     /// Waits until the direction is not cut; for ever if the network was dropped.
-    pub async fn open(&mut self) {
+    pub async fn wait_open(&mut self) {
         if self.conditions.wait_for(|conditions| !conditions.cut).await.is_err() {
             std::future::pending::<()>().await;
         }
--- a/crates/fault-harness/src/relay/tcp.rs
+++ b/crates/fault-harness/src/relay/tcp.rs
@@ -13,16 +13,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::network::Way;
+use super::network::LinkDirection;
 use super::{Network, Site};
 use crate::trace::{Event, Recorder};
 
 /// Maximum number of chunks in flight in one direction; beyond it the sender waits.
-const ON_THE_WAY: usize = 64;
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 /// Maximum length of a chunk, in bytes.
-const PIECE: usize = 16 * 1024;
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 /// Delay before the next accept after one that failed.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
 
 /// One link and the addresses of its ends.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 
 /// How the link treats new connections.
 #[derive(Clone, Copy, PartialEq)]
-enum Door {
+enum ListenMode {
     Open,
     Refused,
     Silent,
@@ -54,26 +54,27 @@
 impl TcpLink {
     /// Forwards connections until the future is dropped.
     pub async fn run(mut self, network: Rc<Network>) {
-        let (mut out, mut back) = (network.way(self.from, self.to, 0), network.way(self.to, self.from, 0));
+        let (mut out, mut back) =
+            (network.direction(self.from, self.to, 0), network.direction(self.to, self.from, 0));
         loop {
-            let door = match (out.is_cut() || back.is_cut(), *self.up.borrow_and_update()) {
-                (true, _) => Door::Silent,
-                (false, false) => Door::Refused,
-                (false, true) => Door::Open,
+            let mode = match (out.is_cut() || back.is_cut(), *self.up.borrow_and_update()) {
+                (true, _) => ListenMode::Silent,
+                (false, false) => ListenMode::Refused,
+                (false, true) => ListenMode::Open,
             };
-            let opened = async {
-                match door {
-                    Door::Open => self.accept(&network).await,
-                    Door::Refused => std::future::pending().await,
-                    Door::Silent => loopback::swallow(self.listen).await,
+            let serve_mode = async {
+                match mode {
+                    ListenMode::Open => self.accept(&network).await,
+                    ListenMode::Refused => std::future::pending().await,
+                    ListenMode::Silent => loopback::swallow(self.listen).await,
                 }
             };
             let mut up = self.up.clone();
             tokio::select! {
-                () = opened => {}
+                () = serve_mode => {}
                 () = out.changed() => {}
                 () = back.changed() => {}
-                gone = up.changed() => if gone.is_err() { return },
+                up_changed = up.changed() => if up_changed.is_err() { return },
             }
         }
     }
@@ -82,7 +83,7 @@
         let listener = loopback::listen(self.listen).await;
         for carrier in 1.. {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             tokio::task::spawn_local(self.clone().connection(stream, network.clone(), carrier));
@@ -97,10 +98,10 @@
             let (near_in, near_out) = near.split();
             let (far_in, far_out) = far.split();
             let recorder = &*self.recorder;
-            let held = |from, to| move || recorder.record(Event::Held { from, to });
+            let record_held = |from, to| move || recorder.record(Event::Held { from, to });
             let (from, to) = (self.from, self.to);
-            let out = pump(near_in, far_out, network.way(from, to, carrier), held(from, to));
-            let back = pump(far_in, near_out, network.way(to, from, carrier), held(to, from));
+            let out = forward(near_in, far_out, network.direction(from, to, carrier), record_held(from, to));
+            let back = forward(far_in, near_out, network.direction(to, from, carrier), record_held(to, from));
             tokio::select! {
                 ended = async { tokio::try_join!(out, back) } => ended.is_err(),
                 _ = resets.changed() => true,
@@ -120,44 +121,44 @@
 }
 
 /// The connection was broken at one of its ends.
-struct Broken;
+struct BrokenConnection;
 
 /// Forwards one direction until its sender has closed it and everything is delivered, or the connection breaks.
-async fn pump(
+async fn forward(
     mut from: tokio::net::tcp::ReadHalf<'_>,
     mut to: tokio::net::tcp::WriteHalf<'_>,
-    mut way: Way,
-    held: impl Fn(),
-) -> Result<(), Broken> {
-    let (queue, mut queued) = mpsc::channel::<(Instant, Option<Bytes>)>(ON_THE_WAY);
-    let mut late = way.clone();
+    mut direction: LinkDirection,
+    record_held: impl Fn(),
+) -> Result<(), BrokenConnection> {
+    let (queue, mut queued) = mpsc::channel::<(Instant, Option<Bytes>)>(MAX_CHUNKS_IN_FLIGHT);
+    let mut delays = direction.clone();
     let read = async move {
         let mut last = Instant::now();
         loop {
-            let mut piece = BytesMut::with_capacity(PIECE);
-            let read = from.read_buf(&mut piece).await;
+            let mut chunk = BytesMut::with_capacity(MAX_CHUNK_BYTES);
+            let read = from.read_buf(&mut chunk).await;
             // Keeps the order: no chunk is delivered before an earlier one.
-            last = last.max(Instant::now() + late.lateness());
-            let (piece, ends) = match read {
+            last = last.max(Instant::now() + delays.draw_delay());
+            let (chunk, ends) = match read {
                 Ok(0) => (Some(Bytes::new()), true),
-                Ok(_) => (Some(piece.freeze()), false),
+                Ok(_) => (Some(chunk.freeze()), false),
                 Err(_) => (None, true),
             };
-            if queue.send((last, piece)).await.is_err() || ends {
+            if queue.send((last, chunk)).await.is_err() || ends {
                 return;
             }
         }
     };
     let write = async move {
-        while let Some((at, piece)) = queued.recv().await {
+        while let Some((at, chunk)) = queued.recv().await {
             sleep_until(at).await;
-            if way.is_cut() {
-                way.open().await;
-                held();
+            if direction.is_cut() {
+                direction.wait_open().await;
+                record_held();
             }
-            let piece = piece.ok_or(Broken)?;
-            let sent = if piece.is_empty() { to.shutdown().await } else { to.write_all(&piece).await };
-            sent.map_err(|_| Broken)?;
+            let chunk = chunk.ok_or(BrokenConnection)?;
+            let sent = if chunk.is_empty() { to.shutdown().await } else { to.write_all(&chunk).await };
+            sent.map_err(|_| BrokenConnection)?;
         }
         Ok(())
     };
--- a/crates/fault-harness/src/relay/udp.rs
+++ b/crates/fault-harness/src/relay/udp.rs
@@ -11,52 +11,53 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use super::network::Way;
+use super::network::LinkDirection;
 use super::{Fate, Network, Site};
 use crate::trace::{Event, Recorder};
 
 /// Maximum length in bytes of a datagram that the relay forwards in full, far above the protocol's maximum.
-const LONGEST: usize = 2048;
+const MAX_RELAYED_BYTES: usize = 2048;
 
 /// The relay's sockets could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("sockets between nodes: {0}")]
-pub struct MeshError(#[from] io::Error);
+pub struct RelaySocketError(#[from] io::Error);
 
 /// The relay sockets between all nodes.
 #[derive(Debug)]
-pub struct Mesh {
+pub struct DatagramMesh {
     /// Each node's listen address for datagrams.
-    listens: Vec<SocketAddr>,
-    /// `seen[a][b]` is the socket at which node a reaches node b; for a = b it is unused.
-    seen: Vec<Vec<Rc<UdpSocket>>>,
+    listen_addresses: Vec<SocketAddr>,
+    /// `sockets[a][b]` is the socket at which node a reaches node b; for a = b it is unused.
+    sockets: Vec<Vec<Rc<UdpSocket>>>,
 }
 
-impl Mesh {
+impl DatagramMesh {
     /// Opens the sockets for as many nodes as there are addresses, each at its own loopback address.
     ///
     /// # Errors
     /// Fails if a socket cannot be opened.
-    pub async fn bind(machines: &[Ipv4Addr]) -> Result<Self, MeshError> {
+    pub async fn bind(machines: &[Ipv4Addr]) -> Result<Self, RelaySocketError> {
         let count = machines.len();
         // Held until all other sockets are bound, so that no port is assigned twice, and then released for the nodes.
         let listeners: Vec<_> =
             machines.iter().map(|ip| std::net::UdpSocket::bind((*ip, 0))).collect::<io::Result<_>>()?;
-        let listens = listeners.iter().map(std::net::UdpSocket::local_addr).collect::<io::Result<_>>()?;
-        let mut seen = Vec::with_capacity(count);
+        let listen_addresses =
+            listeners.iter().map(std::net::UdpSocket::local_addr).collect::<io::Result<_>>()?;
+        let mut sockets = Vec::with_capacity(count);
         for machine in machines {
             let mut row = Vec::with_capacity(count);
             for _ in 0..count {
                 row.push(Rc::new(UdpSocket::bind((*machine, 0)).await?));
             }
-            seen.push(row);
+            sockets.push(row);
         }
-        Ok(Mesh { listens, seen })
+        Ok(DatagramMesh { listen_addresses, sockets })
     }
 
     /// A node's listen address for datagrams.
     pub fn listen(&self, node: usize) -> SocketAddr {
-        self.listens[node]
+        self.listen_addresses[node]
     }
 
     /// The addresses at which one node reaches every node, its own listen address included.
@@ -66,20 +67,20 @@
     pub fn peers(&self, of: usize) -> io::Result<Vec<SocketAddr>> {
         let address = |(to, socket): (usize, &Rc<UdpSocket>)| {
             if to == of {
-                Ok(self.listens[of])
+                Ok(self.listen_addresses[of])
             } else {
                 socket.local_addr()
             }
         };
-        self.seen[of].iter().enumerate().map(address).collect()
+        self.sockets[of].iter().enumerate().map(address).collect()
     }
 
     /// Forwards datagrams between nodes, each ordered pair in its own task, until the tasks are dropped.
     pub fn run(self: &Rc<Self>, network: &Network, recorder: &Rc<Recorder>) {
-        for from in 0..self.listens.len() {
-            for to in (0..self.listens.len()).filter(|to| *to != from) {
-                let way = network.way(Site::Node(from), Site::Node(to), 0);
-                tokio::task::spawn_local(self.clone().carry(from, to, way, recorder.clone()));
+        for from in 0..self.listen_addresses.len() {
+            for to in (0..self.listen_addresses.len()).filter(|to| *to != from) {
+                let direction = network.direction(Site::Node(from), Site::Node(to), 0);
+                tokio::task::spawn_local(self.clone().carry(from, to, direction, recorder.clone()));
             }
         }
     }
@@ -89,26 +90,32 @@
     /// # Errors
     /// Fails if the system does not accept the datagram.
     pub async fn forge(&self, as_from: usize, to: usize, bytes: &[u8]) -> io::Result<()> {
-        self.seen[to][as_from].send_to(bytes, self.listens[to]).await.map(drop)
+        self.sockets[to][as_from].send_to(bytes, self.listen_addresses[to]).await.map(drop)
     }
 
-    async fn carry(self: Rc<Self>, from: usize, to: usize, mut way: Way, recorder: Rc<Recorder>) {
-        let mut buffer = vec![0; LONGEST];
+    async fn carry(
+        self: Rc<Self>,
+        from: usize,
+        to: usize,
+        mut direction: LinkDirection,
+        recorder: Rc<Recorder>,
+    ) {
+        let mut buffer = vec![0; MAX_RELAYED_BYTES];
         loop {
             // After a send to a node that is down the next call fails, but the socket stays usable.
-            let Ok((bytes, sender)) = self.seen[from][to].recv_from(&mut buffer).await else { continue };
-            if sender != self.listens[from] {
+            let Ok((bytes, sender)) = self.sockets[from][to].recv_from(&mut buffer).await else { continue };
+            if sender != self.listen_addresses[from] {
                 continue;
             }
-            let (fate, copies) = way.fate();
+            let (fate, copies) = direction.draw_fate();
             recorder.record(Event::Datagram { from: Site::Node(from), to: Site::Node(to), bytes, fate });
-            for late in copies {
+            for delay in copies {
                 let (mesh, datagram) = (self.clone(), buffer[..bytes].to_vec());
-                if late == Duration::ZERO && fate != Fate::Held {
+                if delay == Duration::ZERO && fate != Fate::Held {
                     mesh.deliver(from, to, &datagram).await;
                 } else {
                     tokio::task::spawn_local(async move {
-                        sleep(late).await;
+                        sleep(delay).await;
                         mesh.deliver(from, to, &datagram).await;
                     });
                 }
@@ -118,6 +125,6 @@
 
     async fn deliver(&self, from: usize, to: usize, datagram: &[u8]) {
         // The datagram is lost if the node is down.
-        let _ = self.seen[to][from].send_to(datagram, self.listens[to]).await;
+        let _ = self.sockets[to][from].send_to(datagram, self.listen_addresses[to]).await;
     }
 }
--- a/crates/fault-harness/src/spec/faults.rs
+++ b/crates/fault-harness/src/spec/faults.rs
@@ -15,8 +15,8 @@
     pub when: When,
     /// The action to perform.
     #[serde(rename = "do")]
-    #[schemars(with = "Doing")]
-    pub doing: Doing,
+    #[schemars(with = "Action")]
+    pub action: Action,
 }
 
 /// The trigger of a fault. Faults are injected in order: each waits for those before it.
@@ -62,7 +62,8 @@
 /// What happens to a node's state folder between two process generations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum State {
+#[schemars(rename = "State")]
+pub enum StateFolderChange {
     /// It stays as the process left it.
     #[default]
     Kept,
@@ -77,7 +78,8 @@
 /// The action of a fault. Nodes are `n0`, `n1`, ..., boxes `b0`, `b1`, ...
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Doing {
+#[schemars(rename = "Doing")]
+pub enum Action {
     /// Sends SIGKILL to all nodes at once.
     #[schemars(with = "Vec<String>")]
     Kill(Vec<Spanned<Site>>),
@@ -91,7 +93,7 @@
         nodes: Vec<Spanned<Site>>,
         /// What happens to their state folders.
         #[serde(default)]
-        state: State,
+        state: StateFolderChange,
     },
     /// Sends SIGSTOP.
     #[schemars(with = "Vec<String>")]
--- a/crates/fault-harness/src/spec/mod.rs
+++ b/crates/fault-harness/src/spec/mod.rs
@@ -10,9 +10,9 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-pub use check::MOST_NODES;
+pub use check::MAX_NODES;
 pub use expected::{Expected, Rules};
-pub use faults::{Doing, Ends, Fault, State, When};
+pub use faults::{Action, Ends, Fault, StateFolderChange, When};
 pub use parts::{Boxes, ListSpec, Nodes, Planner, Tenant};
 
 /// A scenario of several nodes with faults between them.
@@ -68,7 +68,7 @@
 }
 
 /// An invalid value, with its byte offset in the file and its path.
-struct Wrong {
+struct ConfigError {
     offset: usize,
     path: String,
     what: String,
@@ -87,14 +87,15 @@
             Unreadable { line, column, path, what }
         };
         let start = |error: &toml::de::Error| error.span().map_or(0, |span| span.start);
-        let told = |error: &toml::de::Error| error.message().replace('\n', ", ");
-        let document = toml::Deserializer::parse(text).map_err(|e| at(start(&e), "file".into(), told(&e)))?;
+        let message = |error: &toml::de::Error| error.message().replace('\n', ", ");
+        let document =
+            toml::Deserializer::parse(text).map_err(|e| at(start(&e), "file".into(), message(&e)))?;
         let spec: Spec = serde_path_to_error::deserialize(document).map_err(|error| {
             let path = error.path().to_string();
             let inner = error.into_inner();
-            at(start(&inner), if path == "." { "file".into() } else { path }, told(&inner))
+            at(start(&inner), if path == "." { "file".into() } else { path }, message(&inner))
         })?;
-        spec.check(text).map_err(|Wrong { offset, path, what }| at(offset, path, what))?;
+        spec.check(text).map_err(|ConfigError { offset, path, what }| at(offset, path, what))?;
         Ok(spec)
     }
 
--- a/crates/fault-harness/src/trace/mod.rs
+++ b/crates/fault-harness/src/trace/mod.rs
@@ -5,4 +5,4 @@
 mod recorder;
 
 pub use event::{BoxAnswer, ClientAnswer, End, Event, Record};
-pub use recorder::{Recorder, TraceError, MOST_RECORDS};
+pub use recorder::{Recorder, WaitTimeout, MAX_RECORDS};
--- a/crates/fault-harness/src/trace/recorder.rs
+++ b/crates/fault-harness/src/trace/recorder.rs
@@ -12,12 +12,12 @@
 use super::{Event, Record};
 
 /// Maximum number of records that are kept. Further ones are only counted, and fail the run.
-pub const MOST_RECORDS: usize = 2_000_000;
+pub const MAX_RECORDS: usize = 2_000_000;
 
 /// An expected event did not happen in time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{what}: not within {bound:?}")]
-pub struct TraceError {
+pub struct WaitTimeout {
     /// The expected event.
     pub what: String,
     /// How long it was waited for.
@@ -27,56 +27,56 @@
 /// The trace of a run, and the run's clock.
 #[derive(Debug)]
 pub struct Recorder {
-    began: Instant,
+    started: Instant,
     records: RefCell<Vec<Record>>,
-    lost: Cell<u64>,
-    came: Rc<Notify>,
+    dropped: Cell<u64>,
+    recorded: Rc<Notify>,
 }
 
 impl Recorder {
     /// Starts the clock with an empty trace.
     pub fn new() -> Rc<Self> {
         Rc::new(Recorder {
-            began: Instant::now(),
+            started: Instant::now(),
             records: RefCell::default(),
-            lost: Cell::new(0),
-            came: Rc::default(),
+            dropped: Cell::new(0),
+            recorded: Rc::default(),
         })
     }
 
     /// The current time by the harness's clock.
     pub fn now(&self) -> Time {
-        Time(u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX))
+        Time(u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
     /// The instant that corresponds to a time on the harness's clock.
     pub fn instant(&self, at: Time) -> Instant {
-        self.began + Duration::from_micros(at.0)
+        self.started + Duration::from_micros(at.0)
     }
 
     /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
         let mut records = self.records.borrow_mut();
-        if records.len() >= MOST_RECORDS {
-            self.lost.set(self.lost.get() + 1);
+        if records.len() >= MAX_RECORDS {
+            self.dropped.set(self.dropped.get() + 1);
             return;
         }
         records.push(Record { at: self.now(), event });
-        self.came.notify_waiters();
+        self.recorded.notify_waiters();
     }
 
     /// The number of records: the position from which a later wait may start.
-    pub fn mark(&self) -> usize {
+    pub fn position(&self) -> usize {
         self.records.borrow().len()
     }
 
     /// Number of records that were dropped because the trace was full.
-    pub fn lost(&self) -> u64 {
-        self.lost.get()
+    pub fn dropped(&self) -> u64 {
+        self.dropped.get()
     }
 
     /// Calls `look` with each record from a position on.
-    pub fn each(&self, from: usize, mut look: impl FnMut(&Record)) {
+    pub fn for_each(&self, from: usize, mut look: impl FnMut(&Record)) {
         self.records.borrow().iter().skip(from).for_each(&mut look);
     }
 
@@ -90,29 +90,29 @@
     ///
     /// # Errors
     /// Names the expected event if it does not happen within `bound`.
-    pub async fn until(
+    pub async fn wait_for(
         &self,
         from: usize,
         bound: Duration,
         what: &str,
-        mut is_it: impl FnMut(&Record) -> bool,
-    ) -> Result<usize, TraceError> {
+        mut is_match: impl FnMut(&Record) -> bool,
+    ) -> Result<usize, WaitTimeout> {
         let (mut at, end) = (from, Instant::now() + bound);
         loop {
-            let came = self.came.notified();
-            tokio::pin!(came);
+            let recorded = self.recorded.notified();
+            tokio::pin!(recorded);
             // From here on, every notification wakes this task.
-            came.as_mut().enable();
+            recorded.as_mut().enable();
             {
                 let records = self.records.borrow();
-                let rest = records.get(at..).unwrap_or_default();
-                if let Some(found) = rest.iter().position(&mut is_it) {
+                let new_records = records.get(at..).unwrap_or_default();
+                if let Some(found) = new_records.iter().position(&mut is_match) {
                     return Ok(at + found + 1);
                 }
                 at = at.max(records.len());
             }
-            if timeout_at(end, came).await.is_err() {
-                return Err(TraceError { what: what.into(), bound });
+            if timeout_at(end, recorded).await.is_err() {
+                return Err(WaitTimeout { what: what.into(), bound });
             }
         }
     }
