--- a/crates/fault-harness/tests/relay.rs
+++ b/crates/fault-harness/tests/relay.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hallpin_emulator::loopback;
-use hallpin_fault_harness::relay::{Conditions, Fate, Mesh, Network, Site, TcpLink};
+use hallpin_fault_harness::relay::{Conditions, DatagramMesh, Fate, Network, Site, TcpLink};
 use hallpin_fault_harness::trace::{Event, Recorder};
 use hallpin_simulation::chance::Chance;
 use hallpin_simulation::time::Span;
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 /// Timeout that only a failing test reaches.
-const LONG: Duration = Duration::from_secs(20);
+const FAILURE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a test waits for something that must not happen.
-const SHORT: Duration = Duration::from_millis(60);
+const ABSENCE_WAIT: Duration = Duration::from_millis(60);
 
 fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -27,15 +27,15 @@
 }
 
 async fn soon<T>(what: impl Future<Output = T>) -> T {
-    timeout(LONG, what).await.expect("in time")
+    timeout(FAILURE_TIMEOUT, what).await.expect("in time")
 }
 
 #[test]
 fn what_a_link_does_to_datagrams_follows_from_the_seed_alone() {
     let conditions = Conditions { drop: 0.3, duplicate: 0.2, reorder: 0.2, ..Conditions::default() };
     let draw = |seed| {
-        let mut chance = Chance::new(seed, "link");
-        (0..2000).map(|_| conditions.fate(&mut chance)).collect::<Vec<_>>()
+        let mut rng = Chance::new(seed, "link");
+        (0..2000).map(|_| conditions.draw_fate(&mut rng)).collect::<Vec<_>>()
     };
     assert_eq!(draw(7), draw(7));
     assert_ne!(draw(7), draw(8));
@@ -44,13 +44,13 @@
         assert!((share(fate) - expected).abs() < 0.03, "{fate:?}: {}", share(fate));
     }
     let cut = Conditions { cut: true, ..Conditions::default() };
-    assert_eq!(cut.fate(&mut Chance::new(7, "link")), (Fate::Lost, vec![]));
+    assert_eq!(cut.draw_fate(&mut Chance::new(7, "link")), (Fate::Lost, vec![]));
 }
 
 /// The sockets of two nodes with the relay between them.
-async fn two_nodes(network: &Network, recorder: &Rc<Recorder>) -> (Rc<Mesh>, UdpSocket, UdpSocket) {
+async fn two_nodes(network: &Network, recorder: &Rc<Recorder>) -> (Rc<DatagramMesh>, UdpSocket, UdpSocket) {
     let machines = [Ipv4Addr::new(127, 60, 1, 1), Ipv4Addr::new(127, 60, 1, 2)];
-    let mesh = Rc::new(Mesh::bind(&machines).await.unwrap());
+    let mesh = Rc::new(DatagramMesh::bind(&machines).await.unwrap());
     mesh.run(network, recorder);
     let a = UdpSocket::bind(mesh.listen(0)).await.unwrap();
     let b = UdpSocket::bind(mesh.listen(1)).await.unwrap();
@@ -68,12 +68,12 @@
         assert_eq!(soon(b.recv_from(&mut buffer)).await.unwrap(), (5, sees_a));
 
         network.change(Site::Node(0), Site::Node(1), |c| c.cut = true);
-        let mark = recorder.mark();
+        let position = recorder.position();
         a.send_to(b"lost", sees_b).await.unwrap();
         let lost = |r: &hallpin_fault_harness::trace::Record| {
             matches!(r.event, Event::Datagram { from: Site::Node(0), fate: Fate::Lost, bytes: 4, .. })
         };
-        recorder.until(mark, LONG, "a lost datagram", lost).await.unwrap();
+        recorder.wait_for(position, FAILURE_TIMEOUT, "a lost datagram", lost).await.unwrap();
         b.send_to(b"back", sees_a).await.unwrap();
         assert_eq!(soon(a.recv_from(&mut buffer)).await.unwrap(), (4, sees_b));
 
@@ -89,7 +89,7 @@
         });
         a.send_to(b"1", sees_b).await.unwrap();
         recorder
-            .until(mark, LONG, "a held datagram", |r| {
+            .wait_for(position, FAILURE_TIMEOUT, "a held datagram", |r| {
                 matches!(r.event, Event::Datagram { fate: Fate::Held, .. })
             })
             .await
@@ -107,14 +107,14 @@
 }
 
 /// A link to a listener, with the listener behind it.
-struct Line {
+struct LinkUnderTest {
     network: Rc<Network>,
     far: TcpListener,
     link: TcpLink,
     up: watch::Sender<bool>,
 }
 
-async fn line() -> Line {
+async fn linked() -> LinkUnderTest {
     let source = Ipv4Addr::new(127, 60, 2, 1);
     let far = TcpListener::bind("127.60.2.250:0").await.unwrap();
     let (up, is_up) = watch::channel(true);
@@ -129,14 +129,14 @@
     };
     let network = Rc::new(Network::new(1));
     tokio::task::spawn_local(link.clone().run(network.clone()));
-    Line { network, far, link, up }
+    LinkUnderTest { network, far, link, up }
 }
 
-impl Line {
+impl LinkUnderTest {
     async fn connect(&self) -> (TcpStream, TcpStream) {
         let near = soon(async {
             loop {
-                if let Ok(Ok(stream)) = timeout(SHORT, TcpStream::connect(self.link.listen)).await {
+                if let Ok(Ok(stream)) = timeout(ABSENCE_WAIT, TcpStream::connect(self.link.listen)).await {
                     return stream;
                 }
                 tokio::task::yield_now().await;
@@ -162,25 +162,25 @@
 #[test]
 fn a_way_that_is_cut_stands_still_and_what_it_held_comes_when_it_heals() {
     run(async {
-        let line = line().await;
-        let (mut near, mut far) = line.connect().await;
+        let linked = linked().await;
+        let (mut near, mut far) = linked.connect().await;
         near.write_all(b"one").await.unwrap();
         read(&mut far, b"one").await;
-        line.out(|c| c.cut = true);
+        linked.out(|c| c.cut = true);
         near.write_all(b"two").await.unwrap();
         far.write_all(b"back").await.unwrap();
         read(&mut near, b"back").await;
         let mut byte = [0];
-        assert!(timeout(SHORT, far.read(&mut byte)).await.is_err(), "nothing comes over a cut");
+        assert!(timeout(ABSENCE_WAIT, far.read(&mut byte)).await.is_err(), "nothing comes over a cut");
         assert!(
-            timeout(SHORT, TcpStream::connect(line.link.listen)).await.is_err(),
+            timeout(ABSENCE_WAIT, TcpStream::connect(linked.link.listen)).await.is_err(),
             "no connection comes up"
         );
-        line.out(|c| c.cut = false);
+        linked.out(|c| c.cut = false);
         read(&mut far, b"two").await;
-        let _ = line.connect().await;
+        let _ = linked.connect().await;
         // Closing one direction leaves the other open, and everything sent before the close is delivered.
-        line.out(|c| (c.delay, c.jitter) = (Span::from_millis(5), Span::from_millis(5)));
+        linked.out(|c| (c.delay, c.jitter) = (Span::from_millis(5), Span::from_millis(5)));
         for _ in 0..200 {
             near.write_all(&[7; 1000]).await.unwrap();
         }
@@ -196,30 +196,30 @@
 #[test]
 fn a_reset_breaks_both_ends_and_what_is_down_refuses() {
     run(async {
-        let line = line().await;
-        let (mut near, mut far) = line.connect().await;
-        line.network.reset(Site::Box(0), Site::Node(0));
+        let linked = linked().await;
+        let (mut near, mut far) = linked.connect().await;
+        linked.network.reset(Site::Box(0), Site::Node(0));
         let mut byte = [0];
         for end in [&mut near, &mut far] {
             let broken = soon(end.read(&mut byte)).await.map_err(|e| e.kind());
             assert_eq!(broken, Err(std::io::ErrorKind::ConnectionReset));
         }
         // A process that dies resets its connections; the relay passes the reset on to the other end.
-        let (mut near, far) = line.connect().await;
+        let (mut near, far) = linked.connect().await;
         loopback::reset(&far);
         drop(far);
         let broken = soon(near.read(&mut byte)).await.map_err(|e| e.kind());
         assert_eq!(broken, Err(std::io::ErrorKind::ConnectionReset));
-        line.up.send_replace(false);
+        linked.up.send_replace(false);
         // A connection that was established just before is reset.
         let refused = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
         soon(async {
-            while !TcpStream::connect(line.link.listen).await.is_err_and(refused) {
+            while !TcpStream::connect(linked.link.listen).await.is_err_and(refused) {
                 tokio::task::yield_now().await;
             }
         })
         .await;
-        line.up.send_replace(true);
-        let _ = line.connect().await;
+        linked.up.send_replace(true);
+        let _ = linked.connect().await;
     });
 }
--- a/crates/fault-harness/tests/scenario.rs
+++ b/crates/fault-harness/tests/scenario.rs
@@ -2,7 +2,7 @@
 
 use hallpin_fault_harness::Spec;
 
-fn wrong(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     let error = Spec::parse(text).expect_err(text);
     error.to_string()
 }
@@ -37,8 +37,8 @@
             "a node below n5",
         ),
     ] {
-        let told = wrong(text);
-        assert!(told.starts_with(place) && told.contains(what), "{text}: {told}");
+        let message = parse_error(text);
+        assert!(message.starts_with(place) && message.contains(what), "{text}: {message}");
     }
 }
 
