--- a/crates/fault-harness/benches/processes/budget.rs
+++ b/crates/fault-harness/benches/processes/budget.rs
@@ -8,21 +8,21 @@
 use toml::Spanned;
 
 use crate::metrics::Value;
-use crate::run::{Failure, Session};
+use crate::run::{Bench, Failure};
 use crate::scenarios::{RATE_FACTOR, SCARCE_LIMIT};
 
 /// Time in seconds from the start of the load until the limits are divided by demand: one and a half leases of 2 s, and
 /// one more lease for the division by demand.
 const DIVISION_TIME_S: f64 = 5.5;
 
-pub async fn utilisation(session: &mut Session) -> Result<(), Failure> {
-    session.harness.start_load();
-    session.let_pass(DIVISION_TIME_S).await;
-    let window = session.let_pass(6.0).await;
-    session.harness.drain_load().await?;
-    let records = session.records();
-    let boxes = session.spec.each_box().count();
-    let whole = f64::from(SCARCE_LIMIT) * boxes as f64;
+pub async fn utilisation(bench: &mut Bench) -> Result<(), Failure> {
+    bench.harness.start_load();
+    bench.elapse(DIVISION_TIME_S).await;
+    let window = bench.elapse(6.0).await;
+    bench.harness.drain_load().await?;
+    let records = bench.records();
+    let boxes = bench.spec.each_box().count();
+    let limit = f64::from(SCARCE_LIMIT) * boxes as f64;
     let attempts = level(&records, window, |event| match event {
         Event::Attempt { .. } => 1.0,
         Event::Answer { .. } => -1.0,
@@ -30,36 +30,35 @@
     });
     let open = level(&records, window, connections);
     let peak = (0..boxes).map(|of| peak(&records, of)).max().unwrap_or(0);
-    session
-        .report(Value::more_is_better("commands under way at boxes over the whole, mean", attempts / whole));
-    session.report(Value::more_is_better("connections open at boxes over the whole, mean", open / whole));
-    let over = f64::from(peak) - f64::from(SCARCE_LIMIT);
-    session.report(Value::less_is_better(
+    bench.report(Value::more_is_better("commands under way at boxes over the whole, mean", attempts / limit));
+    bench.report(Value::more_is_better("connections open at boxes over the whole, mean", open / limit));
+    let excess = f64::from(peak) - f64::from(SCARCE_LIMIT);
+    bench.report(Value::less_is_better(
         "most connections over the whole at a box, in all the run",
-        over.max(0.0),
+        excess.max(0.0),
     ));
     let (north, south) = (share(&records, 0, window), share(&records, 1, window));
-    session
+    bench
         .report(Value::more_is_better("share served of what is wanted, the lesser tenant", north.min(south)));
     Ok(())
 }
 
-pub async fn overdrive(session: &mut Session) -> Result<(), Failure> {
-    session.harness.start_load();
-    session.let_pass(DIVISION_TIME_S).await;
-    let alone = session.let_pass(4.0).await;
-    session.inject(Action::Rate { tenant: Spanned::new(0..0, "south".into()), factor: RATE_FACTOR }).await?;
-    let beside = session.let_pass(5.0).await;
-    session.harness.drain_load().await?;
-    let records = session.records();
+pub async fn overdrive(bench: &mut Bench) -> Result<(), Failure> {
+    bench.harness.start_load();
+    bench.elapse(DIVISION_TIME_S).await;
+    let alone = bench.elapse(4.0).await;
+    bench.inject(Action::Rate { tenant: Spanned::new(0..0, "south".into()), factor: RATE_FACTOR }).await?;
+    let beside = bench.elapse(5.0).await;
+    bench.harness.drain_load().await?;
+    let records = bench.records();
     let (before, during) = (share(&records, 0, alone), share(&records, 0, beside));
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better(
         "what the other loses, % of its share served before",
         100.0 * (1.0 - during / before),
     ));
-    session.report(Value::more_is_better("share served of the other, before", before));
-    session.report(Value::more_is_better("share served of the other, beside the overdrive", during));
-    session.report(Value::more_is_better("share served of who overdrives", share(&records, 1, beside)));
+    bench.report(Value::more_is_better("share served of the other, before", before));
+    bench.report(Value::more_is_better("share served of the other, beside the overdrive", during));
+    bench.report(Value::more_is_better("share served of who overdrives", share(&records, 1, beside)));
     Ok(())
 }
 
--- a/crates/fault-harness/benches/processes/crash.rs
+++ b/crates/fault-harness/benches/processes/crash.rs
@@ -12,37 +12,37 @@
 
 use crate::metrics::Value;
 use crate::poll::{processor_time, wait_all_report};
-use crate::run::{nodes, Failure, Session};
+use crate::run::{nodes, Bench, Failure};
 
 const PEERS_ALIVE_METRIC: &str = "app_peers_alive";
 /// Timeout for agreement; a longer time is reported as never.
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub async fn play(session: &mut Session) -> Result<(), Failure> {
-    let count = session.run.nodes;
-    session.harness.start_load();
-    if session.run.control_plane_on {
-        all_agree(session).await?;
+pub async fn play(bench: &mut Bench) -> Result<(), Failure> {
+    let count = bench.run.nodes;
+    bench.harness.start_load();
+    if bench.run.control_plane_on {
+        all_agree(bench).await?;
     }
-    session.let_pass(3.0).await;
-    steady(session).await?;
-    if session.run.control_plane_on {
-        let victim = usize::try_from(session.run.seed).unwrap_or(0) % count;
-        crash(session, victim).await?;
-        session.inject(Action::Start { nodes: nodes([victim]), state: StateFolderChange::Kept }).await?;
-        all_agree(session).await?;
-        session.let_pass(2.0).await;
-        heal(session).await?;
+    bench.elapse(3.0).await;
+    steady(bench).await?;
+    if bench.run.control_plane_on {
+        let victim = usize::try_from(bench.run.seed).unwrap_or(0) % count;
+        crash(bench, victim).await?;
+        bench.inject(Action::Start { nodes: nodes([victim]), state: StateFolderChange::Kept }).await?;
+        all_agree(bench).await?;
+        bench.elapse(2.0).await;
+        heal(bench).await?;
     }
-    Ok(session.harness.drain_load().await?)
+    Ok(bench.harness.drain_load().await?)
 }
 
 /// Waits until every node sees all nodes alive, and returns how long that took.
-async fn all_agree(session: &Session) -> Result<Option<f64>, Failure> {
-    let all = session.run.nodes as u64;
+async fn all_agree(bench: &Bench) -> Result<Option<f64>, Failure> {
+    let all = bench.run.nodes as u64;
     Ok(wait_all_report(
-        &session.folder,
-        0..session.run.nodes,
+        &bench.folder,
+        0..bench.run.nodes,
         PEERS_ALIVE_METRIC,
         |_, alive| alive == all,
         AGREEMENT_TIMEOUT,
@@ -63,46 +63,46 @@
 }
 
 /// Processor time, datagrams and bytes per node and second.
-async fn steady(session: &mut Session) -> Result<(), Failure> {
+async fn steady(bench: &mut Bench) -> Result<(), Failure> {
     let used =
-        |session: &Session| session.processes().into_iter().map(processor_time).sum::<std::io::Result<f64>>();
-    let before = used(session)?;
-    let window = session.let_pass(6.0).await;
-    let spent = used(session)? - before;
-    let each = session.run.nodes as f64 * window.1.since(window.0).as_secs();
-    let (number, bytes) = datagrams(&session.records(), window, |_, _| true);
-    session.report(Value::less_is_better("processor of a node, % of a core", 100.0 * spent / each));
-    session.report(Value::less_is_better("datagrams a node and second", number as f64 / each));
-    session.report(Value::less_is_better("bytes a node and second", bytes as f64 / each));
+        |bench: &Bench| bench.processes().into_iter().map(processor_time).sum::<std::io::Result<f64>>();
+    let before = used(bench)?;
+    let window = bench.elapse(6.0).await;
+    let spent = used(bench)? - before;
+    let each = bench.run.nodes as f64 * window.1.since(window.0).as_secs();
+    let (number, bytes) = datagrams(&bench.records(), window, |_, _| true);
+    bench.report(Value::less_is_better("processor of a node, % of a core", 100.0 * spent / each));
+    bench.report(Value::less_is_better("datagrams a node and second", number as f64 / each));
+    bench.report(Value::less_is_better("bytes a node and second", bytes as f64 / each));
     Ok(())
 }
 
-async fn crash(session: &mut Session, victim: usize) -> Result<(), Failure> {
-    let count = session.run.nodes;
-    let to_it = |session: &Session, window: (Time, Time)| {
-        let (number, _) = datagrams(&session.records(), window, |_, to| to == Site::Node(victim));
+async fn crash(bench: &mut Bench, victim: usize) -> Result<(), Failure> {
+    let count = bench.run.nodes;
+    let datagrams_to_victim = |bench: &Bench, window: (Time, Time)| {
+        let (number, _) = datagrams(&bench.records(), window, |_, to| to == Site::Node(victim));
         number as f64 / window.1.since(window.0).as_secs() / (count - 1) as f64
     };
-    let before = to_it(session, session.let_pass(2.0).await);
-    session.inject(Action::Kill(nodes([victim]))).await?;
-    let left = (0..count).filter(|node| *node != victim);
+    let before = datagrams_to_victim(bench, bench.elapse(2.0).await);
+    bench.inject(Action::Kill(nodes([victim]))).await?;
+    let remaining = (0..count).filter(|node| *node != victim);
     let took = wait_all_report(
-        &session.folder,
-        left,
+        &bench.folder,
+        remaining,
         PEERS_ALIVE_METRIC,
         |_, alive| alive == count as u64 - 1,
         AGREEMENT_TIMEOUT,
     )
     .await?;
-    session.report(Value::less_is_better("agreement after a crash, s", took));
-    let after = to_it(session, session.let_pass(2.0).await);
-    session.report(Value::less_is_better("datagrams to the dead of a node and second, before", before));
-    let later = to_it(session, session.let_pass(3.0).await);
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better("agreement after a crash, s", took));
+    let after = datagrams_to_victim(bench, bench.elapse(2.0).await);
+    bench.report(Value::less_is_better("datagrams to the dead of a node and second, before", before));
+    let later = datagrams_to_victim(bench, bench.elapse(3.0).await);
+    bench.report(Value::less_is_better(
         "datagrams to the dead of a node and second, in 2 s once agreed",
         after,
     ));
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better(
         "datagrams to the dead of a node and second, in 3 s after those",
         later,
     ));
@@ -110,20 +110,20 @@
 }
 
 /// Partitions a third of the nodes from the others until both sides agree on that and for two more seconds, then heals.
-async fn heal(session: &mut Session) -> Result<(), Failure> {
-    let count = session.run.nodes;
+async fn heal(bench: &mut Bench) -> Result<(), Failure> {
+    let count = bench.run.nodes;
     let minority_count = (count / 3).max(1);
-    session
+    bench
         .inject(Action::Part(Ends { from: nodes(0..minority_count), to: nodes(minority_count..count) }))
         .await?;
     let side = |node: usize| if node < minority_count { minority_count } else { count - minority_count };
     let is_side = |node: usize, alive: u64| alive == side(node) as u64;
-    let parted =
-        wait_all_report(&session.folder, 0..count, PEERS_ALIVE_METRIC, is_side, AGREEMENT_TIMEOUT).await?;
-    session.report(Value::less_is_better("agreement of both sides after a partition, s", parted));
-    session.let_pass(2.0).await;
-    session.inject(Action::Heal).await?;
-    let healed = all_agree(session).await?;
-    session.report(Value::less_is_better("agreement after a heal, s", healed));
+    let partitioned =
+        wait_all_report(&bench.folder, 0..count, PEERS_ALIVE_METRIC, is_side, AGREEMENT_TIMEOUT).await?;
+    bench.report(Value::less_is_better("agreement of both sides after a partition, s", partitioned));
+    bench.elapse(2.0).await;
+    bench.inject(Action::Heal).await?;
+    let healed = all_agree(bench).await?;
+    bench.report(Value::less_is_better("agreement after a heal, s", healed));
     Ok(())
 }
--- a/crates/fault-harness/benches/processes/main.rs
+++ b/crates/fault-harness/benches/processes/main.rs
@@ -22,7 +22,8 @@
 use metrics::Metrics;
 use run::{Failure, Run};
 
-/// What is run, with the control plane off and on. Steps that need the control plane are skipped while it is off.
+/// A benchmark scenario, run with the control plane off and on. Steps that need the control plane are skipped while it
+/// is off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
     /// Steady load; with the control plane on, then a crash, a restart, a partition and its healing
@@ -84,14 +85,14 @@
                 for control_plane_on in [seed % 2 == 0, seed % 2 != 0] {
                     let run = Run { scenario: *scenario, nodes: usize::from(*nodes), seed, control_plane_on };
                     if let Err(failure) = run_one(&run, &options, &mut metrics) {
-                        println!("{run}: NOT HAD: {failure}");
+                        println!("{run}: FAILED: {failure}");
                         failed += 1;
                     }
                 }
             }
         }
     }
-    println!("\n{metrics}\nruns that did not come to their end: {failed}");
+    println!("\n{metrics}\nfailed runs: {failed}");
     ExitCode::from(u8::from(failed > 0))
 }
 
@@ -102,16 +103,16 @@
     let trace = keep.as_ref().map(|keep| keep.join("trace.jsonl"));
     let folder = keep.unwrap_or_else(|| folder.path().into());
     let values = block_on(async {
-        let mut session = run.session(options.program.clone(), folder).await?;
+        let mut bench = run.bench(options.program.clone(), folder).await?;
         let played = match run.scenario {
-            Scenario::Crash => crash::play(&mut session).await,
-            Scenario::Table => table::play(&mut session).await,
-            Scenario::Use => budget::utilisation(&mut session).await,
-            Scenario::Overdrive => budget::overdrive(&mut session).await,
-            Scenario::Restart70 => restart::play(&mut session, 0.7).await,
-            Scenario::Restart100 | Scenario::Restart100Wide => restart::play(&mut session, 1.0).await,
+            Scenario::Crash => crash::play(&mut bench).await,
+            Scenario::Table => table::play(&mut bench).await,
+            Scenario::Use => budget::utilisation(&mut bench).await,
+            Scenario::Overdrive => budget::overdrive(&mut bench).await,
+            Scenario::Restart70 => restart::play(&mut bench, 0.7).await,
+            Scenario::Restart100 | Scenario::Restart100Wide => restart::play(&mut bench, 1.0).await,
         };
-        session.end(played, trace.as_deref()).await
+        bench.end(played, trace.as_deref()).await
     })??;
     for value in values {
         println!("{run}: {value}");
--- a/crates/fault-harness/benches/processes/metrics.rs
+++ b/crates/fault-harness/benches/processes/metrics.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Value {
     /// Name of the metric, with its unit.
-    pub what: &'static str,
+    pub name: &'static str,
     /// The value, in the unit of the metric.
     pub value: Option<f64>,
     /// Which extreme is the worst.
@@ -30,19 +30,19 @@
 
 impl Value {
     /// A metric whose larger values are worse.
-    pub fn less_is_better(what: &'static str, value: impl Into<Option<f64>>) -> Self {
-        Value { what, value: value.into(), worst: Worst::Most }
+    pub fn less_is_better(name: &'static str, value: impl Into<Option<f64>>) -> Self {
+        Value { name, value: value.into(), worst: Worst::Most }
     }
 
     /// A metric whose smaller values are worse.
-    pub fn more_is_better(what: &'static str, value: impl Into<Option<f64>>) -> Self {
-        Value { what, value: value.into(), worst: Worst::Least }
+    pub fn more_is_better(name: &'static str, value: impl Into<Option<f64>>) -> Self {
+        Value { name, value: value.into(), worst: Worst::Least }
     }
 }
 
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.what, number(self.value))
+        write!(f, "{}: {}", self.name, number(self.value))
     }
 }
 
@@ -60,7 +60,7 @@
 impl Metrics {
     /// Adds a value of a run.
     pub fn add(&mut self, run: &Run, value: Value) {
-        let key = (run.name(), value.what, run.nodes, run.control_plane_on);
+        let key = (run.name(), value.name, run.nodes, run.control_plane_on);
         let runs = self.0.entry(key).or_insert_with(|| MetricRuns(value.worst, Vec::new()));
         runs.1.push(value.value);
     }
@@ -68,13 +68,13 @@
 
 /// Median and worst; a missing value counts as worse than any other.
 fn median_and_worst(worst: Worst, values: &[Option<f64>]) -> (Option<f64>, Option<f64>) {
-    let mut had: Vec<f64> = values.iter().copied().flatten().collect();
-    had.sort_unstable_by(f64::total_cmp);
+    let mut present: Vec<f64> = values.iter().copied().flatten().collect();
+    present.sort_unstable_by(f64::total_cmp);
     if worst == Worst::Least {
-        had.reverse();
+        present.reverse();
     }
     let (middle, last) = (values.len() / 2, values.len().saturating_sub(1));
-    let at = |place: usize| had.get(place).copied();
+    let at = |place: usize| present.get(place).copied();
     let median = match values.len() % 2 {
         0 => at(middle.saturating_sub(1)).zip(at(middle)).map(|(a, b)| f64::midpoint(a, b)),
         _ => at(middle),
@@ -87,12 +87,12 @@
         let mut table = Table::new();
         table.load_preset(ASCII_MARKDOWN);
         table.set_header(["scene", "figure", "nodes", "plane", "median", "worst", "runs"]);
-        for ((scenario, what, nodes, control_plane_on), MetricRuns(worst, values)) in &self.0 {
+        for ((scenario, name, nodes, control_plane_on), MetricRuns(worst, values)) in &self.0 {
             let (median, last) = median_and_worst(*worst, values);
             let plane = if *control_plane_on { "on" } else { "off" };
             table.add_row([
                 scenario.clone(),
-                (*what).into(),
+                (*name).into(),
                 nodes.to_string(),
                 plane.into(),
                 number(median),
--- a/crates/fault-harness/benches/processes/poll.rs
+++ b/crates/fault-harness/benches/processes/poll.rs
@@ -43,29 +43,29 @@
     is_wanted: impl Fn(usize, u64) -> bool,
     bound: Duration,
 ) -> io::Result<Option<f64>> {
-    let mut left = Vec::new();
+    let mut remaining = Vec::new();
     for node in nodes {
-        left.push((node, operator(folder, node)?));
+        remaining.push((node, operator(folder, node)?));
     }
-    let began = Instant::now();
-    while began.elapsed() < bound {
+    let started = Instant::now();
+    while started.elapsed() < bound {
         // Polls all nodes at once: one after the other would delay many of them.
-        let mut asked = JoinSet::new();
-        for (node, operator) in left.drain(..) {
+        let mut polls = JoinSet::new();
+        for (node, operator) in remaining.drain(..) {
             let name = name.to_owned();
-            asked.spawn_local(async move {
+            polls.spawn_local(async move {
                 (node, operator, timeout(POLL_TIMEOUT, metric(operator, &name)).await)
             });
         }
-        while let Some(answer) = asked.join_next().await {
-            let (node, operator, shown) = answer.map_err(io::Error::other)?;
+        while let Some(poll) = polls.join_next().await {
+            let (node, operator, result) = poll.map_err(io::Error::other)?;
             // A node that is busy, or not up yet, is polled again.
-            if !matches!(shown, Ok(Ok(Some(value))) if is_wanted(node, value)) {
-                left.push((node, operator));
+            if !matches!(result, Ok(Ok(Some(value))) if is_wanted(node, value)) {
+                remaining.push((node, operator));
             }
         }
-        if left.is_empty() {
-            return Ok(Some(began.elapsed().as_secs_f64()));
+        if remaining.is_empty() {
+            return Ok(Some(started.elapsed().as_secs_f64()));
         }
         sleep(POLL_INTERVAL).await;
     }
@@ -80,5 +80,5 @@
     let fields = text.rsplit_once(") ").map(|(_, fields)| fields.split(' ').collect::<Vec<_>>());
     let ticks = |at: usize| fields.as_ref()?.get(at)?.parse::<f64>().ok();
     let used = ticks(11).zip(ticks(12)).map(|(user, system)| (user + system) / TICKS_PER_S);
-    used.ok_or_else(|| io::Error::other("no times in the kernel's account"))
+    used.ok_or_else(|| io::Error::other("/proc/PID/stat has no processor times"))
 }
--- a/crates/fault-harness/benches/processes/restart.rs
+++ b/crates/fault-harness/benches/processes/restart.rs
@@ -6,7 +6,7 @@
 
 use crate::budget::{peak, requests, second};
 use crate::metrics::Value;
-use crate::run::{nodes, Failure, Session};
+use crate::run::{nodes, Bench, Failure};
 
 /// Full service is this fraction of the share that was served before the kill.
 const FULL_SERVICE_FRACTION: f64 = 0.98;
@@ -17,34 +17,34 @@
 /// Time observed after the kill, in seconds; full service that starts later than 6 s after it is reported as never.
 const OBSERVED_S: f64 = 11.0;
 
-pub async fn play(session: &mut Session, part: f64) -> Result<(), Failure> {
-    session.harness.start_load();
-    session.let_pass(3.0).await;
-    let (from, killed) = session.let_pass(4.0).await;
-    let killed_count = (session.run.nodes as f64 * part).ceil() as usize;
-    session.inject(Action::Kill(nodes(0..killed_count))).await?;
-    session.inject(Action::Start { nodes: nodes(0..killed_count), state: StateFolderChange::Lost }).await?;
-    let (started, end) = session.let_pass(OBSERVED_S).await;
-    session.harness.drain_load().await?;
-    let records = session.records();
+pub async fn play(bench: &mut Bench, part: f64) -> Result<(), Failure> {
+    bench.harness.start_load();
+    bench.elapse(3.0).await;
+    let (from, killed) = bench.elapse(4.0).await;
+    let killed_count = (bench.run.nodes as f64 * part).ceil() as usize;
+    bench.inject(Action::Kill(nodes(0..killed_count))).await?;
+    bench.inject(Action::Start { nodes: nodes(0..killed_count), state: StateFolderChange::Lost }).await?;
+    let (started, end) = bench.elapse(OBSERVED_S).await;
+    bench.harness.drain_load().await?;
+    let records = bench.records();
     let requests = requests(&records, |_| true);
     let before = requests.iter().filter(|(at, _)| (from..killed).contains(at));
-    let (all, served) = before.fold((0, 0), |(all, is_full), (_, ok)| (all + 1, is_full + u32::from(*ok)));
+    let (all, served) = before.fold((0, 0), |(all, served), (_, ok)| (all + 1, served + u32::from(*ok)));
     let before = f64::from(served) / f64::from(all.max(1));
-    session.report(Value::more_is_better("share served before", before));
-    session.report(Value::less_is_better(
+    bench.report(Value::more_is_better("share served before", before));
+    bench.report(Value::less_is_better(
         "from the kill until all were started again, s",
         started.since(killed).as_secs(),
     ));
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better(
         "time to full service, s",
         time_to_full_service(&requests, killed, end, before),
     ));
     let excess_connections =
-        excess_connections(&records, session.spec.each_box().count(), session.spec.boxes[0].connections);
-    session.report(Value::less_is_better("most connections over the whole at a box", excess_connections));
+        excess_connections(&records, bench.spec.each_box().count(), bench.spec.boxes[0].connections);
+    bench.report(Value::less_is_better("most connections over the whole at a box", excess_connections));
     let after = requests.iter().filter(|(at, _)| (killed..end).contains(at));
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better(
         "requests not served after the kill",
         after.filter(|a| !a.1).count() as f64,
     ));
@@ -52,9 +52,9 @@
 }
 
 /// By how much the open connections of any box exceeded its connection limit at most.
-fn excess_connections(records: &[Record], boxes: usize, whole: u32) -> f64 {
+fn excess_connections(records: &[Record], boxes: usize, limit: u32) -> f64 {
     let most = (0..boxes).map(|of| peak(records, of)).max().unwrap_or(0);
-    f64::from(most.saturating_sub(whole))
+    f64::from(most.saturating_sub(limit))
 }
 
 /// Time in seconds from the kill until each second of the next five has full service.
--- a/crates/fault-harness/benches/processes/run.rs
+++ b/crates/fault-harness/benches/processes/run.rs
@@ -32,7 +32,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The benchmark's own scenario file is invalid.
-    #[error("the scenario: {0}")]
+    #[error("invalid scenario file: {0}")]
     Scenario(#[from] Unreadable),
 }
 
@@ -56,16 +56,17 @@
     }
 
     /// Starts the nodes and the fakes around them.
-    pub async fn session(&self, program: Option<PathBuf>, folder: PathBuf) -> Result<Session, Failure> {
+    pub async fn bench(&self, program: Option<PathBuf>, folder: PathBuf) -> Result<Bench, Failure> {
         std::fs::create_dir_all(&folder)?;
-        let beside = std::env::current_exe()?;
-        let beside = beside.ancestors().nth(2).map(|built| built.join("hallpin-node")).unwrap_or_default();
-        let program = Program { path: program.unwrap_or(beside), arguments: Vec::new() };
+        let built_beside = std::env::current_exe()?;
+        let built_beside =
+            built_beside.ancestors().nth(2).map(|built| built.join("hallpin-node")).unwrap_or_default();
+        let program = Program { path: program.unwrap_or(built_beside), arguments: Vec::new() };
         let spec = Spec::parse(&scenarios::text(self, &folder)?)?;
         let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
-        println!("{self}: load of the machine {}", load.trim());
+        println!("{self}: load average of the machine {}", load.trim());
         let harness = Harness::start(spec.clone(), &Options { program, folder: folder.clone() }).await?;
-        Ok(Session { run: *self, spec, harness, folder, values: Vec::new() })
+        Ok(Bench { run: *self, spec, harness, folder, values: Vec::new() })
     }
 }
 
@@ -77,7 +78,7 @@
 }
 
 /// A harness whose nodes are ready.
-pub struct Session {
+pub struct Bench {
     /// The parameters of the run.
     pub run: Run,
     /// The scenario file.
@@ -89,7 +90,7 @@
     values: Vec<Value>,
 }
 
-impl Session {
+impl Bench {
     /// Adds a measured value.
     pub fn report(&mut self, value: Value) {
         self.values.push(value);
@@ -101,7 +102,7 @@
     }
 
     /// Lets time pass while the load goes on; returns the start and the end of the interval.
-    pub async fn let_pass(&self, seconds: f64) -> (Time, Time) {
+    pub async fn elapse(&self, seconds: f64) -> (Time, Time) {
         let began = self.now();
         sleep(Duration::from_secs_f64(seconds)).await;
         (began, self.now())
@@ -137,8 +138,14 @@
         let report = self.harness.finish(trace).await;
         played?;
         let report = report?;
-        for breach in report.breaches.iter().take(3) {
-            println!("{}: breach at {}: {}: {}", self.run, breach.at.as_secs(), breach.rule, breach.what);
+        for violation in report.breaches.iter().take(3) {
+            println!(
+                "{}: violation at {} s: {}: {}",
+                self.run,
+                violation.at.as_secs(),
+                violation.rule,
+                violation.what
+            );
         }
         self.values.push(Value::less_is_better("rules broken, times", report.broken as f64));
         self.values
@@ -148,8 +155,8 @@
 }
 
 /// Nodes in the form in which fault actions name them.
-pub fn nodes(these: impl IntoIterator<Item = usize>) -> Vec<Spanned<Site>> {
-    these.into_iter().map(|node| Spanned::new(0..0, Site::Node(node))).collect()
+pub fn nodes(indices: impl IntoIterator<Item = usize>) -> Vec<Spanned<Site>> {
+    indices.into_iter().map(|node| Spanned::new(0..0, Site::Node(node))).collect()
 }
 
 /// A box in the form in which fault actions name it.
--- a/crates/fault-harness/benches/processes/scenarios.rs
+++ b/crates/fault-harness/benches/processes/scenarios.rs
@@ -14,7 +14,7 @@
 pub const RATE_FACTOR: f64 = 8.0;
 
 /// Sections of the operator file.
-struct Plane {
+struct Sections {
     table: bool,
     /// The connection limit of each box that the file states, if it has a section for budgets.
     budgets: Option<u32>,
@@ -24,10 +24,10 @@
 pub fn text(run: &Run, folder: &Path) -> io::Result<String> {
     let Run { scenario, nodes, seed, control_plane_on } = *run;
     let plane = match scenario {
-        Scenario::Table => Plane { table: true, budgets: None },
-        Scenario::Use | Scenario::Overdrive => Plane { table: false, budgets: Some(SCARCE_LIMIT) },
-        Scenario::Restart70 | Scenario::Restart100 => Plane { table: true, budgets: Some(SCARCE_LIMIT) },
-        Scenario::Crash | Scenario::Restart100Wide => Plane { table: true, budgets: Some(AMPLE_LIMIT) },
+        Scenario::Table => Sections { table: true, budgets: None },
+        Scenario::Use | Scenario::Overdrive => Sections { table: false, budgets: Some(SCARCE_LIMIT) },
+        Scenario::Restart70 | Scenario::Restart100 => Sections { table: true, budgets: Some(SCARCE_LIMIT) },
+        Scenario::Crash | Scenario::Restart100Wide => Sections { table: true, budgets: Some(AMPLE_LIMIT) },
     };
     let fleet = if control_plane_on { fleet(&plane, folder)? } else { String::new() };
     let head = format!("version = 1\nname = \"{}\"\nseed = {seed}\nlength = \"120s\"\n", run.name());
@@ -35,18 +35,18 @@
     Ok(format!("{head}{list}[nodes]\ncount = {nodes}\n{fleet}{}", sections(scenario, nodes)))
 }
 
-fn fleet(plane: &Plane, folder: &Path) -> io::Result<String> {
+fn fleet(plane: &Sections, folder: &Path) -> io::Result<String> {
     let mut file = "version = 1\nrealm = \"rig\"\n".to_owned();
     if plane.table {
         file += "[table]\nlease = \"2s\"\n";
     }
-    if let Some(whole) = plane.budgets {
+    if let Some(connection_limit) = plane.budgets {
         let contracts = folder.join("contracts.toml");
         let each = |name: &str| format!("[[tenants]]\nname = \"{name}\"\nshare = 1\n");
         let text =
             format!("version = 1\nrevision = 1\n[others]\nshare = 1\n{}{}", each("north"), each("south"));
         std::fs::write(&contracts, text)?;
-        file += &format!("[budgets]\ncontracts = {contracts:?}\nconnections_per_box = {whole}\n");
+        file += &format!("[budgets]\ncontracts = {contracts:?}\nconnections_per_box = {connection_limit}\n");
     }
     Ok(format!("fleet = '''\n{file}'''\n"))
 }
@@ -68,7 +68,7 @@
     match scenario {
         // The same load on each node, whatever their number.
         Scenario::Crash => boxes(4, AMPLE_LIMIT, 16, 2, false) + &tenant("north", 30.0 * nodes, 400),
-        // Each node needs many attempts per second that tell which table it uses: half of the keys move.
+        // Each node needs many attempts per second that distinguish the tables: half of the keys move.
         Scenario::Table => {
             let rate = (200.0 * nodes).min(1800.0);
             boxes(4, AMPLE_LIMIT, 4, 1, false)
--- a/crates/fault-harness/benches/processes/table.rs
+++ b/crates/fault-harness/benches/processes/table.rs
@@ -11,25 +11,25 @@
 
 use crate::metrics::Value;
 use crate::poll::wait_all_report;
-use crate::run::{cache_box, Failure, Session};
+use crate::run::{cache_box, Bench, Failure};
 
-pub async fn play(session: &mut Session) -> Result<(), Failure> {
-    let count = session.run.nodes;
-    session.harness.start_load();
-    if session.run.control_plane_on {
+pub async fn play(bench: &mut Bench) -> Result<(), Failure> {
+    let count = bench.run.nodes;
+    bench.harness.start_load();
+    if bench.run.control_plane_on {
         let first = Duration::from_secs(20);
-        wait_all_report(&session.folder, 0..count, "app_table_version", |_, version| version > 0, first)
+        wait_all_report(&bench.folder, 0..count, "app_table_version", |_, version| version > 0, first)
             .await?;
     }
-    session.let_pass(3.0).await;
-    let joined = session.now();
-    let late = session.spec.each_box().count() - 1;
-    session.inject(Action::Join(cache_box(late))).await?;
-    session.let_pass(7.0).await;
-    session.harness.drain_load().await?;
-    let records = session.records();
+    bench.elapse(3.0).await;
+    let joined = bench.now();
+    let late = bench.spec.each_box().count() - 1;
+    bench.inject(Action::Join(cache_box(late))).await?;
+    bench.elapse(7.0).await;
+    bench.harness.drain_load().await?;
+    let records = bench.records();
     let notified = notified(&records, joined, count);
-    let mut key_owners = KeyOwners::of(session, late);
+    let mut key_owners = KeyOwners::of(bench, late);
     let received = ReceivedAttempts::of(&records, joined, count, &mut key_owners);
     let listed =
         records.iter().find(|r| r.at >= joined && matches!(r.event, Event::Listed { .. })).map(|r| r.at);
@@ -37,24 +37,24 @@
     let after = |at: Option<Time>| Some(at?.0 as f64 / 1e6 - notified?.0 as f64 / 1e6);
     let between = |from: Option<Time>, to: Option<Time>| Some(to?.since(from?).as_secs());
     let (first, last) = (received.first(), received.last());
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better(
         "first sending by the new table, s after the last was told",
         after(first),
     ));
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better(
         "last node's first by the new table, s after the last was told",
         after(last),
     ));
-    session.report(Value::less_is_better("first to last node, s, at most", between(first, last)));
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better("first to last node, s, at most", between(first, last)));
+    bench.report(Value::less_is_better(
         "last node's first by the new table, s after the list had it",
         between(listed, last),
     ));
     // The last attempt by the old table after the first by the new one: a lower bound of how far nodes are apart.
     let old = received.old.iter().copied().flatten().max();
-    session.report(Value::less_is_better("first to last node, s, at least", between(first, old)));
+    bench.report(Value::less_is_better("first to last node, s, at least", between(first, old)));
     let (back, all) = received.keys;
-    session.report(Value::less_is_better(
+    bench.report(Value::less_is_better(
         "moved keys sent to both homes, share",
         back as f64 / all.max(1) as f64,
     ));
@@ -85,12 +85,12 @@
 }
 
 impl KeyOwners {
-    fn of(session: &Session, late: usize) -> Self {
+    fn of(bench: &Bench, late: usize) -> Self {
         let entry = |(of, group): (usize, &hallpin_fault_harness::spec::Boxes)| TableEntry {
             server: ServerId(format!("b{of}").into()),
             weight: f64::from(group.slots),
         };
-        let new: Vec<TableEntry> = session.spec.each_box().enumerate().map(entry).collect();
+        let new: Vec<TableEntry> = bench.spec.each_box().enumerate().map(entry).collect();
         KeyOwners { old: new[..late].to_vec(), new, known: BTreeMap::new() }
     }
 
--- a/crates/fault-harness/src/fakes/cache_box.rs
+++ b/crates/fault-harness/src/fakes/cache_box.rs
@@ -91,7 +91,7 @@
         self.started.get()
     }
 
-    /// Starts the process with an empty store. With `before`, it counts as started before the run, and so as warm.
+    /// Starts the process with an empty store. With `started_before_run`, it counts as started before the run, and so as warm.
     pub fn start(&self, started_before_run: bool) {
         self.stop();
         self.planner.clear(self.at);
@@ -116,10 +116,10 @@
     pub async fn run(self: Rc<Self>) {
         let mut generations = self.generations();
         loop {
-            let Ok(life) = generations.wait_for(|life| life.up).await.map(|life| *life) else { return };
+            let Ok(generation) = generations.wait_for(|g| g.up).await.map(|g| *g) else { return };
             tokio::select! {
-                () = self.accept(life) => {}
-                gone = generations.wait_for(|now| *now != life) => if gone.is_err() { return },
+                () = self.accept(generation) => {}
+                changed = generations.wait_for(|now| *now != generation) => if changed.is_err() { return },
             }
         }
     }
@@ -187,14 +187,14 @@
         let (done, is_done) = watch::channel(false);
         self.fetches.borrow_mut().insert(key, is_done.clone());
         let (cache_box, cold, mut generations) = (self.clone(), self.is_cold(), self.generations());
-        let life = *generations.borrow_and_update();
+        let generation = *generations.borrow_and_update();
         tokio::task::spawn_local(async move {
             tokio::select! {
                 _ = cache_box.planner.fetch(cache_box.at, key, cold) => {
                     cache_box.fetches.borrow_mut().remove(&key);
                     done.send_replace(true);
                 }
-                _ = generations.wait_for(|now| *now != life) => {}
+                _ = generations.wait_for(|now| *now != generation) => {}
             }
         });
         is_done
--- a/crates/fault-harness/src/fakes/connection.rs
+++ b/crates/fault-harness/src/fakes/connection.rs
@@ -34,12 +34,12 @@
 /// Serves a connection until it ends, and records its start and end.
 pub(super) async fn run(
     cache_box: Rc<CacheBox>,
-    life: ProcessGeneration,
+    generation: ProcessGeneration,
     node: usize,
     mut stream: TcpStream,
 ) {
     let mut generations = cache_box.generations();
-    if *generations.borrow_and_update() != life {
+    if *generations.borrow_and_update() != generation {
         return loopback::reset(&stream);
     }
     let _ = stream.set_nodelay(true);
@@ -47,7 +47,7 @@
     let connection = Connection { cache_box: cache_box.clone(), node, number, exceeds_limit };
     let end = tokio::select! {
         end = connection.serve(&mut stream) => end,
-        _ = generations.wait_for(|now| *now != life) => ConnectionEnd::ProcessEnded,
+        _ = generations.wait_for(|now| *now != generation) => ConnectionEnd::ProcessEnded,
     };
     if end == ConnectionEnd::ProcessEnded {
         loopback::reset(&stream);
@@ -97,7 +97,7 @@
         let key = command.key.0;
         cache_box.recorder.record(Event::Attempt { of, node: *node, connection, id, tenant, key, write });
         // Records the answer also if the box's process ends meanwhile.
-        let mut recorded = AnswerRecorder { connection: self, id, how: BoxAnswer::Gone };
+        let mut answer_recorder = AnswerRecorder { connection: self, id, how: BoxAnswer::Gone };
         let work = async {
             match self.exceeds_limit {
                 true => (BoxAnswer::Busy, 0),
@@ -114,7 +114,7 @@
                 },
             }
         };
-        recorded.how = how;
+        answer_recorder.how = how;
         Ok(answer(&opaque, how, version))
     }
 }
--- a/crates/fault-harness/src/fakes/load.rs
+++ b/crates/fault-harness/src/fakes/load.rs
@@ -22,7 +22,7 @@
 /// Maximum number of idle connections that clients keep to a node.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// What clients know of a node.
+/// A node as seen by clients: its address and their idle connections to it.
 pub struct NodeEndpoint {
     /// The node's listen address for clients.
     pub listen: SocketAddr,
@@ -46,7 +46,7 @@
     recorder: Rc<Recorder>,
     rate_factors: Vec<Cell<f64>>,
     next_request_id: Cell<u64>,
-    tries: Cell<u64>,
+    next_try_id: Cell<u64>,
     open_requests: watch::Sender<u64>,
     stopped: Cell<bool>,
 }
@@ -61,7 +61,7 @@
             recorder,
             rate_factors,
             next_request_id: Cell::new(0),
-            tries: Cell::new(0),
+            next_try_id: Cell::new(0),
             open_requests: watch::Sender::new(0),
             stopped: Cell::new(false),
         })
@@ -72,7 +72,7 @@
         self.rate_factors[tenant].set(factor);
     }
 
-    /// Starts the load: requests are issued until `length` has passed, or until [`LoadGenerator::end`].
+    /// Starts the load: requests are issued until `length` has passed, or until [`LoadGenerator::stop`].
     pub fn start(self: &Rc<Self>, length: Span) {
         let until = Instant::now() + Duration::from_micros(length.0);
         for (at, tenant) in self.spec.tenants.iter().enumerate() {
@@ -140,14 +140,14 @@
         self.open_requests.send_modify(|open| *open += 1);
         let mut served = false;
         for turn in 0..u64::from(tries.max(1)) {
-            let accepts_connections: Vec<usize> = (0..self.endpoints.len())
+            let available: Vec<usize> = (0..self.endpoints.len())
                 .filter(|n| *self.endpoints[*n].accepts_connections.borrow())
                 .collect();
-            let Some(count) = u64::try_from(accepts_connections.len()).ok().filter(|count| *count > 0) else {
+            let Some(count) = u64::try_from(available.len()).ok().filter(|count| *count > 0) else {
                 sleep(REQUEST_INTERVAL).await;
                 continue;
             };
-            let node = accepts_connections[usize::try_from((first.wrapping_add(turn)) % count).unwrap_or(0)];
+            let node = available[usize::try_from((first.wrapping_add(turn)) % count).unwrap_or(0)];
             let how = self.make_try(node, &request).await;
             served = how == Some(ClientAnswer::Served);
             let retry = matches!(how, None | Some(ClientAnswer::Broken)) && !request.write;
@@ -193,8 +193,8 @@
         connection: Connection,
         request: &Request,
     ) -> Result<(ClientAnswer, Option<Connection>), NodeUnreached> {
-        let id = self.tries.get();
-        self.tries.set(id + 1);
+        let id = self.next_try_id.get();
+        self.next_try_id.set(id + 1);
         let leeway = Duration::from_micros(self.spec.rules.leeway.0);
         connection.send_try(request, id, leeway, &self.recorder).await
     }
@@ -212,7 +212,7 @@
         let mut rng = Chance::new(self.spec.seed, &name);
         let mut accepts_connections = self.endpoints[node].accepts_connections.subscribe();
         while !self.is_over(until) {
-            if accepts_connections.wait_for(|accepts_connections| *accepts_connections).await.is_err() {
+            if accepts_connections.wait_for(|accepts| *accepts).await.is_err() {
                 return;
             }
             let opened = Connection::open(node, self.endpoints[node].listen, CONNECT_TIMEOUT).await;
--- a/crates/fault-harness/src/harness/build.rs
+++ b/crates/fault-harness/src/harness/build.rs
@@ -22,8 +22,9 @@
 
 /// A node that is not ready within this time fails the run.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Last address octets, within the harness's /24 network, of the boxes and the discovery agents. Nodes use 1 to 90.
+/// Last octet of the boxes' address within the harness's /24 network, where nodes use 1 to 90.
 const BOXES_OCTET: u8 = 250;
+/// Last octet of the discovery agents' address.
 const AGENTS_OCTET: u8 = 251;
 
 /// Options for building a harness.
@@ -48,7 +49,7 @@
     #[error(transparent)]
     Host(#[from] HostError),
     /// A node's process ended by itself before it was ready.
-    #[error("n{node} ended by itself; its log is {log}", log = .log.display())]
+    #[error("node n{node} ended before it was ready; its log is {log}", log = .log.display())]
     NodeEnded {
         /// Index of the node.
         node: usize,
@@ -59,10 +60,10 @@
     #[error(transparent)]
     Timeout(#[from] WaitTimeout),
     /// Processes still run although they were killed and waited for.
-    #[error("processes left behind: {0:?}")]
+    #[error("processes still run after SIGKILL: {0:?}")]
     ProcessesLeft(Vec<i32>),
     /// More events happened than the trace holds.
-    #[error("{0} records beyond the most that are kept")]
+    #[error("the trace is full: {0} further records were dropped")]
     TraceOverflow(u64),
 }
 
@@ -83,10 +84,10 @@
 /// A /24 network of the loopback range that other harnesses are unlikely to use, as a function of the last octet: `1`
 /// to `90` for nodes, `250` and `251` for the fakes.
 fn loopback_network() -> impl Fn(u8) -> Ipv4Addr {
-    static RIGS: AtomicU32 = AtomicU32::new(0);
-    let own = std::process::id().wrapping_mul(37).wrapping_add(RIGS.fetch_add(1, Ordering::Relaxed));
-    let [.., high, low] = (own % (60 << 8)).to_be_bytes();
-    move |place| Ipv4Addr::new(127, 64 + high, low, place)
+    static INSTANCES: AtomicU32 = AtomicU32::new(0);
+    let network = std::process::id().wrapping_mul(37).wrapping_add(INSTANCES.fetch_add(1, Ordering::Relaxed));
+    let [.., high, low] = (network % (60 << 8)).to_be_bytes();
+    move |octet| Ipv4Addr::new(127, 64 + high, low, octet)
 }
 
 fn node_octet(node: usize) -> u8 {
@@ -104,42 +105,41 @@
         tokio::task::spawn_local(record_scheduling_delay(recorder.clone()));
         let network = Rc::new(Network::new(spec.seed));
         let nodes = usize::from(spec.nodes.count);
-        let machines: Vec<Ipv4Addr> = (0..nodes).map(|node| network_address(node_octet(node))).collect();
-        let mesh = Rc::new(DatagramMesh::bind(&machines).await?);
+        let node_ips: Vec<Ipv4Addr> = (0..nodes).map(|node| network_address(node_octet(node))).collect();
+        let mesh = Rc::new(DatagramMesh::bind(&node_ips).await?);
         mesh.run(&network, &recorder);
 
         let boxes = start_boxes(&spec, &recorder, network_address(BOXES_OCTET))?;
         let mut box_addresses = vec![Vec::new(); nodes];
-        for (node, machine) in machines.iter().enumerate() {
-            box_addresses[node] = link_boxes(&spec, &recorder, &network, &boxes, node, *machine)?;
+        for (node, ip) in node_ips.iter().enumerate() {
+            box_addresses[node] = link_boxes(&spec, &recorder, &network, &boxes, node, *ip)?;
         }
         let discovery = Discovery::new(spec.clone(), box_addresses, recorder.clone());
         for (cache_box, _) in boxes.iter().zip(spec.each_box()).filter(|(_, group)| !group.late) {
             cache_box.start(true);
             discovery.set(cache_box.at, Phase::Ready, None);
         }
-        let mut addresses_of_nodes = Vec::new();
-        for (node, machine) in machines.iter().enumerate() {
-            let discovery = link_discovery(
-                &discovery,
-                &recorder,
-                &network,
-                node,
-                *machine,
-                network_address(AGENTS_OCTET),
-            )
-            .await?;
-            addresses_of_nodes.push(node_addresses(&mesh, node, *machine, discovery, &options.folder)?);
+        let mut all_addresses = Vec::new();
+        for (node, ip) in node_ips.iter().enumerate() {
+            let agent_address =
+                link_discovery(&discovery, &recorder, &network, node, *ip, network_address(AGENTS_OCTET))
+                    .await?;
+            all_addresses.push(node_addresses(&mesh, node, *ip, agent_address, &options.folder)?);
         }
         let endpoints: Rc<Vec<NodeEndpoint>> =
-            Rc::new(addresses_of_nodes.iter().map(|place| NodeEndpoint::new(place.listen)).collect());
-        let host = |(place, endpoint): (NodeAddresses, &NodeEndpoint)| {
-            Host::new(place, options.program.clone(), endpoint.accepts_connections.clone(), recorder.clone())
+            Rc::new(all_addresses.iter().map(|node| NodeEndpoint::new(node.listen)).collect());
+        let host = |(addresses, endpoint): (NodeAddresses, &NodeEndpoint)| {
+            Host::new(
+                addresses,
+                options.program.clone(),
+                endpoint.accepts_connections.clone(),
+                recorder.clone(),
+            )
         };
-        let hosts = addresses_of_nodes.into_iter().zip(endpoints.iter()).map(host).collect();
+        let hosts = all_addresses.into_iter().zip(endpoints.iter()).map(host).collect();
         let load = LoadGenerator::new(spec.clone(), endpoints.clone(), recorder.clone());
         let folder = options.folder.clone();
-        let rig = Harness {
+        let harness = Harness {
             spec,
             recorder,
             network,
@@ -151,10 +151,10 @@
             folder,
             origins: TriggerOrigins::new(),
         };
-        let first: Vec<usize> = (0..nodes.saturating_sub(usize::from(rig.spec.nodes.late))).collect();
-        rig.start_nodes(&first)?;
-        rig.wait_ready(&first, READY_TIMEOUT).await?;
-        Ok(rig)
+        let first: Vec<usize> = (0..nodes.saturating_sub(usize::from(harness.spec.nodes.late))).collect();
+        harness.start_nodes(&first)?;
+        harness.wait_ready(&first, READY_TIMEOUT).await?;
+        Ok(harness)
     }
 
     /// Starts a new process for each of these nodes.
@@ -176,15 +176,15 @@
 }
 
 fn start_boxes(spec: &Rc<Spec>, recorder: &Rc<Recorder>, at: Ipv4Addr) -> io::Result<Vec<Rc<CacheBox>>> {
-    let machines = spec.machines();
-    let addresses = loopback::reserve(at, machines.len())?;
-    let planner = Planner::new(&spec.planner, machines.len(), recorder.clone());
+    let box_hosts = spec.box_hosts();
+    let addresses = loopback::reserve(at, box_hosts.len())?;
+    let planner = Planner::new(&spec.planner, box_hosts.len(), recorder.clone());
     let tenants: Vec<String> = spec.tenants.iter().map(|tenant| tenant.name.clone()).collect();
-    let one = |(number, (group, machine)): (usize, (&crate::spec::Boxes, &usize))| {
+    let one = |(number, (group, host)): (usize, (&crate::spec::Boxes, &usize))| {
         let (planner, recorder) = (planner.clone(), recorder.clone());
-        CacheBox::new(number, group.clone(), addresses[*machine], tenants.clone(), planner, recorder)
+        CacheBox::new(number, group.clone(), addresses[*host], tenants.clone(), planner, recorder)
     };
-    let boxes: Vec<_> = spec.each_box().zip(&machines).enumerate().map(one).collect();
+    let boxes: Vec<_> = spec.each_box().zip(&box_hosts).enumerate().map(one).collect();
     for cache_box in &boxes {
         tokio::task::spawn_local(cache_box.clone().run());
     }
@@ -194,14 +194,14 @@
 fn node_addresses(
     mesh: &DatagramMesh,
     node: usize,
-    machine: Ipv4Addr,
+    ip: Ipv4Addr,
     discovery: SocketAddr,
     folder: &Path,
 ) -> io::Result<NodeAddresses> {
     let folder = folder.join(format!("n{node}"));
     std::fs::create_dir_all(&folder)?;
-    let own = loopback::reserve(machine, 2)?;
-    let (listen, operator) = (own[0], own[1]);
+    let reserved = loopback::reserve(ip, 2)?;
+    let (listen, operator) = (reserved[0], reserved[1]);
     Ok(NodeAddresses {
         node,
         listen,
--- a/crates/fault-harness/src/harness/inject.rs
+++ b/crates/fault-harness/src/harness/inject.rs
@@ -104,9 +104,9 @@
 
     /// Calls `take` with each pair of ends. A box stands for the first box at its address.
     fn for_each_pair(&self, from: &[Spanned<Site>], to: &[Spanned<Site>], mut take: impl FnMut(Site, Site)) {
-        let machines = self.spec.machines();
+        let box_hosts = self.spec.box_hosts();
         let end = |site: &Spanned<Site>| match *site.as_ref() {
-            Site::Box(at) => Site::Box(machines[at]),
+            Site::Box(at) => Site::Box(box_hosts[at]),
             other => other,
         };
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (from, to))) {
--- a/crates/fault-harness/src/harness/links.rs
+++ b/crates/fault-harness/src/harness/links.rs
@@ -20,29 +20,29 @@
     network: &Rc<Network>,
     boxes: &[Rc<CacheBox>],
     node: usize,
-    machine: Ipv4Addr,
+    ip: Ipv4Addr,
 ) -> io::Result<Vec<SocketAddr>> {
-    let machines = spec.machines();
-    let seen = loopback::reserve(machine, boxes.len())?;
-    for (number, cache_box) in boxes.iter().enumerate().filter(|(number, _)| machines[*number] == *number) {
+    let box_hosts = spec.box_hosts();
+    let listen_addresses = loopback::reserve(ip, boxes.len())?;
+    for (number, cache_box) in boxes.iter().enumerate().filter(|(number, _)| box_hosts[*number] == *number) {
         let members: Vec<_> = boxes
             .iter()
-            .zip(&machines)
+            .zip(&box_hosts)
             .filter(|(_, m)| **m == number)
             .map(|(b, _)| b.generations())
             .collect();
         let link = TcpLink {
             from: Site::Node(node),
             to: Site::Box(number),
-            listen: seen[number],
+            listen: listen_addresses[number],
             target: cache_box.address,
-            source: machine,
+            source: ip,
             up: any_up(members),
             recorder: recorder.clone(),
         };
         tokio::task::spawn_local(link.run(network.clone()));
     }
-    Ok(machines.iter().map(|machine| seen[*machine]).collect())
+    Ok(box_hosts.iter().map(|ip| listen_addresses[*ip]).collect())
 }
 
 /// Whether any of the boxes at one address has a running process.
@@ -65,11 +65,11 @@
 /// Starts a node's discovery agent and links it to the node, and returns the address at which the node reaches the
 /// agent.
 pub(super) async fn link_discovery(
-    list: &Rc<Discovery>,
+    discovery: &Rc<Discovery>,
     recorder: &Rc<Recorder>,
     network: &Rc<Network>,
     node: usize,
-    machine: Ipv4Addr,
+    ip: Ipv4Addr,
     agents: Ipv4Addr,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((agents, 0)).await?;
@@ -77,18 +77,18 @@
     let link = TcpLink {
         from: Site::Node(node),
         to: Site::List,
-        listen: loopback::reserve(machine, 1)?[0],
+        listen: loopback::reserve(ip, 1)?[0],
         target: listener.local_addr()?,
-        source: machine,
+        source: ip,
         up: is_up,
         recorder: recorder.clone(),
     };
-    let seen = link.listen;
-    let serving = agent::serve(list.agent(node), listener);
+    let listen_addresses = link.listen;
+    let serving = agent::serve(discovery.agent(node), listener);
     tokio::task::spawn_local(async move {
         let _up = up;
         serving.await;
     });
     tokio::task::spawn_local(link.run(network.clone()));
-    Ok(seen)
+    Ok(listen_addresses)
 }
--- a/crates/fault-harness/src/harness/play.rs
+++ b/crates/fault-harness/src/harness/play.rs
@@ -67,8 +67,8 @@
         self.load.stop();
         let (mut open, bound) =
             (self.load.open_requests(), max_request_duration(&self.spec) + TRIGGER_TIMEOUT);
-        let over = timeout(bound, open.wait_for(|open| *open == 0)).await.map(drop);
-        Ok(over.map_err(|_| WaitTimeout { what: "the last request over".into(), bound })?)
+        let result = timeout(bound, open.wait_for(|open| *open == 0)).await.map(drop);
+        Ok(result.map_err(|_| WaitTimeout { what: "the end of the last request".into(), bound })?)
     }
 
     /// Ends everything that was started, verifies that no process is left, and checks the invariants.
@@ -95,7 +95,7 @@
         }
         match self.recorder.dropped() {
             0 => Ok(judge::check_invariants(&self.spec, &self.recorder.records())),
-            lost => Err(RigError::TraceOverflow(lost)),
+            dropped => Err(RigError::TraceOverflow(dropped)),
         }
     }
 }
@@ -103,7 +103,8 @@
 /// Whether a process of this harness still runs. The command line must contain the harness's folder, as the system may
 /// have reused the process id.
 fn is_running(pid: i32, folder: &Path) -> bool {
-    let line: io::Result<Vec<u8>> = std::fs::read(format!("/proc/{pid}/cmdline"));
+    let command_line: io::Result<Vec<u8>> = std::fs::read(format!("/proc/{pid}/cmdline"));
     let folder = folder.as_os_str().as_encoded_bytes();
-    line.is_ok_and(|line| line.windows(folder.len().max(1)).any(|part| part == folder))
+    command_line
+        .is_ok_and(|command_line| command_line.windows(folder.len().max(1)).any(|part| part == folder))
 }
--- a/crates/fault-harness/src/harness/wait.rs
+++ b/crates/fault-harness/src/harness/wait.rs
@@ -49,7 +49,7 @@
                 self.wait_count(
                     0,
                     bound,
-                    &format!("{node} told revision {min_revision}"),
+                    &format!("{node} notified of list revision {min_revision}"),
                     1,
                     is_notification,
                 )
@@ -61,7 +61,7 @@
                 let from = *from.as_ref();
                 let is_datagram =
                     |r: &Record| matches!(r.event, Event::Datagram { from: f, .. } if f == from);
-                self.wait_count(fault, bound, &format!("{count} datagrams of {from}"), *count, is_datagram)
+                self.wait_count(fault, bound, &format!("{count} datagrams from {from}"), *count, is_datagram)
                     .await?;
             }
         }
@@ -95,10 +95,10 @@
     /// Fails if one does not within `bound`, or has ended by itself.
     pub async fn wait_ready(&self, nodes: &[usize], bound: Duration) -> Result<(), RigError> {
         for node in nodes {
-            let life = self.hosts[*node].next_generation() - 1;
+            let generation = self.hosts[*node].next_generation() - 1;
             let is_match = |r: &Record| match r.event {
                 Event::NodeReady { node: n, life: l } | Event::NodeEnded { node: n, life: l, .. } => {
-                    (n, l) == (*node, life)
+                    (n, l) == (*node, generation)
                 }
                 _ => false,
             };
--- a/crates/fault-harness/src/judge/cold_box_kept.rs
+++ b/crates/fault-harness/src/judge/cold_box_kept.rs
@@ -20,7 +20,7 @@
         let Some(of) = self.fetches_in_flight.observe(record) else { return };
         let cold = self.fetches_in_flight.cold.get(&of).copied().unwrap_or(0);
         if cold > self.limit {
-            let what = format!("b{of}, cold, has {cold} fetches out, at most {}", self.limit);
+            let what = format!("cold box b{of} has {cold} fetches in flight, limit {}", self.limit);
             violations.add("cold-box-kept", record.at, what);
         }
     }
@@ -28,7 +28,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
     use crate::trace::Event;
 
@@ -38,8 +38,8 @@
     }
 
     #[test]
-    fn two_fetches_of_one_cold_box_are_found_and_those_of_two_or_of_a_warm_one_are_not() {
-        assert_eq!(violations(ColdBoxKept::new(1), history(true)), [2]);
-        assert_eq!(violations(ColdBoxKept::new(1), history(false)), NONE);
+    fn only_two_fetches_of_one_cold_box_are_a_violation() {
+        assert_eq!(violation_times(ColdBoxKept::new(1), history(true)), [2]);
+        assert_eq!(violation_times(ColdBoxKept::new(1), history(false)), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/counts.rs
+++ b/crates/fault-harness/src/judge/counts.rs
@@ -21,6 +21,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct BoxCounts {
     /// Connection limit of the box.
+    #[serde(rename = "whole")]
     pub whole: u32,
     /// Maximum number of connections open at once.
     pub peak_open: u32,
@@ -66,8 +67,10 @@
     /// attempts of reads; counted if an invariant about tables is checked.
     pub placed: Option<(usize, u64, u64)>,
     /// Total scheduling delay of the harness, by which time limits were extended.
+    #[serde(rename = "starved")]
     pub starved: Span,
     /// Number of starts of each node.
+    #[serde(rename = "lives")]
     pub lives: Vec<u32>,
     /// Time from the last fault until every further second serves 98% of the share that was served before the first
     /// fault; `None` if there was no fault, no request before it, or if the last second does not.
--- a/crates/fault-harness/src/judge/drain_honoured.rs
+++ b/crates/fault-harness/src/judge/drain_honoured.rs
@@ -36,8 +36,10 @@
     fn notify(&mut self, node: usize, at: Time, complete: bool, entries: &[(usize, Phase)]) {
         let notified = self.notified.entry(node).or_default();
         if complete {
-            let named = |of: &usize| entries.iter().any(|(named, _)| named == of);
-            for (_, entry) in notified.iter_mut().filter(|(of, entry)| !named(of) && entry.0 != Phase::Gone) {
+            let is_listed = |of: &usize| entries.iter().any(|(is_listed, _)| is_listed == of);
+            for (_, entry) in
+                notified.iter_mut().filter(|(of, entry)| !is_listed(of) && entry.0 != Phase::Gone)
+            {
                 *entry = (Phase::Gone, at);
             }
         }
@@ -77,9 +79,12 @@
         }
         let what = match latest_notification {
             Some(since) => {
-                format!("n{node} sent to b{of}, which it had been told to leave at {} us", since.0)
+                format!(
+                    "n{node} sent a command to b{of}, which it was notified is not ready at {} us",
+                    since.0
+                )
             }
-            None => format!("n{node} sent to b{of}, which it was never told of"),
+            None => format!("n{node} sent a command to b{of}, which it was never notified of"),
         };
         violations.add("drain-honoured", at, what);
     }
@@ -102,7 +107,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
 
     /// The second box has the address of the first.
@@ -119,11 +124,12 @@
     }
 
     #[test]
-    fn what_is_sent_after_the_grace_is_found() {
+    fn a_command_after_the_grace_period_is_a_violation() {
         use Phase::{Draining, Gone, Ready};
         let start = (0, notified(true, &[(0, Ready), (2, Ready)]));
         let notified_of = |phase| (100, notified(false, &[(0, phase)]));
-        let check = |events: Vec<(u64, Event)>| violations(rule(), [vec![start.clone()], events].concat());
+        let check =
+            |events: Vec<(u64, Event)>| violation_times(rule(), [vec![start.clone()], events].concat());
         for phase in [Draining, Gone] {
             assert_eq!(check(vec![notified_of(phase), (1100, sent(0)), (1200, sent(2))]), NONE);
             assert_eq!(check(vec![notified_of(phase), (1101, sent(0)), (1200, sent(2))]), [1101]);
@@ -134,7 +140,7 @@
             check(vec![notified_of(Draining), (900, notified(false, &[(0, Gone)])), (1101, sent(0))]),
             [1101]
         );
-        assert_eq!(violations(rule(), vec![(5, sent(0))]), [5], "never told of it");
+        assert_eq!(violation_times(rule(), vec![(5, sent(0))]), [5], "never notified of it");
         // Another box at the same address may receive commands; data held by a cut or a pause was sent, or notified,
         // before.
         assert_eq!(
@@ -146,9 +152,9 @@
         assert_eq!(check(vec![notified_of(Gone), (3000, held), (3150, sent(0))]), [3150]);
         let resumed = Event::NodeResumed { node: 0 };
         let held = Event::Held { from: Site::List, to: Site::Node(0) };
-        for heard in [resumed, held] {
-            assert_eq!(check(vec![notified_of(Gone), (3000, heard.clone()), (3900, sent(0))]), NONE);
-            assert_eq!(check(vec![notified_of(Gone), (3000, heard), (4001, sent(0))]), [4001]);
+        for event in [resumed, held] {
+            assert_eq!(check(vec![notified_of(Gone), (3000, event.clone()), (3900, sent(0))]), NONE);
+            assert_eq!(check(vec![notified_of(Gone), (3000, event), (4001, sent(0))]), [4001]);
         }
     }
 }
--- a/crates/fault-harness/src/judge/join_storm_bounded.rs
+++ b/crates/fault-harness/src/judge/join_storm_bounded.rs
@@ -29,13 +29,13 @@
     fn observe(&mut self, record: &Record, violations: &mut Violations) {
         let Event::Datagram { from, to, bytes, .. } = record.event else { return };
         if bytes > MAX_DATAGRAM_BYTES {
-            let what = format!("{from} sent {to} a datagram of {bytes} bytes, at most {MAX_DATAGRAM_BYTES}");
+            let what = format!("{from} sent {to} a datagram of {bytes} bytes, limit {MAX_DATAGRAM_BYTES}");
             violations.add("join-storm-bounded", record.at, what);
         }
         let Some(limit) = self.limit else { return };
         let sent = self.sent.entry(from).or_default().add(record.at);
         if sent > extended_limit(limit, record.at, &self.delays) {
-            let what = format!("{from} has sent {sent} datagrams within a second, at most {limit}");
+            let what = format!("{from} sent {sent} datagrams within a second, limit {limit}");
             violations.add("join-storm-bounded", record.at, what);
         }
     }
@@ -43,7 +43,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
     use crate::relay::Fate;
 
@@ -52,16 +52,19 @@
     }
 
     #[test]
-    fn a_storm_and_a_long_datagram_are_found_and_what_keeps_to_the_bounds_is_not() {
+    fn only_too_many_or_too_long_datagrams_are_violations() {
         let rule = || JoinStormBounded::new(Some(2), Rc::default());
-        assert_eq!(violations(rule(), vec![(0, sent(0, 256)), (1, sent(0, 9)), (999, sent(0, 9))]), [999]);
         assert_eq!(
-            violations(
+            violation_times(rule(), vec![(0, sent(0, 256)), (1, sent(0, 9)), (999, sent(0, 9))]),
+            [999]
+        );
+        assert_eq!(
+            violation_times(
                 rule(),
                 vec![(0, sent(0, 256)), (1, sent(0, 9)), (1000, sent(0, 9)), (1001, sent(1, 9))]
             ),
             NONE
         );
-        assert_eq!(violations(JoinStormBounded::new(None, Rc::default()), vec![(3, sent(0, 257))]), [3]);
+        assert_eq!(violation_times(JoinStormBounded::new(None, Rc::default()), vec![(3, sent(0, 257))]), [3]);
     }
 }
--- a/crates/fault-harness/src/judge/list_calls_bounded.rs
+++ b/crates/fault-harness/src/judge/list_calls_bounded.rs
@@ -25,7 +25,10 @@
         let Event::ListAsked { node } = record.event else { return };
         let calls = self.calls.entry(node).or_default().add(record.at);
         if calls > extended_limit(self.limit, record.at, &self.delays) {
-            let what = format!("n{node} has called {calls} times within a second, at most {}", self.limit);
+            let what = format!(
+                "n{node} called the endpoint list {calls} times within a second, limit {}",
+                self.limit
+            );
             violations.add("list-calls-bounded", record.at, what);
         }
     }
@@ -33,7 +36,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
 
     fn history(third: u64) -> Vec<(u64, Event)> {
@@ -42,8 +45,8 @@
     }
 
     #[test]
-    fn three_calls_within_a_second_are_found_and_over_more_than_one_they_are_not() {
-        assert_eq!(violations(ListCallsBounded::new(2, Rc::default()), history(999)), [999]);
-        assert_eq!(violations(ListCallsBounded::new(2, Rc::default()), history(1000)), NONE);
+    fn only_calls_beyond_the_limit_within_a_second_are_a_violation() {
+        assert_eq!(violation_times(ListCallsBounded::new(2, Rc::default()), history(999)), [999]);
+        assert_eq!(violation_times(ListCallsBounded::new(2, Rc::default()), history(1000)), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/mod.rs
+++ b/crates/fault-harness/src/judge/mod.rs
@@ -70,9 +70,9 @@
     fn observe(&mut self, record: &Record, violations: &mut Violations);
 
     /// Receives a placement, after the record of the attempt that it was derived from.
-    fn observe_placement(&mut self, _at: Time, _placed: &Placement, _found: &mut Violations) {}
+    fn observe_placement(&mut self, _at: Time, _placement: &Placement, _violations: &mut Violations) {}
 
-    fn finish(&mut self, _found: &mut Violations) {}
+    fn finish(&mut self, _violations: &mut Violations) {}
 }
 
 fn rules(spec: &Spec, delays: &Rc<SchedulingDelay>) -> Vec<Box<dyn Rule>> {
@@ -80,7 +80,7 @@
     let mut rules: Vec<Box<dyn Rule>> = vec![
         Box::new(one_final_answer::OneFinalAnswer::new(bounds.leeway, delays.clone())),
         Box::new(drain_honoured::DrainHonoured::new(
-            spec.machines(),
+            spec.box_hosts(),
             bounds.drain_grace + bounds.leeway,
             delays.clone(),
         )),
@@ -89,17 +89,17 @@
     if bounds.whole_kept {
         rules.push(Box::new(whole_kept::WholeKept::new()));
     }
-    if let Some(most) = bounds.planner_fetches {
-        rules.push(Box::new(planner_kept::PlannerKept::new(most)));
+    if let Some(limit) = bounds.planner_fetches {
+        rules.push(Box::new(planner_kept::PlannerKept::new(limit)));
     }
-    if let Some(most) = bounds.cold_fetches {
-        rules.push(Box::new(cold_box_kept::ColdBoxKept::new(most)));
+    if let Some(limit) = bounds.cold_fetches {
+        rules.push(Box::new(cold_box_kept::ColdBoxKept::new(limit)));
     }
-    if let Some(most) = bounds.list_calls {
-        rules.push(Box::new(list_calls_bounded::ListCallsBounded::new(most, delays.clone())));
+    if let Some(limit) = bounds.list_calls {
+        rules.push(Box::new(list_calls_bounded::ListCallsBounded::new(limit, delays.clone())));
     }
-    if let Some(most) = bounds.tenant_loss {
-        rules.push(Box::new(tenant_unharmed::TenantUnharmed::new(spec, most, delays.clone())));
+    if let Some(limit) = bounds.tenant_loss {
+        rules.push(Box::new(tenant_unharmed::TenantUnharmed::new(spec, limit, delays.clone())));
     }
     let nodes = usize::from(spec.nodes.count);
     if let Some(spread) = bounds.table_spread {
@@ -126,8 +126,10 @@
     let mut table_history = checks_tables.then(|| TableHistory::new(spec));
     for record in records {
         rules.iter_mut().for_each(|rule| rule.observe(record, &mut violations));
-        if let Some(placed) = table_history.as_mut().and_then(|table_history| table_history.observe(record)) {
-            rules.iter_mut().for_each(|rule| rule.observe_placement(record.at, &placed, &mut violations));
+        if let Some(placement) =
+            table_history.as_mut().and_then(|table_history| table_history.observe(record))
+        {
+            rules.iter_mut().for_each(|rule| rule.observe_placement(record.at, &placement, &mut violations));
         }
     }
     rules.iter_mut().for_each(|rule| rule.finish(&mut violations));
@@ -151,28 +153,28 @@
     }
 
     /// Times in milliseconds of the violations that a rule finds in a trace with these placements.
-    pub fn times_with_placements(
+    pub fn violation_times_with_placements(
         mut rule: impl Rule,
         events: Vec<(u64, Event)>,
-        placed: Vec<(u64, Placement)>,
+        placement: Vec<(u64, Placement)>,
     ) -> Vec<u64> {
         let (mut violations, records) = (Violations::default(), history(events));
         let mut records = records.iter().peekable();
-        for (ms, placed) in placed {
+        for (ms, placement) in placement {
             let at = Time(ms * 1000);
             while let Some(record) = records.next_if(|record| record.at <= at) {
                 rule.observe(record, &mut violations);
             }
-            rule.observe_placement(at, &placed, &mut violations);
+            rule.observe_placement(at, &placement, &mut violations);
         }
-        violations.reported.iter().map(|breach| breach.at.0 / 1000).collect()
+        violations.reported.iter().map(|violation| violation.at.0 / 1000).collect()
     }
 
     /// Times in milliseconds of the violations that a rule finds in a trace.
-    pub fn violations(mut rule: impl Rule, events: Vec<(u64, Event)>) -> Vec<u64> {
+    pub fn violation_times(mut rule: impl Rule, events: Vec<(u64, Event)>) -> Vec<u64> {
         let mut violations = Violations::default();
         history(events).iter().for_each(|record| rule.observe(record, &mut violations));
         rule.finish(&mut violations);
-        violations.reported.iter().map(|breach| breach.at.0 / 1000).collect()
+        violations.reported.iter().map(|violation| violation.at.0 / 1000).collect()
     }
 }
--- a/crates/fault-harness/src/judge/no_early_switch.rs
+++ b/crates/fault-harness/src/judge/no_early_switch.rs
@@ -1,6 +1,6 @@
-//! Rule `no-early-switch`: after a partition from another running node, no node uses a placement table that is newer
-//! than the partition before that node's lease has ended; and no node ever does while it and the nodes that it can
-//! reach are half of all nodes or fewer.
+//! Rule `no-early-switch`: a node that is partitioned from another running node does not switch to a placement table
+//! that was listed after the partition before the other node's lease has ended; and it never does while it and the
+//! nodes that it can reach are half of all nodes or fewer.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     lease: Span,
     connectivity: Connectivity,
     /// Time of the last change of the endpoint list.
-    listed: Time,
+    list_changed: Time,
     /// For each node a lower bound of the newest table that it has used.
     newest_used: BTreeMap<usize, usize>,
 }
@@ -28,7 +28,7 @@
             node_count,
             lease,
             connectivity: Connectivity::new(node_count),
-            listed: Time::ZERO,
+            list_changed: Time::ZERO,
             newest_used: BTreeMap::new(),
         }
     }
@@ -38,7 +38,7 @@
     fn observe(&mut self, record: &Record, _: &mut Violations) {
         self.connectivity.observe(record);
         if let Event::Listed { .. } = record.event {
-            self.listed = record.at;
+            self.list_changed = record.at;
         }
     }
 
@@ -50,17 +50,17 @@
             return;
         }
         *newest_used = *first;
-        let parted = (0..self.node_count).filter(|other| self.connectivity.is_running(*other));
-        let parted = parted.filter_map(|other| Some((other, self.connectivity.cut_since(*node, other)?)));
-        for (other, since) in parted.filter(|(_, since)| *since <= self.listed) {
+        let cut_off = (0..self.node_count).filter(|other| self.connectivity.is_running(*other));
+        let cut_off = cut_off.filter_map(|other| Some((other, self.connectivity.cut_since(*node, other)?)));
+        for (other, since) in cut_off.filter(|(_, since)| *since <= self.list_changed) {
             let passed = at.since(since);
             let what = match passed < self.lease {
                 true => format!(
-                    "n{node} went on to table {first}, parted from n{other} for {:.3} s",
+                    "n{node} switched to table {first}, partitioned from n{other} for only {:.3} s",
                     passed.as_secs()
                 ),
                 false if !self.connectivity.has_majority(*node) => {
-                    format!("n{node} went on to table {first} with half of all nodes or fewer")
+                    format!("n{node} switched to table {first} without a majority of the nodes")
                 }
                 false => continue,
             };
@@ -72,7 +72,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{times_with_placements, NONE};
+    use super::super::tests::{violation_times_with_placements, NONE};
     use super::*;
     use crate::relay::Site;
     use hallpin_simulation::list::Phase;
@@ -91,7 +91,7 @@
             (2000, Event::Listed { revision: 2, of: 4, phase: Phase::Ready }),
         ];
         let by = |by: usize| Placement { node, key: 1, by: vec![by] };
-        times_with_placements(
+        violation_times_with_placements(
             NoEarlySwitch::new(3, Span::from_millis(1800)),
             events,
             vec![(500, by(0)), (at, by(1))],
@@ -99,10 +99,10 @@
     }
 
     #[test]
-    fn a_switch_before_the_lease_of_one_that_is_cut_off_is_found_and_so_is_one_of_its_own() {
+    fn a_switch_before_the_lease_of_a_cut_off_node_ends_or_by_the_minority_is_a_violation() {
         assert_eq!(check(0, 2799, true), [2799]);
         assert_eq!(check(0, 2800, true), NONE);
-        assert_eq!(check(2, 2800, true), [2800], "the smaller side never may");
+        assert_eq!(check(2, 2800, true), [2800], "the minority must never switch");
         assert_eq!(check(0, 2100, false), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/no_older_table.rs
+++ b/crates/fault-harness/src/judge/no_older_table.rs
@@ -41,22 +41,23 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{times_with_placements, NONE};
+    use super::super::tests::{violation_times_with_placements, NONE};
     use super::*;
 
     #[test]
-    fn an_older_table_after_a_newer_one_is_found() {
+    fn an_older_table_after_a_newer_one_is_a_violation() {
         let by = |node, by: &[usize]| Placement { node, key: 1, by: by.to_vec() };
         let rule = || NoOlderTable::new(Rc::default());
         let forwards = vec![(1, by(0, &[0])), (2, by(0, &[0, 1])), (3, by(0, &[1])), (5, by(1, &[0]))];
         let stray = |at| (at, by(0, &[0]));
-        let check = |more: Vec<_>| times_with_placements(rule(), vec![], [forwards.clone(), more].concat());
+        let check =
+            |more: Vec<_>| violation_times_with_placements(rule(), vec![], [forwards.clone(), more].concat());
         assert_eq!(check(vec![]), NONE);
         assert_eq!(check(vec![stray(6), stray(7), (8, by(0, &[0, 1])), stray(9)]), [9]);
         assert_eq!(
             check(vec![stray(6), stray(7), (8, by(0, &[1])), stray(9)]),
             NONE,
-            "two went astray, and one"
+            "a conclusive attempt by the newer table resets the count"
         );
     }
 }
--- a/crates/fault-harness/src/judge/one_final_answer.rs
+++ b/crates/fault-harness/src/judge/one_final_answer.rs
@@ -23,7 +23,7 @@
 const FULL_DEADLINE_AFTER_TERM: Span = Span::from_millis(700);
 
 #[derive(Clone, Copy)]
-struct Taken {
+struct AcceptedTry {
     node: usize,
     at: Time,
     until: Time,
@@ -32,25 +32,25 @@
 /// An accepted try that ended without an answer.
 struct UnansweredTry {
     id: u64,
-    taken: Taken,
+    taken: AcceptedTry,
     at: Time,
     how: ClientAnswer,
     /// Whether a box has received the try.
-    seen: bool,
+    received: bool,
 }
 
 #[derive(Default)]
 struct ProcessGeneration {
     from: Time,
-    leaves: Option<Time>,
+    term_sent: Option<Time>,
     ended: Option<(Time, End)>,
 }
 
 pub(super) struct OneFinalAnswer {
     leeway: Span,
     delays: Rc<SchedulingDelay>,
-    open: BTreeMap<u64, Taken>,
-    seen: BTreeSet<u64>,
+    open: BTreeMap<u64, AcceptedTry>,
+    received: BTreeSet<u64>,
     unanswered: Vec<UnansweredTry>,
     generations: BTreeMap<usize, Vec<ProcessGeneration>>,
     pauses: BTreeMap<usize, Vec<(Time, Time)>>,
@@ -62,7 +62,7 @@
             leeway,
             delays,
             open: BTreeMap::new(),
-            seen: BTreeSet::new(),
+            received: BTreeSet::new(),
             unanswered: Vec::new(),
             generations: BTreeMap::new(),
             pauses: BTreeMap::new(),
@@ -80,7 +80,7 @@
             }
             Event::NodeLeaves { node, .. } => {
                 if let Some(generation) = self.generations.entry(node).or_default().last_mut() {
-                    generation.leaves = Some(at);
+                    generation.term_sent = Some(at);
                 }
             }
             Event::NodeEnded { node, end, .. } => {
@@ -88,7 +88,7 @@
                     generation.ended = Some((at, end));
                 }
                 if end == End::Fell {
-                    violations.add(RULE, at, format!("n{node} ended though nobody told it to"));
+                    violations.add(RULE, at, format!("n{node} ended without having been asked to"));
                 }
             }
             Event::NodePaused { node } => self.pauses.entry(node).or_default().push((at, Time(u64::MAX))),
@@ -103,7 +103,7 @@
 
     /// Whether the node had a valid reason not to answer the try.
     fn is_excused(&self, lost: &UnansweredTry) -> bool {
-        let Taken { node, at, until } = lost.taken;
+        let AcceptedTry { node, at, until } = lost.taken;
         let pauses = self.pauses.get(&node).into_iter().flatten();
         if pauses.into_iter().any(|(from, to)| *from <= until && at <= *to) {
             return true;
@@ -113,7 +113,8 @@
             return true;
         }
         // The node closed the connection between requests, while the try was on its way.
-        if lost.how == ClientAnswer::Crossed && !lost.seen && lost.at.since(at) < CROSSING_WINDOW + delays {
+        if lost.how == ClientAnswer::Crossed && !lost.received && lost.at.since(at) < CROSSING_WINDOW + delays
+        {
             return true;
         }
         // The process generation that accepted the try: the last one started before it.
@@ -124,7 +125,8 @@
         match generation.ended {
             Some((ended, End::Killed)) => ended_with_process(ended),
             Some((ended, End::Overdue)) => {
-                let early = generation.leaves.is_some_and(|leaves| at <= leaves + FULL_DEADLINE_AFTER_TERM);
+                let early =
+                    generation.term_sent.is_some_and(|term_sent| at <= term_sent + FULL_DEADLINE_AFTER_TERM);
                 early && until > ended && ended_with_process(ended)
             }
             _ => false,
@@ -136,26 +138,27 @@
     fn observe(&mut self, record: &Record, violations: &mut Violations) {
         match record.event {
             Event::Taken { id, node, until, .. } => {
-                self.open.insert(id, Taken { node, at: record.at, until });
+                self.open.insert(id, AcceptedTry { node, at: record.at, until });
             }
-            Event::Attempt { id, .. } => drop(self.seen.insert(id)),
+            Event::Attempt { id, .. } => drop(self.received.insert(id)),
             Event::Stray { node } => {
-                violations.add(RULE, record.at, format!("n{node} said something that nobody had asked for"));
+                violations.add(RULE, record.at, format!("n{node} sent unsolicited bytes to a client"));
             }
             Event::Ended { id, how } => {
                 let Some(taken) = self.open.remove(&id) else { return };
                 match how {
                     ClientAnswer::Served | ClientAnswer::Busy | ClientAnswer::Failed => {}
                     ClientAnswer::Foreign => {
-                        let what = format!("n{} gave try {id:x} what is no answer to it", taken.node);
+                        let what =
+                            format!("n{} answered try {id:x} with what is not an answer to it", taken.node);
                         violations.add(RULE, record.at, what);
                     }
                     ClientAnswer::Crossed | ClientAnswer::Broken | ClientAnswer::Nothing => {
-                        let seen = self.seen.contains(&id);
-                        self.unanswered.push(UnansweredTry { id, taken, at: record.at, how, seen });
+                        let received = self.received.contains(&id);
+                        self.unanswered.push(UnansweredTry { id, taken, at: record.at, how, received });
                     }
                 }
-                self.seen.remove(&id);
+                self.received.remove(&id);
             }
             _ => self.process(record, violations),
         }
@@ -168,7 +171,7 @@
                 ClientAnswer::Nothing => "did not answer it in time",
                 _ => "ended its connection without an answer",
             };
-            let text = format!("n{} took try {id:x} at {} us and {what}", taken.node, taken.at.0);
+            let text = format!("n{} accepted try {id:x} at {} us and {what}", taken.node, taken.at.0);
             violations.add(RULE, lost.at, text);
         }
     }
@@ -176,7 +179,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
 
     const LEEWAY: Span = Span::from_millis(50);
@@ -198,20 +201,20 @@
         let mut events = vec![(0, started(1)), (10, taken()), (at, ended(how))];
         events.extend(more);
         events.sort_by_key(|(at, _)| *at);
-        violations(OneFinalAnswer::new(LEEWAY, Rc::default()), events)
+        violation_times(OneFinalAnswer::new(LEEWAY, Rc::default()), events)
     }
 
     #[test]
-    fn what_is_taken_and_not_answered_is_found() {
+    fn an_accepted_try_without_an_answer_is_a_violation() {
         let gone = |at, end| vec![(at, Event::NodeEnded { node: 0, life: 1, end })];
-        let seen =
+        let received =
             Event::Attempt { of: 0, node: 0, connection: 1, id: 7, tenant: None, key: 1, write: false };
         assert_eq!(check(ClientAnswer::Served, 20, vec![]), NONE);
         assert_eq!(check(ClientAnswer::Broken, 20, vec![]), [20]);
         assert_eq!(check(ClientAnswer::Nothing, 1020, vec![]), [1020]);
         assert_eq!(check(ClientAnswer::Foreign, 20, vec![]), [20]);
         assert_eq!(check(ClientAnswer::Crossed, 20, vec![]), NONE);
-        assert_eq!(check(ClientAnswer::Crossed, 20, vec![(15, seen)]), [20], "a box has seen it");
+        assert_eq!(check(ClientAnswer::Crossed, 20, vec![(15, received)]), [20], "a box has received it");
         // A try may be lost when its node is killed, but not long before that.
         assert_eq!(check(ClientAnswer::Broken, 20, gone(22, End::Killed)), NONE);
         assert_eq!(check(ClientAnswer::Broken, 20, gone(200, End::Killed)), [20]);
@@ -225,15 +228,15 @@
     }
 
     #[test]
-    fn what_the_kill_after_sigterm_finds_open_is_found_unless_it_could_have_had_its_time() {
-        let stop = |leaves, ended| {
+    fn a_try_open_at_the_kill_after_sigterm_is_a_violation_unless_its_deadline_was_later() {
+        let stop = |term_sent, ended| {
             let end = Event::NodeEnded { node: 0, life: 1, end: End::Overdue };
-            vec![(leaves, Event::NodeLeaves { node: 0, life: 1 }), (ended, end)]
+            vec![(term_sent, Event::NodeLeaves { node: 0, life: 1 }), (ended, end)]
         };
         assert_eq!(
             check(ClientAnswer::Broken, 900, stop(5, 910)),
             NONE,
-            "its deadline was later than the kill"
+            "the deadline was later than the kill"
         );
         assert_eq!(check(ClientAnswer::Broken, 1020, stop(5, 1020)), [1020]);
         let late = Event::Taken { id: 7, ask: 1, node: 0, tenant: 0, until: Time(1_750_000) };
@@ -241,9 +244,9 @@
         events.extend(stop(5, 1021));
         events.sort_by_key(|(at, _)| *at);
         assert_eq!(
-            violations(OneFinalAnswer::new(LEEWAY, Rc::default()), events),
+            violation_times(OneFinalAnswer::new(LEEWAY, Rc::default()), events),
             [1020],
-            "taken 0.75 s after SIGTERM"
+            "accepted 0.75 s after SIGTERM"
         );
     }
 }
--- a/crates/fault-harness/src/judge/one_table_per_key.rs
+++ b/crates/fault-harness/src/judge/one_table_per_key.rs
@@ -42,7 +42,7 @@
         for first_used in self.first_used.iter_mut().take(first + 1) {
             first_used.get_or_insert(at);
         }
-        // Of the tables newer than those that this attempt fits, the one that was first used earliest.
+        // The earliest used table among those newer than the tables that this attempt fits.
         let newer = self
             .first_used
             .iter()
@@ -66,9 +66,9 @@
             && !self.connectivity.was_disconnected(*node, at, self.catch_up)
             && self.lagging.count_attempt(*node, true)
         {
-            let is_late = at.since(first_used).as_secs();
+            let late = at.since(first_used).as_secs();
             let what = format!(
-                "n{node} placed key {key:016x} by table {last}, {is_late:.3} s after one had begun with {table}"
+                "n{node} placed key {key:016x} by table {last}, {late:.3} s after the first use of table {table}"
             );
             violations.add("one-table-per-key", at, what);
         }
@@ -77,18 +77,18 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{times_with_placements, NONE};
+    use super::super::tests::{violation_times_with_placements, NONE};
     use super::*;
     use crate::trace::Event;
 
     #[test]
-    fn a_node_that_stays_behind_is_found_unless_it_is_out_of_it() {
+    fn a_lagging_node_is_a_violation_unless_it_was_disconnected() {
         let by = |node, by: &[usize]| Placement { node, key: 1, by: by.to_vec() };
-        let check = |is_late, events| {
+        let check = |at, events| {
             let rule = OneTablePerKey::new(2, Span::from_millis(300), Span::from_millis(2000), Rc::default());
-            let lagging = |is_late| (is_late, by(1, &[0]));
+            let lagging = |at| (at, by(1, &[0]));
             let placement = [(1000, by(0, &[0])), (3000, by(0, &[1]))];
-            times_with_placements(rule, events, [placement.to_vec(), vec![lagging(is_late); 3]].concat())
+            violation_times_with_placements(rule, events, [placement.to_vec(), vec![lagging(at); 3]].concat())
         };
         assert_eq!(check(3300, vec![]), NONE);
         assert_eq!(check(3301, vec![]), [3301]);
--- a/crates/fault-harness/src/judge/planner_kept.rs
+++ b/crates/fault-harness/src/judge/planner_kept.rs
@@ -20,7 +20,7 @@
         let Some(of) = self.fetches_in_flight.observe(record) else { return };
         if self.fetches_in_flight.all > self.limit {
             let what = format!(
-                "{} fetches out at the planner, at most {}; the last of b{of}",
+                "{} fetches in flight at the planner, limit {}; the last one by b{of}",
                 self.fetches_in_flight.all, self.limit
             );
             violations.add("planner-kept", record.at, what);
@@ -30,7 +30,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
     use crate::trace::Event;
 
@@ -43,8 +43,8 @@
     }
 
     #[test]
-    fn one_fetch_too_many_is_found_and_one_after_another_is_not() {
-        assert_eq!(violations(PlannerKept::new(2), history(5)), [4]);
-        assert_eq!(violations(PlannerKept::new(2), history(3)), NONE);
+    fn only_concurrent_fetches_beyond_the_limit_are_a_violation() {
+        assert_eq!(violation_times(PlannerKept::new(2), history(5)), [4]);
+        assert_eq!(violation_times(PlannerKept::new(2), history(3)), NONE);
     }
 }
--- a/crates/fault-harness/src/judge/report.rs
+++ b/crates/fault-harness/src/judge/report.rs
@@ -15,8 +15,10 @@
     /// Totals over the run.
     pub counts: Counts,
     /// Number of violations of rules.
+    #[serde(rename = "broken")]
     pub broken: u64,
-    /// The first violations, in full.
+    /// The first violations, at most 50.
+    #[serde(rename = "breaches")]
     pub breaches: Vec<Violation>,
     /// Results that the scenario expected and that were not reached.
     pub missing: Vec<String>,
@@ -25,8 +27,15 @@
 impl Report {
     pub(super) fn new(spec: &Spec, counts: Counts, violations: Violations) -> Self {
         let missing = missing(spec, &counts);
-        let Violations { reported: breaches, count: broken } = violations;
-        Report { name: spec.name.clone(), seed: spec.seed, counts, broken, breaches, missing }
+        let Violations { reported, count } = violations;
+        Report {
+            name: spec.name.clone(),
+            seed: spec.seed,
+            counts,
+            broken: count,
+            breaches: reported,
+            missing,
+        }
     }
 
     /// Whether no rule was violated and all expected results were reached.
--- a/crates/fault-harness/src/judge/scheduling_delay.rs
+++ b/crates/fault-harness/src/judge/scheduling_delay.rs
@@ -21,11 +21,11 @@
 impl SchedulingDelay {
     /// Reads the delays from a trace.
     pub fn of(records: &[Record]) -> Self {
-        let late = |record: &Record| match record.event {
+        let delay = |record: &Record| match record.event {
             Event::Late { by } => Some((record.at, Span(by))),
             _ => None,
         };
-        SchedulingDelay(records.iter().filter_map(late).collect())
+        SchedulingDelay(records.iter().filter_map(delay).collect())
     }
 
     /// Whether the last second had so much delay that queues are full, so that attempts say nothing about placement
@@ -34,7 +34,7 @@
         self.allowance(at.back(SECOND), at) > EXCESSIVE_DELAY
     }
 
-    /// By how much a time limit for this interval is extended.
+    /// The extension of a time limit for this interval: twice the scheduling delay in it.
     pub fn allowance(&self, from: Time, to: Time) -> Span {
         let first = self.0.partition_point(|(at, _)| *at < from);
         let within = self.0.iter().skip(first).take_while(|(at, _)| *at <= to + RECORDING_LAG);
@@ -47,11 +47,11 @@
     use super::*;
 
     #[test]
-    fn lateness_counts_where_it_falls() {
-        let late = |ms: u64, by| Record { at: Time(ms * 1000), event: Event::Late { by } };
-        let delays = SchedulingDelay::of(&[late(100, 30_000), late(500, 50_000)]);
-        let between = |from: u64, to: u64| delays.allowance(Time(from * 1000), Time(to * 1000)).0;
+    fn a_delay_extends_the_limits_of_the_intervals_that_it_falls_into() {
+        let delay = |ms: u64, by| Record { at: Time(ms * 1000), event: Event::Late { by } };
+        let delays = SchedulingDelay::of(&[delay(100, 30_000), delay(500, 50_000)]);
+        let allowance = |from: u64, to: u64| delays.allowance(Time(from * 1000), Time(to * 1000)).0;
         assert!(delays.is_excessive(Time(550_000)) && !delays.is_excessive(Time(1_600_000)));
-        assert_eq!([between(0, 50), between(101, 390), between(50, 600)], [60_000, 0, 160_000]);
+        assert_eq!([allowance(0, 50), allowance(101, 390), allowance(50, 600)], [60_000, 0, 160_000]);
     }
 }
--- a/crates/fault-harness/src/judge/table_history.rs
+++ b/crates/fault-harness/src/judge/table_history.rs
@@ -12,7 +12,7 @@
 use crate::spec::Spec;
 use crate::trace::{Event, Record};
 
-/// Maximum number of tables that are told apart. The oldest are kept; later changes of the list are ignored.
+/// Maximum number of distinguished tables. The oldest are kept; later changes of the list are ignored.
 const MAX_TABLES: usize = 64;
 
 /// Number of consecutive attempts that must fit only older tables before a node counts as lagging: an attempt that
@@ -24,7 +24,7 @@
 pub(super) struct LaggingNodes(BTreeMap<usize, u32>);
 
 impl LaggingNodes {
-    /// Counts an attempt that tells tables apart, and returns whether the node counts as lagging.
+    /// Counts an attempt that distinguishes tables, and returns whether the node counts as lagging.
     pub fn count_attempt(&mut self, node: usize, older: bool) -> bool {
         let consecutive = self.0.entry(node).or_default();
         *consecutive = if older { *consecutive + 1 } else { 0 };
--- a/crates/fault-harness/src/judge/tenant_unharmed.rs
+++ b/crates/fault-harness/src/judge/tenant_unharmed.rs
@@ -54,8 +54,8 @@
                 let of = self.open.remove(&ask);
                 let counts =
                     of.and_then(|(tenant, after)| self.counts.get_mut(tenant)?.get_mut(usize::from(after)));
-                if let Some((asked, got)) = counts {
-                    (*asked, *got) = (*asked + 1, *got + u64::from(served));
+                if let Some((asked, served_count)) = counts {
+                    (*asked, *served_count) = (*asked + 1, *served_count + u64::from(served));
                 }
             }
             _ => {}
@@ -75,7 +75,7 @@
             if after.0 > 0 && share(*after) < least {
                 let (asked, served) = after;
                 let what = format!(
-                    "{name}: {served} of {asked} requests served while another overdrove, {:.3} before",
+                    "{name}: {served} of {asked} requests served while another tenant overloaded, share {:.3} before",
                     share(*before)
                 );
                 violations.add("tenant-unharmed", self.last, what);
@@ -86,12 +86,12 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
 
     /// Times of the violations with two tenants and a request each before and after the second one's rate is raised;
     /// the parameters say whether the requests after it were served.
-    fn check(others: bool, loud: bool) -> Vec<u64> {
+    fn check(others: bool, raised_served: bool) -> Vec<u64> {
         let asked = |ask, tenant| Event::Asked { ask, tenant, tries: 1 };
         let over = |ask, served| Event::Over { ask, served };
         let events = vec![
@@ -103,14 +103,14 @@
             (5, asked(3, 0)),
             (6, asked(4, 1)),
             (7, over(3, others)),
-            (8, over(4, loud)),
+            (8, over(4, raised_served)),
         ];
         let spec = Spec::parse("[[tenants]]\nname = \"quiet\"\n[[tenants]]\nname = \"loud\"\n").unwrap();
-        violations(TenantUnharmed::new(&spec, 0.02, Rc::default()), events)
+        violation_times(TenantUnharmed::new(&spec, 0.02, Rc::default()), events)
     }
 
     #[test]
-    fn who_overdrives_may_lose_and_no_other_may() {
+    fn only_the_tenant_with_the_raised_rate_may_lose_service() {
         assert_eq!(check(false, true), [8]);
         assert_eq!(check(true, false), NONE);
     }
--- a/crates/fault-harness/src/judge/whole_kept.rs
+++ b/crates/fault-harness/src/judge/whole_kept.rs
@@ -25,8 +25,9 @@
                 let (whole, open) = self.boxes.entry(of).or_default();
                 *open += 1;
                 if open > whole {
-                    let what =
-                        format!("b{of} has {open} connections open, the last from n{node}; it takes {whole}");
+                    let what = format!(
+                        "b{of} has {open} connections open, the last from n{node}; its limit is {whole}"
+                    );
                     violations.add("whole-kept", record.at, what);
                 }
             }
@@ -41,7 +42,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{violations, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
 
     fn history(third_at: u64) -> Vec<(u64, Event)> {
@@ -58,8 +59,8 @@
     }
 
     #[test]
-    fn one_connection_over_the_whole_is_found_and_one_in_place_of_another_is_not() {
-        assert_eq!(violations(WholeKept::new(), history(3)), [3]);
-        assert_eq!(violations(WholeKept::new(), history(5)), NONE);
+    fn only_a_connection_beyond_the_limit_is_a_violation() {
+        assert_eq!(violation_times(WholeKept::new(), history(3)), [3]);
+        assert_eq!(violation_times(WholeKept::new(), history(5)), NONE);
     }
 }
--- a/crates/fault-harness/src/process/config.rs
+++ b/crates/fault-harness/src/process/config.rs
@@ -7,14 +7,14 @@
 use crate::spec::{Spec, Tenant};
 
 /// The configuration of a node's next process, including the endpoint list that the node has at its start.
-pub fn config(spec: &Spec, addresses: &NodeAddresses, life: u32, known: Value) -> Value {
-    let seed = Chance::new(spec.seed, &format!("n{} life {life}", addresses.node)).bits();
+pub fn config(spec: &Spec, addresses: &NodeAddresses, generation: u32, initial_list: Value) -> Value {
+    let seed = Chance::new(spec.seed, &format!("n{} life {generation}", addresses.node)).bits();
     json!({
         "name": format!("n{}", addresses.node), "listen": addresses.listen, "operator": addresses.operator,
         "discovery": addresses.discovery, "seed": format!("{seed:016x}"),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": spec.nodes.sockets},
         "peer_listen": addresses.peer_listen, "peers": addresses.peers,
-        "known": known, "settings": settings(spec, addresses.node),
+        "known": initial_list, "settings": settings(spec, addresses.node),
     })
 }
 
--- a/crates/fault-harness/src/process/files.rs
+++ b/crates/fault-harness/src/process/files.rs
@@ -72,7 +72,7 @@
     }
 
     #[test]
-    fn state_is_kept_lost_torn_or_swapped() {
+    fn state_folders_are_kept_cleared_truncated_or_rotated() {
         for (state, first, second) in [
             (StateFolderChange::Kept, Some("aaaa"), Some("bb")),
             (StateFolderChange::Lost, None, None),
--- a/crates/fault-harness/src/process/host.rs
+++ b/crates/fault-harness/src/process/host.rs
@@ -54,7 +54,7 @@
 
 /// A process could not be started.
 #[derive(Debug, thiserror::Error)]
-#[error("node {node}: {error}")]
+#[error("cannot start the process of node n{node}: {error}")]
 pub struct HostError {
     /// Index of the node.
     pub node: usize,
@@ -149,7 +149,7 @@
 
     fn spawn(&self, config: &Value, plane: &ControlPlaneFiles) -> io::Result<Running> {
         if self.is_running() {
-            return Err(io::Error::other("its process runs already"));
+            return Err(io::Error::other("it is already running"));
         }
         let NodeAddresses { folder, .. } = &self.addresses;
         std::fs::create_dir_all(self.state())?;
@@ -201,7 +201,7 @@
         self.signal(Signal::KILL);
     }
 
-    /// Sends the process SIGTERM, and SIGKILL if it has not ended after `notice`.
+    /// Sends the process SIGTERM, and SIGKILL if it has not ended after `timeout_after_term`.
     pub fn stop(self: &Rc<Self>, timeout_after_term: Duration) {
         let (host, life) = (self.clone(), self.generation.get());
         self.requested_end.set(Some(End::Stopped));
--- a/crates/fault-harness/src/relay/fate.rs
+++ b/crates/fault-harness/src/relay/fate.rs
@@ -27,7 +27,7 @@
     pub cut: bool,
 }
 
-/// What happened to a datagram.
+/// The fate of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fate {
@@ -43,17 +43,16 @@
 
 impl Conditions {
     /// Draws the delay of the next datagram or chunk.
-    pub fn draw_delay(&self, chance: &mut Chance) -> Duration {
-        let jitter = chance.between(0.0, self.jitter.as_secs());
+    pub fn draw_delay(&self, rng: &mut Chance) -> Duration {
+        let jitter = rng.between(0.0, self.jitter.as_secs());
         Duration::from_micros(self.delay.0) + Duration::from_secs_f64(jitter)
     }
 
     /// Draws the fate of the next datagram and the delay of each of its copies. Every datagram takes the same number of
     /// draws, so that its fate does not depend on the conditions that applied to earlier ones.
-    pub fn draw_fate(&self, chance: &mut Chance) -> (Fate, Vec<Duration>) {
-        let [lost, doubled, held] =
-            [self.drop, self.duplicate, self.reorder].map(|share| chance.unit() < share);
-        let [first, second] = [self.draw_delay(chance), self.draw_delay(chance)];
+    pub fn draw_fate(&self, rng: &mut Chance) -> (Fate, Vec<Duration>) {
+        let [lost, doubled, held] = [self.drop, self.duplicate, self.reorder].map(|share| rng.unit() < share);
+        let [first, second] = [self.draw_delay(rng), self.draw_delay(rng)];
         match (self.cut || lost, doubled, held) {
             (true, ..) => (Fate::Lost, Vec::new()),
             (_, true, _) => (Fate::Doubled, vec![first, second]),
--- a/crates/fault-harness/src/relay/network.rs
+++ b/crates/fault-harness/src/relay/network.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct LinkDirection {
     conditions: watch::Receiver<Conditions>,
-    chance: Chance,
+    rng: Chance,
 }
 
 impl Network {
@@ -89,7 +89,7 @@
     pub fn direction(&self, from: Site, to: Site, carrier: u64) -> LinkDirection {
         let mut directions = self.directions.borrow_mut();
         let conditions = directions.entry((from, to)).or_default().subscribe();
-        LinkDirection { conditions, chance: Chance::new(self.seed, &format!("{from}>{to}#{carrier}")) }
+        LinkDirection { conditions, rng: Chance::new(self.seed, &format!("{from}>{to}#{carrier}")) }
     }
 
     /// Changes the conditions of a direction, and returns whether it is cut now.
@@ -133,12 +133,12 @@
 
     /// Draws the fate of the next datagram.
     pub fn draw_fate(&mut self) -> (super::Fate, Vec<std::time::Duration>) {
-        self.conditions.borrow().draw_fate(&mut self.chance)
+        self.conditions.borrow().draw_fate(&mut self.rng)
     }
 
     /// Draws the delay of the next chunk of a stream.
     pub fn draw_delay(&mut self) -> std::time::Duration {
-        self.conditions.borrow().draw_delay(&mut self.chance)
+        self.conditions.borrow().draw_delay(&mut self.rng)
     }
 
     /// Waits until the direction is not cut; for ever if the network was dropped.
--- a/crates/fault-harness/src/relay/udp.rs
+++ b/crates/fault-harness/src/relay/udp.rs
@@ -20,7 +20,7 @@
 
 /// The relay's sockets could not be opened.
 #[derive(Debug, thiserror::Error)]
-#[error("sockets between nodes: {0}")]
+#[error("cannot open the relay sockets between nodes: {0}")]
 pub struct RelaySocketError(#[from] io::Error);
 
 /// The relay sockets between all nodes.
@@ -37,18 +37,18 @@
     ///
     /// # Errors
     /// Fails if a socket cannot be opened.
-    pub async fn bind(machines: &[Ipv4Addr]) -> Result<Self, RelaySocketError> {
-        let count = machines.len();
+    pub async fn bind(ips: &[Ipv4Addr]) -> Result<Self, RelaySocketError> {
+        let count = ips.len();
         // Held until all other sockets are bound, so that no port is assigned twice, and then released for the nodes.
         let listeners: Vec<_> =
-            machines.iter().map(|ip| std::net::UdpSocket::bind((*ip, 0))).collect::<io::Result<_>>()?;
+            ips.iter().map(|ip| std::net::UdpSocket::bind((*ip, 0))).collect::<io::Result<_>>()?;
         let listen_addresses =
             listeners.iter().map(std::net::UdpSocket::local_addr).collect::<io::Result<_>>()?;
         let mut sockets = Vec::with_capacity(count);
-        for machine in machines {
+        for ip in ips {
             let mut row = Vec::with_capacity(count);
             for _ in 0..count {
-                row.push(Rc::new(UdpSocket::bind((*machine, 0)).await?));
+                row.push(Rc::new(UdpSocket::bind((*ip, 0)).await?));
             }
             sockets.push(row);
         }
--- a/crates/fault-harness/src/spec/expected.rs
+++ b/crates/fault-harness/src/spec/expected.rs
@@ -30,13 +30,13 @@
     /// load.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant_loss: Option<f64>,
-    /// With placement tables on: maximum time from the first node that places keys by a table until all do. No node
+    /// Maximum time from the first node that places keys by a table until all do, if placement tables are on. No node
     /// goes back to an older table.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub table_spread: Option<Span>,
     /// How long a node that was cut off, paused or started may lag behind.
     pub table_catch_up: Span,
-    /// With placement tables on: minimum time between a node being cut off and the end of its lease on the table.
+    /// Minimum time between a node being cut off and the end of its lease on the table, if placement tables are on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub table_lease: Option<Span>,
 }
--- a/crates/fault-harness/src/spec/mod.rs
+++ b/crates/fault-harness/src/spec/mod.rs
@@ -110,9 +110,9 @@
     }
 
     /// For each box the index of the first box at its address.
-    pub fn machines(&self) -> Vec<usize> {
+    pub fn box_hosts(&self) -> Vec<usize> {
         let at =
-            |(place, group): (usize, &Boxes)| group.at.as_ref().map_or(place, |at| usize::from(*at.as_ref()));
+            |(index, group): (usize, &Boxes)| group.at.as_ref().map_or(index, |at| usize::from(*at.as_ref()));
         self.each_box().enumerate().map(at).collect()
     }
 
--- a/crates/fault-harness/src/trace/event.rs
+++ b/crates/fault-harness/src/trace/event.rs
@@ -11,7 +11,7 @@
 pub struct Record {
     /// Microseconds since the harness started.
     pub at: Time,
-    /// The event.
+    /// The event at that time.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -52,13 +52,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClientAnswer {
-    /// With a value, or a receipt for a write, that carries the try's own opaque.
+    /// A value, or the receipt of a write, that carries the try's own opaque.
     Served,
-    /// Rejected with `busy`.
+    /// The node rejected the try with `busy`.
     Busy,
-    /// With any other failure answer.
+    /// The node answered with any other failure.
     Failed,
-    /// With the answer to another try, or with bytes that do not parse as an answer.
+    /// The node sent the answer to another try, or bytes that do not parse as an answer.
     Foreign,
     /// The node closed a reused idle connection, possibly before it read the try. The client sends the request once
     /// more.
@@ -69,12 +69,12 @@
     Nothing,
 }
 
-/// What happened. The comment on each variant describes its fields.
+/// An event of a run. The comment on each variant describes its fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
-    /// A node's process was started.
+    /// A node's process was started; `life` is its generation number, from 1.
     NodeStarted { node: usize, life: u32, pid: i32 },
     /// The node accepts clients.
     NodeReady { node: usize, life: u32 },
@@ -100,7 +100,7 @@
     Opened { of: usize, node: usize, connection: u64 },
     /// The box's connection was closed.
     Closed { of: usize, connection: u64 },
-    /// A box has read a complete command.
+    /// A box has read a complete command; `id` is that of the try.
     Attempt { of: usize, node: usize, connection: u64, id: u64, tenant: Option<usize>, key: u64, write: bool },
     /// The box has finished the command.
     Answer { of: usize, connection: u64, id: u64, how: BoxAnswer },
@@ -114,7 +114,7 @@
     LoadBegins,
     /// A tenant's client issues a request, for which it may make up to `tries` tries.
     Asked { ask: u64, tenant: usize, tries: u32 },
-    /// The last byte of a try was written to a node's connection.
+    /// The last byte of try `id` of request `ask` was written to a node's connection; `until` is its deadline.
     Taken { id: u64, ask: u64, node: usize, tenant: usize, until: Time },
     /// The try ended.
     Ended { id: u64, how: ClientAnswer },
--- a/crates/fault-harness/src/trace/recorder.rs
+++ b/crates/fault-harness/src/trace/recorder.rs
@@ -16,7 +16,7 @@
 
 /// An expected event did not happen in time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{what}: not within {bound:?}")]
+#[error("timed out after {bound:?} waiting for: {what}")]
 pub struct WaitTimeout {
     /// The expected event.
     pub what: String,
--- a/crates/fault-harness/tests/relay.rs
+++ b/crates/fault-harness/tests/relay.rs
@@ -26,12 +26,12 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-async fn soon<T>(what: impl Future<Output = T>) -> T {
-    timeout(FAILURE_TIMEOUT, what).await.expect("in time")
+async fn within_timeout<T>(what: impl Future<Output = T>) -> T {
+    timeout(FAILURE_TIMEOUT, what).await.expect("within the timeout")
 }
 
 #[test]
-fn what_a_link_does_to_datagrams_follows_from_the_seed_alone() {
+fn the_fate_of_datagrams_follows_from_the_seed_alone() {
     let conditions = Conditions { drop: 0.3, duplicate: 0.2, reorder: 0.2, ..Conditions::default() };
     let draw = |seed| {
         let mut rng = Chance::new(seed, "link");
@@ -49,8 +49,8 @@
 
 /// The sockets of two nodes with the relay between them.
 async fn two_nodes(network: &Network, recorder: &Rc<Recorder>) -> (Rc<DatagramMesh>, UdpSocket, UdpSocket) {
-    let machines = [Ipv4Addr::new(127, 60, 1, 1), Ipv4Addr::new(127, 60, 1, 2)];
-    let mesh = Rc::new(DatagramMesh::bind(&machines).await.unwrap());
+    let ips = [Ipv4Addr::new(127, 60, 1, 1), Ipv4Addr::new(127, 60, 1, 2)];
+    let mesh = Rc::new(DatagramMesh::bind(&ips).await.unwrap());
     mesh.run(network, recorder);
     let a = UdpSocket::bind(mesh.listen(0)).await.unwrap();
     let b = UdpSocket::bind(mesh.listen(1)).await.unwrap();
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn a_datagram_comes_from_where_its_sender_is_seen_and_a_cut_stops_one_way_alone() {
+fn datagrams_come_from_the_senders_relay_address_and_a_cut_stops_one_direction_only() {
     run(async {
         let (network, recorder) = (Network::new(1), Recorder::new());
         let (mesh, a, b) = two_nodes(&network, &recorder).await;
         let (sees_b, sees_a) = (mesh.peers(0).unwrap()[1], mesh.peers(1).unwrap()[0]);
         let mut buffer = [0; 300];
         a.send_to(b"hello", sees_b).await.unwrap();
-        assert_eq!(soon(b.recv_from(&mut buffer)).await.unwrap(), (5, sees_a));
+        assert_eq!(within_timeout(b.recv_from(&mut buffer)).await.unwrap(), (5, sees_a));
 
         network.change(Site::Node(0), Site::Node(1), |c| c.cut = true);
         let position = recorder.position();
@@ -75,14 +75,18 @@
         };
         recorder.wait_for(position, FAILURE_TIMEOUT, "a lost datagram", lost).await.unwrap();
         b.send_to(b"back", sees_a).await.unwrap();
-        assert_eq!(soon(a.recv_from(&mut buffer)).await.unwrap(), (4, sees_b));
+        assert_eq!(within_timeout(a.recv_from(&mut buffer)).await.unwrap(), (4, sees_b));
 
         network.change(Site::Node(0), Site::Node(1), |c| {
             *c = Conditions { duplicate: 1.0, ..Conditions::default() }
         });
         a.send_to(b"twice!", sees_b).await.unwrap();
         for _ in 0..2 {
-            assert_eq!(soon(b.recv_from(&mut buffer)).await.unwrap(), (6, sees_a), "and never the lost one");
+            assert_eq!(
+                within_timeout(b.recv_from(&mut buffer)).await.unwrap(),
+                (6, sees_a),
+                "the lost datagram is never delivered"
+            );
         }
         network.change(Site::Node(0), Site::Node(1), |c| {
             *c = Conditions { reorder: 1.0, ..Conditions::default() }
@@ -97,12 +101,12 @@
         network.change(Site::Node(0), Site::Node(1), |c| *c = Conditions::default());
         a.send_to(b"second", sees_b).await.unwrap();
         let sizes = [
-            soon(b.recv_from(&mut buffer)).await.unwrap().0,
-            soon(b.recv_from(&mut buffer)).await.unwrap().0,
+            within_timeout(b.recv_from(&mut buffer)).await.unwrap().0,
+            within_timeout(b.recv_from(&mut buffer)).await.unwrap().0,
         ];
         assert_eq!(sizes, [6, 1]);
         mesh.forge(0, 1, b"forged").await.unwrap();
-        assert_eq!(soon(b.recv_from(&mut buffer)).await.unwrap(), (6, sees_a));
+        assert_eq!(within_timeout(b.recv_from(&mut buffer)).await.unwrap(), (6, sees_a));
     });
 }
 
@@ -134,7 +138,7 @@
 
 impl LinkUnderTest {
     async fn connect(&self) -> (TcpStream, TcpStream) {
-        let near = soon(async {
+        let near = within_timeout(async {
             loop {
                 if let Ok(Ok(stream)) = timeout(ABSENCE_WAIT, TcpStream::connect(self.link.listen)).await {
                     return stream;
@@ -143,8 +147,12 @@
             }
         });
         let near = near.await;
-        let (far, from) = soon(self.far.accept()).await.unwrap();
-        assert_eq!(from.ip(), std::net::IpAddr::V4(self.link.source), "the opener is known by it");
+        let (far, from) = within_timeout(self.far.accept()).await.unwrap();
+        assert_eq!(
+            from.ip(),
+            std::net::IpAddr::V4(self.link.source),
+            "the source address identifies the opener"
+        );
         (near, far)
     }
 
@@ -155,12 +163,12 @@
 
 async fn read(stream: &mut TcpStream, text: &[u8]) {
     let mut got = vec![0; text.len()];
-    soon(stream.read_exact(&mut got)).await.expect("bytes");
+    within_timeout(stream.read_exact(&mut got)).await.expect("bytes");
     assert_eq!(got, text);
 }
 
 #[test]
-fn a_way_that_is_cut_stands_still_and_what_it_held_comes_when_it_heals() {
+fn a_cut_stalls_a_stream_and_held_data_is_delivered_when_it_heals() {
     run(async {
         let linked = linked().await;
         let (mut near, mut far) = linked.connect().await;
@@ -171,10 +179,10 @@
         far.write_all(b"back").await.unwrap();
         read(&mut near, b"back").await;
         let mut byte = [0];
-        assert!(timeout(ABSENCE_WAIT, far.read(&mut byte)).await.is_err(), "nothing comes over a cut");
+        assert!(timeout(ABSENCE_WAIT, far.read(&mut byte)).await.is_err(), "nothing is delivered over a cut");
         assert!(
             timeout(ABSENCE_WAIT, TcpStream::connect(linked.link.listen)).await.is_err(),
-            "no connection comes up"
+            "no connection is established"
         );
         linked.out(|c| c.cut = false);
         read(&mut far, b"two").await;
@@ -186,7 +194,7 @@
         }
         near.shutdown().await.unwrap();
         let mut all = Vec::new();
-        soon(far.read_to_end(&mut all)).await.unwrap();
+        within_timeout(far.read_to_end(&mut all)).await.unwrap();
         assert_eq!(all, vec![7; 200_000]);
         far.write_all(b"still").await.unwrap();
         read(&mut near, b"still").await;
@@ -194,26 +202,26 @@
 }
 
 #[test]
-fn a_reset_breaks_both_ends_and_what_is_down_refuses() {
+fn a_reset_breaks_both_ends_and_a_link_that_is_down_refuses_connections() {
     run(async {
         let linked = linked().await;
         let (mut near, mut far) = linked.connect().await;
         linked.network.reset(Site::Box(0), Site::Node(0));
         let mut byte = [0];
         for end in [&mut near, &mut far] {
-            let broken = soon(end.read(&mut byte)).await.map_err(|e| e.kind());
+            let broken = within_timeout(end.read(&mut byte)).await.map_err(|e| e.kind());
             assert_eq!(broken, Err(std::io::ErrorKind::ConnectionReset));
         }
         // A process that dies resets its connections; the relay passes the reset on to the other end.
         let (mut near, far) = linked.connect().await;
         loopback::reset(&far);
         drop(far);
-        let broken = soon(near.read(&mut byte)).await.map_err(|e| e.kind());
+        let broken = within_timeout(near.read(&mut byte)).await.map_err(|e| e.kind());
         assert_eq!(broken, Err(std::io::ErrorKind::ConnectionReset));
         linked.up.send_replace(false);
         // A connection that was established just before is reset.
         let refused = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
-        soon(async {
+        within_timeout(async {
             while !TcpStream::connect(linked.link.listen).await.is_err_and(refused) {
                 tokio::task::yield_now().await;
             }
--- a/crates/fault-harness/tests/scenario.rs
+++ b/crates/fault-harness/tests/scenario.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_told_with_its_place() {
+fn invalid_values_are_reported_with_their_position() {
     for (text, place, what) in [
         ("version = 2\n", "1:1: version: ", "1 expected, got 2"),
         ("version = 1\ncolour = 3\n", "2:1: ", "unknown field `colour`"),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn boxes_at_one_address_are_one_machine() {
+fn boxes_at_one_address_are_one_host() {
     let spec = Spec::parse("[[boxes]]\ncount = 2\n[[boxes]]\ncount = 1\nat = 1\nlate = true\n").unwrap();
-    assert_eq!(spec.machines(), [0, 1, 1]);
+    assert_eq!(spec.box_hosts(), [0, 1, 1]);
 }
