--- a/crates/fault-harness/benches/processes/budget.rs
+++ b/crates/fault-harness/benches/processes/budget.rs
@@ -86,16 +86,16 @@
 
 /// Maximum number of connections open at a box at once.
 pub fn peak(records: &[Record], of_box: usize) -> u32 {
-    let (mut open, mut most) = (0_u32, 0);
+    let (mut open, mut max_open) = (0_u32, 0);
     for record in records {
         match record.event {
             Event::Opened { of, .. } if of == of_box => open += 1,
             Event::Closed { of, .. } if of == of_box => open = open.saturating_sub(1),
             _ => {}
         }
-        most = most.max(open);
+        max_open = max_open.max(open);
     }
-    most
+    max_open
 }
 
 /// Share served of a tenant's requests that were issued within an interval.
--- a/crates/fault-harness/benches/processes/metrics.rs
+++ b/crates/fault-harness/benches/processes/metrics.rs
@@ -74,7 +74,7 @@
         present.reverse();
     }
     let (middle, last) = (values.len() / 2, values.len().saturating_sub(1));
-    let at = |place: usize| present.get(place).copied();
+    let at = |rank: usize| present.get(rank).copied();
     let median = match values.len() % 2 {
         0 => at(middle.saturating_sub(1)).zip(at(middle)).map(|(a, b)| f64::midpoint(a, b)),
         _ => at(middle),
--- a/crates/fault-harness/benches/processes/restart.rs
+++ b/crates/fault-harness/benches/processes/restart.rs
@@ -53,8 +53,8 @@
 
 /// By how much the open connections of any box exceeded its connection limit at most.
 fn excess_connections(records: &[Record], boxes: usize, limit: u32) -> f64 {
-    let most = (0..boxes).map(|of| peak(records, of)).max().unwrap_or(0);
-    f64::from(most.saturating_sub(limit))
+    let peak_open = (0..boxes).map(|of| peak(records, of)).max().unwrap_or(0);
+    f64::from(peak_open.saturating_sub(limit))
 }
 
 /// Time in seconds from the kill until each second of the next five has full service.
--- a/crates/fault-harness/benches/processes/table.rs
+++ b/crates/fault-harness/benches/processes/table.rs
@@ -23,13 +23,13 @@
     }
     bench.elapse(3.0).await;
     let joined = bench.now();
-    let late = bench.spec.each_box().count() - 1;
-    bench.inject(Action::Join(cache_box(late))).await?;
+    let joining = bench.spec.each_box().count() - 1;
+    bench.inject(Action::Join(cache_box(joining))).await?;
     bench.elapse(7.0).await;
     bench.harness.drain_load().await?;
     let records = bench.records();
     let notified = notified(&records, joined, count);
-    let mut key_owners = KeyOwners::of(bench, late);
+    let mut key_owners = KeyOwners::of(bench, joining);
     let received = ReceivedAttempts::of(&records, joined, count, &mut key_owners);
     let listed =
         records.iter().find(|r| r.at >= joined && matches!(r.event, Event::Listed { .. })).map(|r| r.at);
@@ -53,10 +53,10 @@
     // The last attempt by the old table after the first by the new one: a lower bound of how far nodes are apart.
     let old = received.old.iter().copied().flatten().max();
     bench.report(Value::less_is_better("first to last node, s, at least", between(first, old)));
-    let (back, all) = received.keys;
+    let (returned, all) = received.keys;
     bench.report(Value::less_is_better(
         "moved keys sent to both homes, share",
-        back as f64 / all.max(1) as f64,
+        returned as f64 / all.max(1) as f64,
     ));
     Ok(())
 }
@@ -85,21 +85,21 @@
 }
 
 impl KeyOwners {
-    fn of(bench: &Bench, late: usize) -> Self {
+    fn of(bench: &Bench, joining: usize) -> Self {
         let entry = |(of, group): (usize, &hallpin_fault_harness::spec::Boxes)| TableEntry {
             server: ServerId(format!("b{of}").into()),
             weight: f64::from(group.slots),
         };
         let new: Vec<TableEntry> = bench.spec.each_box().enumerate().map(entry).collect();
-        KeyOwners { old: new[..late].to_vec(), new, known: BTreeMap::new() }
+        KeyOwners { old: new[..joining].to_vec(), new, known: BTreeMap::new() }
     }
 
     /// The old and the new owner of a key, if it has moved.
     fn moved(&mut self, key: u64) -> Option<(usize, usize)> {
         let KeyOwners { old, new, known } = self;
-        let place =
+        let owner =
             |table: &[TableEntry]| key_owner(table, Key(key))?.0.strip_prefix('b')?.parse::<usize>().ok();
-        *known.entry(key).or_insert_with(|| place(old).zip(place(new)).filter(|(old, new)| old != new))
+        *known.entry(key).or_insert_with(|| owner(old).zip(owner(new)).filter(|(old, new)| old != new))
     }
 }
 
@@ -125,20 +125,20 @@
             if !sent.insert(id) || record.at < joined {
                 continue;
             }
-            let Some((was, is)) = key_owners.moved(key) else { continue };
-            let (came, back) = keys.entry(key).or_default();
-            if of == is {
-                *came = true;
+            let Some((old_owner, new_owner)) = key_owners.moved(key) else { continue };
+            let (reached_new, returned) = keys.entry(key).or_default();
+            if of == new_owner {
+                *reached_new = true;
                 new[node] = new[node].or(Some(record.at));
-            } else if of == was {
-                *back |= *came;
+            } else if of == old_owner {
+                *returned |= *reached_new;
                 if new[node].is_none() {
                     old[node] = Some(record.at);
                 }
             }
         }
-        let back = keys.values().filter(|(_, back)| *back).count();
-        ReceivedAttempts { new, old, keys: (back, keys.len()) }
+        let returned = keys.values().filter(|(_, returned)| *returned).count();
+        ReceivedAttempts { new, old, keys: (returned, keys.len()) }
     }
 
     fn first(&self) -> Option<Time> {
--- a/crates/fault-harness/src/harness/play.rs
+++ b/crates/fault-harness/src/harness/play.rs
@@ -43,9 +43,9 @@
 
     /// Starts the load.
     pub fn start_load(&self) {
-        let here = (self.recorder.position(), Instant::now());
-        self.origins.load.set(here);
-        self.origins.fault.set(here);
+        let origin = (self.recorder.position(), Instant::now());
+        self.origins.load.set(origin);
+        self.origins.fault.set(origin);
         self.recorder.record(Event::LoadBegins);
         self.load.start(self.spec.length);
     }
--- a/crates/fault-harness/src/judge/counts.rs
+++ b/crates/fault-harness/src/judge/counts.rs
@@ -155,11 +155,11 @@
 }
 
 impl BoxCounts {
-    fn count_command(&mut self, tenant: usize, more: bool) {
+    fn count_command(&mut self, tenant: usize, starts: bool) {
         let (Some(used), Some(peak)) = (self.used.get_mut(tenant), self.peak_used.get_mut(tenant)) else {
             return;
         };
-        *used = if more { *used + 1 } else { used.saturating_sub(1) };
+        *used = if starts { *used + 1 } else { used.saturating_sub(1) };
         *peak = (*peak).max(*used);
     }
 }
--- a/crates/fault-harness/src/judge/one_final_answer.rs
+++ b/crates/fault-harness/src/judge/one_final_answer.rs
@@ -197,9 +197,9 @@
     }
 
     /// Times of the violations if a try accepted at 10 ms ends with `how` at `at`, and these further events happen.
-    fn check(how: ClientAnswer, at: u64, more: Vec<(u64, Event)>) -> Vec<u64> {
+    fn check(how: ClientAnswer, at: u64, further: Vec<(u64, Event)>) -> Vec<u64> {
         let mut events = vec![(0, started(1)), (10, taken()), (at, ended(how))];
-        events.extend(more);
+        events.extend(further);
         events.sort_by_key(|(at, _)| *at);
         violation_times(OneFinalAnswer::new(LEEWAY, Rc::default()), events)
     }
--- a/crates/fault-harness/src/judge/report.rs
+++ b/crates/fault-harness/src/judge/report.rs
@@ -49,19 +49,20 @@
     let (all, served) = counts.served();
     let share = served as f64 / all.max(1) as f64;
     let mut missing = Vec::new();
-    if let Some(least) = expected.served.filter(|least| share < *least) {
-        missing.push(format!("served: {least} of all requests expected, got {share:.4}: {served} of {all}"));
+    if let Some(minimum) = expected.served.filter(|minimum| share < *minimum) {
+        missing
+            .push(format!("served: {minimum} of all requests expected, got {share:.4}: {served} of {all}"));
     }
-    if let Some(least) = expected.requests.filter(|least| served < *least) {
-        missing.push(format!("requests: {least} served expected, got {served}"));
+    if let Some(minimum) = expected.requests.filter(|minimum| served < *minimum) {
+        missing.push(format!("requests: {minimum} served expected, got {served}"));
     }
-    if let Some(most) =
-        expected.full_service.filter(|most| counts.full_service.is_none_or(|took| took > *most))
+    if let Some(limit) =
+        expected.full_service.filter(|limit| counts.full_service.is_none_or(|took| took > *limit))
     {
         let took = counts.full_service.map_or("never".into(), |took| format!("after {} s", took.as_secs()));
         missing.push(format!(
             "full_service: within {} s of the last fault expected, got {took}",
-            most.as_secs()
+            limit.as_secs()
         ));
     }
     missing
--- a/crates/fault-harness/tests/scenario.rs
+++ b/crates/fault-harness/tests/scenario.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn invalid_values_are_reported_with_their_position() {
-    for (text, place, what) in [
+    for (text, position, what) in [
         ("version = 2\n", "1:1: version: ", "1 expected, got 2"),
         ("version = 1\ncolour = 3\n", "2:1: ", "unknown field `colour`"),
         ("[nodes]\ncount = 0\n", "2:1: nodes.count: ", "1 to 90 expected, got 0"),
@@ -38,7 +38,7 @@
         ),
     ] {
         let message = parse_error(text);
-        assert!(message.starts_with(place) && message.contains(what), "{text}: {message}");
+        assert!(message.starts_with(position) && message.contains(what), "{text}: {message}");
     }
 }
 
