--- a/crates/fault-harness/src/judge/report.rs
+++ b/crates/fault-harness/src/judge/report.rs
@@ -1,35 +1,44 @@
-//! The verdict of a run: what was counted, which rules were broken, and which expected facts were not there.
+//! The report of a run: totals, violations, and expected results that were not reached.
 
 use serde::Serialize;
 
-use super::{Breach, Counts, Found};
+use super::{Counts, Violation, Violations};
 use crate::spec::Spec;
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The scenario's name.
     pub name: String,
-    /// What all draws followed from.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// What was counted.
+    /// Totals over the run.
     pub counts: Counts,
-    /// Breaches of rules, all of them.
+    /// Number of violations of rules.
+    #[serde(rename = "broken")]
     pub broken: u64,
-    /// The first of them in words.
-    pub breaches: Vec<Breach>,
-    /// Facts that the scenario expected and that were not there.
+    /// The first violations, at most 50.
+    #[serde(rename = "breaches")]
+    pub breaches: Vec<Violation>,
+    /// Results that the scenario expected and that were not reached.
     pub missing: Vec<String>,
 }
 
 impl Report {
-    pub(super) fn new(spec: &Spec, counts: Counts, found: Found) -> Self {
+    pub(super) fn new(spec: &Spec, counts: Counts, violations: Violations) -> Self {
         let missing = missing(spec, &counts);
-        let Found { told: breaches, count: broken } = found;
-        Report { name: spec.name.clone(), seed: spec.seed, counts, broken, breaches, missing }
+        let Violations { reported, count } = violations;
+        Report {
+            name: spec.name.clone(),
+            seed: spec.seed,
+            counts,
+            broken: count,
+            breaches: reported,
+            missing,
+        }
     }
 
-    /// No rule was broken, and all that was expected was there.
+    /// Whether no rule was violated and all expected results were reached.
     pub fn is_good(&self) -> bool {
         self.broken == 0 && self.missing.is_empty()
     }
@@ -40,19 +49,20 @@
     let (all, served) = counts.served();
     let share = served as f64 / all.max(1) as f64;
     let mut missing = Vec::new();
-    if let Some(least) = expected.served.filter(|least| share < *least) {
-        missing.push(format!("served: {least} of all requests expected, got {share:.4}: {served} of {all}"));
+    if let Some(minimum) = expected.served.filter(|minimum| share < *minimum) {
+        missing
+            .push(format!("served: {minimum} of all requests expected, got {share:.4}: {served} of {all}"));
     }
-    if let Some(least) = expected.requests.filter(|least| served < *least) {
-        missing.push(format!("requests: {least} served expected, got {served}"));
+    if let Some(minimum) = expected.requests.filter(|minimum| served < *minimum) {
+        missing.push(format!("requests: {minimum} served expected, got {served}"));
     }
-    if let Some(most) =
-        expected.full_service.filter(|most| counts.full_service.is_none_or(|took| took > *most))
+    if let Some(limit) =
+        expected.full_service.filter(|limit| counts.full_service.is_none_or(|took| took > *limit))
     {
         let took = counts.full_service.map_or("never".into(), |took| format!("after {} s", took.as_secs()));
         missing.push(format!(
             "full_service: within {} s of the last fault expected, got {took}",
-            most.as_secs()
+            limit.as_secs()
         ));
     }
     missing
--- a/crates/fault-harness/src/judge/whole.rs
+++ b/crates/fault-harness/src/judge/whole_kept.rs
@@ -1,13 +1,13 @@
-//! WholeKept: connections open at a box, in the box's own count, never pass the whole that it takes.
+//! Rule `whole-kept`: the connections open at a box, by the box's own count, never exceed its connection limit.
 
 use std::collections::BTreeMap;
 
-use super::{Found, Rule};
+use super::{Rule, Violations};
 use crate::trace::{Event, Record};
 
 #[derive(Default)]
 pub(super) struct WholeKept {
-    /// For each box its whole, and the connections that are open.
+    /// For each box its connection limit, and the number of open connections.
     boxes: BTreeMap<usize, (u32, u32)>,
 }
 
@@ -18,16 +18,17 @@
 }
 
 impl Rule for WholeKept {
-    fn see(&mut self, record: &Record, found: &mut Found) {
+    fn observe(&mut self, record: &Record, violations: &mut Violations) {
         match record.event {
             Event::BoxUp { of, whole, .. } => self.boxes.entry(of).or_default().0 = whole,
             Event::Opened { of, node, .. } => {
                 let (whole, open) = self.boxes.entry(of).or_default();
                 *open += 1;
                 if open > whole {
-                    let what =
-                        format!("b{of} has {open} connections open, the last from n{node}; it takes {whole}");
-                    found.add("whole-kept", record.at, what);
+                    let what = format!(
+                        "b{of} has {open} connections open, the last from n{node}; its limit is {whole}"
+                    );
+                    violations.add("whole-kept", record.at, what);
                 }
             }
             Event::Closed { of, .. } => {
@@ -41,7 +42,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::tests::{found, NONE};
+    use super::super::tests::{violation_times, NONE};
     use super::*;
 
     fn history(third_at: u64) -> Vec<(u64, Event)> {
@@ -58,8 +59,8 @@
     }
 
     #[test]
-    fn one_connection_over_the_whole_is_found_and_one_in_place_of_another_is_not() {
-        assert_eq!(found(WholeKept::new(), history(3)), [3]);
-        assert_eq!(found(WholeKept::new(), history(5)), NONE);
+    fn only_a_connection_beyond_the_limit_is_a_violation() {
+        assert_eq!(violation_times(WholeKept::new(), history(3)), [3]);
+        assert_eq!(violation_times(WholeKept::new(), history(5)), NONE);
     }
 }
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -1,18 +1,19 @@
-//! Several real nodes, stand-ins round them, and faults on every link between.
+//! Fault-injection test harness: runs several real nodes against fake cache boxes, discovery, planner and clients, and
+//! injects faults into every link between them.
 //!
-//! [`rig::play`] plays a scenario file; [`rig::Rig`] is the same by hand, for tests. What is judged is what the
-//! stand-ins counted from outside, by [`judge`], and never what a node believes.
+//! [`harness::play`] runs a scenario file; tests drive [`harness::Harness`] directly. The invariant checker judges a
+//! run only by what the fakes observed from outside, never by what a node reports about itself.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod fakes;
+pub mod harness;
 pub mod judge;
 pub mod process;
 pub mod relay;
-pub mod rig;
 pub mod spec;
-pub mod stand_in;
 pub mod trace;
 
+pub use harness::{block_on, play, Harness, Options, RigError};
 pub use judge::Report;
-pub use rig::{block_on, play, Options, Rig, RigError};
 pub use spec::Spec;
--- a/crates/fault-harness/src/process/mod.rs
+++ b/crates/fault-harness/src/process/mod.rs
@@ -1,9 +1,9 @@
-//! The nodes' processes: their files, their lives, and the signals that they are sent.
+//! The nodes' processes: their configuration and state files, their process generations, and the signals sent to them.
 
 mod config;
 mod files;
 mod host;
 
 pub use config::config;
-pub use files::change;
-pub use host::{Host, HostError, Place, PlaneFiles};
+pub use files::apply_state_change;
+pub use host::{ControlPlaneFiles, Host, HostError, NodeAddresses};
--- a/crates/fault-harness/src/relay/mod.rs
+++ b/crates/fault-harness/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! The links between nodes, boxes and the list: what each does to what is sent over it, per direction.
+//! The links between nodes, boxes and the endpoint list, with conditions for each direction.
 
 mod fate;
 mod network;
@@ -8,4 +8,4 @@
 pub use fate::{Conditions, Fate};
 pub use network::{Network, Site};
 pub use tcp::TcpLink;
-pub use udp::{Mesh, MeshError};
+pub use udp::{DatagramMesh, RelaySocketError};
--- a/crates/fault-harness/src/trace/mod.rs
+++ b/crates/fault-harness/src/trace/mod.rs
@@ -1,7 +1,8 @@
-//! What the rig saw from outside, in its own order and by its one clock: the only thing that is judged.
+//! The trace of a run: events that the harness observed from outside, in order and by one clock. It is the only input
+//! of the invariant checker.
 
 mod event;
 mod recorder;
 
 pub use event::{BoxAnswer, ClientAnswer, End, Event, Record};
-pub use recorder::{Recorder, TraceError, MOST_RECORDS};
+pub use recorder::{Recorder, WaitTimeout, MAX_RECORDS};
--- a/crates/fault-harness/src/trace/recorder.rs
+++ b/crates/fault-harness/src/trace/recorder.rs
@@ -1,4 +1,4 @@
-//! Keeps what happened in order, and lets others wait for it.
+//! Stores the events of a run in order, and lets tasks wait for an event.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, Write};
@@ -11,115 +11,116 @@
 
 use super::{Event, Record};
 
-/// Records that are kept; what comes beyond is counted and fails the run.
-pub const MOST_RECORDS: usize = 2_000_000;
+/// Maximum number of records that are kept. Further ones are only counted, and fail the run.
+pub const MAX_RECORDS: usize = 2_000_000;
 
-/// What was waited for has not happened.
+/// An expected event did not happen in time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{what}: not within {bound:?}")]
-pub struct TraceError {
-    /// What was waited for.
+#[error("timed out after {bound:?} waiting for: {what}")]
+pub struct WaitTimeout {
+    /// The expected event.
     pub what: String,
-    /// For how long.
+    /// How long it was waited for.
     pub bound: Duration,
 }
 
-/// The run's record and its one clock.
+/// The trace of a run, and the run's clock.
 #[derive(Debug)]
 pub struct Recorder {
-    began: Instant,
+    started: Instant,
     records: RefCell<Vec<Record>>,
-    lost: Cell<u64>,
-    came: Rc<Notify>,
+    dropped: Cell<u64>,
+    recorded: Rc<Notify>,
 }
 
 impl Recorder {
-    /// Begins now.
+    /// Starts the clock with an empty trace.
     pub fn new() -> Rc<Self> {
         Rc::new(Recorder {
-            began: Instant::now(),
+            started: Instant::now(),
             records: RefCell::default(),
-            lost: Cell::new(0),
-            came: Rc::default(),
+            dropped: Cell::new(0),
+            recorded: Rc::default(),
         })
     }
 
-    /// Now, by the rig's clock.
+    /// The current time by the harness's clock.
     pub fn now(&self) -> Time {
-        Time(u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX))
+        Time(u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// The instant of a point on the rig's clock.
+    /// The instant that corresponds to a time on the harness's clock.
     pub fn instant(&self, at: Time) -> Instant {
-        self.began + Duration::from_micros(at.0)
+        self.started + Duration::from_micros(at.0)
     }
 
-    /// Enters what has just happened.
+    /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
         let mut records = self.records.borrow_mut();
-        if records.len() >= MOST_RECORDS {
-            self.lost.set(self.lost.get() + 1);
+        if records.len() >= MAX_RECORDS {
+            self.dropped.set(self.dropped.get() + 1);
             return;
         }
         records.push(Record { at: self.now(), event });
-        self.came.notify_waiters();
+        self.recorded.notify_waiters();
     }
 
-    /// How many records there are: where one who waits may begin to look.
-    pub fn mark(&self) -> usize {
+    /// The number of records: the position from which a later wait may start.
+    pub fn position(&self) -> usize {
         self.records.borrow().len()
     }
 
-    /// How many were not kept for want of room.
-    pub fn lost(&self) -> u64 {
-        self.lost.get()
+    /// Number of records that were dropped because the trace was full.
+    pub fn dropped(&self) -> u64 {
+        self.dropped.get()
     }
 
-    /// Hands all records on, from a mark on.
-    pub fn each(&self, from: usize, mut look: impl FnMut(&Record)) {
+    /// Calls `look` with each record from a position on.
+    pub fn for_each(&self, from: usize, mut look: impl FnMut(&Record)) {
         self.records.borrow().iter().skip(from).for_each(&mut look);
     }
 
-    /// All records.
+    /// A copy of all records.
     pub fn records(&self) -> Vec<Record> {
         self.records.borrow().clone()
     }
 
-    /// Waits until a record from the mark on is what is looked for; the place behind it.
+    /// Waits until a record from the given position on satisfies the predicate, and returns the position behind that
+    /// record.
     ///
     /// # Errors
-    /// Says what was waited for, where it did not happen within the bound.
-    pub async fn until(
+    /// Names the expected event if it does not happen within `bound`.
+    pub async fn wait_for(
         &self,
         from: usize,
         bound: Duration,
         what: &str,
-        mut is_it: impl FnMut(&Record) -> bool,
-    ) -> Result<usize, TraceError> {
+        mut is_match: impl FnMut(&Record) -> bool,
+    ) -> Result<usize, WaitTimeout> {
         let (mut at, end) = (from, Instant::now() + bound);
         loop {
-            let came = self.came.notified();
-            tokio::pin!(came);
-            // From here on nothing is missed.
-            came.as_mut().enable();
+            let recorded = self.recorded.notified();
+            tokio::pin!(recorded);
+            // From here on, every notification wakes this task.
+            recorded.as_mut().enable();
             {
                 let records = self.records.borrow();
-                let rest = records.get(at..).unwrap_or_default();
-                if let Some(found) = rest.iter().position(&mut is_it) {
+                let new_records = records.get(at..).unwrap_or_default();
+                if let Some(found) = new_records.iter().position(&mut is_match) {
                     return Ok(at + found + 1);
                 }
                 at = at.max(records.len());
             }
-            if timeout_at(end, came).await.is_err() {
-                return Err(TraceError { what: what.into(), bound });
+            if timeout_at(end, recorded).await.is_err() {
+                return Err(WaitTimeout { what: what.into(), bound });
             }
         }
     }
 
-    /// Writes all records, one JSON object a line.
+    /// Writes all records as JSON, one object a line.
     ///
     /// # Errors
-    /// Where they cannot be written.
+    /// Fails if the records cannot be written.
     pub fn write(&self, to: &mut impl Write) -> io::Result<()> {
         for record in self.records.borrow().iter() {
             serde_json::to_writer(&mut *to, record)?;
--- a/crates/fault-harness/tests/scenario.rs
+++ b/crates/fault-harness/tests/scenario.rs
@@ -1,15 +1,15 @@
-//! The scenario file: what is wrong with one is told with its place, field and what was expected.
+//! Tests of the scenario file: an invalid one is reported with its position, its field and what was expected.
 
 use hallpin_fault_harness::Spec;
 
-fn wrong(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     let error = Spec::parse(text).expect_err(text);
     error.to_string()
 }
 
 #[test]
-fn what_makes_no_sense_is_told_with_its_place() {
-    for (text, place, what) in [
+fn invalid_values_are_reported_with_their_position() {
+    for (text, position, what) in [
         ("version = 2\n", "1:1: version: ", "1 expected, got 2"),
         ("version = 1\ncolour = 3\n", "2:1: ", "unknown field `colour`"),
         ("[nodes]\ncount = 0\n", "2:1: nodes.count: ", "1 to 90 expected, got 0"),
@@ -37,13 +37,13 @@
             "a node below n5",
         ),
     ] {
-        let told = wrong(text);
-        assert!(told.starts_with(place) && told.contains(what), "{text}: {told}");
+        let message = parse_error(text);
+        assert!(message.starts_with(position) && message.contains(what), "{text}: {message}");
     }
 }
 
 #[test]
-fn boxes_at_one_address_are_one_machine() {
+fn boxes_at_one_address_are_one_host() {
     let spec = Spec::parse("[[boxes]]\ncount = 2\n[[boxes]]\ncount = 1\nat = 1\nlate = true\n").unwrap();
-    assert_eq!(spec.machines(), [0, 1, 1]);
+    assert_eq!(spec.box_hosts(), [0, 1, 1]);
 }
