--- a/crates/balancer/src/balance/demand.rs
+++ b/crates/balancer/src/balance/demand.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::Seconds;
 
-/// Length of the usual demand's average, in overload windows (`PlaneRuntime::window`).
+/// Length of the usual demand's average, in overload windows (`Fleet::window`).
 const REMEMBERED_WINDOWS: f64 = 10.0;
 /// Length of the recent demand's average, in overload windows: a surge has to be seen before it fills a
 /// window.
--- a/crates/balancer/src/interface/classes.rs
+++ b/crates/balancer/src/interface/classes.rs
@@ -13,7 +13,7 @@
     NonIdempotent,
 }
 
-/// The servers among which repeats of a keyed request are dropped.
+/// The servers among which repeats of a deduplicated request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers.
@@ -39,7 +39,7 @@
     pub late_weight_share: f64,
     /// Whether a request of the class may run again.
     pub effect: Effect,
-    /// Where repeats are dropped, for keyed classes.
+    /// Where repeats are dropped, for deduplicated classes.
     pub deduplication_scope: DeduplicationScope,
     /// Time for which repeats are dropped, from the first send that may have run.
     pub deduplication_window: Seconds,
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -28,7 +28,8 @@
     /// Kind of the payloads that it receives.
     const KIND: Kind;
 
-    /// Processes a payload from any sender that claims to be `from`. Outputs are queued for [`StateMachine::take_outputs`].
+    /// Processes a payload from any sender that claims to be `from`. Outputs are queued for
+    /// [`StateMachine::take_outputs`].
     ///
     /// # Errors
     /// [`Rejection::Payload`] or [`Rejection::UnknownPeer`]; then nothing has changed.
--- a/crates/membership/src/peers/receive.rs
+++ b/crates/membership/src/peers/receive.rs
@@ -16,8 +16,8 @@
     /// Processes a payload from any sender that claims to be `from`.
     ///
     /// # Errors
-    /// [`Rejection::UnknownPeer`] from a node that is not configured, from this node, or from an earlier incarnation of a
-    /// node; [`Rejection::Payload`] if the payload cannot be decoded. Then nothing has changed.
+    /// [`Rejection::UnknownPeer`] from a node that is not configured, from this node, or from an earlier incarnation of
+    /// a node; [`Rejection::Payload`] if the payload cannot be decoded. Then nothing has changed.
     pub fn receive(&mut self, now: Moment, from: NodeIncarnation, payload: &[u8]) -> Result<(), Rejection> {
         if from.node.0 >= self.config.configured || from.node == self.config.this.node {
             return Err(Rejection::UnknownPeer);
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -27,9 +27,9 @@
 use timers::{duration, SchedulingDelays};
 
 impl Driver {
-    pub fn new(settings: &Settings, seed: u64, around: DriverContext) -> Result<Self, SettingsError> {
+    pub fn new(settings: &Settings, seed: u64, context: DriverContext) -> Result<Self, SettingsError> {
         let DriverContext { clock, upstream, messages, poll_requests, lifecycle, metrics, plane_runtime } =
-            around;
+            context;
         let quantum = Duration::from_secs_f64(settings.event_interval);
         upstream.set_quantum(quantum);
         Ok(Driver {
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -48,7 +48,7 @@
     let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
     let (messages, inbox) = unbounded_channel();
     let (clock, metrics) = (Clock::start(), Metrics::new(["read"]));
-    let around = DriverContext {
+    let context = DriverContext {
         clock,
         upstream: Rc::new(Upstream::new(bounds, Budget::new(&Default::default()), metrics.clone())),
         messages,
@@ -57,7 +57,7 @@
         metrics,
         plane_runtime: None,
     };
-    let mut driver = Driver::new(settings, 1, around).unwrap();
+    let mut driver = Driver::new(settings, 1, context).unwrap();
     let member = format!(r#"{{"id":"s","host_port":"{server}","phase":"ready"}}"#);
     let list = format!(r#"{{"revision":1,"complete":true,"members":[{member}]}}"#);
     driver.load_cached_roster(Roster::from_json(list.as_bytes(), &clock).unwrap());
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -120,7 +120,8 @@
     text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-/// A request that was started. Dropping it counts the request as ended: as failed, unless [`RequestGuard::end`] was called.
+/// A request that was started. Dropping it counts the request as ended: as failed, unless
+/// [`RequestGuard::end`] was called.
 pub struct RequestGuard {
     metrics: Rc<Metrics>,
     class: usize,
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -202,7 +202,7 @@
         if let Some(plane_runtime) = &plane_runtime {
             upstream.apply_quotas(plane_runtime.clone());
         }
-        let around = DriverContext {
+        let context = DriverContext {
             clock: *clock,
             upstream: upstream.clone(),
             messages: messages.clone(),
@@ -211,7 +211,7 @@
             metrics: metrics.clone(),
             plane_runtime: plane_runtime.clone(),
         };
-        let mut driver = Driver::new(settings, *seed, around).map_err(config.config_error("settings"))?;
+        let mut driver = Driver::new(settings, *seed, context).map_err(config.config_error("settings"))?;
         if let Some(known) = &config.known {
             let known =
                 Roster::from_json(known.get().as_bytes(), clock).map_err(config.config_error("known"))?;
--- a/crates/simulation/src/plane/mod.rs
+++ b/crates/simulation/src/plane/mod.rs
@@ -5,7 +5,7 @@
 mod tally;
 
 use hallpin_membership::ConfigError as PeersError;
-use hallpin_placement::ConfigError as AccordError;
+use hallpin_placement::ConfigError as PlacementError;
 
 pub use boxes::Sent;
 pub use node::{NodePlane, Seat, Told};
@@ -34,5 +34,5 @@
     Peers(#[from] PeersError),
     /// Of the table.
     #[error("table: {0}")]
-    Accord(#[from] AccordError),
+    Placement(#[from] PlacementError),
 }
