--- a/crates/simulation/src/world/answers.rs
+++ b/crates/simulation/src/world/answers.rs
@@ -4,7 +4,7 @@
 
 impl<S: Sink> World<'_, S> {
     /// Gives a try's final answer, unless it has one.
-    pub(super) fn answer(
+    pub(super) fn answer_client(
         &mut self,
         node: NodeId,
         id: TryId,
@@ -12,40 +12,47 @@
         advice: Option<Span>,
         version: Option<u64>,
     ) -> bool {
-        if !self.close(node, id) {
+        if !self.mark_answered(node, id) {
             return false;
         }
         self.record(Event::Answered { id, how, version, advice });
-        let way = self.jittered(self.day.network.client);
-        self.after(way, Due::Reply { id, reply: Reply::Answer { how, advice } });
+        let delay = self.jittered(self.day.network.client);
+        self.schedule_after(delay, ScheduledEvent::Reply { id, reply: Reply::Answer { how, advice } });
         true
     }
 
-    pub(super) fn close(&mut self, node: NodeId, id: TryId) -> bool {
-        let live = self.hosts[node].tries.get_mut(&id);
-        live.is_some_and(|live| !std::mem::replace(&mut live.answered, true))
+    pub(super) fn mark_answered(&mut self, node: NodeId, id: TryId) -> bool {
+        let accepted = self.nodes[node].tries.get_mut(&id);
+        accepted.is_some_and(|accepted| !std::mem::replace(&mut accepted.answered, true))
     }
 
     /// What a final answer leaves behind: attempts that wait for their connection are given up.
-    pub(super) fn settle(&mut self, node: NodeId, id: TryId) {
-        let Some(live) = self.hosts[node].tries.get(&id).filter(|live| live.answered) else { return };
-        let unsent = |a: &Attempt| a.flight.is_some_and(|t| self.flight(t).is_some_and(|f| !f.written));
-        let unsent: Vec<u32> = (0..).zip(&live.attempts).filter(|(_, a)| unsent(a)).map(|(n, _)| n).collect();
+    pub(super) fn cancel_unsent_attempts(&mut self, node: NodeId, id: TryId) {
+        let Some(accepted) = self.nodes[node].tries.get(&id).filter(|accepted| accepted.answered) else {
+            return;
+        };
+        let unsent =
+            |a: &Attempt| a.token.is_some_and(|t| self.find_in_flight(t).is_some_and(|f| !f.written));
+        let unsent: Vec<u32> =
+            (0..).zip(&accepted.attempts).filter(|(_, a)| unsent(a)).map(|(n, _)| n).collect();
         for attempt in unsent {
-            self.give_up(node, id, attempt, Status::Cancelled);
+            self.abandon_attempt(node, id, attempt, Status::Cancelled);
         }
-        self.forget(node, id);
+        self.remove_finished_try(node, id);
     }
 
-    pub(super) fn forget(&mut self, node: NodeId, id: TryId) {
-        let over = |live: &Live| live.answered && live.attempts.iter().all(|a| a.flight.is_none());
-        if self.hosts[node].tries.get(&id).is_some_and(over) {
-            self.hosts[node].tries.remove(&id);
+    pub(super) fn remove_finished_try(&mut self, node: NodeId, id: TryId) {
+        let over =
+            |accepted: &AcceptedTry| accepted.answered && accepted.attempts.iter().all(|a| a.token.is_none());
+        if self.nodes[node].tries.get(&id).is_some_and(over) {
+            self.nodes[node].tries.remove(&id);
         }
-        let host = &self.hosts[node];
-        if host.leaving.is_some_and(|at| self.now >= at) && host.tries.values().all(|live| live.answered) {
-            let life = host.life;
-            self.after(Span(1), Due::NodeLeaves { node, life });
+        let state = &self.nodes[node];
+        if state.accepts_until.is_some_and(|at| self.now >= at)
+            && state.tries.values().all(|accepted| accepted.answered)
+        {
+            let generation = state.generation;
+            self.schedule_after(Span(1), ScheduledEvent::NodeLeaves { node, generation });
         }
     }
 }
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -3,163 +3,178 @@
 use super::*;
 
 impl<S: Sink> World<'_, S> {
-    pub(super) fn at_box(&mut self, token: u64) {
-        let Some(flight) = self.flight(token) else { return };
-        let (node, to, box_life, mut job) = (flight.node, flight.to, flight.box_life, flight.job);
-        let place = &self.boxes[to];
-        let (from, at) = (self.hosts[node].depot, self.day.boxes[to].depot);
-        if place.silent > 0 || self.is_parted(from, at) {
+    pub(super) fn attempt_at_box(&mut self, token: u64) {
+        let Some(in_flight) = self.find_in_flight(token) else { return };
+        let (node, to, box_generation, mut job) =
+            (in_flight.node, in_flight.to, in_flight.box_generation, in_flight.job);
+        let box_state = &self.boxes[to];
+        let (from, at) = (self.nodes[node].depot, self.day.boxes[to].depot);
+        if box_state.silence_count > 0 || self.is_partitioned(from, at) {
             // Nobody hears it; what comes of the connection is told when the machine is back.
             return;
         }
-        if place.life != box_life || !place.cache.is_up() {
-            let way = self.way(from, at);
-            return self.after(way, Due::ResetAtNode(token));
+        if box_state.generation != box_generation || !box_state.cache.is_up() {
+            let delay = self.network_delay(from, at);
+            return self.schedule_after(delay, ScheduledEvent::ResetAtNode(token));
         }
         // The node counts from its own side, the box from here.
         job.token = token;
-        self.flights[place_of(token)].arrived = true;
-        self.boxes[to].coming -= 1;
+        self.in_flight[slab_index(token)].arrived = true;
+        self.boxes[to].in_transit -= 1;
         self.record(Event::Reached { to, node, work: job.work, read: job.write.is_none() });
-        let mut outs = std::mem::take(&mut self.outs);
-        self.boxes[to].cache.request(self.now, job, self.origin.planner(), &mut outs);
-        self.outs = outs;
-        self.after_box(to);
+        let mut outputs = std::mem::take(&mut self.outputs);
+        self.boxes[to].cache.request(self.now, job, self.origin.planner(), &mut outputs);
+        self.outputs = outputs;
+        self.apply_box_outputs(to);
     }
 
-    pub(super) fn closed_at_box(&mut self, at: BoxId, life: u32, cancels: Option<u64>) {
-        if self.boxes[at].life != life || !self.boxes[at].cache.is_up() {
+    pub(super) fn closed_at_box(&mut self, at: BoxId, generation: u32, cancels: Option<u64>) {
+        if self.boxes[at].generation != generation || !self.boxes[at].cache.is_up() {
             return;
         }
         self.boxes[at].cache.disconnect(self.now);
         if let Some(token) = cancels {
-            let mut outs = std::mem::take(&mut self.outs);
-            self.boxes[at].cache.cancel(self.now, token, self.origin.planner(), &mut outs);
-            self.outs = outs;
+            let mut outputs = std::mem::take(&mut self.outputs);
+            self.boxes[at].cache.cancel(self.now, token, self.origin.planner(), &mut outputs);
+            self.outputs = outputs;
         }
-        self.after_box(at);
+        self.apply_box_outputs(at);
     }
 
     /// Carries out what a box asks, and sees to it that it is woken in time.
-    pub(super) fn after_box(&mut self, at: BoxId) {
-        let mut outs = std::mem::take(&mut self.outs);
-        for out in outs.drain(..) {
+    pub(super) fn apply_box_outputs(&mut self, at: BoxId) {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        for out in outputs.drain(..) {
             match out {
                 BoxOut::Answer(token, answer) => self.box_answers(at, token, answer),
                 BoxOut::Ask { ask, cold } => {
-                    let (way, life) = (self.jittered(self.day.network.same), self.boxes[at].life);
-                    self.after(way, Due::AskAtPlanner { by: at, life, ask, cold });
+                    let (delay, generation) =
+                        (self.jittered(self.day.network.same), self.boxes[at].generation);
+                    self.schedule_after(
+                        delay,
+                        ScheduledEvent::AskAtPlanner { by: at, generation, ask, cold },
+                    );
                 }
                 BoxOut::Fell => {
                     self.record(Event::BoxFell { of: at });
-                    self.boxes[at].life += 1;
-                    self.hosts.iter_mut().for_each(|host| host.pools[at].clear());
-                    self.reset_flights(at);
-                    self.known_after(self.day.list.notice, listing(at, Phase::Gone, None));
+                    self.boxes[at].generation += 1;
+                    self.nodes.iter_mut().for_each(|state| state.idle_connections[at].clear());
+                    self.reset_connections(at);
+                    self.update_list_after(self.day.list.notice, listing(at, Phase::Gone, None));
                 }
             }
         }
-        self.outs = outs;
-        let place = &mut self.boxes[at];
-        let wakes = place.cache.wakes(self.now).filter(|_| place.cache.is_up());
+        self.outputs = outputs;
+        let box_state = &mut self.boxes[at];
+        let wakes = box_state.cache.wakes(self.now).filter(|_| box_state.cache.is_up());
         if let Some(wake) = wakes.map(|at| at.max(self.now + Span(1))) {
-            if place.wakes.is_none_or(|scheduled| wake < scheduled || scheduled <= self.now) {
-                place.wakes = Some(wake);
-                self.enter(wake, Due::BoxWakes(at));
+            if box_state.wakes.is_none_or(|scheduled| wake < scheduled || scheduled <= self.now) {
+                box_state.wakes = Some(wake);
+                self.schedule_at(wake, ScheduledEvent::BoxWakes(at));
             }
         }
     }
 
     pub(super) fn box_answers(&mut self, at: BoxId, token: u64, answer: BoxAnswer) {
         // Its node may have given the attempt up, or died: then the work was for nothing.
-        let Some(flight) = self.flight(token) else { return };
-        let (node, id, attempt, work) = (flight.node, flight.id, flight.attempt, flight.job.work);
-        let read = flight.job.write.is_none();
+        let Some(in_flight) = self.find_in_flight(token) else { return };
+        let (node, id, attempt, work) = (in_flight.node, in_flight.id, in_flight.attempt, in_flight.job.work);
+        let read = in_flight.job.write.is_none();
         let hit = read.then_some(matches!(answer, BoxAnswer::Served { note: CacheNote::Hit, .. }));
         if answer != BoxAnswer::Busy {
             self.record(Event::Worked { id, attempt, work, hit });
         }
-        let (from, to) = (self.day.boxes[at].depot, self.hosts[node].depot);
-        if self.is_parted(from, to) {
+        let (from, to) = (self.day.boxes[at].depot, self.nodes[node].depot);
+        if self.is_partitioned(from, to) {
             return;
         }
-        let way = self.way(from, to);
-        match self.faults.fate(&mut self.network) {
-            Fate::Arrives => self.after(way, Due::AnswerAtNode { flight: token, answer }),
+        let delay = self.network_delay(from, to);
+        match self.faults.fate(&mut self.network_rng) {
+            Fate::Arrives => self.schedule_after(delay, ScheduledEvent::AnswerAtNode { token, answer }),
             Fate::Lost => {}
-            Fate::Reset => self.after(way, Due::ResetAtNode(token)),
+            Fate::Reset => self.schedule_after(delay, ScheduledEvent::ResetAtNode(token)),
         }
     }
 
     /// The connections to a box's former process break, as far as its machine says so.
-    pub(super) fn reset_flights(&mut self, at: BoxId) {
-        let life = self.boxes[at].life;
+    pub(super) fn reset_connections(&mut self, at: BoxId) {
+        let generation = self.boxes[at].generation;
         let broken: Vec<(u64, NodeId)> = self
-            .flights
+            .in_flight
             .iter()
-            .filter(|(_, f)| f.to == at && f.written && f.box_life != life)
+            .filter(|(_, f)| f.to == at && f.written && f.box_generation != generation)
             .map(|(_, f)| (f.token, f.node))
             .collect();
         for (token, node) in broken {
-            let way = self.way(self.day.boxes[at].depot, self.hosts[node].depot);
-            self.after(way, Due::ResetAtNode(token));
+            let delay = self.network_delay(self.day.boxes[at].depot, self.nodes[node].depot);
+            self.schedule_after(delay, ScheduledEvent::ResetAtNode(token));
         }
     }
 
     /// A process ends and its machine says so: kept connections close.
     pub(super) fn stop_box(&mut self, at: BoxId) {
         self.boxes[at].cache.stop();
-        self.boxes[at].life += 1;
+        self.boxes[at].generation += 1;
         self.record(Event::BoxDown { of: at });
-        for host in &mut self.hosts {
-            host.pools[at].clear();
+        for state in &mut self.nodes {
+            state.idle_connections[at].clear();
         }
-        self.reset_flights(at);
+        self.reset_connections(at);
     }
 
     pub(super) fn start_box(&mut self, at: BoxId) {
         self.boxes[at].cache.start(self.now);
-        self.boxes[at].life += 1;
+        self.boxes[at].generation += 1;
         self.boxes[at].wakes = None;
-        self.tell_up(at, true);
-        self.reset_flights(at);
-        self.known_after(self.day.list.add, listing(at, Phase::Ready, Some(self.now)));
+        self.record_box_up(at, true);
+        self.reset_connections(at);
+        self.update_list_after(self.day.list.add, listing(at, Phase::Ready, Some(self.now)));
     }
 
-    pub(super) fn tell_up(&mut self, of: BoxId, cold: bool) {
+    pub(super) fn record_box_up(&mut self, of: BoxId, cold: bool) {
         let spec = &self.day.boxes[of];
         let (capacity, size, from, ramp) = (spec.capacity(), spec.size, spec.cold_from, spec.ramp);
         self.record(Event::BoxUp { of, capacity, size, cold, from, ramp });
     }
 
-    pub(super) fn ask_at_planner(&mut self, by: BoxId, life: u32, ask: Ask, cold: bool) {
-        let mut outs = Vec::new();
+    pub(super) fn ask_at_planner(&mut self, by: BoxId, generation: u32, ask: Ask, cold: bool) {
+        let mut outputs = Vec::new();
         self.planes.tally.fetch(self.now, by, ask.key, ask.write.is_some());
-        self.origin.ask(self.now, by, life, ask, cold, &mut outs);
-        self.after_origin(outs);
+        self.origin.ask(self.now, by, generation, ask, cold, &mut outputs);
+        self.apply_origin_outputs(outputs);
     }
 
-    pub(super) fn after_origin(&mut self, outs: Vec<OriginOut>) {
-        for out in outs {
+    pub(super) fn apply_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
+        for out in outputs {
             match out {
                 OriginOut::Record(event) => self.record(event),
-                OriginOut::Answer { to, life, id, version } => {
-                    let way = self.jittered(self.day.network.same);
-                    self.after(way, Due::PlannerAnswers { to, life, id, version });
+                OriginOut::Answer { to, life: generation, id, version } => {
+                    let delay = self.jittered(self.day.network.same);
+                    self.schedule_after(
+                        delay,
+                        ScheduledEvent::PlannerAnswers { to, generation, id, version },
+                    );
                 }
-                OriginOut::WakeAt(at) => self.enter(at, Due::PlannerWakes),
+                OriginOut::WakeAt(at) => self.schedule_at(at, ScheduledEvent::PlannerWakes),
             }
         }
     }
 
-    pub(super) fn planner_answers(&mut self, to: BoxId, life: u32, id: u64, version: Option<u64>) {
-        let place = &mut self.boxes[to];
-        if place.life != life || !place.cache.is_up() {
+    pub(super) fn planner_answers(&mut self, to: BoxId, generation: u32, id: u64, version: Option<u64>) {
+        let box_state = &mut self.boxes[to];
+        if box_state.generation != generation || !box_state.cache.is_up() {
             return;
         }
-        let (mut outs, keys) = (std::mem::take(&mut self.outs), &self.keys);
-        place.cache.fetched(self.now, id, version, |key| keys.bytes(key), self.origin.planner(), &mut outs);
-        self.outs = outs;
-        self.after_box(to);
+        let (mut outputs, keys) = (std::mem::take(&mut self.outputs), &self.keys);
+        box_state.cache.fetched(
+            self.now,
+            id,
+            version,
+            |key| keys.bytes(key),
+            self.origin.planner(),
+            &mut outputs,
+        );
+        self.outputs = outputs;
+        self.apply_box_outputs(to);
     }
 }
--- a/crates/simulation/src/world/door.rs
+++ b/crates/simulation/src/world/door.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 /// What a request's way from the client may have taken before its bytes were read, as the node has it.
-const MARGIN: Span = Span(2_000);
+const CLIENT_DELAY_MARGIN: Span = Span(2_000);
 
 impl<S: Sink> World<'_, S> {
-    pub(super) fn next_arrival(&mut self) {
+    pub(super) fn schedule_arrival(&mut self) {
         if let Some(at) = self.clients.next_arrival(self.now) {
-            self.enter(at, Due::Arrival);
+            self.schedule_at(at, ScheduledEvent::Arrival);
         }
     }
 
-    pub(super) fn next_change(&mut self) {
+    pub(super) fn schedule_key_change(&mut self) {
         if self.day.keys.changes > 0.0 {
-            let wait = Span::from_secs(self.chance.exponential(1.0 / self.day.keys.changes));
-            self.after(wait, Due::KeyChanges);
+            let wait = Span::from_secs(self.rng.exponential(1.0 / self.day.keys.changes));
+            self.schedule_after(wait, ScheduledEvent::KeyChanges);
         }
     }
 
@@ -24,7 +24,7 @@
         for step in steps {
             match step {
                 Step::Record(event) => self.record(event),
-                Step::TryAt(at, ask) => self.enter(at, Due::NextTry(ask)),
+                Step::TryAt(at, ask) => self.schedule_at(at, ScheduledEvent::NextTry(ask)),
             }
         }
     }
@@ -32,44 +32,46 @@
     pub(super) fn next_try(&mut self, ask: u64) {
         let (now, entry) = (self.now, self.day.clients.entry);
         let notice = self.day.clients.front_notice;
-        let wanted = |host: &Host| match host.coming {
+        let is_open = |state: &NodeState| match state.new_connections_until {
             _ if entry == Entry::Own => true,
             // On the connections that stay open, whatever the front knows, and for a little on new ones.
-            Some(coming) => now < coming || host.alive && host.leaving.is_some_and(|at| now < at),
-            None => host.gone_at.is_none_or(|at| host.alive && host.leaving.is_none() || now < at + notice),
+            Some(coming) => now < coming || state.alive && state.accepts_until.is_some_and(|at| now < at),
+            None => state
+                .unavailable_since
+                .is_none_or(|at| state.alive && state.accepts_until.is_none() || now < at + notice),
         };
-        let open: Vec<bool> = self.hosts.iter().map(wanted).collect();
+        let open: Vec<bool> = self.nodes.iter().map(is_open).collect();
         let Some((id, over)) = self.clients.next_try(now, ask, &open) else { return };
-        let way = self.jittered(self.day.network.client);
+        let delay = self.jittered(self.day.network.client);
         let writing = self.clients.open_try(id).map_or(Span::ZERO, |t| t.writing);
-        self.after(way + writing, Due::TryAtNode(id));
-        self.enter(over, Due::TryOver(id));
+        self.schedule_after(delay + writing, ScheduledEvent::TryAtNode(id));
+        self.schedule_at(over, ScheduledEvent::TryDeadline(id));
     }
 
     /// A try has come whole to its node, which takes it if it runs.
-    pub(super) fn take(&mut self, id: TryId) {
+    pub(super) fn accept_try(&mut self, id: TryId) {
         let Some(t) = self.clients.open_try(id) else { return };
         let (node, ask, until, first_byte) = (t.node, t.ask, t.until, self.now.back(t.writing));
-        let host = &self.hosts[node];
-        let life = host.life;
-        if !host.alive || host.leaving.is_some_and(|at| self.now >= at) {
+        let state = &self.nodes[node];
+        let generation = state.generation;
+        if !state.alive || state.accepts_until.is_some_and(|at| self.now >= at) {
             // A kept connection was closed on half of its command, which is no request yet.
-            let half_written = host.leaving.is_some_and(|at| first_byte < at);
-            if host.coming.is_some_and(|coming| self.now < coming) && !half_written {
+            let half_written = state.accepts_until.is_some_and(|at| first_byte < at);
+            if state.new_connections_until.is_some_and(|coming| self.now < coming) && !half_written {
                 // The connection that it came on is new, as those that were kept have been closed.
                 self.record(Event::Dropped { ask, node });
             }
-            let way = self.jittered(self.day.network.client);
-            return self.after(way, Due::Reply { id, reply: Reply::Unreached });
+            let delay = self.jittered(self.day.network.client);
+            return self.schedule_after(delay, ScheduledEvent::Reply { id, reply: Reply::Unreached });
         }
         let Some(a) = self.clients.ask(ask) else { return };
         let (class, tenant, key, work, hint) = (a.class, a.tenant, a.key, a.work, a.hint);
         let write = self.day.classes[class].write.then_some(a.effect);
         self.record(Event::Taken { id, ask, node, until });
-        let deadline = until.back(MARGIN);
-        let live = Live { key, work, write, deadline, answered: false, attempts: Vec::new() };
-        self.hosts[node].tries.insert(id, live);
-        self.enter(deadline.back(Span(2_500)), Due::Backstop { node, life, id });
+        let deadline = until.back(CLIENT_DELAY_MARGIN);
+        let accepted = AcceptedTry { key, work, write, deadline, answered: false, attempts: Vec::new() };
+        self.nodes[node].tries.insert(id, accepted);
+        self.schedule_at(deadline.back(Span(2_500)), ScheduledEvent::AnswerDeadline { node, generation, id });
         let request = NewRequest {
             id: RequestId(id),
             time_left: deadline.since(self.now).as_secs(),
@@ -79,18 +81,18 @@
             write: write.is_some(),
             work_hint: hint,
         };
-        self.tell(node, decisions::Event::Request(request));
+        self.notify_policy(node, decisions::Event::Request(request));
     }
 
     /// A client's patience with a try is over, whatever the node still does.
-    pub(super) fn try_over(&mut self, id: TryId) {
+    pub(super) fn try_deadline(&mut self, id: TryId) {
         let Some(t) = self.clients.open_try(id) else { return };
         let node = t.node;
         self.record(Event::Abandoned { id });
-        if self.close(node, id) {
-            self.tell(node, decisions::Event::ClientLeft(RequestId(id)));
-            self.settle(node, id);
-            self.drain(node);
+        if self.mark_answered(node, id) {
+            self.notify_policy(node, decisions::Event::ClientLeft(RequestId(id)));
+            self.cancel_unsent_attempts(node, id);
+            self.process_events(node);
         }
         let steps = self.clients.reply(self.now, id, Reply::Nothing);
         self.client_steps(steps);
--- a/crates/simulation/src/world/due.rs
+++ b/crates/simulation/src/world/due.rs
@@ -4,88 +4,88 @@
 use crate::plane::{NodePlane, Sent};
 
 /// Bits of a flight's token that hold its place.
-pub(super) const PLACE_BITS: u32 = 28;
+pub(super) const SLAB_INDEX_BITS: u32 = 28;
 
 /// What is due, and to whom. `life` counts the starts of a node or box: what was meant for an earlier one is void.
-pub(super) enum Due {
+pub(super) enum ScheduledEvent {
     Arrival,
     NextTry(u64),
     TryAtNode(TryId),
-    TryOver(TryId),
+    TryDeadline(TryId),
     Reply {
         id: TryId,
         reply: Reply,
     },
     Timer {
         node: NodeId,
-        life: u32,
+        generation: u32,
         token: TimerToken,
     },
-    GiveUp {
+    AttemptDeadline {
         node: NodeId,
-        life: u32,
+        generation: u32,
         id: TryId,
         attempt: u32,
     },
-    Backstop {
+    AnswerDeadline {
         node: NodeId,
-        life: u32,
+        generation: u32,
         id: TryId,
     },
     ConnectionUp(u64),
     DialFails(u64),
-    AtBox(u64),
+    AttemptAtBox(u64),
     AnswerAtNode {
-        flight: u64,
+        token: u64,
         answer: BoxAnswer,
     },
     ResetAtNode(u64),
     ClosedAtBox {
         at: BoxId,
-        life: u32,
+        generation: u32,
         cancels: Option<u64>,
     },
     BoxWakes(BoxId),
     PlannerWakes,
     AskAtPlanner {
         by: BoxId,
-        life: u32,
+        generation: u32,
         ask: Ask,
         cold: bool,
     },
     PlannerAnswers {
         to: BoxId,
-        life: u32,
+        generation: u32,
         id: u64,
         version: Option<u64>,
     },
-    Known(Listing),
+    ListUpdate(Listing),
     /// A node's agent is sent the list; with a revision, what it was then.
-    Tells {
+    AgentNotified {
         node: NodeId,
         until: Option<u64>,
     },
     ProbeAtBox {
         node: NodeId,
-        life: u32,
+        generation: u32,
         of: BoxId,
     },
     ProbeEnds {
         node: NodeId,
-        life: u32,
+        generation: u32,
         of: BoxId,
         status: Status,
     },
     Message {
         to: NodeId,
-        life: u32,
+        generation: u32,
         from: NodeId,
         message: u64,
     },
     /// A node's plane wants its turn.
     PlaneWakes {
         node: NodeId,
-        life: u32,
+        generation: u32,
     },
     /// To an address: whichever life of the node runs then has it.
     Datagram {
@@ -93,40 +93,40 @@
         from: NodeId,
         bytes: Vec<u8>,
     },
-    Begins(usize),
-    Ends(usize),
+    IncidentBegins(usize),
+    IncidentEnds(usize),
     NodeStarts(NodeId),
     NodeLeaves {
         node: NodeId,
-        life: u32,
+        generation: u32,
     },
     /// SIGKILL, behind SIGTERM.
     NodeKilled {
         node: NodeId,
-        life: u32,
+        generation: u32,
     },
     WatchesSilent(usize),
     WatchOpens {
         node: NodeId,
-        life: u32,
+        generation: u32,
     },
     Sweep {
         node: NodeId,
-        life: u32,
+        generation: u32,
     },
     EverySecond,
     KeyChanges,
 }
 
 /// An attempt on its way, as the network has it.
-pub(super) struct Flight {
+pub(super) struct InFlightAttempt {
     pub token: u64,
     pub node: NodeId,
-    pub node_life: u32,
+    pub node_generation: u32,
     pub id: TryId,
     pub attempt: u32,
     pub to: BoxId,
-    pub box_life: u32,
+    pub box_generation: u32,
     pub job: Job,
     /// Its last byte is written: from then on it may have run.
     pub written: bool,
@@ -135,16 +135,16 @@
 }
 
 pub(super) struct Attempt {
-    pub since: Time,
+    pub sent_at: Time,
     pub to: BoxId,
     /// As the node's plane counts it, where it has one.
     pub sent: Option<Sent>,
     /// On its way; `None` once it has its outcome.
-    pub flight: Option<u64>,
+    pub token: Option<u64>,
 }
 
 /// A try that a node has taken.
-pub(super) struct Live {
+pub(super) struct AcceptedTry {
     pub key: KeyId,
     pub work: f64,
     pub write: Option<Option<u64>>,
@@ -153,49 +153,49 @@
     pub attempts: Vec<Attempt>,
 }
 
-pub(super) struct Host {
+pub(super) struct NodeState {
     pub policy: Box<dyn Policy>,
     pub settings: Settings,
     pub depot: usize,
-    pub life: u32,
+    pub generation: u32,
     pub alive: bool,
     /// It was told to stop, and accepts until then.
-    pub leaving: Option<Time>,
+    pub accepts_until: Option<Time>,
     /// It was told to stop with a SIGKILL to follow: until then new connections come to it.
-    pub coming: Option<Time>,
+    pub new_connections_until: Option<Time>,
     /// When it was last seen to go or to want no more clients, for the front.
-    pub gone_at: Option<Time>,
-    pub tries: FxHashMap<TryId, Live>,
+    pub unavailable_since: Option<Time>,
+    pub tries: FxHashMap<TryId, AcceptedTry>,
     /// Kept connections to each box: since when they are idle, and the life of the box that they lead to.
-    pub pools: Vec<VecDeque<(Time, u32)>>,
+    pub idle_connections: Vec<VecDeque<(Time, u32)>>,
     /// Its list, for when it dies and comes back with it.
-    pub held: Vec<EndpointEntry>,
+    pub cached_endpoints: Vec<EndpointEntry>,
     pub revision: u64,
     /// The revision that its agent has been sent, whether its process runs or not.
-    pub agent: u64,
+    pub agent_revision: u64,
     /// Its watch has fallen silent and is not open anew.
-    pub silent: bool,
+    pub watch_silent: bool,
     /// Its part of the plane between nodes, where that is on.
     pub plane: Option<Box<NodePlane>>,
     /// The revision of the list that it places by.
-    pub places_by: u64,
-    pub events: VecDeque<decisions::Event>,
-    pub starts: u32,
+    pub placement_revision: u64,
+    pub pending_events: VecDeque<decisions::Event>,
+    pub start_count: u32,
 }
 
-pub(super) struct Place {
+pub(super) struct BoxState {
     pub cache: CacheBox,
     pub server: ServerId,
-    pub life: u32,
+    pub generation: u32,
     /// Attempts that are on their way to it.
-    pub coming: usize,
+    pub in_transit: usize,
     /// Incidents that hold it silent.
-    pub silent: u32,
+    pub silence_count: u32,
     pub wakes: Option<Time>,
 }
 
-pub(super) fn place_of(token: u64) -> usize {
-    (token & ((1 << PLACE_BITS) - 1)) as usize
+pub(super) fn slab_index(token: u64) -> usize {
+    (token & ((1 << SLAB_INDEX_BITS) - 1)) as usize
 }
 
 pub(super) fn listing(cache_box: BoxId, phase: Phase, started: Option<Time>) -> Listing {
@@ -203,6 +203,6 @@
 }
 
 /// A node's seed, anew with each start.
-pub(super) fn seed_of(seed: u64, node: NodeId, start: u32) -> u64 {
+pub(super) fn node_seed(seed: u64, node: NodeId, start: u32) -> u64 {
     Chance::new(seed, &format!("node {node} start {start}")).bits()
 }
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -6,22 +6,24 @@
     pub(super) fn incident_begins(&mut self, at: usize) {
         let scheduled = &self.day.incidents[at];
         self.record(Event::Begins { incident: at, what: scheduled.incident.to_string() });
-        let mut outs = Vec::new();
+        let mut outputs = Vec::new();
         match &scheduled.incident {
             Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
             Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, *factor);
-                self.after_box(b);
+                self.apply_box_outputs(b);
             }),
             Incident::Erring(boxes, share) => boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(*share)),
             Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
             Incident::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
             Incident::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_ends(node, false)),
-            Incident::NodeRestart(nodes) => nodes.iter().for_each(|&node| self.restart(node, scheduled.stop)),
-            Incident::ListOutage => self.agents_silent(),
+            Incident::NodeRestart(nodes) => {
+                nodes.iter().for_each(|&node| self.restart_node(node, scheduled.stop))
+            }
+            Incident::ListOutage => self.discovery_fails(),
             Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
-            Incident::PlannerSilent => self.origin.silence(self.now, true, &mut outs),
-            Incident::Partition(pairs) => self.part(pairs, 1),
+            Incident::PlannerSilent => self.origin.silence(self.now, true, &mut outputs),
+            Incident::Partition(pairs) => self.adjust_partitions(pairs, 1),
             Incident::Shift { depot, factor } => self.clients.shift(*depot, *factor),
             Incident::Impatient { share, hurry } => self.clients.impatient(at, Some((*share, *hurry))),
             Incident::Hasty(haste) => self.clients.hasty(at, Some(*haste)),
@@ -32,29 +34,29 @@
             | Incident::LostMessages(_) => self.faults.begin(at, &scheduled.incident),
             Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
                 let started = self.boxes[b].cache.started();
-                self.known_after(self.day.list.notice, listing(b, Phase::Draining, started));
+                self.update_list_after(self.day.list.notice, listing(b, Phase::Draining, started));
             }),
             Incident::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
             Incident::Burst { factor, share, keys } => {
-                let top = self.chance.some(*keys as usize, self.day.keys.count as usize);
+                let top = self.rng.some(*keys as usize, self.day.keys.count as usize);
                 let keys = top.into_iter().map(|key| key as KeyId).collect();
                 self.clients.burst(at, Some((*factor, *share, keys)));
             }
         }
-        self.after_origin(outs);
+        self.apply_origin_outputs(outputs);
         if !scheduled.lasts.is_zero() {
-            self.after(scheduled.lasts, Due::Ends(at));
+            self.schedule_after(scheduled.lasts, ScheduledEvent::IncidentEnds(at));
         }
     }
 
     pub(super) fn incident_ends(&mut self, at: usize) {
         self.record(Event::Ends { incident: at });
-        let mut outs = Vec::new();
+        let mut outputs = Vec::new();
         match &self.day.incidents[at].incident {
             Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.unsilence_box(b)),
             Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, 1.0 / factor);
-                self.after_box(b);
+                self.apply_box_outputs(b);
             }),
             Incident::Erring(boxes, share) => boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(-share)),
             Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
@@ -62,12 +64,12 @@
             Incident::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_starts(node)),
             Incident::NodeRestart(_) => {}
             Incident::ListOutage => {
-                self.agents_answer();
-                self.spread_news();
+                self.discovery_recovers();
+                self.distribute_list();
             }
             Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
-            Incident::PlannerSilent => self.origin.silence(self.now, false, &mut outs),
-            Incident::Partition(pairs) => self.part(pairs, -1),
+            Incident::PlannerSilent => self.origin.silence(self.now, false, &mut outputs),
+            Incident::Partition(pairs) => self.adjust_partitions(pairs, -1),
             Incident::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
             Incident::Impatient { .. } => self.clients.impatient(at, None),
             Incident::Hasty(_) => self.clients.hasty(at, None),
@@ -78,58 +80,61 @@
             | Incident::LostMessages(_) => self.faults.end(at),
             Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
                 self.stop_box(b);
-                self.known_after(self.day.list.notice, listing(b, Phase::Gone, None));
+                self.update_list_after(self.day.list.notice, listing(b, Phase::Gone, None));
             }),
             Incident::Join(_) => {}
             Incident::Burst { .. } => self.clients.burst(at, None),
         }
-        self.after_origin(outs);
+        self.apply_origin_outputs(outputs);
     }
 
     /// The machine says nothing any more: connections stay open and silent. The list notices late.
     pub(super) fn silence_box(&mut self, at: BoxId) {
-        self.boxes[at].silent += 1;
-        if self.boxes[at].silent > 1 || !self.boxes[at].cache.is_up() {
+        self.boxes[at].silence_count += 1;
+        if self.boxes[at].silence_count > 1 || !self.boxes[at].cache.is_up() {
             return;
         }
         self.boxes[at].cache.stop();
         self.record(Event::BoxDown { of: at });
-        self.known_after(self.day.list.silent_notice, listing(at, Phase::Gone, None));
+        self.update_list_after(self.day.list.silent_notice, listing(at, Phase::Gone, None));
     }
 
     /// The machine is back, its process started anew and empty.
     pub(super) fn unsilence_box(&mut self, at: BoxId) {
-        self.boxes[at].silent -= 1;
-        self.silence_over(at);
+        self.boxes[at].silence_count -= 1;
+        self.clear_silence_evidence(at);
         self.revive_box(at);
     }
 
     /// The process dies; its machine says so to whoever asks, and the list notices a little later.
     pub(super) fn kill_box(&mut self, at: BoxId) {
-        if self.boxes[at].silent == 0 && self.boxes[at].cache.is_up() {
+        if self.boxes[at].silence_count == 0 && self.boxes[at].cache.is_up() {
             self.stop_box(at);
-            self.known_after(self.day.list.notice, listing(at, Phase::Gone, None));
+            self.update_list_after(self.day.list.notice, listing(at, Phase::Gone, None));
         }
     }
 
     /// The process starts anew and empty, unless its machine is silent or it has been pushed over.
     pub(super) fn revive_box(&mut self, at: BoxId) {
-        if self.boxes[at].silent == 0 && !self.boxes[at].cache.is_up() && !self.boxes[at].cache.has_fallen() {
+        if self.boxes[at].silence_count == 0
+            && !self.boxes[at].cache.is_up()
+            && !self.boxes[at].cache.has_fallen()
+        {
             self.start_box(at);
         }
     }
 
     /// The world as a node could see it now.
-    pub(super) fn eyes<'b>(&'b self, node: NodeId, asked: Asked<'b>) -> Eyes<'b> {
-        Eyes {
+    pub(super) fn policy_view<'b>(&'b self, node: NodeId, request_keys: RequestKeys<'b>) -> PolicyView<'b> {
+        PolicyView {
             day: self.day,
             boxes: &self.boxes,
             servers: &self.servers,
             planner: self.origin.planner(),
-            parted: &self.parted,
-            depot: self.hosts[node].depot,
+            partition_counts: &self.partition_counts,
+            depot: self.nodes[node].depot,
             now: self.now,
-            asked,
+            request_keys,
         }
     }
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -42,18 +42,21 @@
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 use crate::trace::{Event, How, Sink, TryId};
-use due::{listing, place_of, seed_of, Attempt, Due, Flight, Host, Live, Place};
-use plane::Planes;
-use sight::{Asked, Eyes};
+use due::{
+    listing, node_seed, slab_index, AcceptedTry, Attempt, BoxState, InFlightAttempt, NodeState,
+    ScheduledEvent,
+};
+use plane::PlaneState;
+use sight::{PolicyView, RequestKeys};
 pub use start::Parts;
 
 /// How often a node closes connections that are old.
-const SWEEP: Span = Span(1_000_000);
+const SWEEP_INTERVAL: Span = Span(1_000_000);
 /// A node that is told to stop accepts for so long, and is gone this much after its longest deadline.
-const STILL_COMING: Span = Span(500_000);
-const LEAVE: Span = Span(600_000);
+const ACCEPT_AFTER_STOP: Span = Span(500_000);
+const LEAVE_DELAY: Span = Span(600_000);
 /// What a day's end waits for beyond the last deadline.
-const TAIL: Span = Span(1_000_000);
+const END_MARGIN: Span = Span(1_000_000);
 
 /// Why a day cannot be played.
 #[derive(Debug, thiserror::Error)]
@@ -74,29 +77,29 @@
     start: Start<'a>,
     sink: S,
     now: Time,
-    steps: u64,
-    agenda: Agenda<Due>,
-    boxes: Vec<Place>,
+    event_count: u64,
+    queue: Agenda<ScheduledEvent>,
+    boxes: Vec<BoxState>,
     servers: FxHashMap<ServerId, BoxId>,
     origin: Origin,
     list: List,
     /// Incidents that silence the list.
-    list_silent: u32,
-    hosts: Vec<Host>,
+    list_outages: u32,
+    nodes: Vec<NodeState>,
     clients: Clients,
     keys: Keys,
-    flights: Slab<Flight>,
-    flown: u64,
+    in_flight: Slab<InFlightAttempt>,
+    attempts_started: u64,
     messages: FxHashMap<u64, (Vec<u8>, usize)>,
     next_message: u64,
     /// Incidents that cut the way from each depot to each other.
-    parted: Vec<u32>,
+    partition_counts: Vec<u32>,
     faults: Faults,
-    planes: Planes,
-    network: Chance,
-    chance: Chance,
+    planes: PlaneState,
+    network_rng: Chance,
+    rng: Chance,
     actions: Vec<Action>,
-    outs: Vec<BoxOut>,
+    outputs: Vec<BoxOut>,
     /// The most that any node's policy held, now and then.
     sizes: Vec<(Time, Sizes)>,
 }
@@ -116,25 +119,25 @@
 impl<'a, S: Sink> World<'a, S> {
     /// Plays the day to its end.
     pub fn run(mut self) -> Done<S> {
-        self.begin();
-        let end = self.end();
+        self.schedule_initial_events();
+        let end = self.end_time();
         while self.step(end) {}
-        Done { events: self.steps, sink: self.sink, sizes: self.sizes, tally: self.planes.tally }
+        Done { events: self.event_count, sink: self.sink, sizes: self.sizes, tally: self.planes.tally }
     }
 
     /// When nothing more can happen.
-    fn end(&self) -> Time {
-        Time::ZERO + self.day.length + self.day.longest_deadline() + TAIL
+    fn end_time(&self) -> Time {
+        Time::ZERO + self.day.length + self.day.longest_deadline() + END_MARGIN
     }
 
     /// Plays one event, if one is due before the end; the day is over after the last.
     fn step(&mut self, end: Time) -> bool {
-        match self.agenda.take_until(end) {
+        match self.queue.take_until(end) {
             Some((at, due)) => {
                 debug_assert!(at >= self.now, "time goes forward");
                 self.now = at;
-                self.steps += 1;
-                self.play(due);
+                self.event_count += 1;
+                self.dispatch(due);
                 true
             }
             None => {
@@ -150,101 +153,125 @@
     }
 
     /// What should have happened by now happens next.
-    fn enter(&mut self, at: Time, due: Due) {
-        self.agenda.enter(at.max(self.now), due);
+    fn schedule_at(&mut self, at: Time, due: ScheduledEvent) {
+        self.queue.enter(at.max(self.now), due);
     }
 
-    fn after(&mut self, span: Span, due: Due) {
-        self.enter(self.now + span, due);
+    fn schedule_after(&mut self, span: Span, due: ScheduledEvent) {
+        self.schedule_at(self.now + span, due);
     }
 
-    fn play(&mut self, due: Due) {
+    fn dispatch(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Arrival => {
+            ScheduledEvent::Arrival => {
                 let steps = self.clients.arrival(self.now, &self.keys);
                 self.client_steps(steps);
-                self.next_arrival();
+                self.schedule_arrival();
             }
-            Due::NextTry(ask) => self.next_try(ask),
-            Due::TryAtNode(id) => self.take(id),
-            Due::TryOver(id) => self.try_over(id),
-            Due::Reply { id, reply } => {
+            ScheduledEvent::NextTry(ask) => self.next_try(ask),
+            ScheduledEvent::TryAtNode(id) => self.accept_try(id),
+            ScheduledEvent::TryDeadline(id) => self.try_deadline(id),
+            ScheduledEvent::Reply { id, reply } => {
                 let steps = self.clients.reply(self.now, id, reply);
                 self.client_steps(steps);
             }
-            Due::Timer { node, life, token } if self.lives(node, life) => {
-                self.tell(node, decisions::Event::Timer(token));
+            ScheduledEvent::Timer { node, generation, token } if self.is_current(node, generation) => {
+                self.notify_policy(node, decisions::Event::Timer(token));
             }
-            Due::GiveUp { node, life, id, attempt } if self.lives(node, life) => {
-                self.give_up(node, id, attempt, Status::TimedOut);
-                self.drain(node);
+            ScheduledEvent::AttemptDeadline { node, generation, id, attempt }
+                if self.is_current(node, generation) =>
+            {
+                self.abandon_attempt(node, id, attempt, Status::TimedOut);
+                self.process_events(node);
             }
-            Due::Backstop { node, life, id } if self.lives(node, life) => {
-                if self.answer(node, id, How::Failed, None, None) {
-                    self.tell(node, decisions::Event::ClientLeft(RequestId(id)));
+            ScheduledEvent::AnswerDeadline { node, generation, id } if self.is_current(node, generation) => {
+                if self.answer_client(node, id, How::Failed, None, None) {
+                    self.notify_policy(node, decisions::Event::ClientLeft(RequestId(id)));
                 }
-                self.settle(node, id);
-                self.drain(node);
-            }
-            Due::ConnectionUp(flight) => self.connection_up(flight),
-            Due::DialFails(flight) => self.end_flight(flight, Status::Unreachable),
-            Due::AtBox(flight) => self.at_box(flight),
-            Due::AnswerAtNode { flight, answer } => self.answer_at_node(flight, answer),
-            Due::ResetAtNode(flight) => self.reset(flight),
-            Due::ClosedAtBox { at, life, cancels } => self.closed_at_box(at, life, cancels),
-            Due::BoxWakes(at) if self.boxes[at].wakes == Some(self.now) => {
+                self.cancel_unsent_attempts(node, id);
+                self.process_events(node);
+            }
+            ScheduledEvent::ConnectionUp(token) => self.connection_up(token),
+            ScheduledEvent::DialFails(token) => self.end_in_flight(token, Status::Unreachable),
+            ScheduledEvent::AttemptAtBox(token) => self.attempt_at_box(token),
+            ScheduledEvent::AnswerAtNode { token, answer } => self.answer_at_node(token, answer),
+            ScheduledEvent::ResetAtNode(token) => self.connection_reset(token),
+            ScheduledEvent::ClosedAtBox { at, generation, cancels } => {
+                self.closed_at_box(at, generation, cancels)
+            }
+            ScheduledEvent::BoxWakes(at) if self.boxes[at].wakes == Some(self.now) => {
                 self.boxes[at].wakes = None;
-                let mut outs = std::mem::take(&mut self.outs);
-                self.boxes[at].cache.wake(self.now, self.origin.planner(), &mut outs);
-                self.outs = outs;
-                self.after_box(at);
-            }
-            Due::PlannerWakes => {
-                let mut outs = Vec::new();
-                self.origin.wake(self.now, self.now, &mut outs);
-                self.after_origin(outs);
-            }
-            Due::AskAtPlanner { by, life, ask, cold } => self.ask_at_planner(by, life, ask, cold),
-            Due::PlannerAnswers { to, life, id, version } => self.planner_answers(to, life, id, version),
-            Due::Known(listing) => self.known(listing),
-            Due::Tells { node, until } => self.agent_has(node, until),
-            Due::WatchesSilent(at) => self.watches_silent(at),
-            Due::WatchOpens { node, life } if self.lives(node, life) => self.watch_opens(node),
-            Due::ProbeAtBox { node, life, of } => self.probe_at_box(node, life, of),
-            Due::ProbeEnds { node, life, of, status } if self.lives(node, life) => {
+                let mut outputs = std::mem::take(&mut self.outputs);
+                self.boxes[at].cache.wake(self.now, self.origin.planner(), &mut outputs);
+                self.outputs = outputs;
+                self.apply_box_outputs(at);
+            }
+            ScheduledEvent::PlannerWakes => {
+                let mut outputs = Vec::new();
+                self.origin.wake(self.now, self.now, &mut outputs);
+                self.apply_origin_outputs(outputs);
+            }
+            ScheduledEvent::AskAtPlanner { by, generation, ask, cold } => {
+                self.ask_at_planner(by, generation, ask, cold)
+            }
+            ScheduledEvent::PlannerAnswers { to, generation, id, version } => {
+                self.planner_answers(to, generation, id, version)
+            }
+            ScheduledEvent::ListUpdate(listing) => self.update_list(listing),
+            ScheduledEvent::AgentNotified { node, until } => self.agent_notified(node, until),
+            ScheduledEvent::WatchesSilent(at) => self.watches_silent(at),
+            ScheduledEvent::WatchOpens { node, generation } if self.is_current(node, generation) => {
+                self.watch_opens(node)
+            }
+            ScheduledEvent::ProbeAtBox { node, generation, of } => {
+                self.health_check_at_box(node, generation, of)
+            }
+            ScheduledEvent::ProbeEnds { node, generation, of, status }
+                if self.is_current(node, generation) =>
+            {
                 let server = self.boxes[of].server.clone();
-                self.tell(node, decisions::Event::HealthChecked { server, status });
-            }
-            Due::Message { to, life, from, message } => self.deliver(to, life, from, message),
-            Due::PlaneWakes { node, life } if self.lives(node, life) => self.plane_wakes(node),
-            Due::Datagram { to, from, bytes } => self.datagram_comes(to, from, &bytes),
-            Due::Begins(at) => self.incident_begins(at),
-            Due::Ends(at) => self.incident_ends(at),
-            Due::NodeStarts(node) => self.node_starts(node),
-            Due::NodeLeaves { node, life } if self.lives(node, life) => self.node_leaves(node),
-            Due::NodeKilled { node, life } if self.lives(node, life) => self.node_ends(node, false),
-            Due::Sweep { node, life } if self.lives(node, life) => self.sweep(node),
-            Due::EverySecond => {
+                self.notify_policy(node, decisions::Event::HealthChecked { server, status });
+            }
+            ScheduledEvent::Message { to, generation, from, message } => {
+                self.deliver_message(to, generation, from, message)
+            }
+            ScheduledEvent::PlaneWakes { node, generation } if self.is_current(node, generation) => {
+                self.plane_wakes(node)
+            }
+            ScheduledEvent::Datagram { to, from, bytes } => self.receive_datagram(to, from, &bytes),
+            ScheduledEvent::IncidentBegins(at) => self.incident_begins(at),
+            ScheduledEvent::IncidentEnds(at) => self.incident_ends(at),
+            ScheduledEvent::NodeStarts(node) => self.node_starts(node),
+            ScheduledEvent::NodeLeaves { node, generation } if self.is_current(node, generation) => {
+                self.node_leaves(node)
+            }
+            ScheduledEvent::NodeKilled { node, generation } if self.is_current(node, generation) => {
+                self.node_ends(node, false)
+            }
+            ScheduledEvent::Sweep { node, generation } if self.is_current(node, generation) => {
+                self.close_expired_connections(node)
+            }
+            ScheduledEvent::EverySecond => {
                 self.keys.drift();
-                self.look_at_sizes();
-                self.after(Span(1_000_000), Due::EverySecond);
+                self.sample_policy_sizes();
+                self.schedule_after(Span(1_000_000), ScheduledEvent::EverySecond);
             }
-            Due::KeyChanges => {
-                let key = self.chance.below(u64::from(self.day.keys.count)) as KeyId;
+            ScheduledEvent::KeyChanges => {
+                let key = self.rng.below(u64::from(self.day.keys.count)) as KeyId;
                 self.origin.planner_mut().change(key);
-                self.next_change();
+                self.schedule_key_change();
             }
             // Meant for a node or box that has ended since, or for a time that has been moved.
-            Due::Timer { .. }
-            | Due::GiveUp { .. }
-            | Due::Backstop { .. }
-            | Due::BoxWakes(_)
-            | Due::WatchOpens { .. }
-            | Due::PlaneWakes { .. }
-            | Due::NodeKilled { .. }
-            | Due::ProbeEnds { .. }
-            | Due::NodeLeaves { .. }
-            | Due::Sweep { .. } => {}
+            ScheduledEvent::Timer { .. }
+            | ScheduledEvent::AttemptDeadline { .. }
+            | ScheduledEvent::AnswerDeadline { .. }
+            | ScheduledEvent::BoxWakes(_)
+            | ScheduledEvent::WatchOpens { .. }
+            | ScheduledEvent::PlaneWakes { .. }
+            | ScheduledEvent::NodeKilled { .. }
+            | ScheduledEvent::ProbeEnds { .. }
+            | ScheduledEvent::NodeLeaves { .. }
+            | ScheduledEvent::Sweep { .. } => {}
         }
     }
 }
--- a/crates/simulation/src/world/sight.rs
+++ b/crates/simulation/src/world/sight.rs
@@ -3,35 +3,35 @@
 use super::*;
 
 /// Whose key is meant by a request.
-pub(super) enum Asked<'a> {
+pub(super) enum RequestKeys<'a> {
     /// Requests are the tries that a node has taken.
-    Tries(&'a FxHashMap<TryId, Live>),
+    Tries(&'a FxHashMap<TryId, AcceptedTry>),
     /// There is one, before the day begins.
-    One(KeyId),
+    Fixed(KeyId),
 }
 
 /// The world as one node could see it at one moment.
-pub(super) struct Eyes<'a> {
+pub(super) struct PolicyView<'a> {
     pub day: &'a Day,
-    pub boxes: &'a [Place],
+    pub boxes: &'a [BoxState],
     pub servers: &'a FxHashMap<ServerId, BoxId>,
     pub planner: &'a Planner,
-    pub parted: &'a [u32],
+    pub partition_counts: &'a [u32],
     pub depot: usize,
     pub now: Time,
-    pub asked: Asked<'a>,
+    pub request_keys: RequestKeys<'a>,
 }
 
-impl Eyes<'_> {
+impl PolicyView<'_> {
     fn key(&self, request: RequestId) -> Option<KeyId> {
-        match &self.asked {
-            Asked::Tries(tries) => tries.get(&request.0).map(|live| live.key),
-            Asked::One(key) => Some(*key),
+        match &self.request_keys {
+            RequestKeys::Tries(tries) => tries.get(&request.0).map(|accepted| accepted.key),
+            RequestKeys::Fixed(key) => Some(*key),
         }
     }
 }
 
-impl Sight for Eyes<'_> {
+impl Sight for PolicyView<'_> {
     fn boxes(&self) -> usize {
         self.boxes.len()
     }
@@ -45,17 +45,19 @@
     }
 
     fn look(&self, at: usize) -> TrueBox {
-        let place = &self.boxes[at];
+        let box_state = &self.boxes[at];
         let (depots, there) = (self.day.depots.len(), self.day.boxes[at].depot);
-        let parted = self.parted[self.depot * depots + there] + self.parted[there * depots + self.depot] > 0;
-        let slots = f64::from(place.cache.spec.slots);
-        let share = place.cache.present_capacity(self.now) / place.cache.spec.capacity();
+        let parted = self.partition_counts[self.depot * depots + there]
+            + self.partition_counts[there * depots + self.depot]
+            > 0;
+        let slots = f64::from(box_state.cache.spec.slots);
+        let share = box_state.cache.present_capacity(self.now) / box_state.cache.spec.capacity();
         TrueBox {
-            up: place.cache.is_up() && place.silent == 0 && !parted,
+            up: box_state.cache.is_up() && box_state.silence_count == 0 && !parted,
             slots,
             present_slots: slots * share,
-            wanted: place.cache.wanted_slots() + place.coming,
-            may_fetch: place.cache.may_fetch(),
+            wanted: box_state.cache.wanted_slots() + box_state.in_transit,
+            may_fetch: box_state.cache.may_fetch(),
         }
     }
 
