--- a/crates/simulation/src/world/answers.rs
+++ b/crates/simulation/src/world/answers.rs
@@ -1,9 +1,9 @@
-//! Final answers of nodes, and what they leave behind.
+//! Final answers of nodes, and the clean-up after them.
 
 use super::*;
 
 impl<S: Sink> World<'_, S> {
-    /// Gives a try's final answer, unless it has one.
+    /// Sends the final answer of a try to its client; returns false if the try was already answered.
     pub(super) fn answer_client(
         &mut self,
         node: NodeId,
@@ -21,12 +21,13 @@
         true
     }
 
+    /// Marks a try as answered; returns false if it is unknown or was already answered.
     pub(super) fn mark_answered(&mut self, node: NodeId, id: TryId) -> bool {
         let accepted = self.nodes[node].tries.get_mut(&id);
         accepted.is_some_and(|accepted| !std::mem::replace(&mut accepted.answered, true))
     }
 
-    /// What a final answer leaves behind: attempts that wait for their connection are given up.
+    /// Cancels the attempts of an answered try that still wait for their connection.
     pub(super) fn cancel_unsent_attempts(&mut self, node: NodeId, id: TryId) {
         let Some(accepted) = self.nodes[node].tries.get(&id).filter(|accepted| accepted.answered) else {
             return;
@@ -41,6 +42,8 @@
         self.remove_finished_try(node, id);
     }
 
+    /// Removes a try that is answered and has no attempt in flight. A node that no longer accepts tries leaves once
+    /// all of its tries are answered.
     pub(super) fn remove_finished_try(&mut self, node: NodeId, id: TryId) {
         let over =
             |accepted: &AcceptedTry| accepted.answered && accepted.attempts.iter().all(|a| a.token.is_none());
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -1,8 +1,9 @@
-//! Nodes at work: what a policy is told, and what its actions come to.
+//! Events for the policy of a node, and execution of its actions.
 
 use super::*;
 
 impl<S: Sink> World<'_, S> {
+    /// Returns whether the process of this generation is still running on a node.
     pub(super) fn is_current(&self, node: NodeId, generation: u32) -> bool {
         self.nodes[node].alive && self.nodes[node].generation == generation
     }
@@ -12,7 +13,7 @@
         self.process_events(node);
     }
 
-    /// Hands over a node's events in their order; actions may bring more of them.
+    /// Passes a node's pending events to its policy in order; the actions may add more events.
     pub(super) fn process_events(&mut self, node: NodeId) {
         let now = self.now.as_secs();
         while let Some(event) = self.nodes[node].pending_events.pop_front() {
@@ -62,7 +63,7 @@
             }
             Action::HealthCheck(server) if self.day.limits.probes => self.start_health_check(node, &server),
             Action::Broadcast(bytes) if self.day.limits.peers => self.broadcast(node, bytes),
-            // Lists are pushed here, and the log is the operators'.
+            // The simulated list is pushed without a subscription, and log lines are not simulated.
             Action::HealthCheck(_) | Action::Broadcast(_) | Action::Subscribe | Action::Log(_) => {}
         }
     }
@@ -103,7 +104,7 @@
             accepted.attempts.push(Attempt { sent_at: now, to, sent, token: Some(token) });
         }
         let crosses = self.nodes[node].depot != self.day.boxes[to].depot;
-        // The time that it tells is its job's, which is never beyond the client's.
+        // The job's deadline is never beyond the client's, so no separate wait is recorded.
         self.record(Event::Sent { id, attempt, node, to, crosses, wait: None });
         self.schedule_at(until, ScheduledEvent::AttemptDeadline { node, generation, id, attempt });
         match self.take_idle_connection(node, to) {
@@ -119,7 +120,7 @@
         self.in_flight.get(slab_index(token)).filter(|in_flight| in_flight.token == token)
     }
 
-    /// An attempt's outcome comes about at its node.
+    /// Records the outcome of an attempt and queues it for its node's policy.
     pub(super) fn record_outcome(
         &mut self,
         node: NodeId,
@@ -143,7 +144,7 @@
         self.nodes[node].pending_events.push_back(decisions::Event::Outcome(outcome));
     }
 
-    /// A flight ends at its node with this status; its connection, if it had one, is of no use any more.
+    /// Ends an attempt in flight with this status; its connection is not reused.
     pub(super) fn end_in_flight(&mut self, token: u64, status: Status) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, node_generation, id, attempt) =
@@ -173,11 +174,11 @@
         }
     }
 
-    /// The node stops waiting for an attempt and closes its connection.
+    /// Abandons an attempt and closes its connection.
     pub(super) fn abandon_attempt(&mut self, node: NodeId, id: TryId, attempt: u32, status: Status) {
         let Some(accepted) = self.nodes[node].tries.get(&id) else { return };
         let Some(token) = accepted.attempts.get(attempt as usize).and_then(|a| a.token) else { return };
-        // What was never wholly written never ran.
+        // A command that was not completely written cannot have run.
         let written = self.find_in_flight(token).is_some_and(|f| f.written);
         let status = if status == Status::TimedOut && !written { Status::Unreachable } else { status };
         self.close_connection(token);
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes and the planner: what reaches them, and what they answer.
+//! Requests to boxes and the planner, and their answers.
 
 use super::*;
 
@@ -10,14 +10,14 @@
         let box_state = &self.boxes[to];
         let (from, at) = (self.nodes[node].depot, self.day.boxes[to].depot);
         if box_state.silence_count > 0 || self.is_partitioned(from, at) {
-            // Nobody hears it; what comes of the connection is told when the machine is back.
+            // The request is lost; its connection is reset when the machine is back.
             return;
         }
         if box_state.generation != box_generation || !box_state.cache.is_up() {
             let delay = self.network_delay(from, at);
             return self.schedule_after(delay, ScheduledEvent::ResetAtNode(token));
         }
-        // The node counts from its own side, the box from here.
+        // The attempt is in transit until here, and from here on counted by the box.
         job.token = token;
         self.in_flight[slab_index(token)].arrived = true;
         self.boxes[to].in_transit -= 1;
@@ -41,7 +41,7 @@
         self.apply_box_outputs(at);
     }
 
-    /// Carries out what a box asks, and sees to it that it is woken in time.
+    /// Applies the pending outputs of a box and schedules its next wake-up.
     pub(super) fn apply_box_outputs(&mut self, at: BoxId) {
         let mut outputs = std::mem::take(&mut self.outputs);
         for out in outputs.drain(..) {
@@ -76,7 +76,7 @@
     }
 
     pub(super) fn box_answers(&mut self, at: BoxId, token: u64, answer: BoxAnswer) {
-        // Its node may have given the attempt up, or died: then the work was for nothing.
+        // The attempt is gone if its node has abandoned it or died.
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, id, attempt, work) = (in_flight.node, in_flight.id, in_flight.attempt, in_flight.job.work);
         let read = in_flight.job.write.is_none();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The connections to a box's former process break, as far as its machine says so.
+    /// Resets the connections that attempts hold to earlier processes of a box.
     pub(super) fn reset_connections(&mut self, at: BoxId) {
         let generation = self.boxes[at].generation;
         let broken: Vec<(u64, NodeId)> = self
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A process ends and its machine says so: kept connections close.
+    /// Stops the process of a box; its machine resets connections in use and closes idle ones.
     pub(super) fn stop_box(&mut self, at: BoxId) {
         self.boxes[at].cache.stop();
         self.boxes[at].generation += 1;
--- a/crates/simulation/src/world/door.rs
+++ b/crates/simulation/src/world/door.rs
@@ -1,8 +1,8 @@
-//! Clients and the doors of nodes: what arrives, is taken, and is waited for.
+//! Requests and tries of clients: arrival, acceptance by a node, and deadlines.
 
 use super::*;
 
-/// What a request's way from the client may have taken before its bytes were read, as the node has it.
+/// Allowance for the network delay from the client, by which a node shortens a try's deadline.
 const CLIENT_DELAY_MARGIN: Span = Span(2_000);
 
 impl<S: Sink> World<'_, S> {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// What clients do next.
+    /// Carries out the next steps of clients.
     pub(super) fn client_steps(&mut self, steps: Vec<Step>) {
         for step in steps {
             match step {
@@ -34,7 +34,8 @@
         let notice = self.day.clients.front_notice;
         let is_open = |state: &NodeState| match state.new_connections_until {
             _ if entry == Entry::Own => true,
-            // On the connections that stay open, whatever the front knows, and for a little on new ones.
+            // A stopping node gets new connections until that time, and tries on kept ones for as long as it accepts,
+            // whether or not the front has noticed the stop.
             Some(coming) => now < coming || state.alive && state.accepts_until.is_some_and(|at| now < at),
             None => state
                 .unavailable_since
@@ -48,17 +49,17 @@
         self.schedule_at(over, ScheduledEvent::TryDeadline(id));
     }
 
-    /// A try has come whole to its node, which takes it if it runs.
+    /// Handles a try whose last byte has reached its node; the node accepts it if it runs and is not stopping.
     pub(super) fn accept_try(&mut self, id: TryId) {
         let Some(t) = self.clients.open_try(id) else { return };
         let (node, ask, until, first_byte) = (t.node, t.ask, t.until, self.now.back(t.writing));
         let state = &self.nodes[node];
         let generation = state.generation;
         if !state.alive || state.accepts_until.is_some_and(|at| self.now >= at) {
-            // A kept connection was closed on half of its command, which is no request yet.
+            // On a kept connection that was closed in the middle of a command; that is not a request yet.
             let half_written = state.accepts_until.is_some_and(|at| first_byte < at);
             if state.new_connections_until.is_some_and(|coming| self.now < coming) && !half_written {
-                // The connection that it came on is new, as those that were kept have been closed.
+                // The try came on a new connection, as kept ones have been closed.
                 self.record(Event::Dropped { ask, node });
             }
             let delay = self.jittered(self.day.network.client);
@@ -84,7 +85,7 @@
         self.notify_policy(node, decisions::Event::Request(request));
     }
 
-    /// A client's patience with a try is over, whatever the node still does.
+    /// Handles the end of a client's wait for a try; a node that has not answered is told that the client left.
     pub(super) fn try_deadline(&mut self, id: TryId) {
         let Some(t) = self.clients.open_try(id) else { return };
         let node = t.node;
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -1,4 +1,4 @@
-//! Incidents: what begins and ends.
+//! Begin and end of incidents.
 
 use super::*;
 
@@ -88,7 +88,7 @@
         self.apply_origin_outputs(outputs);
     }
 
-    /// The machine says nothing any more: connections stay open and silent. The list notices late.
+    /// Makes a box's machine unresponsive: connections stay open without an answer, and the list notices late.
     pub(super) fn silence_box(&mut self, at: BoxId) {
         self.boxes[at].silence_count += 1;
         if self.boxes[at].silence_count > 1 || !self.boxes[at].cache.is_up() {
@@ -99,14 +99,14 @@
         self.update_list_after(self.day.list.silent_notice, listing(at, Phase::Gone, None));
     }
 
-    /// The machine is back, its process started anew and empty.
+    /// Ends one silence of a box; its process restarts with an empty store once no other silence is active.
     pub(super) fn unsilence_box(&mut self, at: BoxId) {
         self.boxes[at].silence_count -= 1;
         self.clear_silence_evidence(at);
         self.revive_box(at);
     }
 
-    /// The process dies; its machine says so to whoever asks, and the list notices a little later.
+    /// Kills the process of a box: its machine resets connections, and the list notices after its usual delay.
     pub(super) fn kill_box(&mut self, at: BoxId) {
         if self.boxes[at].silence_count == 0 && self.boxes[at].cache.is_up() {
             self.stop_box(at);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The process starts anew and empty, unless its machine is silent or it has been pushed over.
+    /// Restarts the process of a box with an empty store, unless its machine is silent or it crashed from overload.
     pub(super) fn revive_box(&mut self, at: BoxId) {
         if self.boxes[at].silence_count == 0
             && !self.boxes[at].cache.is_up()
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The world as a node could see it now.
+    /// The current state of the world as seen from a node.
     pub(super) fn policy_view<'b>(&'b self, node: NodeId, request_keys: RequestKeys<'b>) -> PolicyView<'b> {
         PolicyView {
             day: self.day,
--- a/crates/simulation/src/world/listed.rs
+++ b/crates/simulation/src/world/listed.rs
@@ -1,4 +1,4 @@
-//! The list as nodes are told it.
+//! The endpoint list and how nodes receive its changes.
 
 use super::*;
 
@@ -7,7 +7,7 @@
         self.schedule_after(delay, ScheduledEvent::ListUpdate(listing));
     }
 
-    /// Discovery comes to know of a box, unless that has been overtaken.
+    /// Updates discovery's list with the state of a box, unless a later change has made it obsolete.
     pub(super) fn update_list(&mut self, listing: Listing) {
         let up = self.boxes[listing.cache_box].cache.is_up();
         let silent = self.boxes[listing.cache_box].silence_count > 0;
@@ -21,34 +21,36 @@
         }
     }
 
+    /// Sends the list to the agents of all nodes, each after a random delay; nothing is sent during an outage.
     pub(super) fn distribute_list(&mut self) {
         if self.list_outages > 0 {
             return;
         }
         for node in 0..self.nodes.len() {
-            let late = Span::from_secs(self.network_rng.between(0.0, self.day.list.spread.as_secs()));
-            self.notify_agent_after(late, node);
+            let delay = Span::from_secs(self.network_rng.between(0.0, self.day.list.spread.as_secs()));
+            self.notify_agent_after(delay, node);
         }
     }
 
-    /// A node's agent has the list as it is now after this time, or later where it comes late.
-    pub(super) fn notify_agent_after(&mut self, late: Span, node: NodeId) {
-        let delay = self.faults.list_delay(self.nodes[node].depot);
-        let until = (!delay.is_zero()).then(|| self.list.revision());
-        self.schedule_after(late + delay, ScheduledEvent::AgentNotified { node, until });
+    /// Schedules an update of a node's agent. Where an incident delays the list, the agent gets it later and as it is
+    /// now.
+    pub(super) fn notify_agent_after(&mut self, delay: Span, node: NodeId) {
+        let extra_delay = self.faults.list_delay(self.nodes[node].depot);
+        let until = (!extra_delay.is_zero()).then(|| self.list.revision());
+        self.schedule_after(delay + extra_delay, ScheduledEvent::AgentNotified { node, until });
     }
 
-    /// A node's agent is sent the list, and hands it on to a node that listens. What it has while the node does not is
-    /// the node's to know all the same.
+    /// Updates a node's agent, which passes the list on to a node with a working watch. For a node whose watch is
+    /// silent, the trace records that the update was available.
     pub(super) fn agent_notified(&mut self, node: NodeId, until: Option<u64>) {
         let until = until.unwrap_or(self.list.revision());
         let state = &mut self.nodes[node];
         if self.list_outages > 0 || state.agent_revision.max(state.revision) > until {
             return;
         }
-        let before = std::mem::replace(&mut state.agent_revision, until);
+        let previous = std::mem::replace(&mut state.agent_revision, until);
         if state.alive && state.watch_silent {
-            for l in self.list.between(before, until).listings {
+            for l in self.list.between(previous, until).listings {
                 let (of, phase, started) = (l.cache_box, l.phase, l.started);
                 self.record(Event::Has { node, of, phase, started, asked: false });
             }
@@ -56,7 +58,7 @@
         self.notify_node(node);
     }
 
-    /// A node that listens is told what its agent has.
+    /// Sends a node with a working watch what its agent has.
     pub(super) fn notify_node(&mut self, node: NodeId) {
         let state = &self.nodes[node];
         if !state.alive
@@ -66,11 +68,11 @@
         {
             return;
         }
-        let news = self.list.between(state.revision, state.agent_revision);
-        self.deliver_list_update(node, news);
+        let update = self.list.between(state.revision, state.agent_revision);
+        self.deliver_list_update(node, update);
     }
 
-    /// Discovery falls silent: the calls that are out are given up in time, if it lasts for so long.
+    /// Begins an outage of discovery; nodes give up their open calls if it lasts longer than the call timeout.
     pub(super) fn discovery_fails(&mut self) {
         self.list_outages += 1;
         let waiting: Vec<NodeId> =
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Right after an outage agents answer again, with what they had before it.
+    /// Ends an outage of discovery; agents answer at once with what they had before it.
     pub(super) fn discovery_recovers(&mut self) {
         self.list_outages -= 1;
         let waiting = |state: &NodeState| self.list_outages == 0 && state.alive && !state.watch_silent;
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Watches of the list fall silent.
+    /// Makes the list watches of some nodes silent.
     pub(super) fn watches_silent(&mut self, at: usize) {
         let silence = &self.day.silences[at];
         for &node in &silence.nodes {
@@ -107,24 +109,24 @@
         self.schedule_after(self.day.shell.reopens, ScheduledEvent::WatchOpens { node, generation });
     }
 
-    /// A node gives up a call that brings nothing, and opens its watch anew; while discovery is down that call fails.
+    /// Reopens a node's watch after a call without an answer; the new call fails while discovery is down.
     pub(super) fn watch_opens(&mut self, node: NodeId) {
         if self.list_outages > 0 {
             self.record(Event::CallFailed { node });
             return self.schedule_watch_reopen(node);
         }
-        // Discovery has answered meanwhile, unless it was the watch that fell silent.
+        // Without a silent watch, discovery has answered in the meantime.
         if std::mem::take(&mut self.nodes[node].watch_silent) {
             self.record(Event::WatchOpened { node });
             self.notify_node(node);
         }
     }
 
-    pub(super) fn deliver_list_update(&mut self, node: NodeId, news: News) {
-        self.nodes[node].revision = news.revision;
-        let entries: Vec<EndpointEntry> = news.listings.iter().map(|l| self.entry(*l)).collect();
-        if news.complete {
-            // Whoever is missing has left.
+    pub(super) fn deliver_list_update(&mut self, node: NodeId, update: News) {
+        self.nodes[node].revision = update.revision;
+        let entries: Vec<EndpointEntry> = update.listings.iter().map(|l| self.entry(*l)).collect();
+        if update.complete {
+            // Boxes that are missing from a complete list have left.
             let listed: FxHashSet<&ServerId> = entries.iter().map(|e| &e.server).collect();
             let removed = self.nodes[node].cached_endpoints.iter().filter(|e| !listed.contains(&e.server));
             let missing: Vec<BoxId> = removed.filter_map(|e| self.servers.get(&e.server).copied()).collect();
@@ -132,21 +134,21 @@
                 self.record(Event::Told { node, of, phase: Phase::Gone, started: None });
             }
         }
-        for l in &news.listings {
+        for l in &update.listings {
             self.record(Event::Told { node, of: l.cache_box, phase: l.phase, started: l.started });
         }
-        let held = &mut self.nodes[node].cached_endpoints;
-        if news.complete {
-            *held = entries.clone();
+        let cached = &mut self.nodes[node].cached_endpoints;
+        if update.complete {
+            *cached = entries.clone();
         } else {
             let new: FxHashSet<&ServerId> = entries.iter().map(|e| &e.server).collect();
-            held.retain(|e| !new.contains(&e.server));
-            held.extend(entries.iter().filter(|e| e.state != ServerState::Gone).cloned());
+            cached.retain(|e| !new.contains(&e.server));
+            cached.extend(entries.iter().filter(|e| e.state != ServerState::Gone).cloned());
         }
-        let update =
-            if news.complete { EndpointUpdate::Full(entries) } else { EndpointUpdate::Delta(entries) };
-        self.notify_policy(node, decisions::Event::Endpoints(update));
-        self.update_plane_list(node, Some(news.revision));
+        let event =
+            if update.complete { EndpointUpdate::Full(entries) } else { EndpointUpdate::Delta(entries) };
+        self.notify_policy(node, decisions::Event::Endpoints(event));
+        self.update_plane_list(node, Some(update.revision));
     }
 
     pub(super) fn entry(&self, listing: Listing) -> EndpointEntry {
--- a/crates/simulation/src/world/lives.rs
+++ b/crates/simulation/src/world/lives.rs
@@ -1,27 +1,27 @@
-//! Lives of nodes: starts, deaths and planned stops.
+//! Lifecycle of node processes: starts, crashes and planned stops.
 
 use super::*;
 
-/// What policies hold is looked at so often.
+/// Interval at which the sizes of policies are sampled.
 const SIZES_INTERVAL: Span = Span(10_000_000);
 
 impl<S: Sink> World<'_, S> {
-    /// A node's process is up: it has its last list, and soon what discovery has.
+    /// Starts a node's work with its cached endpoint list; discovery's current list follows shortly.
     pub(super) fn start_process(&mut self, node: NodeId) {
-        let held = self.nodes[node].cached_endpoints.clone();
+        let cached = self.nodes[node].cached_endpoints.clone();
         let generation = self.nodes[node].generation;
-        for entry in &held {
+        for entry in &cached {
             if let Some(&of) = self.servers.get(&entry.server) {
                 let phase = if entry.state == ServerState::Ready { Phase::Ready } else { Phase::Draining };
                 let started = entry.started.map(|s| Time::ZERO + Span::from_secs(s));
                 self.record(Event::Told { node, of, phase, started });
             }
         }
-        self.notify_policy(node, decisions::Event::Endpoints(EndpointUpdate::Cached(held)));
+        self.notify_policy(node, decisions::Event::Endpoints(EndpointUpdate::Cached(cached)));
         self.update_plane_list(node, None);
         self.nodes[node].revision = 0;
-        let late = Span::from_secs(self.network_rng.between(0.0, self.day.list.spread.as_secs()));
-        self.notify_agent_after(late, node);
+        let delay = Span::from_secs(self.network_rng.between(0.0, self.day.list.spread.as_secs()));
+        self.notify_agent_after(delay, node);
         self.schedule_after(SWEEP_INTERVAL, ScheduledEvent::Sweep { node, generation });
     }
 
@@ -32,16 +32,16 @@
         let state = &mut self.nodes[node];
         state.start_count += 1;
         let seed = node_seed(self.day.seed, node, state.start_count);
-        // The same settings were good at the day's beginning.
+        // Cannot fail: the same settings were accepted when the day began.
         if let Ok(policy) = (self.start)(state.settings.clone(), seed) {
             state.policy = policy;
             (state.alive, state.accepts_until, state.new_connections_until, state.unavailable_since) =
                 (true, None, None, None);
-            // As many nodes as at the day's beginning can have a plane.
+            // Cannot fail: the number of nodes is the same as when the day began.
             self.nodes[node].plane = self.new_plane(node).ok().flatten();
             self.record(Event::NodeUp { node });
             self.start_process(node);
-            // Its agent answers from the first moment on, unless discovery is down.
+            // The node's agent answers at once, unless discovery is down.
             self.notify_node(node);
             if self.list_outages > 0 {
                 self.schedule_watch_reopen(node);
@@ -49,9 +49,9 @@
         }
     }
 
-    /// A planned restart: the node accepts a little longer, answers all, leaves and comes back. With a stop of the
-    /// platform's, clients go on with the connections that they hold for as long as the node keeps them, and it is
-    /// killed if it has not ended by then.
+    /// Restarts a node as planned: it accepts tries for a while, answers all of them, exits and starts again. With
+    /// `stop`, clients keep using open connections for as long as the node does, and it is killed if it has not exited
+    /// after `stop.kill`.
     pub(super) fn restart_node(&mut self, node: NodeId, stop: Option<Stop>) {
         if !self.nodes[node].alive {
             return;
@@ -86,9 +86,9 @@
         let mut open: Vec<(TryId, bool)> =
             state.tries.drain().map(|(id, accepted)| (id, accepted.answered)).collect();
         open.sort_unstable();
-        let held: Vec<u64> =
+        let tokens: Vec<u64> =
             self.in_flight.iter().filter(|(_, f)| f.node == node).map(|(_, f)| f.token).collect();
-        held.into_iter().for_each(|token| self.close_connection(token));
+        tokens.into_iter().for_each(|token| self.close_connection(token));
         for to in 0..self.boxes.len() {
             self.close_idle_connections(node, to, 0);
         }
@@ -106,8 +106,8 @@
     pub(super) fn sample_policy_sizes(&mut self) {
         if self.now.0.is_multiple_of(SIZES_INTERVAL.0) {
             let alive = self.nodes.iter().filter(|state| state.alive);
-            let most = alive.map(|state| state.policy.sizes()).fold(Sizes::default(), Sizes::max_of_each);
-            self.sizes.push((self.now, most));
+            let largest = alive.map(|state| state.policy.sizes()).fold(Sizes::default(), Sizes::max_of_each);
+            self.sizes.push((self.now, largest));
         }
     }
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,7 +1,7 @@
-//! The world in virtual time: boxes, planner, list, network, clients and nodes, one event after the other.
+//! Discrete-event simulation of boxes, planner, endpoint list, network, clients and nodes in virtual time.
 //!
-//! The same day and policy give the same trace, byte for byte, on every machine. Parts that have something hard to
-//! decide are state machines of their own; this file moves events between them.
+//! The same day and policy give the same trace, byte for byte, on every machine. Components with non-trivial logic are
+//! separate state machines; this module passes events between them.
 
 mod answers;
 mod attempts;
@@ -50,49 +50,53 @@
 use sight::{PolicyView, RequestKeys};
 pub use start::Parts;
 
-/// How often a node closes connections that are old.
+/// Interval at which a node closes idle connections that have expired.
 const SWEEP_INTERVAL: Span = Span(1_000_000);
-/// A node that is told to stop accepts for so long, and is gone this much after its longest deadline.
+/// How long a stopping node still accepts tries, in a planned restart without a kill.
 const ACCEPT_AFTER_STOP: Span = Span(500_000);
+/// Time from the longest deadline to the exit of a stopping node, and from its exit or kill to its next start.
 const LEAVE_DELAY: Span = Span(600_000);
-/// What a day's end waits for beyond the last deadline.
+/// Simulated time after the last possible deadline, so that its events are still processed.
 const END_MARGIN: Span = Span(1_000_000);
 
-/// Why a day cannot be played.
+/// Why a day cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum WorldError {
-    /// The settings of a node make no sense.
+    /// The settings of a node are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The plane cannot be made.
+    /// The plane between nodes cannot be created.
     #[error("plane: {0}")]
     Plane(#[from] PlaneError),
-    /// The keys' popularity is no distribution.
+    /// The popularity of the keys is not a valid distribution.
     #[error("keys: {0}")]
     Keys(#[from] rand_distr::weighted::Error),
 }
-/// Everything that a day is played with.
+/// State of one simulated day.
 pub struct World<'a, S: Sink> {
     day: &'a Day,
     start: Start<'a>,
     sink: S,
     now: Time,
+    /// Number of events processed.
     event_count: u64,
     queue: Agenda<ScheduledEvent>,
     boxes: Vec<BoxState>,
     servers: FxHashMap<ServerId, BoxId>,
     origin: Origin,
     list: List,
-    /// Incidents that silence the list.
+    /// Number of active incidents during which discovery does not answer.
     list_outages: u32,
     nodes: Vec<NodeState>,
     clients: Clients,
     keys: Keys,
     in_flight: Slab<InFlightAttempt>,
+    /// Number of attempts started; the high bits of an attempt's token.
     attempts_started: u64,
+    /// Bytes of each broadcast message and how many copies are still to be delivered.
     messages: FxHashMap<u64, (Vec<u8>, usize)>,
     next_message: u64,
-    /// Incidents that cut the way from each depot to each other.
+    /// Number of active incidents that cut each direction between two depots, indexed by `from * depots + to`.
     partition_counts: Vec<u32>,
     faults: Faults,
     planes: PlaneState,
@@ -100,24 +104,24 @@
     rng: Chance,
     actions: Vec<Action>,
     outputs: Vec<BoxOut>,
-    /// The most that any node's policy held, now and then.
+    /// Per-field maximum over the policies of all running nodes, sampled every 10 s.
     sizes: Vec<(Time, Sizes)>,
 }
 
-/// A day that was played.
+/// Result of a simulated day.
 pub struct Done<S> {
-    /// Events that it took.
+    /// Number of events processed.
     pub events: u64,
-    /// What was told of it.
+    /// The sink that recorded the trace.
     pub sink: S,
-    /// The most that the policy of any node held, each 10 s.
+    /// Per-field maximum of the state held by any running node's policy, sampled every 10 s.
     pub sizes: Vec<(Time, Sizes)>,
-    /// What was counted beside.
+    /// Counters of the plane between nodes and of planner fetches.
     pub tally: Tally,
 }
 
 impl<'a, S: Sink> World<'a, S> {
-    /// Plays the day to its end.
+    /// Runs the simulation to the end of the day.
     pub fn run(mut self) -> Done<S> {
         self.schedule_initial_events();
         let end = self.end_time();
@@ -125,16 +129,16 @@
         Done { events: self.event_count, sink: self.sink, sizes: self.sizes, tally: self.planes.tally }
     }
 
-    /// When nothing more can happen.
+    /// Time after which no event is processed.
     fn end_time(&self) -> Time {
         Time::ZERO + self.day.length + self.day.longest_deadline() + END_MARGIN
     }
 
-    /// Plays one event, if one is due before the end; the day is over after the last.
+    /// Processes the next event due by `end`; without one, records the end of the day and returns false.
     fn step(&mut self, end: Time) -> bool {
         match self.queue.take_until(end) {
             Some((at, due)) => {
-                debug_assert!(at >= self.now, "time goes forward");
+                debug_assert!(at >= self.now, "events are processed in time order");
                 self.now = at;
                 self.event_count += 1;
                 self.dispatch(due);
@@ -152,7 +156,7 @@
         self.sink.record(self.now, &event);
     }
 
-    /// What should have happened by now happens next.
+    /// Schedules an event; a time in the past becomes now.
     fn schedule_at(&mut self, at: Time, due: ScheduledEvent) {
         self.queue.enter(at.max(self.now), due);
     }
@@ -261,7 +265,7 @@
                 self.origin.planner_mut().change(key);
                 self.schedule_key_change();
             }
-            // Meant for a node or box that has ended since, or for a time that has been moved.
+            // Stale: the node's process has ended, or the wake-up was rescheduled.
             ScheduledEvent::Timer { .. }
             | ScheduledEvent::AttemptDeadline { .. }
             | ScheduledEvent::AnswerDeadline { .. }
--- a/crates/simulation/src/world/network.rs
+++ b/crates/simulation/src/world/network.rs
@@ -1,22 +1,25 @@
-//! The network: delays, partitions, messages and probes.
+//! The network: delays, partitions, messages between nodes and health checks.
 
 use super::*;
 
 impl<S: Sink> World<'_, S> {
+    /// A duration with the network's jitter: normally distributed, at least 20% of the duration and 1 µs.
     pub(super) fn jittered(&mut self, span: Span) -> Span {
         let factor = 1.0 + self.day.network.jitter * self.network_rng.normal();
         Span(((span.0 as f64 * factor.max(0.2)).round() as u64).max(1))
     }
 
+    /// A one-way delay between two depots.
     pub(super) fn network_delay(&mut self, from: usize, to: usize) -> Span {
         self.jittered(if from == to { self.day.network.same } else { self.day.network.cross })
     }
 
+    /// Returns whether packets from depot `a` to depot `b` are lost.
     pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
         self.partition_counts[a * self.day.depots.len() + b] > 0
     }
 
-    /// Nothing comes back, or nothing gets there.
+    /// Returns whether packets between two depots are lost in at least one direction.
     pub(super) fn is_partitioned_either_way(&self, a: usize, b: usize) -> bool {
         self.is_partitioned(a, b) || self.is_partitioned(b, a)
     }
@@ -33,9 +36,9 @@
         let message = self.next_message;
         let mut copies = 0;
         for to in (0..self.nodes.len()).filter(|to| *to != from) {
-            let parted = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
+            let partitioned = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
             let lost = self.network_rng.happens(self.day.network.message_loss);
-            if parted || lost || self.faults.loses_message(&mut self.network_rng) {
+            if partitioned || lost || self.faults.loses_message(&mut self.network_rng) {
                 continue;
             }
             let (delay, generation) = (self.jittered(self.day.network.message), self.nodes[to].generation);
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -1,15 +1,15 @@
-//! The plane between nodes: its datagrams on the world's network, its turns, and what is counted of it.
+//! The plane between nodes: datagrams on the simulated network, scheduling, and counters.
 
 use super::*;
 use crate::plane::{NodePlane, Seat, Sent, Spread, Switch, Tally, Told};
 
-/// What a world holds for its nodes' planes.
+/// State that the planes of all nodes share.
 pub(super) struct PlaneState {
     pub switch: Switch,
-    /// Apart from the network's, so that a day has the same chances with the plane and without.
+    /// Separate from the network's random stream, so that the plane does not change any other draw of a day.
     rng: Chance,
     pub tally: Tally,
-    /// Since when a box is known to be silent by any node's experience.
+    /// When the first unanswered attempt at each box ended during its current silence.
     silent_since: FxHashMap<BoxId, Time>,
 }
 
@@ -21,10 +21,10 @@
 }
 
 impl<S: Sink> World<'_, S> {
-    /// The same world with these parts of the plane at every node.
+    /// Enables these parts of the plane on every node.
     ///
     /// # Errors
-    /// Where the day has more nodes than a plane can.
+    /// If the day has more nodes than a plane supports.
     pub fn with_plane(mut self, switch: Switch) -> Result<Self, WorldError> {
         self.planes.switch = switch;
         for node in 0..self.nodes.len() {
@@ -42,7 +42,7 @@
         Ok(plane.map(Box::new))
     }
 
-    /// A node's plane has its turn: what is due is done, what comes out is carried out.
+    /// Runs what is due in a node's plane, applies its outputs and schedules its next wake-up.
     pub(super) fn run_plane(&mut self, node: NodeId) {
         let now = self.now;
         let Some(plane) = &mut self.nodes[node].plane else { return };
@@ -73,12 +73,12 @@
         }
     }
 
-    /// A datagram from one node to another: it may be lost, and nothing says so.
+    /// Sends a datagram from one node to another; it may be lost without notice.
     fn send_datagram(&mut self, from: NodeId, to: NodeId, bytes: Vec<u8>) {
         self.planes.tally.datagram(self.now, from, bytes.len());
-        let parted = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
+        let partitioned = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
         let rng = &mut self.planes.rng;
-        if parted || rng.happens(self.day.network.message_loss) || self.faults.loses_message(rng) {
+        if partitioned || rng.happens(self.day.network.message_loss) || self.faults.loses_message(rng) {
             return;
         }
         let factor = 1.0 + self.day.network.jitter * rng.normal();
@@ -89,7 +89,7 @@
         );
     }
 
-    /// Whichever life of a node runs has what comes to its address.
+    /// Delivers a datagram to the process that runs at a node's address, whatever its generation.
     pub(super) fn receive_datagram(&mut self, to: NodeId, from: NodeId, bytes: &[u8]) {
         let now = self.now;
         let state = &mut self.nodes[to];
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A node's plane hears of the list; `None` for one that may be old.
+    /// Passes the node's endpoint list to its plane; `revision` is `None` for a list that may be stale.
     pub(super) fn update_plane_list(&mut self, node: NodeId, revision: Option<u64>) {
         let (now, NodeState { plane, cached_endpoints, .. }) = (self.now, &mut self.nodes[node]);
         if let Some(plane) = plane {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A node that leaves as planned says so; one that dies does not.
+    /// Stops a node's plane; only a planned stop is announced to peers.
     pub(super) fn stop_plane(&mut self, node: NodeId, planned: bool) {
         let now = self.now;
         if let Some(plane) = self.nodes[node].plane.as_mut().filter(|_| planned) {
@@ -126,7 +126,7 @@
         self.nodes[node].plane.as_mut().and_then(|plane| plane.sent(server))
     }
 
-    /// An attempt has ended: its node's plane hears of it, and one that a silent box did not answer is counted.
+    /// Passes the end of an attempt to its node's plane, and counts attempts that a silent box did not answer.
     pub(super) fn plane_attempt_ended(
         &mut self,
         node: NodeId,
@@ -159,7 +159,7 @@
         self.record_placement_spread();
     }
 
-    /// Sees by which revision all nodes place that run.
+    /// Records the oldest list revision by which any running node places keys.
     pub(super) fn record_placement_spread(&mut self) {
         let running = self.nodes.iter().filter(|state| state.alive);
         if let Some(least) = running.map(|state| state.placement_revision).min() {
--- a/crates/simulation/src/world/sight.rs
+++ b/crates/simulation/src/world/sight.rs
@@ -1,16 +1,16 @@
-//! What a policy sees that may look at the world as it is.
+//! View of the simulated world for policies that may see its true state.
 
 use super::*;
 
-/// Whose key is meant by a request.
+/// How the key of a request is found.
 pub(super) enum RequestKeys<'a> {
-    /// Requests are the tries that a node has taken.
+    /// From the tries that the node has accepted.
     Tries(&'a FxHashMap<TryId, AcceptedTry>),
-    /// There is one, before the day begins.
+    /// The same key for any request, used before the day begins.
     Fixed(KeyId),
 }
 
-/// The world as one node could see it at one moment.
+/// State of the world at one time, as seen from one node.
 pub(super) struct PolicyView<'a> {
     pub day: &'a Day,
     pub boxes: &'a [BoxState],
@@ -47,13 +47,13 @@
     fn look(&self, at: usize) -> TrueBox {
         let box_state = &self.boxes[at];
         let (depots, there) = (self.day.depots.len(), self.day.boxes[at].depot);
-        let parted = self.partition_counts[self.depot * depots + there]
+        let partitioned = self.partition_counts[self.depot * depots + there]
             + self.partition_counts[there * depots + self.depot]
             > 0;
         let slots = f64::from(box_state.cache.spec.slots);
         let share = box_state.cache.present_capacity(self.now) / box_state.cache.spec.capacity();
         TrueBox {
-            up: box_state.cache.is_up() && box_state.silence_count == 0 && !parted,
+            up: box_state.cache.is_up() && box_state.silence_count == 0 && !partitioned,
             slots,
             present_slots: slots * share,
             wanted: box_state.cache.wanted_slots() + box_state.in_transit,
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -1,18 +1,19 @@
-//! How a day begins: the parts, warm stores, and what is due first.
+//! Start of a day: construction of the world, filling of the stores, and the first events.
 
 use super::*;
 
-/// Stores are warm after so many draws for each copy that they hold, and so many in all.
+/// Requests drawn to fill the stores, for each copy that they can hold.
 const WARM_UP_DRAWS_PER_COPY: f64 = 3.0;
+/// Limit on the requests drawn to fill the stores.
 const MAX_WARM_UP_DRAWS: f64 = 2e6;
 
-/// The parts of a world as its day begins, for those who move the events themselves.
+/// Components of a world at the start of its day, for callers that schedule events themselves.
 pub struct Parts {
-    /// All boxes of the day, those that run with warm stores.
+    /// All boxes of the day; the stores of those that run are filled.
     pub boxes: Vec<CacheBox>,
-    /// The planner, with nothing asked.
+    /// The planner, without any calls.
     pub origin: Origin,
-    /// The list, with the boxes that run.
+    /// The endpoint list, with the boxes that run.
     pub list: List,
     /// The clients.
     pub clients: Clients,
@@ -21,7 +22,7 @@
 }
 
 impl<'a, S: Sink> World<'a, S> {
-    /// Takes the world apart before its day has begun.
+    /// Splits a world whose day has not begun into its components.
     pub fn into_parts(self) -> Parts {
         let World { boxes, origin, list, clients, keys, .. } = self;
         Parts {
@@ -33,10 +34,10 @@
         }
     }
 
-    /// The world as the day begins, with warm stores.
+    /// Creates the world at the start of the day, with filled stores.
     ///
     /// # Errors
-    /// Where the day's settings or keys make no sense.
+    /// If the day's settings or keys are invalid.
     pub fn new(day: &'a Day, start: Start<'a>, sink: S) -> Result<Self, WorldError> {
         let boxes: Vec<BoxState> = day
             .boxes
@@ -115,8 +116,8 @@
         Ok(world)
     }
 
-    /// Fills the stores with what the boxes were asked for lately: policies of the same kind, one for each node, say
-    /// which box that was.
+    /// Fills the stores with the keys of random requests. A separate policy instance per node, of the kind under test,
+    /// picks the box of each request.
     pub(super) fn fill_caches(&mut self) -> Result<(), WorldError> {
         let start = |state: &NodeState| (self.start)(state.settings.clone(), self.day.seed);
         let mut policies = self.nodes.iter().map(start).collect::<Result<Vec<_>, _>>()?;
@@ -153,12 +154,12 @@
                 _ => None,
             });
             let Some(to) = sent else {
-                // Of a policy that would have waited, nothing may be left over.
+                // A policy that queues the request must not keep it.
                 policies[node].handle(now, decisions::Event::ClientLeft(id), &view, &mut actions);
                 continue;
             };
             if !self.boxes[to].cache.keeps(Time::ZERO, key, 0) {
-                // Copies are of all ages.
+                // Remaining lifetimes are uniform, so that copies do not expire together.
                 let fresh_for = self.day.boxes[to].ttl * rng.unit();
                 self.boxes[to].cache.fill(key, self.keys.bytes(key), Time::ZERO + fresh_for);
             }
--- a/crates/simulation/src/world/ways.rs
+++ b/crates/simulation/src/world/ways.rs
@@ -1,9 +1,9 @@
-//! Connections of nodes to boxes: kept ones, new ones, and their ends.
+//! Connections from nodes to boxes: opening, reuse and closing.
 
 use super::*;
 
 impl<S: Sink> World<'_, S> {
-    /// A flight is over.
+    /// Removes an attempt from those in flight.
     pub(super) fn remove_in_flight(&mut self, token: u64) {
         let in_flight = self.in_flight.remove(slab_index(token));
         if !in_flight.arrived {
@@ -11,20 +11,21 @@
         }
     }
 
-    /// A kept connection that is not too old, the last used first.
+    /// Takes the most recently used idle connection and returns its box's generation. If even that one has been idle
+    /// for 90% of the box's idle timeout, closes all and returns `None`.
     pub(super) fn take_idle_connection(&mut self, node: NodeId, to: BoxId) -> Option<u32> {
         let max_idle = self.day.boxes[to].idle_close * 0.9;
         let (since, generation) = self.nodes[node].idle_connections[to].pop_back()?;
         if self.now.since(since) < max_idle {
             return Some(generation);
         }
-        // All others are older still.
+        // All others have been idle for longer.
         self.nodes[node].idle_connections[to].push_back((since, generation));
         self.close_idle_connections(node, to, 0);
         None
     }
 
-    /// Closes all but so many of a node's kept connections to a box, the oldest first.
+    /// Closes a node's idle connections to a box, the longest idle first, until `keep` are left.
     pub(super) fn close_idle_connections(&mut self, node: NodeId, to: BoxId, keep: usize) {
         let delay = self.network_delay(self.nodes[node].depot, self.day.boxes[to].depot);
         while self.nodes[node].idle_connections[to].len() > keep {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Opens a connection for a flight.
+    /// Opens a connection for an attempt; the dial times out if the box cannot be reached.
     pub(super) fn open_connection(&mut self, token: u64) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, to) = (in_flight.node, in_flight.to);
@@ -50,7 +51,7 @@
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let to = in_flight.to;
         if self.boxes[to].silence_count > 0 {
-            // It went silent meanwhile: the connection never comes up.
+            // The box went silent during the handshake.
             return self.schedule_after(self.day.limits.dial_timeout, ScheduledEvent::DialFails(token));
         }
         let mut outputs = std::mem::take(&mut self.outputs);
@@ -69,7 +70,7 @@
         self.write_command(token);
     }
 
-    /// The command is written to the connection.
+    /// Writes an attempt's command to its connection.
     pub(super) fn write_command(&mut self, token: u64) {
         let Some(in_flight) = self.in_flight.get_mut(slab_index(token)).filter(|f| f.token == token) else {
             return;
@@ -80,7 +81,7 @@
         self.schedule_after(delay, ScheduledEvent::AttemptAtBox(token));
     }
 
-    /// Closes a flight's connection; the box hears of it a way later.
+    /// Closes an attempt's connection; the box notices after one network delay.
     pub(super) fn close_connection(&mut self, token: u64) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, to, generation, written) =
