--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -1,64 +1,65 @@
-//! What is due and when: first by time, then in the order in which it was entered.
+//! Event queue, ordered by time and then by insertion.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use crate::time::Time;
 
-struct Entered<D> {
+struct Scheduled<D> {
     at: Time,
-    order: u64,
-    due: D,
+    sequence: u64,
+    item: D,
 }
 
-impl<D> PartialEq for Entered<D> {
+impl<D> PartialEq for Scheduled<D> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<D> Eq for Entered<D> {}
+impl<D> Eq for Scheduled<D> {}
 
-impl<D> PartialOrd for Entered<D> {
+impl<D> PartialOrd for Scheduled<D> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<D> Ord for Entered<D> {
+impl<D> Ord for Scheduled<D> {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// Things that are due.
+/// Priority queue of scheduled items.
 pub struct Agenda<D> {
-    queue: BinaryHeap<Reverse<Entered<D>>>,
-    entered: u64,
+    queue: BinaryHeap<Reverse<Scheduled<D>>>,
+    /// Number of items inserted so far.
+    inserted: u64,
 }
 
 impl<D> Default for Agenda<D> {
     fn default() -> Self {
-        Agenda { queue: BinaryHeap::new(), entered: 0 }
+        Agenda { queue: BinaryHeap::new(), inserted: 0 }
     }
 }
 
 impl<D> Agenda<D> {
-    /// Enters something; what is due at one time is taken in the order of entering.
-    pub fn enter(&mut self, at: Time, due: D) {
-        self.entered += 1;
-        self.queue.push(Reverse(Entered { at, order: self.entered, due }));
+    /// Schedules an item; items with the same time are taken in insertion order.
+    pub fn enter(&mut self, at: Time, item: D) {
+        self.inserted += 1;
+        self.queue.push(Reverse(Scheduled { at, sequence: self.inserted, item }));
     }
 
-    /// When the next thing is due.
+    /// Time of the next item.
     pub fn next(&self) -> Option<Time> {
-        self.queue.peek().map(|Reverse(entered)| entered.at)
+        self.queue.peek().map(|Reverse(item)| item.at)
     }
 
-    /// Takes the next thing, if it is due by then.
+    /// Takes the next item if it is due at or before `until`.
     pub fn take_until(&mut self, until: Time) -> Option<(Time, D)> {
         self.next().filter(|at| *at <= until)?;
-        self.queue.pop().map(|Reverse(Entered { at, due, .. })| (at, due))
+        self.queue.pop().map(|Reverse(Scheduled { at, item, .. })| (at, item))
     }
 }
 
@@ -67,14 +68,14 @@
     use super::*;
 
     #[test]
-    fn things_come_by_time_and_then_in_their_order() {
+    fn items_are_taken_by_time_and_then_by_insertion_order() {
         let mut agenda = Agenda::default();
-        for (at, due) in [(5, 'c'), (1, 'a'), (5, 'd'), (2, 'b'), (9, 'e')] {
-            agenda.enter(Time(at), due);
+        for (at, item) in [(5, 'c'), (1, 'a'), (5, 'd'), (2, 'b'), (9, 'e')] {
+            agenda.enter(Time(at), item);
         }
         assert_eq!(agenda.next(), Some(Time(1)));
         let taken: Vec<char> =
-            std::iter::from_fn(|| agenda.take_until(Time(5))).map(|(_, due)| due).collect();
+            std::iter::from_fn(|| agenda.take_until(Time(5))).map(|(_, item)| item).collect();
         assert_eq!(taken, ['a', 'b', 'c', 'd']);
         assert_eq!((agenda.next(), agenda.take_until(Time(8))), (Some(Time(9)), None));
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! The emulated world of a node, in parts that know neither clock nor socket: cache boxes, the round planner, the
-//! list, clients, incidents, and the referee that judges what came of a day.
+//! Simulated environment of a node, without clocks or sockets: cache boxes, the origin (`planner`), the endpoint list,
+//! clients, scheduled faults (`incident`), and the invariant checker (`referee`).
 //!
-//! A [`scenario`] and a seed give a [`day::Day`]; a [`world::World`] plays it with a [`policy::Policy`] and tells a
-//! [`trace::Sink`] what happens; a [`referee::Referee`] is one. The same inputs give the same trace on every machine.
+//! A [`scenario`] and a seed give a [`day::Day`]. A [`world::World`] runs it with a [`policy::Policy`] and records the
+//! events in a [`trace::Sink`], such as a [`referee::Referee`]. The same inputs give the same trace on every machine.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/simulation/src/locate.rs
+++ b/crates/simulation/src/locate.rs
@@ -1,20 +1,20 @@
-//! Where a field stands in a TOML text.
+//! Position of a field in a TOML text.
 
 use toml::de::{DeTable, DeValue};
 
-/// The offset of the value at a path such as `incidents[2].boxes`, or of the nearest part of the path that is there.
+/// Byte offset of the value at a path such as `incidents[2].boxes`, or of the longest prefix of the path that exists.
 pub(crate) fn offset(text: &str, path: &str) -> usize {
     let Ok(table) = DeTable::parse(text) else { return 0 };
     let mut found = 0;
-    let mut here: Option<&DeValue> = None;
-    let top = table.get_ref();
-    for part in path.split('.') {
-        let (name, index) = match part.split_once('[') {
+    let mut current: Option<&DeValue> = None;
+    let root = table.get_ref();
+    for segment in path.split('.') {
+        let (name, index) = match segment.split_once('[') {
             Some((name, rest)) => (name, rest.trim_end_matches(']').parse::<usize>().ok()),
-            None => (part, None),
+            None => (segment, None),
         };
-        let table = match here {
-            None => Some(top),
+        let table = match current {
+            None => Some(root),
             Some(DeValue::Table(table)) => Some(table),
             Some(_) => None,
         };
@@ -26,7 +26,7 @@
             found = element.span().start;
             value = element.get_ref();
         }
-        here = Some(value);
+        current = Some(value);
     }
     found
 }
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,60 +1,60 @@
-//! What decides for a node: the decision module, or a baseline to compare it with.
+//! Policies that make a node's decisions: the balancer, or a baseline to compare it with.
 
 use hallpin_balancer::{
     Action, Balancer, Event, RequestId, Seconds, ServerId, Settings, SettingsError, Sizes,
 };
 
-/// A box as it truly is.
+/// True state of a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrueBox {
-    /// It runs, and can be reached from this node.
+    /// Whether the box runs and can be reached from this node.
     pub up: bool,
-    /// Requests that it serves at once when it is warm and well.
+    /// Requests that the box can serve concurrently when warm and not slowed down.
     pub slots: f64,
-    /// Those that it can serve at once now: fewer while it is cold or slow.
+    /// Requests that the box can serve concurrently now: fewer while it is warming up or slow.
     pub present_slots: f64,
-    /// Slots that are in use, or wanted by requests that it holds or that are on their way to it.
+    /// Slots in use, plus those needed by requests that the box holds or that are in transit to it.
     pub wanted: usize,
-    /// It could call the planner for one more key now.
+    /// Whether the box could call the planner for one more key now.
     pub may_fetch: bool,
 }
 
-/// The planner as it truly is.
+/// True state of the planner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TruePlanner {
-    /// It answers.
+    /// Whether the planner answers.
     pub up: bool,
-    /// About when a call made now would be answered.
+    /// Estimated time until a call made now would be answered.
     pub answers_in: Seconds,
-    /// Calls that it has, for each that it can work on at once.
+    /// Calls waiting and in progress, divided by the number that the planner works on concurrently.
     pub load: f64,
 }
 
-/// The world as it truly is, for a policy that may look. Boxes go by their number on the day.
+/// True state of the world, for policies that may see it. Boxes are addressed by their index in the day.
 pub trait Sight {
-    /// How many boxes the day has.
+    /// Number of boxes in the day.
     fn boxes(&self) -> usize;
 
-    /// The depot that it is seen from.
+    /// Depot of the node that this view is for.
     fn depot(&self) -> usize;
 
-    /// The number of a listed box.
+    /// Index of a listed box.
     fn find(&self, server: &ServerId) -> Option<usize>;
 
-    /// A box, by its number.
+    /// State of the box with this index.
     fn look(&self, at: usize) -> TrueBox;
 
-    /// Whether a box keeps a good copy of what a request asks for.
+    /// Whether a box has a current copy of the key of a request.
     fn keeps(&self, at: usize, request: RequestId) -> bool;
 
-    /// Whether a request sent to a box would join a call to the planner that is out.
+    /// Whether a request sent to a box would join a planner call already in flight for its key.
     fn fetches(&self, at: usize, request: RequestId) -> bool;
 
-    /// The planner.
+    /// State of the planner.
     fn planner(&self) -> TruePlanner;
 }
 
-/// Nothing can be seen: for a policy that is driven by itself.
+/// An empty view, for running a policy without a simulated world.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Blind;
 
@@ -88,12 +88,12 @@
     }
 }
 
-/// Decides for one node: events in, actions out, as [`Balancer`] does.
+/// Decision logic of one node: consumes events and returns actions, as [`Balancer`] does.
 pub trait Policy: Send {
-    /// Takes one event and adds what is to be done. Only an omniscient policy looks at the world.
+    /// Handles one event and appends the resulting actions. Only an omniscient policy uses `world`.
     fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>);
 
-    /// What it holds, for those who watch that nothing grows; a policy that does not count holds nothing.
+    /// Sizes of the policy's state, for detecting unbounded growth; all zero if the policy does not count.
     fn sizes(&self) -> Sizes {
         Sizes::default()
     }
@@ -109,13 +109,13 @@
     }
 }
 
-/// Makes the policy of a node that starts, from its settings and seed.
+/// Creates the policy of a starting node from its settings and seed.
 pub type Start<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError>;
 
-/// The decision module itself.
+/// Creates the balancer as a policy.
 ///
 /// # Errors
-/// Where the settings make no sense.
+/// If the settings are invalid.
 pub fn module(settings: Settings, seed: u64) -> Result<Box<dyn Policy>, SettingsError> {
     Balancer::new(settings, seed).map(|balancer| Box::new(balancer) as Box<dyn Policy>)
 }
--- a/crates/simulation/src/range.rs
+++ b/crates/simulation/src/range.rs
@@ -1,4 +1,4 @@
-//! Values of a scenario: one number with its unit, or two that it is drawn between.
+//! Scenario values: a single quantity, or a range that it is drawn from.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -23,88 +23,88 @@
 
 impl<'de> Deserialize<'de> for Bytes {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl Visitor<'_> for Text {
+        struct SizeVisitor;
+        impl Visitor<'_> for SizeVisitor {
             type Value = Bytes;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a size with its unit, such as \"64KiB\"")
             }
             fn visit_str<E: Error>(self, text: &str) -> Result<Bytes, E> {
-                let unreadable = |_| E::invalid_value(serde::de::Unexpected::Str(text), &self);
+                let invalid_size = |_| E::invalid_value(serde::de::Unexpected::Str(text), &self);
                 if text.bytes().all(|b| b.is_ascii_digit()) {
-                    return Err(unreadable(String::new()));
+                    return Err(invalid_size(String::new()));
                 }
-                text.parse::<bytesize::ByteSize>().map(|size| Bytes(size.0)).map_err(unreadable)
+                text.parse::<bytesize::ByteSize>().map(|size| Bytes(size.0)).map_err(invalid_size)
             }
         }
-        deserializer.deserialize_str(Text)
+        deserializer.deserialize_str(SizeVisitor)
     }
 }
 
-/// Something that a scenario may give as a range.
+/// A quantity that a scenario may give as a range.
 pub trait Quantity: Copy + PartialOrd + fmt::Debug {
-    /// What it looks like in a file, for those who get it wrong.
+    /// Expected form in a file, for error messages.
     const FORM: &'static str;
 
-    /// One between these two, both of which may be drawn.
-    fn between(low: Self, high: Self, chance: &mut Chance) -> Self;
+    /// Draws a value from `low` to `high`; for integer quantities, both are included.
+    fn between(low: Self, high: Self, rng: &mut Chance) -> Self;
 }
 
 impl Quantity for f64 {
     const FORM: &'static str = "a number";
 
-    fn between(low: Self, high: Self, chance: &mut Chance) -> Self {
-        chance.between(low, high)
+    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+        rng.between(low, high)
     }
 }
 
 impl Quantity for u32 {
     const FORM: &'static str = "a whole number";
 
-    fn between(low: Self, high: Self, chance: &mut Chance) -> Self {
-        low + chance.below(u64::from(high - low) + 1) as u32
+    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+        low + rng.below(u64::from(high - low) + 1) as u32
     }
 }
 
 impl Quantity for Span {
     const FORM: &'static str = "a duration with its unit, such as \"250ms\"";
 
-    fn between(low: Self, high: Self, chance: &mut Chance) -> Self {
-        Span(low.0 + chance.below(high.0 - low.0 + 1))
+    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+        Span(low.0 + rng.below(high.0 - low.0 + 1))
     }
 }
 
 impl Quantity for Bytes {
     const FORM: &'static str = "a size with its unit, such as \"64KiB\"";
 
-    fn between(low: Self, high: Self, chance: &mut Chance) -> Self {
-        Bytes(low.0 + chance.below(high.0 - low.0 + 1))
+    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+        Bytes(low.0 + rng.below(high.0 - low.0 + 1))
     }
 }
 
-/// A value, or the two that it is drawn between anew for each seed.
+/// A value, or a range that it is drawn from for each seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range<T> {
-    /// The least that is drawn.
+    /// Smallest value drawn.
     pub low: T,
-    /// The most.
+    /// Largest value drawn.
     pub high: T,
 }
 
 impl<T: Quantity> Range<T> {
-    /// Always the same.
+    /// A range of a single value.
     pub const fn one(value: T) -> Self {
         Range { low: value, high: value }
     }
 
-    /// From one value to another.
+    /// A range from `low` to `high`.
     pub const fn of(low: T, high: T) -> Self {
         Range { low, high }
     }
 
-    /// One of them. Draws, whether or not there is a choice, so that a range made one value shifts nothing else.
-    pub fn draw(&self, chance: &mut Chance) -> T {
-        T::between(self.low, self.high, chance)
+    /// Draws a value. A single value consumes a draw too, so that replacing a range by one does not shift later draws.
+    pub fn draw(&self, rng: &mut Chance) -> T {
+        T::between(self.low, self.high, rng)
     }
 }
 
@@ -120,8 +120,8 @@
 
 impl<'de, T: Quantity + Deserialize<'de>> Deserialize<'de> for Range<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct OneOrTwo<T>(PhantomData<T>);
-        impl<'de, T: Quantity + Deserialize<'de>> Visitor<'de> for OneOrTwo<T> {
+        struct RangeVisitor<T>(PhantomData<T>);
+        impl<'de, T: Quantity + Deserialize<'de>> Visitor<'de> for RangeVisitor<T> {
             type Value = Range<T>;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 write!(f, "{}, or two of them as [least, most]", T::FORM)
@@ -132,7 +132,7 @@
             fn visit_i64<E: Error>(self, number: i64) -> Result<Range<T>, E> {
                 T::deserialize(I64Deserializer::new(number)).map(Range::one)
             }
-            // JSON has these where TOML has the ones before.
+            // Non-negative JSON integers arrive as u64, TOML integers as i64.
             fn visit_u64<E: Error>(self, number: u64) -> Result<Range<T>, E> {
                 T::deserialize(U64Deserializer::new(number)).map(Range::one)
             }
@@ -154,7 +154,7 @@
                 Ok(Range { low, high })
             }
         }
-        deserializer.deserialize_any(OneOrTwo(PhantomData))
+        deserializer.deserialize_any(RangeVisitor(PhantomData))
     }
 }
 
@@ -201,7 +201,7 @@
     const GOOD: &str = "time = [\"410ms\", \"1s 100ms\"]\nmany = 3\nshare = [1, 2.5]\nsize = \"64KiB\"\n";
 
     #[test]
-    fn values_and_ranges_are_read_and_written_alike() {
+    fn values_and_ranges_round_trip() {
         let file: File = toml::from_str(GOOD).unwrap();
         assert_eq!(file.time, Range::of(Span::from_millis(410), Span::from_millis(1100)));
         assert_eq!((file.many, file.share), (Range::one(3), Range::of(1.0, 2.5)));
@@ -211,8 +211,8 @@
     }
 
     #[test]
-    fn what_is_no_value_is_told_with_what_was_expected() {
-        for (from, to, says) in [
+    fn an_invalid_value_is_rejected_with_the_expected_form() {
+        for (from, to, expected) in [
             ("\"410ms\"", "410", "a duration with its unit"),
             ("\"410ms\"", "\"soon\"", "a duration with its unit"),
             ("many = 3", "many = -3", "u32"),
@@ -225,14 +225,14 @@
             ("share = [1, 2.5]", "share = \"1\"", "f64"),
         ] {
             let error = toml::from_str::<File>(&GOOD.replace(from, to)).unwrap_err().to_string();
-            assert!(error.contains(says), "{to}: {error}");
+            assert!(error.contains(expected), "{to}: {error}");
         }
     }
 
     #[test]
-    fn draws_stay_within_and_reach_both_ends() {
-        let (mut chance, range) = (Chance::new(1, "range"), Range::of(2u32, 4));
-        let draws: Vec<u32> = (0..100).map(|_| range.draw(&mut chance)).collect();
+    fn draws_stay_in_range_and_reach_both_ends() {
+        let (mut rng, range) = (Chance::new(1, "range"), Range::of(2u32, 4));
+        let draws: Vec<u32> = (0..100).map(|_| range.draw(&mut rng)).collect();
         assert!((2..=4).all(|n| draws.contains(&n)) && draws.iter().all(|n| (2..=4).contains(n)));
     }
 }
--- a/crates/simulation/src/time.rs
+++ b/crates/simulation/src/time.rs
@@ -1,60 +1,60 @@
-//! Points in model time and lengths of it, in whole microseconds.
+//! Points and durations of simulated time, in whole microseconds.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Mul, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A point in model time: microseconds since the day began.
+/// A point in simulated time, in microseconds since the start of the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Time(pub u64);
 
-/// A length of model time in microseconds.
+/// A duration of simulated time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(pub u64);
 
 impl Time {
-    /// The day's first moment.
+    /// Start of the day.
     pub const ZERO: Time = Time(0);
 
-    /// Seconds since the day began.
+    /// Seconds since the start of the day.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// How long ago an earlier point was; nothing for a later one.
+    /// Duration since an earlier point; zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point this long before, or the day's first moment.
+    /// The point `by` earlier, or the start of the day if that would be before it.
     pub fn back(self, by: Span) -> Time {
         Time(self.0.saturating_sub(by.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// Zero duration.
     pub const ZERO: Span = Span(0);
 
-    /// Rounded to microseconds; what is negative or no number is nothing.
+    /// Converts seconds, rounded to microseconds; negative values and NaN give zero.
     pub fn from_secs(seconds: f64) -> Span {
-        // A cast of what is too large or no number saturates.
+        // The cast saturates, and maps NaN to 0.
         Span((seconds * 1e6).round() as u64)
     }
 
-    /// So many milliseconds.
+    /// Converts milliseconds.
     pub const fn from_millis(ms: u64) -> Span {
         Span(ms * 1000)
     }
 
-    /// In seconds.
+    /// The duration in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// In seconds, for spans of work.
+    /// Whether the duration is zero.
     pub fn is_zero(self) -> bool {
         self.0 == 0
     }
@@ -106,7 +106,7 @@
     }
 }
 
-/// Written with its unit, as in files: `250ms`.
+/// Serialized as text with a unit, as in files: `250ms`.
 impl Serialize for Span {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
@@ -115,20 +115,20 @@
 
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl serde::de::Visitor<'_> for Text {
+        struct DurationVisitor;
+        impl serde::de::Visitor<'_> for DurationVisitor {
             type Value = Span;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a duration with its unit, such as \"250ms\"")
             }
             fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Span, E> {
-                let unreadable = |_| E::invalid_value(serde::de::Unexpected::Str(text), &self);
-                let duration = humantime::parse_duration(text).map_err(unreadable)?;
+                let invalid_duration = |_| E::invalid_value(serde::de::Unexpected::Str(text), &self);
+                let duration = humantime::parse_duration(text).map_err(invalid_duration)?;
                 u64::try_from(duration.as_micros())
                     .map(Span)
                     .map_err(|_| E::custom("the duration is too long"))
             }
         }
-        deserializer.deserialize_str(Text)
+        deserializer.deserialize_str(DurationVisitor)
     }
 }
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -1,7 +1,7 @@
-//! Arbitrary legal event sequences of the decision module, judged by the referee that judges every emulated day.
+//! Random legal event sequences for the balancer, checked by the invariant checker of simulated days.
 //!
-//! The module meets what no drawn day brings in such density: lists that change at each step, outcomes of every
-//! kind in any order, withdrawals, probes. Its actions are written as a trace and nothing else is asked of it.
+//! The sequences are denser than any simulated day: frequent list changes, outcomes of every kind in any order, client
+//! cancellations and health checks. The balancer's actions are recorded as a trace, and only the trace is checked.
 
 use std::collections::BTreeMap;
 
@@ -17,12 +17,12 @@
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{Event, How, Sink};
 
-/// Boxes on the node's list, of the day's twelve.
+/// Number of boxes on the node's list; the day has twelve.
 const LISTED: usize = 8;
-/// Keys that requests are drawn from: few, so that requests meet.
+/// Number of keys that requests are drawn from; few, so that requests share keys.
 const KEYS: u64 = 50;
 
-/// The default day, with a class of each effect: free, guarded, single-shot.
+/// The default day, with one class for each effect: free, guarded and single-shot.
 fn day() -> Day {
     let mut day = Scenario::default().draw(1).expect("the defaults make a day");
     let read = day.classes[0].clone();
@@ -49,7 +49,7 @@
     }
 }
 
-fn box_of(server: &ServerId) -> usize {
+fn box_index(server: &ServerId) -> usize {
     server.0.strip_prefix("box-").and_then(|n| n.parse().ok()).expect("a box of this test")
 }
 
@@ -61,36 +61,36 @@
     }
 }
 
-/// A request as the test keeps it: when its client stops waiting, and its attempts' outcomes so far.
-struct Open {
+/// An accepted request: the time when its client stops waiting, and the send time and outcome of each attempt.
+struct OpenRequest {
     until: Seconds,
     attempts: Vec<(Seconds, Option<Status>)>,
-    over: bool,
+    finished: bool,
 }
 
-/// One life of a node, its actions written down as a trace and judged. `tamper` may change the actions before
-/// they are written and carried out.
-struct Life {
+/// One run of a balancer whose actions are recorded as a trace and checked. `tamper` may change the actions before
+/// they are recorded and applied.
+struct BalancerRun {
     balancer: Balancer,
     referee: Referee,
-    chance: Chance,
+    rng: Chance,
     now: Seconds,
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenRequest>,
     timers: Vec<(Seconds, TimerToken)>,
     list: Vec<EndpointEntry>,
     sends: u32,
 }
 
-impl Life {
+impl BalancerRun {
     fn new(seed: u64, day: &Day) -> Self {
         let mut settings = Settings::from_json(&day.settings(0)).expect("the day's settings");
         settings.limits.health_checks = seed.is_multiple_of(2);
         let balancer = Balancer::new(settings, seed).expect("settings are valid");
         let list = (0..LISTED).map(|of| entry(of, ServerState::Ready, None)).collect();
-        Life {
+        BalancerRun {
             balancer,
             referee: Referee::new(day),
-            chance: Chance::new(seed, "random life"),
+            rng: Chance::new(seed, "random life"),
             now: 50.0,
             open: BTreeMap::new(),
             timers: Vec::new(),
@@ -108,24 +108,24 @@
         self.referee.record(at, &event);
     }
 
-    fn tell(&mut self, entries: &[EndpointEntry]) {
+    fn record_list_change(&mut self, entries: &[EndpointEntry]) {
         for e in entries {
             let started = e.started.map(|s| Time((s * 1e6) as u64));
-            self.record(Event::Told { node: 0, of: box_of(&e.server), phase: phase(e.state), started });
+            self.record(Event::Told { node: 0, of: box_index(&e.server), phase: phase(e.state), started });
         }
     }
 
-    /// Hands one event to the module and writes down and carries out what it does.
+    /// Passes one event to the balancer, and records and applies its actions.
     fn handle(&mut self, event: decisions::Event, tamper: &impl Fn(&mut Vec<Action>)) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         tamper(&mut actions);
         for action in actions {
-            self.act(action);
+            self.apply_action(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send { request, server, .. } => {
                 let Some(open) = self.open.get_mut(&request.0) else { return };
@@ -136,18 +136,18 @@
                     id: request.0,
                     attempt,
                     node: 0,
-                    to: box_of(&server),
+                    to: box_index(&server),
                     crosses: false,
                     wait: None,
                 });
             }
             Action::Reject { request, retry_after } => {
-                self.close(request);
+                self.mark_answered(request);
                 let advice = retry_after.map(|s| Span((s * 1e6) as u64));
                 self.record(Event::Answered { id: request.0, how: How::Rejected, version: None, advice });
             }
             Action::Fail(request) => {
-                self.close(request);
+                self.mark_answered(request);
                 self.record(Event::Answered { id: request.0, how: How::Failed, version: None, advice: None })
             }
             Action::SetTimer { token, after } => self.timers.push((self.now + after.max(0.001), token)),
@@ -155,37 +155,38 @@
         }
     }
 
-    /// The request has its final answer: what its attempts bring from now on is of no use to its client.
-    fn close(&mut self, request: RequestId) {
+    /// Marks a request as finally answered; later outcomes of its attempts no longer reach the client.
+    fn mark_answered(&mut self, request: RequestId) {
         if let Some(open) = self.open.get_mut(&request.0) {
-            open.over = true;
+            open.finished = true;
         }
     }
 
-    /// A new request of a drawn class and key.
-    fn request(&mut self, id: u64, tamper: &impl Fn(&mut Vec<Action>)) {
-        let class = [0, 0, 1, 2][self.chance.below(4) as usize];
-        let left = 0.05 + self.chance.below(100) as f64 * 0.01;
-        let key = self.chance.below(KEYS);
-        self.open.insert(id, Open { until: self.now + left, attempts: Vec::new(), over: false });
+    /// Sends a new request of a random class and key.
+    fn send_request(&mut self, id: u64, tamper: &impl Fn(&mut Vec<Action>)) {
+        let class = [0, 0, 1, 2][self.rng.below(4) as usize];
+        let time_left = 0.05 + self.rng.below(100) as f64 * 0.01;
+        let key = self.rng.below(KEYS);
+        self.open
+            .insert(id, OpenRequest { until: self.now + time_left, attempts: Vec::new(), finished: false });
         self.record(Event::Asked { ask: id, class, tenant: None, key: key as u32, work: 50_000.0 });
-        let until = Time(((self.now + left) * 1e6) as u64);
+        let until = Time(((self.now + time_left) * 1e6) as u64);
         self.record(Event::Taken { id, ask: id, node: 0, until });
-        let new = NewRequest {
+        let request = NewRequest {
             id: RequestId(id),
-            time_left: left,
+            time_left,
             class: Some(decisions::ClassId(class)),
             tenant: None,
             key: Some(Key(key)),
             write: class != 0,
             work_hint: None,
         };
-        self.handle(decisions::Event::Request(new), tamper);
+        self.handle(decisions::Event::Request(request), tamper);
     }
 
-    /// Attempts end at random, and at the client's deadline at the latest, as a host sees to.
-    fn outcomes(&mut self, tamper: &impl Fn(&mut Vec<Action>)) {
-        const ENDS: [Status; 9] = [
+    /// Ends attempts at random, and at the client's deadline at the latest, as a node does.
+    fn end_attempts(&mut self, tamper: &impl Fn(&mut Vec<Action>)) {
+        const STATUSES: [Status; 9] = [
             Status::Success,
             Status::Success,
             Status::Error,
@@ -196,26 +197,26 @@
             Status::Absent,
             Status::Unknown,
         ];
-        let out: Vec<(u64, usize, bool)> = self
+        let unfinished: Vec<(u64, usize, bool)> = self
             .open
             .iter()
             .flat_map(|(&id, r)| {
-                let over = self.now >= r.until;
+                let expired = self.now >= r.until;
                 let waiting = r.attempts.iter().enumerate().filter(|(_, (_, status))| status.is_none());
-                waiting.map(move |(index, _)| (id, index, over))
+                waiting.map(move |(index, _)| (id, index, expired))
             })
             .collect();
-        for (id, index, over) in out {
-            if !over && self.chance.below(40) > 0 {
+        for (id, index, expired) in unfinished {
+            if !expired && self.rng.below(40) > 0 {
                 continue;
             }
-            let status = if over { Status::TimedOut } else { ENDS[self.chance.below(9) as usize] };
+            let status = if expired { Status::TimedOut } else { STATUSES[self.rng.below(9) as usize] };
             let r = self.open.get_mut(&id).expect("an open request");
             let (sent, _) = r.attempts[index];
             r.attempts[index].1 = Some(status);
-            let served = !r.over && status == Status::Success;
-            let finished = r.over || served;
-            r.over = finished;
+            let served = !r.finished && status == Status::Success;
+            let finished = r.finished || served;
+            r.finished = finished;
             let note = (status == Status::Success).then_some(CacheNote::Hit);
             self.record(Event::Ended { id, attempt: index as u32, how: status.into() });
             if served {
@@ -234,19 +235,19 @@
         }
     }
 
-    /// A box on the list changes its state.
-    fn change(&mut self, tamper: &impl Fn(&mut Vec<Action>)) {
-        let of = self.chance.below(LISTED as u64) as usize;
+    /// Changes the state of a random box on the list.
+    fn change_box_state(&mut self, tamper: &impl Fn(&mut Vec<Action>)) {
+        let of = self.rng.below(LISTED as u64) as usize;
         let states = [ServerState::Ready, ServerState::Draining, ServerState::Gone];
-        let state = states[self.chance.below(3) as usize];
+        let state = states[self.rng.below(3) as usize];
         self.list[of] = entry(of, state, (state == ServerState::Ready).then_some(self.now));
         let changed = vec![self.list[of].clone()];
-        self.tell(&changed);
+        self.record_list_change(&changed);
         self.handle(decisions::Event::Endpoints(EndpointUpdate::Delta(changed)), tamper);
     }
 
-    /// Time passes by `by` seconds: timers ring, attempts end.
-    fn pass(&mut self, by: Seconds, tamper: &impl Fn(&mut Vec<Action>)) {
+    /// Advances the time by `by` seconds; timers expire and attempts end.
+    fn advance(&mut self, by: Seconds, tamper: &impl Fn(&mut Vec<Action>)) {
         self.now += by;
         let now = self.now;
         let (due, waiting) = self.timers.drain(..).partition::<Vec<_>, _>(|&(at, _)| at <= now);
@@ -254,27 +255,27 @@
         for (_, token) in due {
             self.handle(decisions::Event::Timer(token), tamper);
         }
-        self.outcomes(tamper);
+        self.end_attempts(tamper);
     }
 
     fn step(&mut self, next_id: &mut u64, tamper: &impl Fn(&mut Vec<Action>)) {
-        let by = self.chance.below(8) as f64 * 0.001;
-        self.pass(by, tamper);
-        match self.chance.below(10) {
+        let by = self.rng.below(8) as f64 * 0.001;
+        self.advance(by, tamper);
+        match self.rng.below(10) {
             0..=5 => {
                 *next_id += 1;
-                self.request(*next_id, tamper);
+                self.send_request(*next_id, tamper);
             }
-            6 => self.change(tamper),
-            7 if self.chance.below(4) == 0 && *next_id > 0 => {
-                let id = 1 + self.chance.below(*next_id);
-                if self.open.get_mut(&id).is_some_and(|r| !std::mem::replace(&mut r.over, true)) {
+            6 => self.change_box_state(tamper),
+            7 if self.rng.below(4) == 0 && *next_id > 0 => {
+                let id = 1 + self.rng.below(*next_id);
+                if self.open.get_mut(&id).is_some_and(|r| !std::mem::replace(&mut r.finished, true)) {
                     self.record(Event::Abandoned { id });
                 }
                 self.handle(decisions::Event::ClientLeft(RequestId(id)), tamper);
             }
             8 => {
-                let server = self.list[self.chance.below(LISTED as u64) as usize].server.clone();
+                let server = self.list[self.rng.below(LISTED as u64) as usize].server.clone();
                 self.handle(decisions::Event::HealthChecked { server, status: Status::Success }, tamper);
             }
             _ => {}
@@ -282,65 +283,65 @@
     }
 }
 
-/// One random life of `steps` steps; its verdict and the attempts sent.
-fn play(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> (Verdict, u32) {
+/// Runs `steps` random steps; returns the verdict and the number of attempts sent.
+fn run_random_steps(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> (Verdict, u32) {
     let day = day();
-    let mut life = Life::new(seed, &day);
-    let list = life.list.clone();
-    life.tell(&list);
-    life.handle(decisions::Event::Endpoints(EndpointUpdate::Full(list)), &tamper);
+    let mut run = BalancerRun::new(seed, &day);
+    let list = run.list.clone();
+    run.record_list_change(&list);
+    run.handle(decisions::Event::Endpoints(EndpointUpdate::Full(list)), &tamper);
     let mut next_id = 0;
     for _ in 0..steps {
-        life.step(&mut next_id, &tamper);
+        run.step(&mut next_id, &tamper);
     }
-    // Nothing new comes while the last requests' time runs out.
+    // No new requests while the last ones reach their deadlines.
     for _ in 0..2_000 {
-        life.pass(0.001, &tamper);
+        run.advance(0.001, &tamper);
     }
-    life.record(Event::DayOver);
-    (life.referee.verdict(), life.sends)
+    run.record(Event::DayOver);
+    (run.referee.verdict(), run.sends)
 }
 
-/// Which rules a verdict finds broken, with its first words on them.
-fn broken(verdict: &Verdict) -> (Vec<Rule>, String) {
+/// The rules that a verdict reports as violated, with the first three violations as text.
+fn violations(verdict: &Verdict) -> (Vec<Rule>, String) {
     let told = verdict.told.iter().take(3).map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
     (verdict.breaches.keys().copied().collect(), told)
 }
 
 #[test]
-fn rules_hold_in_random_lives() {
+fn rules_hold_for_random_events() {
     for seed in 1..=16 {
-        let (verdict, sends) = play(seed, 2000, |_| {});
-        assert_eq!(broken(&verdict).0, [], "seed {seed}: {}", broken(&verdict).1);
+        let (verdict, sends) = run_random_steps(seed, 2000, |_| {});
+        assert_eq!(violations(&verdict).0, [], "seed {seed}: {}", violations(&verdict).1);
         assert!(sends > 50, "seed {seed}: {sends} sends");
     }
 }
 
-/// The referee finds what is planted: each tampering breaks the rule that it is for.
+/// The checker detects tampered actions: each kind of tampering violates its rule.
 #[test]
-fn the_referee_catches_planted_violations() {
-    let twice = |actions: &mut Vec<Action>| {
+fn the_checker_detects_planted_violations() {
+    let send_twice = |actions: &mut Vec<Action>| {
         let sends: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Send { .. })).cloned().collect();
         actions.extend(sends);
     };
-    let mute = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
-    let eager = |actions: &mut Vec<Action>| {
+    let drop_failures = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
+    let reject_failures = |actions: &mut Vec<Action>| {
         for action in actions.iter_mut() {
             if let Action::Fail(request) = action {
                 *action = Action::Reject { request: *request, retry_after: Some(0.1) };
             }
         }
     };
-    assert!(broken(&play(1, 3000, twice).0).0.contains(&Rule::Repeated));
-    assert!(broken(&play(1, 6000, mute).0).0.contains(&Rule::Lost));
-    assert!(broken(&play(1, 6000, eager).0).0.contains(&Rule::Repeated));
+    assert!(violations(&run_random_steps(1, 3000, send_twice).0).0.contains(&Rule::Repeated));
+    assert!(violations(&run_random_steps(1, 6000, drop_failures).0).0.contains(&Rule::Lost));
+    assert!(violations(&run_random_steps(1, 6000, reject_failures).0).0.contains(&Rule::Repeated));
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let actions = || {
         let log = std::cell::RefCell::new(String::new());
-        play(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n")));
+        run_random_steps(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n")));
         log.into_inner()
     };
     assert!(actions() == actions());
--- a/crates/simulation/tests/trouble.rs
+++ b/crates/simulation/tests/trouble.rs
@@ -1,5 +1,5 @@
-//! Trouble of whole depots, of shares and in steps: each strikes whom it names, and the decision module keeps the rules
-//! through the worst of it.
+//! Faults of whole depots, of shares of the fleet, and in steps: each affects only its targets, and the balancer keeps
+//! the rules under the worst of them.
 
 use std::collections::HashSet;
 
@@ -12,7 +12,7 @@
 use hallpin_simulation::trace::{Ended, Event, How, Sink};
 use hallpin_simulation::world::World;
 
-/// A day of 12 s, from 3 s on in trouble.
+/// A day of 12 s; its incidents begin at 3 s.
 fn day(rest: &str, seed: u64) -> Day {
     let text = format!("version = 1\nlength = \"12s\"\n[nodes]\ncount = 8\n[clients]\nrate = 150.0\n{rest}");
     Scenario::parse(&text).expect("a scenario").draw(seed).expect("a day")
@@ -22,7 +22,7 @@
     format!("[[incidents]]\nkind = \"{kind}\"\nat = \"3s\"\n{rest}\n")
 }
 
-fn play(day: &Day) -> (Vec<(Time, Event)>, Verdict) {
+fn run(day: &Day) -> (Vec<(Time, Event)>, Verdict) {
     let (mut events, mut referee) = (Vec::new(), Referee::new(day));
     let sink = |at: Time, event: &Event| {
         events.push((at, event.clone()));
@@ -36,15 +36,15 @@
     Time::ZERO + Span::from_millis(ms)
 }
 
-/// The rules are kept on each of these days, on two seeds.
+/// Each of these days keeps the rules, on two seeds.
 #[test]
-fn the_module_keeps_the_rules_through_the_worst_days() {
-    let lost = incident("silent", "lasts = \"5s\"\ndepot = \"any\"");
-    let cut = incident("cut-off", "lasts = \"5s\"\ndepot = \"any\"");
+fn the_balancer_keeps_the_rules_under_severe_faults() {
+    let silent_depot = incident("silent", "lasts = \"5s\"\ndepot = \"any\"");
+    let cut_off = incident("cut-off", "lasts = \"5s\"\ndepot = \"any\"");
     for (what, rest) in [
-        ("no node lives for a second", incident("node-death", "lasts = \"1s\"\npart = 1.0")),
-        ("a list that names no box", incident("drain", "lasts = \"2s\"\npart = 1.0")),
-        ("a depot lost while another is cut off", format!("{lost}{cut}")),
+        ("no node runs for a second", incident("node-death", "lasts = \"1s\"\npart = 1.0")),
+        ("a list without ready boxes", incident("drain", "lasts = \"2s\"\npart = 1.0")),
+        ("a depot lost while another is cut off", format!("{silent_depot}{cut_off}")),
         ("all nodes restarted at once", incident("node-restart", "part = 1.0\neach = \"100ms\"")),
         (
             "boxes replaced twice within the list's delay",
@@ -65,12 +65,12 @@
             "late lists",
             incident("late-list", "by = \"4s\"") + &incident("kill", "lasts = \"1s\"\npart = 0.3"),
         ),
-        ("no patience", incident("impatient", "share = 0.5\nfactor = 10.0")),
-        ("in haste", incident("hasty", "share = 0.6\nby = \"60ms\"\nrounds = 20")),
+        ("impatient clients", incident("impatient", "share = 0.5\nfactor = 10.0")),
+        ("hasty clients", incident("hasty", "share = 0.6\nby = \"60ms\"\nrounds = 20")),
         ("boxes that fail", incident("erring", "share = 0.7\npart = 0.5")),
     ] {
         for seed in 1..=2 {
-            let (_, verdict) = play(&day(&rest, seed));
+            let (_, verdict) = run(&day(&rest, seed));
             assert!(verdict.is_clean(), "{what}, seed {seed}: {:?}", verdict.told);
             assert!(verdict.whole.requests > 1000, "{what}, seed {seed}");
         }
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn while_no_node_lives_nothing_is_taken() {
-    let (events, verdict) = play(&day(&incident("node-death", "lasts = \"1s\"\npart = 1.0"), 1));
+fn no_try_is_accepted_while_no_node_runs() {
+    let (events, verdict) = run(&day(&incident("node-death", "lasts = \"1s\"\npart = 1.0"), 1));
     let taken = |e: &&(Time, Event)| matches!(e.1, Event::Taken { .. }) && e.0 > at(3000) && e.0 < at(4000);
     assert_eq!(events.iter().filter(taken).count(), 0);
     assert!(verdict.losses.contains_key(&Loss::NodeDown));
@@ -87,20 +87,20 @@
 }
 
 #[test]
-fn with_no_box_on_the_list_all_is_refused_at_once() {
-    let (events, _) = play(&day(&incident("drain", "lasts = \"8s\"\npart = 1.0"), 1));
+fn without_ready_boxes_requests_are_rejected_at_once() {
+    let (events, _) = run(&day(&incident("drain", "lasts = \"8s\"\npart = 1.0"), 1));
     let told = |e: &Event| matches!(e, Event::Told { phase: Phase::Draining, .. });
     let last = events.iter().rfind(|(_, e)| told(e)).expect("told").0;
-    let closed = last + Span::from_millis(1000);
-    let late = events.iter().filter(|(t, _)| *t > closed);
-    assert!(late.clone().all(|(_, e)| !matches!(e, Event::Sent { .. })));
-    assert!(late.clone().any(|(_, e)| matches!(e, Event::Answered { how: How::Rejected, .. })));
+    let drained = last + Span::from_millis(1000);
+    let later = events.iter().filter(|(t, _)| *t > drained);
+    assert!(later.clone().all(|(_, e)| !matches!(e, Event::Sent { .. })));
+    assert!(later.clone().any(|(_, e)| matches!(e, Event::Answered { how: How::Rejected, .. })));
 }
 
 #[test]
-fn a_depot_that_is_lost_is_all_of_its_boxes_and_no_other() {
+fn a_silent_depot_affects_exactly_its_boxes() {
     let day = day(&incident("silent", "lasts = \"4s\"\ndepot = \"east\""), 1);
-    let (events, _) = play(&day);
+    let (events, _) = run(&day);
     let mut down: Vec<usize> = events
         .iter()
         .filter_map(|(_, e)| match e {
@@ -114,10 +114,10 @@
 }
 
 #[test]
-fn what_is_cut_one_way_arrives_and_is_not_answered() {
+fn a_one_way_cut_drops_only_outgoing_traffic() {
     let day = day(&incident("cut-off", "depot = \"north\"\none_way = true"), 1);
-    let (events, _) = play(&day);
-    // Behind the attempts that were on their way, and before kept connections are all gone.
+    let (events, _) = run(&day);
+    // After the attempts in flight at the cut have ended, and before all idle connections are used up.
     let after: Vec<&Event> =
         events.iter().filter(|(t, _)| *t > at(3100) && *t < at(6000)).map(|(_, e)| e).collect();
     let is_north = |depot: usize| depot == 0;
@@ -125,21 +125,21 @@
         matches!(e, Event::Reached { to, node, read: true, .. }
             if is_north(day.boxes[*to].depot) && !is_north(day.nodes[*node]))
     });
-    assert!(reached, "what is sent into the depot arrives");
+    assert!(reached, "traffic into the depot arrives");
     let out = after.iter().any(|e| {
         matches!(e, Event::Reached { to, node, .. }
             if !is_north(day.boxes[*to].depot) && is_north(day.nodes[*node]))
     });
-    assert!(!out, "nothing comes out of it");
+    assert!(!out, "traffic out of the depot is dropped");
 }
 
 #[test]
-fn a_list_that_is_late_is_late_for_its_depot_and_in_its_order() {
+fn a_late_list_affects_only_its_depot_and_keeps_its_order() {
     let rest = "[list]\nnotice = \"500ms\"\nspread = \"100ms\"\nadd = \"500ms\"\n".to_string()
         + &incident("late-list", "by = \"3s\"\ndepot = \"south\"")
         + &incident("kill", "lasts = \"2s\"\nboxes = 1");
     let day = day(&rest, 1);
-    let (events, _) = play(&day);
+    let (events, _) = run(&day);
     let first = |south: bool, wanted: Phase| {
         let told = |(t, e): &(Time, Event)| match e {
             Event::Told { node, phase, .. } if *t > at(3000) && *phase == wanted => {
@@ -150,16 +150,19 @@
         events.iter().find_map(told).expect("told")
     };
     assert!(first(false, Phase::Gone) < at(3700) && first(true, Phase::Gone) >= at(6500));
-    assert!(first(true, Phase::Ready) > first(true, Phase::Gone), "it is told what was, not what is by now");
+    assert!(
+        first(true, Phase::Ready) > first(true, Phase::Gone),
+        "the depot receives past changes, not the current state"
+    );
 }
 
 #[test]
-fn answers_are_lost_and_connections_reset_at_the_stated_rate() {
+fn answers_are_lost_and_connections_reset_at_the_configured_rate() {
     for (kind, how) in [("lost-answers", Ended::TimedOut), ("resets", Ended::Broken)] {
-        let (events, _) = play(&day(&incident(kind, "share = 1.0"), 1));
-        let late = events.iter().filter(|(t, _)| *t > at(3500));
+        let (events, _) = run(&day(&incident(kind, "share = 1.0"), 1));
+        let later = events.iter().filter(|(t, _)| *t > at(3500));
         let ends = |wanted: Ended| {
-            late.clone().filter(|(_, e)| matches!(e, Event::Ended { how, .. } if *how == wanted)).count()
+            later.clone().filter(|(_, e)| matches!(e, Event::Ended { how, .. } if *how == wanted)).count()
         };
         assert_eq!(ends(Ended::Success), 0, "{kind}");
         assert!(ends(how) > 50, "{kind}");
@@ -169,8 +172,8 @@
 #[test]
 fn traffic_shifts_to_the_nodes_of_a_depot_and_back() {
     let day = day(&incident("shift", "lasts = \"4s\"\ndepot = \"north\"\nfactor = 4.0"), 1);
-    let (events, _) = play(&day);
-    // First tries only: who is refused comes again.
+    let (events, _) = run(&day);
+    // First tries only: rejected clients retry.
     let mut asked = HashSet::new();
     let first = |(t, e): &(Time, Event)| match e {
         Event::Taken { ask, node, .. } if asked.insert(*ask) => Some((*t, day.nodes[*node] == 0)),
@@ -190,23 +193,23 @@
 }
 
 #[test]
-fn in_steps_all_are_struck_once_and_replacements_are_replaced() {
+fn steps_affect_each_target_once_and_rounds_replace_replacements() {
     let rest = incident("node-death", "lasts = \"1s\"\npart = 1.0\neach = \"1s\"\nsteps = 4");
-    let struck: Vec<(Time, String)> =
+    let scheduled: Vec<(Time, String)> =
         day(&rest, 1).incidents.iter().map(|i| (i.at, i.incident.to_string())).collect();
     let steps: Vec<(Time, String)> =
         [3000, 4000, 5000, 6000].map(|ms| (at(ms), "2 nodes die".to_string())).to_vec();
-    assert_eq!(struck, steps);
-    let again = day(&incident("replace", "lasts = \"1s\"\nboxes = 2\nrounds = 3"), 1);
-    assert_eq!(again.boxes.len(), 12 + 2 * 3);
-    assert_eq!(again.incidents.len(), 3 * 2, "a drain and a join for each round");
-    let drains: Vec<Time> = again.incidents.iter().step_by(2).map(|i| i.at).collect();
+    assert_eq!(scheduled, steps);
+    let replaced = day(&incident("replace", "lasts = \"1s\"\nboxes = 2\nrounds = 3"), 1);
+    assert_eq!(replaced.boxes.len(), 12 + 2 * 3);
+    assert_eq!(replaced.incidents.len(), 3 * 2, "a drain and a join for each round");
+    let drains: Vec<Time> = replaced.incidents.iter().step_by(2).map(|i| i.at).collect();
     assert!(drains.windows(2).all(|pair| pair[1] > pair[0] + Span::from_millis(1000)), "{drains:?}");
 }
 
 #[test]
-fn what_cannot_be_is_refused_with_its_place() {
-    for (rest, path, says) in [
+fn invalid_incidents_are_rejected_with_their_location() {
+    for (rest, path, message) in [
         (incident("silent", "depot = \"west\"\nboxes = 4"), "boxes", "at most 3"),
         (incident("silent", "depot = \"moon\""), "depot", "name of a depot"),
         (incident("cut-off", "lasts = \"1s\""), "depot", "expected for an incident"),
@@ -219,19 +222,19 @@
         (incident("resets", "share = 0.1\ndepot = \"north\""), "depot", "does not belong"),
     ] {
         let text = format!("version = 1\nlength = \"12s\"\n{rest}");
-        let wrong = Scenario::parse(&text).expect_err(&rest);
-        assert_eq!(wrong.path, format!("incidents[0].{path}"), "{rest}: {wrong}");
-        assert!(wrong.what.contains(says), "{rest}: {wrong}");
-        assert!(wrong.line > 2, "{wrong}");
+        let error = Scenario::parse(&text).expect_err(&rest);
+        assert_eq!(error.path, format!("incidents[0].{path}"), "{rest}: {error}");
+        assert!(error.what.contains(message), "{rest}: {error}");
+        assert!(error.line > 2, "{error}");
     }
 }
 
-/// Hasty clients come again at once, whatever they are advised, and for as long as their request has time; the others
-/// ask as they ever did.
+/// Hasty clients retry at once, whatever the advised delay, while their request has time left; the other clients are
+/// unchanged.
 #[test]
-fn hasty_clients_give_a_try_little_time_and_come_again_at_once() {
+fn hasty_clients_use_short_tries_and_retry_at_once() {
     let tries_of_the_busiest = |rest: &str| {
-        let (events, verdict) = play(&day(rest, 1));
+        let (events, verdict) = run(&day(rest, 1));
         assert!(verdict.is_clean(), "{:?}", verdict.told);
         let mut tries = std::collections::BTreeMap::<u64, Vec<Time>>::new();
         for (t, e) in &events {
@@ -249,12 +252,12 @@
     assert!(tries_of_the_busiest("").len() < 10);
 }
 
-/// Clients that write slowly count from their first byte; the node has what is left of their time when it has their last.
+/// A slow writer's deadline runs from its first byte; the node gets the time that is left after the last byte.
 #[test]
-fn slow_writers_get_their_answer_in_the_time_that_runs_from_their_first_byte() {
+fn the_deadline_of_slow_writers_runs_from_their_first_byte() {
     let slow = incident("slow-writers", "share = 0.5\nby = \"400ms\"");
     for seed in 1..=3 {
-        let (events, verdict) = play(&day(&slow, seed));
+        let (events, verdict) = run(&day(&slow, seed));
         assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
         let mut asked = std::collections::BTreeMap::<u64, Time>::new();
         let mut writing = Vec::<Span>::new();
@@ -266,7 +269,7 @@
                 _ => {}
             }
         }
-        let longest = writing.iter().max().expect("some are taken");
+        let longest = writing.iter().max().expect("some tries are accepted");
         assert!((Span::from_millis(350)..Span::from_millis(410)).contains(longest), "{longest}");
         let share =
             writing.iter().filter(|w| **w > Span::from_millis(1)).count() as f64 / writing.len() as f64;
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -1,4 +1,4 @@
-//! Whole days: alike for the same seed, and clean whatever happens on them.
+//! Full simulated days: deterministic for a seed, and without rule violations under any fault.
 
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
     (text, referee.verdict())
 }
 
-const ALL: &str = r#"
+const ALL_INCIDENTS: &str = r#"
 [[incidents]]
 kind = "silent"
 at = "3s"
@@ -90,41 +90,41 @@
 "#;
 
 #[test]
-fn one_seed_gives_one_trace_on_any_thread_and_another_one_another() {
-    let (first, _) = trace(ALL, 1);
-    let again: Vec<String> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..3).map(|_| scope.spawn(|| trace(ALL, 1).0)).collect();
+fn a_seed_determines_the_trace_on_any_thread() {
+    let (first, _) = trace(ALL_INCIDENTS, 1);
+    let others: Vec<String> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..3).map(|_| scope.spawn(|| trace(ALL_INCIDENTS, 1).0)).collect();
         threads.into_iter().map(|t| t.join().expect("a trace")).collect()
     });
-    assert!(again.iter().all(|other| *other == first));
-    assert_ne!(trace(ALL, 2).0, first);
+    assert!(others.iter().all(|other| *other == first));
+    assert_ne!(trace(ALL_INCIDENTS, 2).0, first);
 }
 
-/// The digest of one short trace: it is the same on every machine and at every optimisation.
+/// The digest of one short trace is the same on every machine and at every optimisation level.
 #[test]
 fn a_trace_is_the_same_on_every_machine() {
     let (text, _) = trace("", 7);
     let digest = twox_hash::XxHash3_64::oneshot(text.as_bytes());
     let lines = text.lines().count();
     assert!(lines > 10_000, "{lines}");
-    // Changes with the model or the decisions, never with the machine.
+    // The digest changes with the simulation model or the balancer, never with the machine.
     let known = include_str!("trace-digest.txt").trim();
     assert_eq!(format!("{digest:016x}"), known, "{lines} lines");
 }
 
 #[test]
-fn the_decisions_keep_the_rules_on_days_full_of_trouble() {
+fn the_balancer_keeps_the_rules_under_many_faults() {
     for seed in 1..=6 {
-        let (_, verdict) = trace(ALL, seed);
+        let (_, verdict) = trace(ALL_INCIDENTS, seed);
         assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
         assert_eq!(verdict.stale, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_node_that_dies_loses_what_it_held_and_breaks_no_rule() {
-    let death = "[[incidents]]\nkind = \"node-death\"\nat = \"5s\"\nlasts = \"5s\"\nnodes = 3\n";
-    let (text, verdict) = trace(death, 3);
+fn a_node_crash_loses_open_requests_and_breaks_no_rule() {
+    let node_death = "[[incidents]]\nkind = \"node-death\"\nat = \"5s\"\nlasts = \"5s\"\nnodes = 3\n";
+    let (text, verdict) = trace(node_death, 3);
     assert!(verdict.is_clean(), "{:?}", verdict.told);
     assert_eq!(text.matches("\"node-down\"").count(), 3);
     assert_eq!(text.matches("\"node-up\"").count(), 6);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn clients_that_leave_early_are_owed_nothing() {
+fn abandoned_requests_need_no_answer() {
     let mut scenario = scenario("");
     scenario.clients.abandons = hallpin_simulation::range::Range::one(0.3);
     let day = scenario.draw(1).expect("a day");
@@ -148,10 +148,10 @@
     assert!(verdict.losses.contains_key(&Loss::NoAnswer), "{:?}", verdict.losses);
 }
 
-/// Two incidents on one box: it is silent until both have ended, slow through both, and comes back once.
+/// Overlapping incidents on one box: it stays silent until the last silence has ended, and restarts once.
 #[test]
-fn incidents_on_one_box_add_up_and_it_comes_back_once() {
-    let twice = r#"
+fn overlapping_incidents_on_one_box_restart_it_once() {
+    let incidents = r#"
 [[boxes]]
 kind = "only"
 count = 1
@@ -174,25 +174,25 @@
 lasts = "5s"
 boxes = 1
 "#;
-    let (text, verdict) = trace(twice, 2);
+    let (text, verdict) = trace(incidents, 2);
     assert!(verdict.is_clean(), "{:?}", verdict.told);
     let at = |event: &str| -> Vec<u64> {
         let line = |line: &str| serde_json::from_str::<Line>(line).expect("a line").at.0;
         text.lines().filter(|l| l.contains(event)).map(line).collect()
     };
     assert_eq!(at("\"box-down\""), [3_000_000]);
-    assert_eq!(at("\"box-up\""), [0, 10_000_000], "when the later of the two has ended");
+    assert_eq!(at("\"box-up\""), [0, 10_000_000], "one restart, after the later silence has ended");
 }
 
-/// A client that stopped waiting comes again while the box still works for its first try: two tries, one answer each.
+/// A client gives up a try and retries while the box still works on the first one: each try gets at most one answer.
 #[test]
-fn a_retry_while_its_first_try_still_runs_is_answered_once() {
+fn a_retry_during_its_first_try_is_answered_once() {
     let mut scenario =
         scenario("[[incidents]]\nkind = \"slow\"\nat = \"2s\"\nlasts = \"15s\"\npart = 1.0\nfactor = 12.0\n");
     scenario.clients.rate = hallpin_simulation::range::Range::one(20.0);
     scenario.clients.retries = hallpin_simulation::range::Range::one(2);
     let day = scenario.draw(4).expect("a day");
-    let (mut tries, mut received, mut again) =
+    let (mut tries, mut received, mut retries) =
         (std::collections::BTreeMap::new(), std::collections::BTreeMap::new(), 0);
     let mut referee = Referee::new(&day);
     let sink = |at: Time, event: &Event| {
@@ -200,7 +200,7 @@
             Event::Taken { ask, .. } => {
                 let tries = tries.entry(*ask).or_insert(0);
                 *tries += 1;
-                again += u32::from(*tries > 1);
+                retries += u32::from(*tries > 1);
             }
             Event::Received { ask, .. } => *received.entry(*ask).or_insert(0) += 1,
             _ => {}
@@ -210,19 +210,20 @@
     let _ = World::new(&day, &policy::module, sink).expect("a world").run();
     let verdict = referee.verdict();
     assert!(verdict.is_clean(), "{:?}", verdict.told);
-    assert!(again > 20, "{again} came again");
+    assert!(retries > 20, "{retries} retries");
     assert!(received.values().all(|n| *n == 1));
 }
 
-/// Gives each first attempt up after a fixed time and sends the request to another box.
+/// Cancels each first attempt after a fixed time and sends the request to another box.
 #[derive(Default)]
-struct Impatient {
+struct FixedTimeout {
     servers: Vec<ServerId>,
     open: BTreeSet<u64>,
 }
 
-impl Impatient {
-    const PATIENCE: f64 = 0.03;
+impl FixedTimeout {
+    /// Seconds until the first attempt is cancelled.
+    const FIRST_ATTEMPT_TIMEOUT_S: f64 = 0.03;
 
     fn send(&self, request: u64, attempt: u64, actions: &mut Vec<Action>) {
         let server = self.servers[(request + attempt) as usize % self.servers.len()].clone();
@@ -230,7 +231,7 @@
     }
 }
 
-impl Policy for Impatient {
+impl Policy for FixedTimeout {
     fn handle(&mut self, _: f64, event: decisions::Event, _: &dyn Sight, actions: &mut Vec<Action>) {
         match event {
             decisions::Event::Endpoints(EndpointUpdate::Cached(list) | EndpointUpdate::Full(list)) => {
@@ -239,7 +240,10 @@
             decisions::Event::Request(new) => {
                 self.open.insert(new.id.0);
                 self.send(new.id.0, 0, actions);
-                actions.push(Action::SetTimer { token: TimerToken(new.id.0), after: Self::PATIENCE });
+                actions.push(Action::SetTimer {
+                    token: TimerToken(new.id.0),
+                    after: Self::FIRST_ATTEMPT_TIMEOUT_S,
+                });
             }
             decisions::Event::Timer(TimerToken(id)) if self.open.contains(&id) => {
                 actions.push(Action::Cancel { request: RequestId(id), attempt: AttemptId(0) });
@@ -253,7 +257,7 @@
     }
 }
 
-/// An answer that is on its way when its attempt is cancelled is nobody's: the other attempt's is given, once.
+/// An answer that crosses the cancellation of its attempt is dropped, and the other attempt's answer is given once.
 #[test]
 fn an_answer_that_crosses_a_cancel_is_dropped_and_the_request_is_answered_once() {
     let day =
@@ -265,7 +269,7 @@
         events.push(event.clone());
         hallpin_simulation::trace::Sink::record(&mut referee, at, event);
     };
-    let start = |_, _| Ok(Box::<Impatient>::default() as Box<dyn Policy>);
+    let start = |_, _| Ok(Box::<FixedTimeout>::default() as Box<dyn Policy>);
     let _ = World::new(&day, &start, sink).expect("a world").run();
     let worked: BTreeSet<u64> = events
         .iter()
@@ -295,14 +299,14 @@
             .collect();
         assert!(answers.len() <= 1, "{id}: {answers:?}");
         let second = |e: &Event| matches!(e, Event::Ended { id: of, attempt: 1, .. } if *of == id);
-        assert!(events.iter().any(second), "{id}: the other attempt went its way");
+        assert!(events.iter().any(second), "{id}: the other attempt has no outcome");
     }
-    // This policy waits for its deadlines, which breaks the term on that and nothing else.
+    // This policy lets requests wait until their deadlines, which violates `Rule::Waited` and no other rule.
     let verdict = referee.verdict();
     assert!(verdict.breaches.keys().all(|rule| *rule == Rule::Waited), "{:?}", verdict.told);
 }
 
-fn mixed(seed: u64) -> Verdict {
+fn run_mixed(seed: u64) -> Verdict {
     let day = Scenario::parse(include_str!("../../../scenarios/mixed.toml")).expect("a scenario").draw(seed);
     let day = day.expect("a day");
     let mut referee = Referee::new(&day);
@@ -311,19 +315,19 @@
     referee.verdict()
 }
 
-/// Dear requests meet boxes that come back cold: none of them is brought down.
+/// Expensive requests reach boxes that restart with a cold cache: none of these boxes crashes from overload.
 #[test]
-fn boxes_that_come_back_cold_amid_dear_requests_stay_up() {
+fn cold_boxes_withstand_expensive_requests() {
     for seed in [11, 69, 205] {
-        let verdict = mixed(seed);
+        let verdict = run_mixed(seed);
         assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
     }
 }
 
-/// A box that comes back cold and slow bears a seventh of what a cold one does: late reads there tell, and no box that
-/// comes back is leant on by all at once.
+/// A box that restarts cold and slow withstands a seventh of the load of a cold one. The balancer must react to late
+/// reads there, and nodes must not all send to a restarted box at once.
 #[test]
-fn a_box_that_comes_back_cold_and_slow_stays_up() {
-    let verdict = mixed(115);
+fn a_cold_and_slow_box_withstands_its_load() {
+    let verdict = run_mixed(115);
     assert!(verdict.is_clean(), "{:?}", verdict.told);
 }
