--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -8,6 +8,7 @@
         self.nodes[node].alive && self.nodes[node].generation == generation
     }
 
+    /// Passes an event to the policy of a node, after those already pending.
     pub(super) fn notify_policy(&mut self, node: NodeId, event: decisions::Event) {
         self.nodes[node].pending_events.push_back(event);
         self.process_events(node);
@@ -37,6 +38,7 @@
         }
     }
 
+    /// Carries out one action of a node's policy.
     pub(super) fn apply_action(&mut self, node: NodeId, action: Action) {
         match action {
             Action::Send { request, server, timeout } => {
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Starts an attempt at a box. Its outcome is `Void` if the try is answered or has no attempts or time left.
     pub(super) fn start_attempt(&mut self, node: NodeId, id: TryId, server: &ServerId, timeout: Option<f64>) {
         let (now, generation, max) =
             (self.now, self.nodes[node].generation, self.day.limits.max_attempts as usize);
@@ -83,7 +86,7 @@
         let work = work * self.clients.attempt_factor();
         self.attempts_started += 1;
         let index = self.in_flight.vacant_key();
-        let token = self.attempts_started << due::SLAB_INDEX_BITS | index as u64;
+        let token = self.attempts_started << state::SLAB_INDEX_BITS | index as u64;
         let job = Job { token, key, bytes: self.keys.bytes(key), work, write, deadline: until };
         let in_flight = InFlightAttempt {
             token,
@@ -104,7 +107,7 @@
             accepted.attempts.push(Attempt { sent_at: now, to, sent, token: Some(token) });
         }
         let crosses = self.nodes[node].depot != self.day.boxes[to].depot;
-        // The job's deadline is never beyond the client's, so no separate wait is recorded.
+        // Not recorded: the wait announced to the box is the job's deadline, which is never beyond the client's.
         self.record(Event::Sent { id, attempt, node, to, crosses, wait: None });
         self.schedule_at(until, ScheduledEvent::AttemptDeadline { node, generation, id, attempt });
         match self.take_idle_connection(node, to) {
@@ -116,6 +119,7 @@
         }
     }
 
+    /// The attempt with this token, unless it has ended and its slab slot was reused.
     pub(super) fn find_in_flight(&self, token: u64) -> Option<&InFlightAttempt> {
         self.in_flight.get(slab_index(token)).filter(|in_flight| in_flight.token == token)
     }
@@ -157,6 +161,7 @@
         }
     }
 
+    /// Records the outcome of an attempt that has none yet.
     pub(super) fn end_attempt(
         &mut self,
         node: NodeId,
@@ -186,6 +191,7 @@
         self.remove_finished_try(node, id);
     }
 
+    /// Handles a box's answer at the node; the connection becomes idle.
     pub(super) fn answer_at_node(&mut self, token: u64, answer: BoxAnswer) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, generation, id, attempt, to) =
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl<S: Sink> World<'_, S> {
+    /// Handles an attempt's command at its box.
     pub(super) fn attempt_at_box(&mut self, token: u64) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, to, box_generation, mut job) =
@@ -28,6 +29,7 @@
         self.apply_box_outputs(to);
     }
 
+    /// Handles the end of a connection at its box, and cancels the attempt that used it.
     pub(super) fn closed_at_box(&mut self, at: BoxId, generation: u32, cancels: Option<u64>) {
         if self.boxes[at].generation != generation || !self.boxes[at].cache.is_up() {
             return;
@@ -75,6 +77,7 @@
         }
     }
 
+    /// Sends a box's answer to the node; network faults may drop it or reset the connection.
     pub(super) fn box_answers(&mut self, at: BoxId, token: u64, answer: BoxAnswer) {
         // The attempt is gone if its node has abandoned it or died.
         let Some(in_flight) = self.find_in_flight(token) else { return };
@@ -122,6 +125,7 @@
         self.reset_connections(at);
     }
 
+    /// Starts the process of a box with an empty store.
     pub(super) fn start_box(&mut self, at: BoxId) {
         self.boxes[at].cache.start(self.now);
         self.boxes[at].generation += 1;
@@ -131,12 +135,14 @@
         self.update_list_after(self.day.list.add, listing(at, Phase::Ready, Some(self.now)));
     }
 
+    /// Records the start of a box with its capacity and warm-up.
     pub(super) fn record_box_up(&mut self, of: BoxId, cold: bool) {
         let spec = &self.day.boxes[of];
         let (capacity, size, from, ramp) = (spec.capacity(), spec.size, spec.cold_from, spec.ramp);
         self.record(Event::BoxUp { of, capacity, size, cold, from, ramp });
     }
 
+    /// Handles a box's call at the planner.
     pub(super) fn ask_at_planner(&mut self, by: BoxId, generation: u32, ask: Ask, cold: bool) {
         let mut outputs = Vec::new();
         self.planes.tally.fetch(self.now, by, ask.key, ask.write.is_some());
@@ -144,6 +150,7 @@
         self.apply_origin_outputs(outputs);
     }
 
+    /// Records the planner's events, sends its answers and schedules its wake-ups.
     pub(super) fn apply_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
         for out in outputs {
             match out {
@@ -160,6 +167,7 @@
         }
     }
 
+    /// Handles the planner's answer at a box; ignored if the box's process has ended.
     pub(super) fn planner_answers(&mut self, to: BoxId, generation: u32, id: u64, version: Option<u64>) {
         let box_state = &mut self.boxes[to];
         if box_state.generation != generation || !box_state.cache.is_up() {
--- a/crates/simulation/src/world/ways.rs
+++ b/crates/simulation/src/world/connections.rs
@@ -47,6 +47,7 @@
         self.schedule_after(handshake, ScheduledEvent::ConnectionUp(token));
     }
 
+    /// Handles an established connection; fails the attempt if the box is down or accepts no more connections.
     pub(super) fn connection_up(&mut self, token: u64) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let to = in_flight.to;
@@ -97,11 +98,13 @@
         }
     }
 
+    /// Ends an attempt whose connection was reset: `Broken` if the command was written, else `Unreachable`.
     pub(super) fn connection_reset(&mut self, token: u64) {
         let written = self.find_in_flight(token).is_some_and(|f| f.written);
         self.end_in_flight(token, if written { Status::Broken } else { Status::Unreachable });
     }
 
+    /// Closes a node's connections that were idle for 90% of their box's idle timeout, and schedules the next sweep.
     pub(super) fn close_expired_connections(&mut self, node: NodeId) {
         let generation = self.nodes[node].generation;
         for to in 0..self.boxes.len() {
--- a/crates/simulation/src/world/listed.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl<S: Sink> World<'_, S> {
+    /// Schedules an update of discovery's list.
     pub(super) fn update_list_after(&mut self, delay: Span, listing: Listing) {
         self.schedule_after(delay, ScheduledEvent::ListUpdate(listing));
     }
@@ -104,6 +105,7 @@
         }
     }
 
+    /// Schedules the reopening of a node's watch after the call timeout.
     pub(super) fn schedule_watch_reopen(&mut self, node: NodeId) {
         let generation = self.nodes[node].generation;
         self.schedule_after(self.day.shell.reopens, ScheduledEvent::WatchOpens { node, generation });
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Delivers a list update to a node's policy and plane, and records it.
     pub(super) fn deliver_list_update(&mut self, node: NodeId, update: News) {
         self.nodes[node].revision = update.revision;
         let entries: Vec<EndpointEntry> = update.listings.iter().map(|l| self.entry(*l)).collect();
@@ -151,6 +154,7 @@
         self.update_plane_list(node, Some(update.revision));
     }
 
+    /// The endpoint entry of a listed box, as a policy receives it.
     pub(super) fn entry(&self, listing: Listing) -> EndpointEntry {
         let spec = &self.day.boxes[listing.cache_box];
         EndpointEntry {
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl<S: Sink> World<'_, S> {
+    /// Applies an incident, and schedules its end if it has a duration.
     pub(super) fn incident_begins(&mut self, at: usize) {
         let scheduled = &self.day.incidents[at];
         self.record(Event::Begins { incident: at, what: scheduled.incident.to_string() });
@@ -49,6 +50,7 @@
         }
     }
 
+    /// Reverts an incident.
     pub(super) fn incident_ends(&mut self, at: usize) {
         self.record(Event::Ends { incident: at });
         let mut outputs = Vec::new();
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -6,16 +6,16 @@
 mod answers;
 mod attempts;
 mod boxes;
-mod door;
-mod due;
+mod connections;
+mod endpoint_list;
 mod incidents;
-mod listed;
-mod lives;
 mod network;
 mod plane;
-mod sight;
+mod policy_view;
+mod processes;
 mod start;
-mod ways;
+mod state;
+mod tries;
 
 use std::collections::VecDeque;
 
@@ -42,13 +42,13 @@
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 use crate::trace::{Event, How, Sink, TryId};
-use due::{
+use plane::PlaneState;
+use policy_view::{PolicyView, RequestKeys};
+pub use start::Parts;
+use state::{
     listing, node_seed, slab_index, AcceptedTry, Attempt, BoxState, InFlightAttempt, NodeState,
     ScheduledEvent,
 };
-use plane::PlaneState;
-use sight::{PolicyView, RequestKeys};
-pub use start::Parts;
 
 /// Interval at which a node closes idle connections that have expired.
 const SWEEP_INTERVAL: Span = Span(1_000_000);
@@ -95,6 +95,7 @@
     attempts_started: u64,
     /// Bytes of each broadcast message and how many copies are still to be delivered.
     messages: FxHashMap<u64, (Vec<u8>, usize)>,
+    /// Id of the last broadcast message.
     next_message: u64,
     /// Number of active incidents that cut each direction between two depots, indexed by `from * depots + to`.
     partition_counts: Vec<u32>,
@@ -137,11 +138,11 @@
     /// Processes the next event due by `end`; without one, records the end of the day and returns false.
     fn step(&mut self, end: Time) -> bool {
         match self.queue.take_until(end) {
-            Some((at, due)) => {
+            Some((at, event)) => {
                 debug_assert!(at >= self.now, "events are processed in time order");
                 self.now = at;
                 self.event_count += 1;
-                self.dispatch(due);
+                self.dispatch(event);
                 true
             }
             None => {
@@ -157,16 +158,17 @@
     }
 
     /// Schedules an event; a time in the past becomes now.
-    fn schedule_at(&mut self, at: Time, due: ScheduledEvent) {
-        self.queue.enter(at.max(self.now), due);
+    fn schedule_at(&mut self, at: Time, event: ScheduledEvent) {
+        self.queue.enter(at.max(self.now), event);
     }
 
-    fn schedule_after(&mut self, span: Span, due: ScheduledEvent) {
-        self.schedule_at(self.now + span, due);
+    fn schedule_after(&mut self, delay: Span, event: ScheduledEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn dispatch(&mut self, due: ScheduledEvent) {
-        match due {
+    /// Processes one event.
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::Arrival => {
                 let steps = self.clients.arrival(self.now, &self.keys);
                 self.client_steps(steps);
--- a/crates/simulation/src/world/network.rs
+++ b/crates/simulation/src/world/network.rs
@@ -24,6 +24,7 @@
         self.is_partitioned(a, b) || self.is_partitioned(b, a)
     }
 
+    /// Adds `by` to the partition counts of directed depot pairs.
     pub(super) fn adjust_partitions(&mut self, pairs: &[(usize, usize)], by: i32) {
         for (a, b) in pairs {
             let pair = &mut self.partition_counts[a * self.day.depots.len() + b];
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Sends a message from one node to all others; each copy may be lost.
     pub(super) fn broadcast(&mut self, from: NodeId, bytes: Vec<u8>) {
         self.next_message += 1;
         let message = self.next_message;
@@ -50,6 +52,7 @@
         }
     }
 
+    /// Delivers a copy of a broadcast message, if the receiver's process still runs.
     pub(super) fn deliver_message(&mut self, to: NodeId, generation: u32, from: NodeId, message: u64) {
         let Some((bytes, copies)) = self.messages.get_mut(&message) else { return };
         let bytes = bytes.clone();
@@ -63,6 +66,7 @@
         }
     }
 
+    /// Sends a health check from a node to a box.
     pub(super) fn start_health_check(&mut self, node: NodeId, server: &ServerId) {
         let Some(of) = self.servers.get(server).copied() else { return };
         self.record(Event::Probed { of });
@@ -79,6 +83,7 @@
         self.schedule_after(delay, ScheduledEvent::ProbeAtBox { node, generation, of });
     }
 
+    /// Handles a health check at its box.
     pub(super) fn health_check_at_box(&mut self, node: NodeId, generation: u32, of: BoxId) {
         let delay = self.network_delay(self.nodes[node].depot, self.day.boxes[of].depot);
         let status = if self.boxes[of].cache.is_up() { Status::Success } else { Status::Unreachable };
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -33,6 +33,7 @@
         Ok(self)
     }
 
+    /// Creates the plane of a node's current process; `None` if the plane is disabled.
     pub(super) fn new_plane(&self, node: NodeId) -> Result<Option<Box<NodePlane>>, WorldError> {
         let state = &self.nodes[node];
         let (nodes, depots) = (self.nodes.len(), self.day.depots.len());
@@ -65,6 +66,7 @@
         self.process_events(node);
     }
 
+    /// Runs a node's plane, unless its wake-up was rescheduled.
     pub(super) fn plane_wakes(&mut self, node: NodeId) {
         let now = self.now;
         if self.nodes[node].plane.as_mut().is_some_and(|plane| plane.wakes.take_if(|at| *at == now).is_some())
@@ -122,6 +124,7 @@
         self.nodes[node].placement_revision = 0;
     }
 
+    /// Reports a new attempt to the node's plane; returns the plane's record of it.
     pub(super) fn plane_attempt_sent(&mut self, node: NodeId, server: &ServerId) -> Option<Sent> {
         self.nodes[node].plane.as_mut().and_then(|plane| plane.sent(server))
     }
@@ -146,14 +149,17 @@
         }
     }
 
+    /// Forgets unanswered attempts at a box whose silence has ended.
     pub(super) fn clear_silence_evidence(&mut self, at: BoxId) {
         self.planes.silent_since.remove(&at);
     }
 
+    /// Records when the list reached a revision.
     pub(super) fn record_list_revision(&mut self, revision: u64) {
         self.planes.tally.spreads.push(Spread { revision, listed: self.now, all: None });
     }
 
+    /// Sets the list revision by which a node places keys.
     fn set_placement_revision(&mut self, node: NodeId, revision: u64) {
         self.nodes[node].placement_revision = revision;
         self.record_placement_spread();
--- a/crates/simulation/src/world/lives.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -25,6 +25,7 @@
         self.schedule_after(SWEEP_INTERVAL, ScheduledEvent::Sweep { node, generation });
     }
 
+    /// Starts a new process of a node that is down.
     pub(super) fn node_starts(&mut self, node: NodeId) {
         if self.nodes[node].alive {
             return;
@@ -72,6 +73,7 @@
         self.schedule_after(kill + LEAVE_DELAY, ScheduledEvent::NodeStarts(node));
     }
 
+    /// Ends the process of a node: its connections close and its open tries are reset.
     pub(super) fn node_ends(&mut self, node: NodeId, planned: bool) {
         if !self.nodes[node].alive {
             return;
@@ -99,10 +101,12 @@
         }
     }
 
+    /// Ends the process of a node as planned.
     pub(super) fn node_leaves(&mut self, node: NodeId) {
         self.node_ends(node, true);
     }
 
+    /// Records the largest policy sizes, once each `SIZES_INTERVAL`.
     pub(super) fn sample_policy_sizes(&mut self) {
         if self.now.0.is_multiple_of(SIZES_INTERVAL.0) {
             let alive = self.nodes.iter().filter(|state| state.alive);
--- a/crates/simulation/src/world/due.rs
+++ b/crates/simulation/src/world/state.rs
@@ -118,7 +118,9 @@
     IncidentBegins(usize),
     /// The incident with this index ends.
     IncidentEnds(usize),
+    /// A new process of a node starts.
     NodeStarts(NodeId),
+    /// A stopping node exits.
     NodeLeaves {
         node: NodeId,
         generation: u32,
@@ -231,6 +233,7 @@
     pub wakes: Option<Time>,
 }
 
+/// Slab index of an attempt, from its token.
 pub(super) fn slab_index(token: u64) -> usize {
     (token & ((1 << SLAB_INDEX_BITS) - 1)) as usize
 }
--- a/crates/simulation/src/world/door.rs
+++ b/crates/simulation/src/world/tries.rs
@@ -6,12 +6,14 @@
 const CLIENT_DELAY_MARGIN: Span = Span(2_000);
 
 impl<S: Sink> World<'_, S> {
+    /// Schedules the next new request of a client.
     pub(super) fn schedule_arrival(&mut self) {
         if let Some(at) = self.clients.next_arrival(self.now) {
             self.schedule_at(at, ScheduledEvent::Arrival);
         }
     }
 
+    /// Schedules the next change of a key, if keys change.
     pub(super) fn schedule_key_change(&mut self) {
         if self.day.keys.changes > 0.0 {
             let wait = Span::from_secs(self.rng.exponential(1.0 / self.day.keys.changes));
@@ -29,6 +31,7 @@
         }
     }
 
+    /// Sends the next try of a request to one of the nodes that clients can reach.
     pub(super) fn next_try(&mut self, ask: u64) {
         let (now, entry) = (self.now, self.day.clients.entry);
         let notice = self.day.clients.front_notice;
@@ -56,7 +59,7 @@
         let state = &self.nodes[node];
         let generation = state.generation;
         if !state.alive || state.accepts_until.is_some_and(|at| self.now >= at) {
-            // On a kept connection that was closed in the middle of a command; that is not a request yet.
+            // A kept connection was closed in the middle of the command, which is not a request yet.
             let half_written = state.accepts_until.is_some_and(|at| first_byte < at);
             if state.new_connections_until.is_some_and(|coming| self.now < coming) && !half_written {
                 // The try came on a new connection, as kept ones have been closed.
