--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -39,8 +39,8 @@
             }),
             Incident::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
             Incident::Burst { factor, share, keys } => {
-                let top = self.rng.some(*keys as usize, self.day.keys.count as usize);
-                let keys = top.into_iter().map(|key| key as KeyId).collect();
+                let drawn = self.rng.some(*keys as usize, self.day.keys.count as usize);
+                let keys = drawn.into_iter().map(|key| key as KeyId).collect();
                 self.clients.burst(at, Some((*factor, *share, keys)));
             }
         }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Reverts an incident.
+    /// Ends an incident: reverts its effect, or stops the boxes of a drain.
     pub(super) fn incident_ends(&mut self, at: usize) {
         self.record(Event::Ends { incident: at });
         let mut outputs = Vec::new();
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -168,8 +168,8 @@
     /// Records the oldest list revision by which any running node places keys.
     pub(super) fn record_placement_spread(&mut self) {
         let running = self.nodes.iter().filter(|state| state.alive);
-        if let Some(least) = running.map(|state| state.placement_revision).min() {
-            self.planes.tally.all_place_by(self.now, least);
+        if let Some(oldest) = running.map(|state| state.placement_revision).min() {
+            self.planes.tally.all_place_by(self.now, oldest);
         }
     }
 }
