--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -132,10 +132,10 @@
         attempt: u32,
         status: Status,
         note: Option<CacheNote>,
-        since: Time,
+        sent_at: Time,
     ) {
         let finished = self.nodes[node].tries.get(&id).is_none_or(|accepted| accepted.answered);
-        let elapsed = self.now.since(since).as_secs();
+        let elapsed = self.now.since(sent_at).as_secs();
         self.record(Event::Ended { id, attempt, how: status.into() });
         let outcome = Outcome {
             request: RequestId(id),
@@ -171,11 +171,11 @@
         note: Option<CacheNote>,
     ) {
         let Some(accepted) = self.nodes[node].tries.get_mut(&id) else { return };
-        let Some(a) = accepted.attempts.get_mut(attempt as usize) else { return };
-        if a.token.take().is_some() {
-            let (since, to, sent) = (a.sent_at, a.to, a.sent);
-            self.plane_attempt_ended(node, to, since, sent, status);
-            self.record_outcome(node, id, attempt, status, note, since);
+        let Some(entry) = accepted.attempts.get_mut(attempt as usize) else { return };
+        if entry.token.take().is_some() {
+            let (sent_at, to, sent) = (entry.sent_at, entry.to, entry.sent);
+            self.plane_attempt_ended(node, to, sent_at, sent, status);
+            self.record_outcome(node, id, attempt, status, note, sent_at);
         }
     }
 
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -46,8 +46,8 @@
     /// Applies the pending outputs of a box and schedules its next wake-up.
     pub(super) fn apply_box_outputs(&mut self, at: BoxId) {
         let mut outputs = std::mem::take(&mut self.outputs);
-        for out in outputs.drain(..) {
-            match out {
+        for output in outputs.drain(..) {
+            match output {
                 BoxOut::Answer(token, answer) => self.box_answers(at, token, answer),
                 BoxOut::Ask { ask, cold } => {
                     let (delay, generation) =
@@ -152,8 +152,8 @@
 
     /// Records the planner's events, sends its answers and schedules its wake-ups.
     pub(super) fn apply_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
-        for out in outputs {
-            match out {
+        for output in outputs {
+            match output {
                 OriginOut::Record(event) => self.record(event),
                 OriginOut::Answer { to, life: generation, id, version } => {
                     let delay = self.jittered(self.day.network.same);
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -134,7 +134,7 @@
         &mut self,
         node: NodeId,
         to: BoxId,
-        since: Time,
+        sent_at: Time,
         sent: Option<Sent>,
         status: Status,
     ) {
@@ -145,7 +145,7 @@
         if unanswered && self.boxes[to].silence_count > 0 {
             let first = *self.planes.silent_since.entry(to).or_insert(self.now);
             self.planes.tally.unanswered += 1;
-            self.planes.tally.after_evidence += u64::from(since > first);
+            self.planes.tally.after_evidence += u64::from(sent_at > first);
         }
     }
 
--- a/crates/simulation/src/world/tries.rs
+++ b/crates/simulation/src/world/tries.rs
@@ -39,17 +39,17 @@
             _ if entry == Entry::Own => true,
             // A stopping node gets new connections until that time, and tries on kept ones for as long as it accepts,
             // whether or not the front has noticed the stop.
-            Some(coming) => now < coming || state.alive && state.accepts_until.is_some_and(|at| now < at),
+            Some(until) => now < until || state.alive && state.accepts_until.is_some_and(|at| now < at),
             None => state
                 .unavailable_since
                 .is_none_or(|at| state.alive && state.accepts_until.is_none() || now < at + notice),
         };
         let open: Vec<bool> = self.nodes.iter().map(is_open).collect();
-        let Some((id, over)) = self.clients.next_try(now, ask, &open) else { return };
+        let Some((id, deadline)) = self.clients.next_try(now, ask, &open) else { return };
         let delay = self.jittered(self.day.network.client);
         let writing = self.clients.open_try(id).map_or(Span::ZERO, |t| t.writing);
         self.schedule_after(delay + writing, ScheduledEvent::TryAtNode(id));
-        self.schedule_at(over, ScheduledEvent::TryDeadline(id));
+        self.schedule_at(deadline, ScheduledEvent::TryDeadline(id));
     }
 
     /// Handles a try whose last byte has reached its node; the node accepts it if it runs and is not stopping.
@@ -61,7 +61,7 @@
         if !state.alive || state.accepts_until.is_some_and(|at| self.now >= at) {
             // A kept connection was closed in the middle of the command, which is not a request yet.
             let half_written = state.accepts_until.is_some_and(|at| first_byte < at);
-            if state.new_connections_until.is_some_and(|coming| self.now < coming) && !half_written {
+            if state.new_connections_until.is_some_and(|until| self.now < until) && !half_written {
                 // The try came on a new connection, as kept ones have been closed.
                 self.record(Event::Dropped { ask, node });
             }
@@ -90,8 +90,8 @@
 
     /// Handles the end of a client's wait for a try; a node that has not answered is told that the client left.
     pub(super) fn try_deadline(&mut self, id: TryId) {
-        let Some(t) = self.clients.open_try(id) else { return };
-        let node = t.node;
+        let Some(open_try) = self.clients.open_try(id) else { return };
+        let node = open_try.node;
         self.record(Event::Abandoned { id });
         if self.mark_answered(node, id) {
             self.notify_policy(node, decisions::Event::ClientLeft(RequestId(id)));
