--- a/crates/hallpin/benches/relay.rs
+++ b/crates/hallpin/benches/relay.rs
@@ -34,7 +34,7 @@
 /// A process under test; dropping the value kills the process.
 struct Target {
     child: Child,
-    at: SocketAddr,
+    address: SocketAddr,
 }
 
 impl Drop for Target {
@@ -50,19 +50,19 @@
 }
 
 /// Waits until the process listens at its address.
-fn wait_until_listening(child: Child, at: SocketAddr) -> BenchResult<Target> {
+fn wait_until_listening(child: Child, address: SocketAddr) -> BenchResult<Target> {
     let start = Instant::now();
-    while std::net::TcpStream::connect(at).is_err() {
+    while std::net::TcpStream::connect(address).is_err() {
         if start.elapsed() > Duration::from_secs(10) {
-            return Err("a target did not come up".into());
+            return Err("the target does not listen after 10 s".into());
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    Ok(Target { child, at })
+    Ok(Target { child, address })
 }
 
 fn start_node(boxes: &[FakeServer], folder: &Path) -> BenchResult<Target> {
-    let at = free_port()?;
+    let address = free_port()?;
     let scenario = Scenario::parse("version = 1\n[nodes]\ncount = 1\n")?;
     let day = scenario.draw(1)?;
     let member = |(n, fake_server): (usize, &FakeServer)| {
@@ -71,7 +71,7 @@
     };
     let members: Vec<_> = boxes.iter().enumerate().map(member).collect();
     let config = json!({
-        "name": "n0", "listen": at, "discovery": free_port()?, "seed": "1",
+        "name": "n0", "listen": address, "discovery": free_port()?, "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
         "known": {"revision": 1, "complete": true, "members": members}, "settings": day.settings(0),
     });
@@ -83,27 +83,27 @@
         .env("HALLPIN_LOG", "error")
         .stdin(Stdio::piped())
         .spawn()?;
-    wait_until_listening(child, at)
+    wait_until_listening(child, address)
 }
 
 fn start_relay(boxes: &[FakeServer]) -> BenchResult<Target> {
-    let at = free_port()?;
+    let address = free_port()?;
     let child = Command::new(std::env::current_exe()?)
         .arg("relay")
-        .arg(at.to_string())
+        .arg(address.to_string())
         .args(boxes.iter().map(|fake_server| fake_server.address.to_string()))
         .stdin(Stdio::piped())
         .spawn()?;
-    wait_until_listening(child, at)
+    wait_until_listening(child, address)
 }
 
 /// Runs the relay: forwards each connection byte for byte to the next box, on one thread.
 fn run_relay(arguments: &[String]) -> BenchResult<()> {
     let addresses: Vec<SocketAddr> = arguments.iter().map(|a| a.parse()).collect::<Result<_, _>>()?;
-    let (at, boxes) = addresses.split_first().ok_or("relay: addresses expected")?;
+    let (address, boxes) = addresses.split_first().ok_or("relay: addresses expected")?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let listener = TcpListener::bind(at).await?;
+        let listener = TcpListener::bind(address).await?;
         for target in boxes.iter().cycle() {
             let (mut client, _) = listener.accept().await?;
             let target = *target;
@@ -125,13 +125,14 @@
     rate: f64,
     /// CPU time of the target per request, in microseconds.
     cpu: f64,
+    /// Latency quantiles in milliseconds.
     p50: f64,
     p99: f64,
     p999: f64,
     /// Resident memory in KiB.
     memory: f64,
     /// Answers other than completions.
-    refused: u64,
+    not_completed: u64,
 }
 
 /// Returns the user plus system time of a process in seconds, and its resident memory in KiB.
@@ -139,7 +140,7 @@
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let after_name = stat.rsplit(") ").next().ok_or("stat: a name in brackets expected")?;
     let fields: Vec<&str> = after_name.split(' ').collect();
-    let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).ok_or("stat: a figure expected");
+    let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).ok_or("stat: a number expected");
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let resident =
@@ -148,8 +149,8 @@
     Ok(((ticks(11)? + ticks(12)?) / 100.0, resident.unwrap_or(0.0)))
 }
 
-async fn client(at: SocketAddr, number: usize, window: Rc<Window>) -> std::io::Result<()> {
-    let mut stream = TcpStream::connect(at).await?;
+async fn client(address: SocketAddr, number: usize, window: Rc<Window>) -> std::io::Result<()> {
+    let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let mut input = BytesMut::new();
     for n in 0u64.. {
@@ -192,7 +193,7 @@
     begin: Instant,
     end: Instant,
     times: std::cell::RefCell<Histogram<u64>>,
-    refused: std::cell::Cell<u64>,
+    not_completed: std::cell::Cell<u64>,
 }
 
 impl Window {
@@ -200,7 +201,7 @@
         if completed {
             self.times.borrow_mut().saturating_record(took.as_nanos() as u64);
         } else {
-            self.refused.set(self.refused.get() + 1);
+            self.not_completed.set(self.not_completed.get() + 1);
         }
     }
 }
@@ -211,7 +212,7 @@
         begin,
         end: begin + MEASURED,
         times: Histogram::new_with_bounds(1, 60_000_000_000, 3)?.into(),
-        refused: 0.into(),
+        not_completed: 0.into(),
     });
     let pid = target.child.id();
     let watcher = std::thread::spawn(move || {
@@ -226,7 +227,7 @@
     let failed = local.block_on(&runtime, async {
         let mut clients = tokio::task::JoinSet::new();
         for number in 0..connections {
-            clients.spawn_local(client(target.at, number, window.clone()));
+            clients.spawn_local(client(target.address, number, window.clone()));
         }
         let mut failed = None;
         while let Some(ended) = clients.join_next().await {
@@ -237,9 +238,9 @@
     if let Some(error) = failed {
         return Err(error.into());
     }
-    let (cpu, memory) = watcher.join().map_err(|_| "the watcher ended")??;
+    let (cpu, memory) = watcher.join().map_err(|_| "the thread that samples CPU and memory panicked")??;
     let times = window.times.borrow();
-    let all = (times.len() + window.refused.get()).max(1) as f64;
+    let all = (times.len() + window.not_completed.get()).max(1) as f64;
     let ms = |q| times.value_at_quantile(q) as f64 / 1e6;
     Ok(Round {
         rate: all / MEASURED.as_secs_f64(),
@@ -248,7 +249,7 @@
         p99: ms(0.99),
         p999: ms(0.999),
         memory,
-        refused: window.refused.get(),
+        not_completed: window.not_completed.get(),
     })
 }
 
@@ -292,7 +293,7 @@
                 median(target_index, |r| r.p50),
                 median(target_index, |r| r.p99),
                 median(target_index, |r| r.p999),
-                median(target_index, |r| r.refused as f64),
+                median(target_index, |r| r.not_completed as f64),
             );
         }
         for (name, of) in
--- a/crates/hallpin/src/emulate.rs
+++ b/crates/hallpin/src/emulate.rs
@@ -87,7 +87,7 @@
     let kinds = kinds(&options.policy);
     if options.sockets && kinds != [Kind::Module] {
         return Err(Failure::Usage(
-            "--sockets plays real nodes, in which the module decides: leave --policy out".into(),
+            "--sockets runs real nodes, which always use the module policy: omit --policy".into(),
         ));
     }
     let played = match (options.seeds, &kinds[..]) {
@@ -110,7 +110,7 @@
         }
         (seeds, _) => {
             if options.trace.is_some() || options.chart.is_some() {
-                return Err(Failure::Usage("--trace and --chart are of one day: give one policy".into()));
+                return Err(Failure::Usage("--trace and --chart need a single run: give one policy".into()));
             }
             let seeds: Vec<u64> = (options.seed..).take(seeds.unwrap_or(1).max(1) as usize).collect();
             let played = if options.sockets {
--- a/crates/hallpin/src/load.rs
+++ b/crates/hallpin/src/load.rs
@@ -132,26 +132,26 @@
     } else {
         None
     };
-    let spec = spec(options, fake_server.as_ref().map(|fake_server| fake_server.address))?;
+    let spec = load_spec(options, fake_server.as_ref().map(|fake_server| fake_server.address))?;
     let progress = Arc::new(Progress::default());
-    let (stop, done) = (Arc::clone(&progress), Arc::new(std::sync::atomic::AtomicBool::new(false)));
+    let (stop_flag, done) = (Arc::clone(&progress), Arc::new(std::sync::atomic::AtomicBool::new(false)));
     // A signal stops the run; the results so far are still reported.
-    on_signal(move || stop.stop.store(true, Ordering::Relaxed));
+    on_signal(move || stop_flag.stop.store(true, Ordering::Relaxed));
     let (watched, is_done, length) = (Arc::clone(&progress), Arc::clone(&done), options.length);
     let watcher = std::thread::spawn(move || show_progress(&watched, &is_done, length));
-    let began = Instant::now();
+    let start = Instant::now();
     let results = load::run(&spec, &progress);
-    let took = began.elapsed();
+    let elapsed = start.elapsed();
     done.store(true, Ordering::Relaxed);
     // The watcher only draws the progress bar, so a panic in it is ignored.
     let _ = watcher.join();
     if progress.stop.load(Ordering::Relaxed) {
         println!("ended early: the results cover the time until then\n");
     }
-    Ok((results?, took.min(options.length)))
+    Ok((results?, elapsed.min(options.length)))
 }
 
-fn spec(options: &Options, fake_server: Option<SocketAddr>) -> Result<LoadSpec, Failure> {
+fn load_spec(options: &Options, fake_server: Option<SocketAddr>) -> Result<LoadSpec, Failure> {
     let address = |text: &String| match fake_server.filter(|_| text == "stand-in") {
         Some(address) => Ok(address),
         None => text.parse().map_err(|_| {
@@ -218,7 +218,7 @@
 /// Reads the requests of a trace, in order of time.
 fn read_trace(path: &Path) -> Result<Vec<RecordedRequest>, Failure> {
     let text = std::fs::read_to_string(path).map_err(|error| Failure::File(path.into(), error))?;
-    let mut all = Vec::new();
+    let mut requests = Vec::new();
     // Traces written before the history format existed have no header line.
     let has_header = text.lines().next().is_some_and(|first| serde_json::from_str::<Header>(first).is_ok());
     for (number, line) in text.lines().enumerate().skip(usize::from(has_header)) {
@@ -226,26 +226,26 @@
             Failure::Usage(format!("{}:{}:{}: {error}", path.display(), number + 1, error.column()))
         })?;
         if let TraceLine::Asked { at, class, tenant, key } = traced {
-            all.push(RecordedRequest { at: Duration::from_micros(at), class, tenant, key });
+            requests.push(RecordedRequest { at: Duration::from_micros(at), class, tenant, key });
         }
     }
-    if all.is_empty() {
+    if requests.is_empty() {
         return Err(Failure::Usage(format!("{}: lines with \"event\":\"asked\" expected", path.display())));
     }
-    all.sort_by_key(|recorded| recorded.at);
-    Ok(all)
+    requests.sort_by_key(|request| request.at);
+    Ok(requests)
 }
 
 /// Shows a progress bar until the run is done.
 fn show_progress(progress: &Progress, done: &std::sync::atomic::AtomicBool, length: Duration) {
     let bar = progress_bar(length.as_secs().max(1), "{bar:30} {pos}/{len} s  {msg}");
-    let began = Instant::now();
+    let start = Instant::now();
     while !done.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(100));
         let value_of = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
         let (asked, completed, other) =
             (value_of(&progress.asked), value_of(&progress.completed), value_of(&progress.other));
-        bar.set_position(began.elapsed().as_secs().min(length.as_secs()));
+        bar.set_position(start.elapsed().as_secs().min(length.as_secs()));
         let in_flight = asked.saturating_sub(completed + other);
         bar.set_message(format!("{asked} asked, {completed} completed, {other} not, {in_flight} in flight"));
     }
@@ -287,11 +287,11 @@
     let mut parts = text.splitn(3, ':');
     let name = parts.next().unwrap_or_default().to_string();
     let share = parts.next().map_or(Ok(1.0), parse_share)?;
-    let bytes = |text: &str| text.parse().map_err(|_| format!("{text}: a number of bytes expected"));
-    Ok(ClassShare { name, share, writes: parts.next().map(bytes).transpose()? })
+    let byte_count = |text: &str| text.parse().map_err(|_| format!("{text}: a number of bytes expected"));
+    Ok(ClassShare { name, share, writes: parts.next().map(byte_count).transpose()? })
 }
 
 fn parse_tenant(text: &str) -> Result<TenantShare, String> {
-    let (name, of) = text.split_once(':').unwrap_or((text, "1"));
-    Ok(TenantShare { name: name.to_string(), share: parse_share(of)? })
+    let (name, share) = text.split_once(':').unwrap_or((text, "1"));
+    Ok(TenantShare { name: name.to_string(), share: parse_share(share)? })
 }
--- a/crates/loadgen/src/chart.rs
+++ b/crates/loadgen/src/chart.rs
@@ -50,8 +50,8 @@
     let share = |n: usize| if seconds[n].asked > 0.0 { seconds[n].served / seconds[n].asked } else { 1.0 };
     let request_seconds = seconds.iter().rposition(|s| s.requests > 0).map_or(0, |n| n + 1);
     let served: Vec<f64> = (0..request_seconds).map(share).collect();
-    let count = |of: &dyn Fn(&hallpin_simulation::referee::Second) -> u64| -> Vec<f64> {
-        seconds.iter().map(|s| of(s) as f64).collect()
+    let per_second = |counter: &dyn Fn(&hallpin_simulation::referee::Second) -> u64| -> Vec<f64> {
+        seconds.iter().map(|second| counter(second) as f64).collect()
     };
     draw_panel(
         &panels[0],
@@ -60,12 +60,12 @@
         Some(1.0),
         &[("served", SERVED_COLOR, served)],
     )?;
-    let rejected = count(&|s| s.rejected);
-    let failed = count(&|s| s.failed);
+    let rejected = per_second(&|s| s.rejected);
+    let failed = per_second(&|s| s.failed);
     let rejected_and_failed = [("refused", REJECTED_COLOR, rejected), ("failed", FAILED_COLOR, failed)];
     draw_panel(&panels[1], verdict, "final refusals and failures a second", None, &rejected_and_failed)?;
-    let planner = count(&|s| s.planner);
-    let cold = count(&|s| s.planner_cold);
+    let planner = per_second(&|s| s.planner);
+    let cold = per_second(&|s| s.planner_cold);
     let calls = [("calls", PLANNER_COLOR, planner), ("of cold boxes", SERVED_COLOR, cold)];
     draw_panel(&panels[2], verdict, "calls to the planner a second", None, &calls)?;
     root.present()?;
--- a/crates/loadgen/src/load/connection.rs
+++ b/crates/loadgen/src/load/connection.rs
@@ -25,6 +25,7 @@
 /// A request sent on this connection and not answered yet.
 struct InFlightRequest {
     pending: Pending,
+    /// Id of this try, sent as its opaque value.
     id: u64,
 }
 
@@ -90,7 +91,7 @@
     output: BytesMut,
     input: BytesMut,
     in_flight: VecDeque<InFlightRequest>,
-    /// Requests sent on this connection so far.
+    /// Requests taken for this connection so far.
     requests_taken: u64,
 }
 
@@ -100,6 +101,7 @@
         Connection { shared, slot, stream, output, input, in_flight, requests_taken: 0 }
     }
 
+    /// Whether another request may be sent now.
     fn can_send(&self) -> bool {
         let fresh = self.shared.spec.fresh;
         let can_send =
@@ -107,6 +109,7 @@
         can_send && self.output.len() < MAX_UNWRITTEN_BYTES
     }
 
+    /// Takes queued requests and encodes them into the output buffer while the connection may send.
     fn take_requests(&mut self) {
         while self.can_send() {
             let Some(mut pending) = self.shared.next_request() else { return };
--- a/crates/loadgen/src/load/fake_server.rs
+++ b/crates/loadgen/src/load/fake_server.rs
@@ -101,6 +101,7 @@
     stall_lock: Arc<tokio::sync::RwLock<()>>,
 }
 
+/// Value of every answer.
 const VALUE: &[u8; 100] = &[b'v'; 100];
 
 impl FakeConnection {
--- a/crates/loadgen/src/load/mix.rs
+++ b/crates/loadgen/src/load/mix.rs
@@ -42,10 +42,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MixError {
     /// The class shares do not form a distribution.
-    #[error("classes: shares of at least one, and one above 0 expected: {0}")]
+    #[error("classes: at least one class, and one share above 0 expected: {0}")]
     Classes(rand_distr::weighted::Error),
     /// The tenant shares do not form a distribution.
-    #[error("tenants: shares with one above 0 expected: {0}")]
+    #[error("tenants: at least one share above 0 expected: {0}")]
     Tenants(rand_distr::weighted::Error),
     /// The key popularities do not form a distribution.
     #[error("keys: {0}")]
--- a/crates/loadgen/src/load/mod.rs
+++ b/crates/loadgen/src/load/mod.rs
@@ -65,7 +65,7 @@
     #[error("{0}: at least 1 expected, got 0")]
     Zero(&'static str),
     /// There are more worker threads than connections.
-    #[error("workers: at most one a connection expected, got {workers} for {connections}")]
+    #[error("workers: at most one per connection expected, got {workers} for {connections} connections")]
     IdleWorkers {
         /// Number of worker threads.
         workers: usize,
--- a/crates/loadgen/src/load/report.rs
+++ b/crates/loadgen/src/load/report.rs
@@ -142,7 +142,7 @@
         if counts.connections + counts.refused_connections > 0 {
             writeln!(
                 f,
-                "{:.3} tries a request; connections: {} came up, {} did not, {} broke with something out",
+                "{:.3} tries per request; connections: {} established, {} refused or timed out, {} broken with requests in flight",
                 self.tries_a_request,
                 counts.connections,
                 counts.refused_connections,
@@ -152,14 +152,14 @@
         if counts.slow_answered + counts.slow_cut_off + counts.half_open > 0 {
             writeln!(
                 f,
-                "slow connections: {} answered, {} cut off; half-open: {} came up, {} were closed",
+                "slow connections: {} answered, {} cut off; half-open: {} established, {} closed by the target",
                 counts.slow_answered, counts.slow_cut_off, counts.half_open, counts.half_open_closed
             )?;
         }
         if !self.is_good() {
             writeln!(
                 f,
-                "WRONG: {} answers were made for another request, {} were no answers",
+                "WRONG: {} answers belonged to another request, {} were malformed",
                 counts.misdelivered, counts.malformed
             )?;
         }
@@ -171,7 +171,7 @@
             lateness("max")
         )?;
         if self.generator.bottleneck {
-            write!(f, ": IT was the bottleneck, not the target; give it more workers or a lower rate")?;
+            write!(f, ": it was the bottleneck, not the target; use more workers or a lower rate")?;
         }
         Ok(())
     }
@@ -238,7 +238,7 @@
     }
     if entries <= Outcome::ALL.len() {
         return Err(log_error(format!(
-            "{} entries expected, got {entries}: cut off?",
+            "{} entries expected, got {entries}: is the file truncated?",
             Outcome::ALL.len() + 1
         )));
     }
--- a/crates/loadgen/src/load/schedule.rs
+++ b/crates/loadgen/src/load/schedule.rs
@@ -32,9 +32,9 @@
     /// Bursts of `factor` times the base rate, each `lasts` long, at the start of every `period`.
     pub fn bursts(period: Duration, lasts: Duration, factor: f64, length: Duration) -> Self {
         let (period, lasts) = (period.as_secs_f64(), lasts.as_secs_f64());
-        let many = if period > 0.0 { (length.as_secs_f64() / period).ceil() as usize } else { 0 };
-        let one = |n: usize| [(n as f64 * period, factor), (n as f64 * period + lasts.min(period), 1.0)];
-        let steps: Vec<(f64, f64)> = (0..many).flat_map(one).collect();
+        let count = if period > 0.0 { (length.as_secs_f64() / period).ceil() as usize } else { 0 };
+        let burst = |n: usize| [(n as f64 * period, factor), (n as f64 * period + lasts.min(period), 1.0)];
+        let steps: Vec<(f64, f64)> = (0..count).flat_map(burst).collect();
         if steps.is_empty() {
             RateProfile::constant()
         } else {
@@ -108,9 +108,13 @@
     arrivals: Arrivals,
     worker: usize,
     workers: usize,
+    /// Length of the run in seconds.
     length: f64,
-    at: f64,
+    /// Time in seconds up to which requests have been generated.
+    elapsed: f64,
+    /// Whether the first request has been generated.
     has_started: bool,
+    /// Index of this worker's next recorded request.
     next: usize,
     rng: Chance,
 }
@@ -129,7 +133,7 @@
     pub fn new(arrivals: Arrivals, worker: usize, workers: usize, length: Duration, seed: u64) -> Self {
         let rng = Chance::new(seed, &format!("arrivals of worker {worker}"));
         let length = length.as_secs_f64();
-        Schedule { arrivals, worker, workers, length, at: 0.0, has_started: false, next: worker, rng }
+        Schedule { arrivals, worker, workers, length, elapsed: 0.0, has_started: false, next: worker, rng }
     }
 }
 
@@ -157,16 +161,16 @@
             Spacing::Even => 1.0,
         };
         self.has_started = true;
-        while self.at < self.length {
-            let (factor, until) = profile.at(self.at);
-            let requests_in_step = (until - self.at) * rate * factor;
+        while self.elapsed < self.length {
+            let (factor, step_end) = profile.at(self.elapsed);
+            let requests_in_step = (step_end - self.elapsed) * rate * factor;
             if rate * factor > 0.0 && remaining <= requests_in_step {
-                self.at += remaining / (rate * factor);
-                return (self.at < self.length)
-                    .then(|| DueRequest { at: Duration::from_secs_f64(self.at), recorded: None });
+                self.elapsed += remaining / (rate * factor);
+                return (self.elapsed < self.length)
+                    .then(|| DueRequest { at: Duration::from_secs_f64(self.elapsed), recorded: None });
             }
             remaining -= if requests_in_step.is_nan() { 0.0 } else { requests_in_step };
-            self.at = until;
+            self.elapsed = step_end;
         }
         None
     }
@@ -178,8 +182,9 @@
 
     fn times(spacing: Spacing, rate: f64, profile: RateProfile, workers: usize, seed: u64) -> Vec<f64> {
         let arrivals = Arrivals::Generated { spacing, rate, profile };
-        let one = |w| Schedule::new(arrivals.clone(), w, workers, Duration::from_secs(100), seed);
-        let mut all: Vec<f64> = (0..workers).flat_map(one).map(|due| due.at.as_secs_f64()).collect();
+        let schedule =
+            |worker| Schedule::new(arrivals.clone(), worker, workers, Duration::from_secs(100), seed);
+        let mut all: Vec<f64> = (0..workers).flat_map(schedule).map(|due| due.at.as_secs_f64()).collect();
         all.sort_by(f64::total_cmp);
         all
     }
@@ -231,9 +236,12 @@
         assert!((within(&even) - 5000.0).abs() < 12.0, "{}", within(&even));
         assert!((even.len() as f64 - 14_000.0).abs() < 12.0, "{}", even.len());
         let points = [(0, 0.0), (50, 2.0), (100, 0.0)].map(|(s, f)| (Duration::from_secs(s), f));
-        let hill = times(Spacing::Even, 100.0, RateProfile::curve(&points).unwrap(), 2, 1);
-        let first = hill.iter().filter(|t| **t < 25.0).count() as f64;
-        assert!((hill.len() as f64 - 10_000.0).abs() < 10.0 && (first - 1250.0).abs() < 10.0, "{first}");
+        let triangle = times(Spacing::Even, 100.0, RateProfile::curve(&points).unwrap(), 2, 1);
+        let in_first_quarter = triangle.iter().filter(|t| **t < 25.0).count() as f64;
+        assert!(
+            (triangle.len() as f64 - 10_000.0).abs() < 10.0 && (in_first_quarter - 1250.0).abs() < 10.0,
+            "{in_first_quarter}"
+        );
         assert!(RateProfile::curve(&[]).is_none());
         assert!(RateProfile::curve(&[(Duration::from_secs(1), 1.0), (Duration::from_secs(1), 2.0)]).is_none());
         // With a rate of zero there are no requests, and the iterator ends.
@@ -243,16 +251,17 @@
 
     #[test]
     fn each_recorded_request_is_replayed_by_exactly_one_worker() {
-        let one = |n: u64| RecordedRequest {
+        let recorded = |n: u64| RecordedRequest {
             at: Duration::from_millis(n * 30),
             class: 0,
             tenant: None,
             key: n as KeyId,
         };
-        let all = Arc::new((0..5000).map(one).collect::<Vec<_>>());
-        let of = |w| Schedule::new(Arrivals::Recorded(all.clone()), w, 3, Duration::from_secs(100), 1);
+        let all = Arc::new((0..5000).map(recorded).collect::<Vec<_>>());
+        let schedule =
+            |worker| Schedule::new(Arrivals::Recorded(all.clone()), worker, 3, Duration::from_secs(100), 1);
         let mut keys: Vec<KeyId> =
-            (0..3).flat_map(of).filter_map(|due| due.recorded).map(|recorded| recorded.key).collect();
+            (0..3).flat_map(schedule).filter_map(|due| due.recorded).map(|recorded| recorded.key).collect();
         keys.sort_unstable();
         assert_eq!(keys, (0..3334).collect::<Vec<_>>());
     }
--- a/crates/loadgen/src/table.rs
+++ b/crates/loadgen/src/table.rs
@@ -24,12 +24,12 @@
 pub fn rule_name(rule: Rule) -> &'static str {
     match rule {
         Rule::Lost => "one final answer",
-        Rule::Repeated => "repeats within the class",
-        Rule::Drain => "drains honoured",
-        Rule::Cold => "cold boxes and planner",
-        Rule::Waited => "answered when given up",
-        Rule::Gone => "nothing for clients gone",
-        Rule::Ready => "restarted nodes ready",
+        Rule::Repeated => "retries within the class's limits",
+        Rule::Drain => "drains respected",
+        Rule::Cold => "cold boxes and planner not overloaded",
+        Rule::Waited => "abandoned requests answered",
+        Rule::Gone => "no attempts for departed clients",
+        Rule::Ready => "restarted nodes ready in time",
     }
 }
 
@@ -63,7 +63,7 @@
     let (worst, since) = verdict.worst_window;
     let mut out = format!(
         "{classes}\n\nserved worth {:.3}, in the worst 10 s (from {:.0} s) {worst:.3}; G {:.3} after prices of {:.3}\n\
-         attempts {}, turned away {}, timed out {}; hits {:.1} %; planner calls {} (cold {}), peak {} a second, stops {}\n\
+         attempts {}, rejected {}, timed out {}; hits {:.1} %; planner calls {} (cold {}), peak {} a second, stops {}\n\
          boxes fallen {}, new connections {}, stale reads {}\n",
         verdict.whole.share(),
         since.as_secs(),
@@ -83,10 +83,10 @@
     );
     let asked = verdict.whole.asked.max(1e-9);
     if !verdict.losses.is_empty() {
-        let loss = |(loss, worth): (&hallpin_simulation::referee::Loss, &f64)| {
+        let loss_share = |(loss, worth): (&hallpin_simulation::referee::Loss, &f64)| {
             format!("{loss:?} {:.1} %", worth * 100.0 / asked)
         };
-        let losses: Vec<String> = verdict.losses.iter().map(loss).collect();
+        let losses: Vec<String> = verdict.losses.iter().map(loss_share).collect();
         out.push_str(&format!("worth lost: {}\n", losses.join(", ")));
     }
     out.push_str(&rules_summary(verdict));
@@ -101,8 +101,8 @@
         Some(times) => format!("{}: BROKEN {times} times", rule_name(*checked)),
     };
     let mut out = format!("rules: {}\n", all.iter().map(describe).collect::<Vec<_>>().join("; "));
-    for breach in verdict.told.iter().take(5) {
-        out.push_str(&format!("  {}: {}\n", breach.at, breach.what));
+    for violation in verdict.told.iter().take(5) {
+        out.push_str(&format!("  {}: {}\n", violation.at, violation.what));
     }
     out
 }
