--- a/crates/hallpin/tests/faults.rs
+++ b/crates/hallpin/tests/faults.rs
@@ -36,7 +36,7 @@
         if output.status.code() != Some(2) {
             break;
         }
-        eprintln!("not played: {}", told(&output));
+        eprintln!("not played: {}", output_text(&output));
         output = hallpin(&arguments);
     }
     output
@@ -47,12 +47,12 @@
     let folder = Folder::new();
     let trace = folder.path("run.jsonl");
     let output = run_until_verdict(&case_file(name), &["--trace", &trace]);
-    let told = told(&output);
-    assert_eq!(output.status.code(), Some(0), "{told}");
-    assert!(told.contains("rules: kept") && told.contains(", seed "), "{told}");
+    let printed = output_text(&output);
+    assert_eq!(output.status.code(), Some(0), "{printed}");
+    assert!(printed.contains("rules: kept") && printed.contains(", seed "), "{printed}");
 }
 
-fn told(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     text(&output.stdout) + &text(&output.stderr)
 }
 
@@ -135,9 +135,9 @@
     let (_, after) = budgets.split_once("\"\"\"\n").expect("its end");
     let short = format!("{before}\"\"\"\n{after}").replace("length = \"9s\"", "length = \"5s\"");
     let output = run_until_verdict(&folder.file("off.toml", &short), &[]);
-    let told = told(&output);
-    assert_eq!(output.status.code(), Some(1), "{told}");
-    assert!(told.contains("whole-kept: b"), "{told}");
+    let printed = output_text(&output);
+    assert_eq!(output.status.code(), Some(1), "{printed}");
+    assert!(printed.contains("whole-kept: b"), "{printed}");
 }
 
 /// The partition case without an agreed table: each side acts on its own list at once, which breaks a rule.
@@ -149,9 +149,9 @@
     assert_ne!(off, complete);
     let short = off.replace("length = \"12s\"", "length = \"7s\"");
     let output = run_until_verdict(&folder.file("off.toml", &short), &[]);
-    let told = told(&output);
-    assert_eq!(output.status.code(), Some(1), "{told}");
-    assert!(told.contains("no-early-switch: n"), "{told}");
+    let printed = output_text(&output);
+    assert_eq!(output.status.code(), Some(1), "{printed}");
+    assert!(printed.contains("no-early-switch: n"), "{printed}");
 }
 
 /// Writes a one-second scenario with the given rules.
@@ -173,9 +173,9 @@
     ] {
         let folder = Folder::new();
         let output = run_until_verdict(&short_scenario(&folder, rules, more), &["--seed", "3"]);
-        let told = told(&output);
-        assert_eq!(output.status.code(), Some(1), "{named}: {told}");
-        assert!(told.contains(named) && told.contains(", seed 3"), "{named}: {told}");
+        let printed = output_text(&output);
+        assert_eq!(output.status.code(), Some(1), "{named}: {printed}");
+        assert!(printed.contains(named) && printed.contains(", seed 3"), "{named}: {printed}");
     }
 }
 
@@ -186,7 +186,7 @@
     let bad = "version = 1\n[[faults]]\nwhen = { at = \"1s\" }\ndo = { kill = [\"n0\", \"n9\"] }\n";
     let file = folder.file("faults/bad.toml", bad);
     let output = hallpin(&["check", &file, &case_file("five-of-seven")]);
-    assert_eq!(output.status.code(), Some(2), "{}", told(&output));
+    assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
     let want = format!("{file}:4:22: faults[0].do: a node below n5 expected, got n9\n");
     assert_eq!(text(&output.stdout), want);
     assert_eq!(hallpin(&["faults", "run", &file]).status.code(), Some(2));
--- a/crates/hallpin/tests/scale.rs
+++ b/crates/hallpin/tests/scale.rs
@@ -6,10 +6,10 @@
 use serde_json::Value;
 
 /// Factor between the number of servers of the large fleet and of the usual one.
-const TIMES: u32 = 16;
+const SERVER_MULTIPLE: u32 = 16;
 
-/// A run with the usual fleet; the large fleet serves the same traffic with [`TIMES`] as many servers, each with
-/// 1/`TIMES` of the capacity.
+/// A run with the usual fleet; the large fleet serves the same traffic with [`SERVER_MULTIPLE`] times as many servers,
+/// each with 1/`SERVER_MULTIPLE` of the capacity.
 struct UsualRun {
     servers: u32,
     seconds: u32,
@@ -21,17 +21,19 @@
 struct ResourceUse {
     descriptors: f64,
     connections: f64,
+    /// Bytes of endpoint lists and their changes sent by service discovery.
     list_bytes: f64,
     cpu_seconds: f64,
+    /// Peak resident memory in bytes.
     peak_memory: f64,
     share_served: f64,
 }
 
 impl UsualRun {
-    fn scenario(&self, times: u32) -> String {
+    fn scenario(&self, multiple: u32) -> String {
         let UsualRun { servers, seconds, requests_per_second } = self;
-        let (servers, each) = (servers * times, 1.0 / f64::from(times));
-        let (cores, memory) = (4.0 * each, 64 * TIMES / times);
+        let (servers, each) = (servers * multiple, 1.0 / f64::from(multiple));
+        let (cores, memory) = (4.0 * each, 64 * SERVER_MULTIPLE / multiple);
         // Set so that the number of requests in service and waiting is the same over all servers.
         let (in_service, waiting) = (4.0, 16.0);
         format!(
@@ -64,10 +66,10 @@
         )
     }
 
-    fn play(&self, times: u32) -> ResourceUse {
+    fn play(&self, multiple: u32) -> ResourceUse {
         let folder = tempfile::tempdir().expect("a folder");
         let (file, json) = (folder.path().join("scale.toml"), folder.path().join("day.json"));
-        std::fs::write(&file, self.scenario(times)).expect("a file");
+        std::fs::write(&file, self.scenario(multiple)).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_hallpin"));
         command.arg("emulate").arg(&file).arg("--sockets").arg("--json").arg(&json);
         let output = command.output().expect("the command runs");
@@ -75,7 +77,7 @@
         assert!(output.status.success(), "{}{}", text(&output.stdout), text(&output.stderr));
         let played: Value = serde_json::from_slice(&std::fs::read(json).expect("a verdict")).expect("JSON");
         let resource_use = ResourceUse::of(&played[0]);
-        println!("{} servers: {resource_use:?}", self.servers * times);
+        println!("{} servers: {resource_use:?}", self.servers * multiple);
         resource_use
     }
 }
@@ -99,6 +101,7 @@
 struct Bounds<'a> {
     usual: &'a ResourceUse,
     large: &'a ResourceUse,
+    /// Servers of the large fleet, in thousands.
     thousands: f64,
 }
 
@@ -126,8 +129,8 @@
 }
 
 fn with_bounds(run: &UsualRun, check: impl Fn(&Bounds)) {
-    let (usual, large) = (run.play(1), run.play(TIMES));
-    let thousands = f64::from(run.servers * TIMES) / 1e3;
+    let (usual, large) = (run.play(1), run.play(SERVER_MULTIPLE));
+    let thousands = f64::from(run.servers * SERVER_MULTIPLE) / 1e3;
     check(&Bounds { usual: &usual, large: &large, thousands });
 }
 
--- a/crates/hallpin/tests/sockets.rs
+++ b/crates/hallpin/tests/sockets.rs
@@ -92,17 +92,18 @@
     let trace = std::fs::read_to_string(trace).expect("a trace");
     let lines: Vec<serde_json::Value> =
         trace.lines().map(|line| serde_json::from_str(line).expect("a line")).collect();
-    let at = |what: &str| lines.iter().position(|l| l["event"] == what).unwrap_or_else(|| panic!("{what}"));
-    let (begins, ends) = (at("begins"), at("ends"));
-    let of = |l: &serde_json::Value| (l["id"].as_u64(), l["attempt"].as_u64());
+    let index_of =
+        |event: &str| lines.iter().position(|l| l["event"] == event).unwrap_or_else(|| panic!("{event}"));
+    let (begins, ends) = (index_of("begins"), index_of("ends"));
+    let attempt_id = |line: &serde_json::Value| (line["id"].as_u64(), line["attempt"].as_u64());
     let crossing = |lines: &[serde_json::Value]| -> Vec<_> {
-        lines.iter().filter(|l| l["event"] == "sent" && l["crosses"] == true).map(of).collect()
+        lines.iter().filter(|l| l["event"] == "sent" && l["crosses"] == true).map(attempt_id).collect()
     };
     let received = |lines: &[serde_json::Value]| {
         let sent = crossing(lines);
-        lines.iter().filter(|l| l["event"] == "worked" && sent.contains(&of(l))).count()
+        lines.iter().filter(|l| l["event"] == "worked" && sent.contains(&attempt_id(l))).count()
     };
-    // Requests sent shortly before the partition took effect may still arrive.
+    // Only requests sent during the partition count: those sent before it took effect may still arrive.
     let parted = &lines[begins..ends];
     assert_eq!(received(parted), 0, "of {} sent across", crossing(parted).len());
     assert!(received(&lines[ends..]) > 0, "{} were sent across afterwards", crossing(&lines[ends..]).len());
--- a/crates/loadgen/src/load/connection.rs
+++ b/crates/loadgen/src/load/connection.rs
@@ -35,17 +35,17 @@
     let class = &mix.classes[pending.request_spec.class];
     let opaque = format!("{id:x}");
     // The effect key identifies the request, not the try, so that the server can deduplicate a repeated write.
-    let effect = class.writes.map(|_| format!("{:016x}", pending.request));
+    let effect_key = class.writes.map(|_| format!("{:016x}", pending.request));
     let value = class.writes.map(|bytes| vec![b'x'; bytes]);
     let ask = Ask {
         key: &keys::name(pending.request_spec.key),
         value: value.as_deref(),
         opaque: &opaque,
         class: &class.name,
-        tenant: pending.request_spec.tenant.map(|t| mix.tenants[t].name.as_str()),
+        tenant: pending.request_spec.tenant.map(|tenant| mix.tenants[tenant].name.as_str()),
         wait: pending.deadline.saturating_sub(shared.now()),
         work: None,
-        effect_key: effect.as_deref(),
+        effect_key: effect_key.as_deref(),
         retry: false,
     };
     ask.to_bytes()
@@ -76,7 +76,7 @@
 
 /// Why serving a connection ended.
 enum CloseReason {
-    /// The connection has no requests in flight and takes no more, or the target closed it while idle.
+    /// The connection is used up, was closed by the target while idle, or the run is over or was stopped.
     Finished,
     /// The target closed the connection with requests in flight, or sent an invalid or mismatched answer.
     Broken,
--- a/crates/loadgen/src/load/worker.rs
+++ b/crates/loadgen/src/load/worker.rs
@@ -1,4 +1,4 @@
-//! A worker thread of the generator: queues requests at their scheduled times and wakeups free connections for them.
+//! A worker thread of the generator: queues requests at their scheduled times and wakes free connections for them.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     let share_of = |all: usize| all / spec.workers + usize::from(number < all % spec.workers);
     let connections = share_of(spec.connections);
     let shared = Rc::new(Shared::new(spec, number, start, connections, progress));
-    let target = |n: usize| spec.targets[(number + n * spec.workers) % spec.targets.len()];
+    let target = |index: usize| spec.targets[(number + index * spec.workers) % spec.targets.len()];
     let local = LocalSet::new();
     local.block_on(&runtime, async {
         let mut tasks = tokio::task::JoinSet::new();
