--- a/crates/simulation/src/referee/cold.rs
+++ b/crates/simulation/src/referee/cold.rs
@@ -1,38 +1,39 @@
-//! Rule four, boxes: nodes that know that a box is cold do not push it over.
+//! Rule four, boxes: nodes that know that a box is cold don't overload it.
 //!
-//! A cold box falls when it gets more than N + 2 root N + 2 requests of mean work (N under 30: N + 3 root N + 3) in the time
-//! that the settings name, N being what they allow it then, from all nodes together: only so much is put down to chance,
-//! also with many nodes. The referee counts that itself, from what reached the box.
+//! A cold box counts as overloaded when all nodes together send it more than N + 2 sqrt(N) + 2 requests of mean work
+//! (N + 3 sqrt(N) + 3 for N under 30) within the time that the settings name, N being the number that they allow at
+//! that moment. The margin covers random variation, whatever the number of nodes. The checker counts the work itself,
+//! from the arrivals at the box.
 
 use super::*;
 
-/// Share of the work that brings a box down beyond which nodes that had been told of its start are to blame.
+/// Nodes are at fault if more than this share of an overloaded box's work came from nodes notified of its start.
 const INFORMED: f64 = 2.0 / 3.0;
 
-/// Allowed fewer requests than this, a box bears what chance may bring to few.
+/// Below this number of allowed requests the margin for random variation is larger.
 const FEW: f64 = 30.0;
-/// Roots of what is allowed, and as many requests, that a box bears beyond it: of many, and of few.
+/// Margins beyond the allowed requests, in square roots of them plus as many requests: for many and for few.
 const BEYOND_MANY: f64 = 2.0;
 const BEYOND_FEW: f64 = 3.0;
 
-/// Requests of mean work that a box bears which is allowed so many.
+/// Largest number of requests of mean work that doesn't overload a box that is allowed this many.
 fn most_borne(allowed: f64) -> f64 {
     let beyond = if allowed < FEW { BEYOND_FEW } else { BEYOND_MANY };
     allowed + beyond * allowed.sqrt() + beyond
 }
 
-/// A box that warms up.
+/// A box that is warming up.
 pub(super) struct Cold {
     pub started: Time,
-    /// Work a second when warm, in seconds of a standard core.
+    /// Capacity when warm, in seconds of work of a standard core per second.
     pub capacity: f64,
     pub from: f64,
     pub ramp: Span,
-    /// Work of late: when, how much, and whether its sender knew of the start.
+    /// Work within the last `fall_for`: arrival, amount, and whether its sender knew of the start.
     pub work: VecDeque<(Time, f64, bool)>,
 }
 
-/// Share of its capacity that a box has by now.
+/// Slow-start factor: share of its capacity that a box has at this time.
 pub(super) fn warmth(cold: &Cold, now: Time) -> f64 {
     let share = now.since(cold.started).as_secs() / cold.ramp.as_secs().max(1e-6);
     (cold.from + (1.0 - cold.from) * share).min(1.0)
@@ -54,7 +55,7 @@
             cold.work.pop_front();
         }
         let (multiple, within) = (self.terms.fall_multiple, self.terms.fall_for.0 as f64);
-        // Times microseconds: capacity is in seconds of a standard core a second.
+        // `within` is in microseconds and capacity in core seconds per second, so the result is in core microseconds.
         let allowed = multiple * cold.capacity * warmth(cold, at) * within;
         let most = most_borne(allowed / self.terms.mean_work) * self.terms.mean_work;
         let sent: f64 = cold.work.iter().map(|(_, work, _)| work).sum();
@@ -68,7 +69,7 @@
         self.pushed_over(at, of);
     }
 
-    /// A box falls: whose work was it? Judged once for each of its starts.
+    /// Checks who overloaded a box; once for each of its starts.
     fn pushed_over(&mut self, at: Time, of: BoxId) {
         let Some(cold) = self.cold.remove(&of) else { return };
         let all: f64 = cold.work.iter().map(|(_, work, _)| work).sum();
--- a/crates/simulation/src/referee/drains.rs
+++ b/crates/simulation/src/referee/drains.rs
@@ -1,18 +1,19 @@
-//! Rule three: what drains or is gone gets nothing new, from a little after its node was told.
+//! Rule three: a node sends nothing new to a draining or removed box once the grace period after its notification has
+//! passed.
 
 use super::*;
 
-/// What a node has been told of a box.
+/// State of a box as a node has been notified of it.
 #[derive(Default)]
 pub(super) struct Known {
     pub phase: Option<Phase>,
-    /// Since when it is not to be sent anything new.
+    /// Time of the first notification that the box drains or is gone.
     pub closing: Option<Time>,
     pub started: Option<Time>,
 }
 
 impl Referee {
-    /// A node sends to a box: is it one to which it may?
+    /// Checks that a node sends an attempt to a box that it may use.
     pub(super) fn sends(&mut self, at: Time, node: NodeId, to: BoxId) {
         self.verdict.attempts += 1;
         self.second(at).attempts += 1;
@@ -32,7 +33,7 @@
         known.phase = Some(phase);
         match phase {
             Phase::Ready => known.closing = None,
-            // The grace runs from the first news, not from each repetition.
+            // The grace period runs from the first notification, not from repeated ones.
             Phase::Draining | Phase::Gone => {
                 known.closing.get_or_insert(at);
             }
--- a/crates/simulation/src/referee/gone.rs
+++ b/crates/simulation/src/referee/gone.rs
@@ -1,18 +1,20 @@
-//! The operators' term on clients that have left: one that has closed its connection or cancelled is gone, and no attempt,
-//! the first or a further one, begins for it more than 0.1 s later.
+//! Disconnected clients: no attempt, the first or a further one, starts for a client more than 0.1 s after it closed its
+//! connection or cancelled.
 //!
-//! On sockets what is begun within that time crosses the close. In virtual time the node is told in the same moment, and
-//! whatever is begun after that breaks rule one, unless its client left when its time was up and is owed an answer still.
+//! On sockets an attempt may start within that time because the close is still under way. In virtual time the node is
+//! notified at once, and any later attempt violates rule one, unless the client left at its deadline and still needs an
+//! answer.
 
 use super::*;
 
-/// What is begun so soon after its client has left crosses that.
+/// An attempt that starts within this time may have crossed the client's disconnect.
 const CROSSING: Span = Span::from_millis(100);
-/// Tries that are remembered before those of long ago are forgotten, and what is long ago.
+/// Number of remembered tries beyond which old ones are dropped.
 const MOST_LEFT: usize = 10_000;
+/// Age at which a remembered try may be dropped.
 const LONG_AGO: Span = Span::from_millis(60_000);
 
-/// Clients that have left, and when.
+/// Tries whose client has left, and when.
 #[derive(Default)]
 pub(super) struct Left {
     at: FxHashMap<TryId, Time>,
@@ -28,7 +30,8 @@
 }
 
 impl Referee {
-    /// An attempt begins: whether its client has left, and that is no fault of rule one.
+    /// Reports an attempt that starts too long after its client left. Returns whether the client has left and rule one
+    /// doesn't apply to the attempt.
     pub(super) fn begun_after_leaving(&mut self, at: Time, id: TryId) -> bool {
         let Some(left) = self.left.at.get(&id).copied() else { return false };
         let owed = self.tries.get(&id).is_some_and(|taken| !taken.done);
--- a/crates/simulation/src/referee/kept_waiting.rs
+++ b/crates/simulation/src/referee/kept_waiting.rs
@@ -1,15 +1,15 @@
-//! The operators' term on what is given up: it is answered at once, and a refusal says when to come back.
+//! Prompt rejections: a rejected or failed try is answered without delay, and a rejection carries a retry-after time.
 
 use super::*;
 
-/// Part of the aim for which nothing may be out for a request that is then given up: longer, and it was kept waiting.
+/// Longest time without an attempt in flight before a rejection or failure, as a share of the latency objective.
 const HELD: f64 = 0.5;
-/// Keys with nothing out that are remembered before those of long ago are forgotten.
+/// Number of remembered keys beyond which idle keys are dropped once they have been idle for the longest objective.
 const MOST_IDLE_KEYS: usize = 10_000;
 
 impl Referee {
-    /// A refusal or a failure comes when it is decided: not after a time in which nothing was out for the try, nor for
-    /// its key at its node, whose answer it might have shared.
+    /// Checks that a rejection or failure doesn't follow a long time without an attempt in flight for the try or, as
+    /// answers may be shared, for its key at its node.
     pub(super) fn gave_up_on(&mut self, at: Time, id: TryId, how: How, advice: Option<Span>) {
         let Some(taken) = self.tries.get(&id).filter(|t| !t.done && how != How::Completed) else { return };
         let (out, ended) = self.out.get(&(taken.node, taken.key)).copied().unwrap_or((0, taken.at));
@@ -26,7 +26,7 @@
         }
     }
 
-    /// An attempt for this key is out from here on, or is over.
+    /// Records that an attempt for this key begins or ends.
     pub(super) fn is_out(&mut self, at: Time, node: NodeId, key: KeyId, begins: bool) {
         let (out, ended) = self.out.entry((node, key)).or_insert((0, at));
         (*out, *ended) = if begins { (*out + 1, *ended) } else { (out.saturating_sub(1), at) };
@@ -42,8 +42,8 @@
     use super::*;
     use crate::scenario::Scenario;
 
-    /// The bound of the review's table: what is remembered of keys with nothing out stays within
-    /// `MOST_IDLE_KEYS` while keys go idle one after another, each for longer than the longest aim.
+    /// Keys without an attempt in flight stay within `MOST_IDLE_KEYS` while keys go idle one after another, each for
+    /// longer than the longest latency objective.
     #[test]
     fn keys_with_nothing_out_are_remembered_within_their_bound() {
         let day = Scenario::default().draw(1).expect("the defaults make a day");
--- a/crates/simulation/src/referee/lost.rs
+++ b/crates/simulation/src/referee/lost.rs
@@ -1,26 +1,27 @@
-//! Rule one: each request that a node has taken gets one final answer, in time and of a box's making.
+//! Rule one: each request that a node has accepted gets exactly one final answer, in time, and a completion comes from
+//! a box.
 //!
-//! At a planned restart what a node had taken and left unanswered when it ended by itself is lost. What SIGKILL finds
-//! unanswered is lost too if it came later than [`STOP_GRACE`] after SIGTERM, and has failed otherwise. A request that has
-//! been read and whose connection is closed with no answer is lost, on a new connection too: such a [`Event::Dropped`] is
-//! judged at once, and one that was taken by its deadline.
+//! In a planned restart, requests that are unanswered when the node exits by itself are lost. A request that is
+//! unanswered at SIGKILL is lost if it was accepted later than [`STOP_GRACE`] after SIGTERM, and failed otherwise. A
+//! request that was read and whose connection is closed without an answer is lost, on a new connection too: an
+//! [`Event::Dropped`] is a violation at once, an accepted request is one at its deadline.
 //!
-//! Nothing that happens to cache servers, to the origin or to other clients frees a request of its answer: no event of
-//! theirs is looked at here.
+//! Faults of cache servers, of the origin or of other clients don't excuse a missing answer, so this module ignores
+//! their events.
 
 use super::*;
 
-/// What comes this long after SIGTERM at most has its whole deadline before SIGKILL.
+/// A request accepted within this time after SIGTERM has its full deadline before SIGKILL.
 const STOP_GRACE: Span = Span::from_millis(700);
 
-/// An attempt.
+/// An attempt that a node has sent to a box.
 pub(super) struct Sent {
     pub number: u32,
     pub at: Time,
     pub ended: Option<Ended>,
 }
 
-/// A try that a node has taken.
+/// A try that a node has accepted.
 pub(super) struct Taken {
     pub ask: AskId,
     pub node: NodeId,
@@ -28,7 +29,7 @@
     pub until: Time,
     pub class: usize,
     pub key: KeyId,
-    /// What a read must be at least.
+    /// Last acknowledged version of the key when the try was accepted; an older one is stale.
     pub version: u64,
     pub done: bool,
     pub sent: Vec<Sent>,
@@ -44,7 +45,7 @@
         self.due.insert((until + self.terms.answer_grace, id));
     }
 
-    /// What should have been answered by now.
+    /// Reports tries whose time for a final answer has passed.
     pub(super) fn overdue(&mut self, now: Time) {
         while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at < now) {
             self.due.pop_first();
@@ -55,7 +56,7 @@
         }
     }
 
-    /// No answer is owed from here on.
+    /// Marks a try as finished: it needs no further answer.
     pub(super) fn finish(&mut self, id: TryId) {
         let Some(taken) = self.tries.get_mut(&id) else { return };
         taken.done = true;
@@ -119,7 +120,7 @@
             ask.last = Loss::NoAnswer;
         }
         self.left.leaves(at, id);
-        // One who leaves before the time is owed nothing; one whose time is up still is, for the grace.
+        // A client that leaves before its deadline needs no answer; one that waited until then does, within the grace period.
         if at < taken.until {
             self.finish(id);
         }
@@ -154,7 +155,7 @@
         self.out.retain(|(n, _), _| *n != node);
     }
 
-    /// A node has read a request on a new connection and closed that with no answer.
+    /// Reports a request that a node has read on a new connection and closed without an answer.
     pub(super) fn dropped(&mut self, at: Time, ask: AskId, node: NodeId) {
         let what = format!("node {node} read request {ask} on a new connection and closed that unanswered");
         self.breach(Rule::Lost, at, what);
--- a/crates/simulation/src/referee/mod.rs
+++ b/crates/simulation/src/referee/mod.rs
@@ -1,7 +1,8 @@
-//! The referee: reads a trace and nothing else, and judges the four rules, the worth that was served, and who lost
-//! the rest. Each rule has a file of its own.
+//! Invariant checker: checks the rules, sums the worth that was served and attributes the worth that was lost, from
+//! a trace alone. Each rule has its own module.
 //!
-//! It shares no code with the parts that it judges. Its memory follows what is open, not the day's length.
+//! It shares no code with the components that it checks. Its memory grows with the number of open requests, not with
+//! the length of the scenario.
 
 mod cold;
 mod drains;
@@ -39,30 +40,35 @@
 pub use verdict::{latencies, Breach, ClassVerdict, Loss, Rule, Second, Verdict, Worth};
 use worth::Asking;
 
-/// Breaches that are kept in words; all are counted.
+/// Violations that are kept with a description; all are counted.
 const MOST_TOLD: usize = 100;
 
-/// Judges a trace as it comes.
+/// Checks the events of a trace as they are recorded.
 pub struct Referee {
     terms: Terms,
     now: Time,
     asks: FxHashMap<AskId, Asking>,
     tries: BTreeMap<TryId, Taken>,
-    /// Attempts of a node that are out for a key, and when the last one ended.
+    /// Attempts in flight for a key at a node, and the time at which the last one ended.
     out: FxHashMap<(NodeId, KeyId), (u32, Time)>,
+    /// Times by which open tries must have a final answer.
     due: BTreeSet<(Time, TryId)>,
+    /// Token bucket of each tenant's quota: tokens and the time of the last refill.
     buckets: Vec<(f64, Time)>,
     told: FxHashMap<(NodeId, BoxId), Known>,
     clocks: Clocks,
-    /// Nodes that were told to stop, and when.
+    /// Nodes that received SIGTERM, and when.
     stopping: FxHashMap<NodeId, Time>,
     left: Left,
     restarts: Restarts,
+    /// Registered size of each box that runs.
     sizes: Vec<Option<f64>>,
     cold: BTreeMap<BoxId, Cold>,
 
     planner: Calls,
+    /// Last version written to each key.
     written: FxHashMap<KeyId, u64>,
+    /// Last version of each key whose write was acknowledged to its client.
     acknowledged: FxHashMap<KeyId, u64>,
     windows: Vec<Worth>,
     tenants: Vec<Worth>,
@@ -72,7 +78,7 @@
 }
 
 impl Referee {
-    /// A referee for this day's rules.
+    /// Creates a checker with the rules of this scenario run.
     pub fn new(day: &Day) -> Self {
         Referee {
             terms: Terms::new(day),
@@ -115,7 +121,7 @@
         &mut seconds[index]
     }
 
-    /// What the trace comes to; to be asked once the day is over.
+    /// Returns the result; complete once [`Event::DayOver`] has been recorded.
     pub fn verdict(self) -> Verdict {
         self.verdict
     }
--- a/crates/simulation/src/referee/planner.rs
+++ b/crates/simulation/src/referee/planner.rs
@@ -1,12 +1,13 @@
-//! Rule four, the planner: misses at cold boxes do not bring it down.
+//! Rule four, the planner: misses at cold boxes don't overload it.
 
 use super::*;
 
-/// Share of the planner's load, and of the reads that are due to cold boxes, beyond which their misses are to blame.
+/// Misses at cold boxes are at fault beyond this share of the planner's calls, if `COLD_OVER_DUE` is exceeded too.
 const COLD_SHARE: f64 = 0.3;
+/// Ratio of misses at cold boxes to the reads that the cold boxes' weight accounts for.
 const COLD_OVER_DUE: f64 = 1.25;
 
-/// What reached the planner, and the reads that it came from, of late.
+/// Recent calls to the planner, with whether the caller was cold, and recent reads at boxes.
 #[derive(Default)]
 pub(super) struct Calls {
     calls: VecDeque<(Time, bool)>,
--- a/crates/simulation/src/referee/prices.rs
+++ b/crates/simulation/src/referee/prices.rs
@@ -1,21 +1,23 @@
-//! What costs points, and the result that is left.
+//! Prices, and the score that is left after them.
 
 use super::*;
 
-/// Sums that prices are taken of, and the connections that are open.
+/// Totals that the prices are computed from, and the open connections.
 #[derive(Default)]
 pub(super) struct Tallies {
-    /// Work that boxes did, and what of it was of use, against what was asked for.
+    /// Work that boxes did, in microseconds of a standard core.
     pub worked: f64,
+    /// Work of the requests that were served.
     pub useful: f64,
+    /// Work of all requests.
     pub asked_work: f64,
-    /// Worth that ended unserved after its aim.
+    /// Worth of requests that ended unserved after their latency objective.
     pub late_fail: f64,
     pub probes: u64,
     pub message_bytes: u64,
     pub crossings: u64,
     pub entries: u64,
-    /// Served reads that were hits, and all.
+    /// Reads that were cache hits, and all reads.
     pub read_hits: (u64, u64),
     open: FxHashMap<BoxId, u64>,
     open_sum: f64,
@@ -33,7 +35,7 @@
         *open = after;
     }
 
-    /// Takes the prices off the shares.
+    /// Computes the score: the weighted shares less the prices.
     pub(super) fn result(&mut self, at: Time) {
         self.verdict.planner_peak = self.verdict.seconds.iter().map(|s| s.planner).max().unwrap_or(0);
         self.connections(at, 0, |open| open);
--- a/crates/simulation/src/referee/repeats.rs
+++ b/crates/simulation/src/referee/repeats.rs
@@ -1,9 +1,9 @@
-//! Rule two: requests are repeated within what their class allows.
+//! Rule two: retries and hedged requests stay within the limits of the request's class.
 
 use super::*;
 
 impl Referee {
-    /// One more attempt of a try, whose box has been looked at already.
+    /// Checks a further attempt of a try. The choice of its box is checked elsewhere.
     pub(super) fn repeats(&mut self, at: Time, id: TryId, attempt: u32, node: NodeId) {
         let (copies, most) = (self.terms.second_copies, self.terms.most_attempts);
         let crosses = self.begun_after_leaving(at, id);
--- a/crates/simulation/src/referee/restarts.rs
+++ b/crates/simulation/src/referee/restarts.rs
@@ -1,20 +1,20 @@
-//! The operators' term on restarts: nine in ten restarted nodes are ready within 10 s.
+//! Restarts: nine in ten restarted nodes must be ready within 10 s.
 
 use super::*;
 
 const IN_TIME: Span = Span::from_millis(10_000);
-/// One restart in so many may take longer.
+/// One in this many restarts may take longer.
 const FOR_EACH_LATE: u64 = 10;
 
-/// Processes that were started anew, and those that were not ready in time.
+/// Counts of restarted processes, and of those that were not ready in time.
 #[derive(Default)]
 pub(super) struct Restarts {
-    /// Nodes that have run before: the next start of one is a restart.
+    /// Nodes that have run before, whose next start is a restart.
     ran: FxHashSet<NodeId>,
     starting: FxHashMap<NodeId, Time>,
     all: u64,
     late: u64,
-    /// The history tells when nodes are ready; in virtual time they are at once.
+    /// True if the trace has readiness events. In virtual time it has none, as nodes are ready at once.
     told: bool,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A process that ends before it is ready is late if it had its time.
+    /// Counts a process that ends before it is ready as late if its time had passed; otherwise it isn't counted.
     pub fn ended(&mut self, at: Time, node: NodeId) {
         if let Some(since) = self.starting.remove(&node).filter(|since| at.since(*since) > IN_TIME) {
             self.judge(at, since);
@@ -46,7 +46,7 @@
 }
 
 impl Referee {
-    /// The day's restarts, against the share that may be late.
+    /// Compares the late restarts of the run with the share that may be late.
     pub(super) fn restarts_in_all(&mut self, at: Time) {
         let starting: Vec<NodeId> = self.restarts.starting.keys().copied().collect();
         starting.into_iter().for_each(|node| self.restarts.ended(at, node));
--- a/crates/simulation/src/referee/terms.rs
+++ b/crates/simulation/src/referee/terms.rs
@@ -1,33 +1,34 @@
-//! What the day's settings ask of nodes, as the rules need it.
+//! Parameters of the rules, taken from the settings of a run.
 
 use crate::day::{Day, Effect, GoalSpec};
 use crate::time::Span;
 
-/// The rules' figures of one day.
+/// Parameters of the rules for one run.
 pub(super) struct Terms {
-    /// What each class bears, and for how long its repeats are dropped.
+    /// Each class's effect, and the window in which boxes drop its repeats.
     pub effects: Vec<(Effect, Span)>,
-    /// Each class's aim, its worth, and the share that a late answer earns.
+    /// Each class's latency objective, its worth, and the share of it that a late answer earns.
     pub aims: Vec<(Span, f64, f64)>,
-    /// Requests a second within each tenant's share.
+    /// Quota of each tenant, in requests per second.
     pub quotas: Vec<f64>,
     pub goal: GoalSpec,
     pub answer_grace: Span,
     pub drain_grace: Span,
-    /// A cold box is allowed so many times its present capacity in so long; none where it bears all.
+    /// Multiple of its present capacity that a cold box may be sent within `fall_for`; 0 for no limit.
     pub fall_multiple: f64,
     pub fall_for: Span,
     /// Mean work of a request, in microseconds of a standard core.
     pub mean_work: f64,
     pub planner_for: Span,
-    /// A node hears later that a client has left: what it begins meanwhile crosses that.
+    /// True if a node learns later that a client has left, so that an attempt may cross the disconnect.
     pub leaving_crosses: bool,
+    /// Longest time for which an attempt may be in flight without being visible in the trace.
     pub unseen: Span,
-    /// An attempt may tell its server so much more time than its client has left.
+    /// Allowed excess of an attempt's wait time over its client's remaining time.
     pub wait_slack: Span,
     pub most_attempts: u32,
     pub second_copies: bool,
-    /// Refusals carry advice.
+    /// Rejections carry a retry-after time.
     pub advises: bool,
     pub box_count: usize,
 }
--- a/crates/simulation/src/referee/told.rs
+++ b/crates/simulation/src/referee/told.rs
@@ -1,40 +1,40 @@
-//! From when on what the list says counts as told to a node, whether or not it has arrived. Drains and cold starts are
-//! judged by that.
+//! Time from which a node is responsible for a change of the endpoint list, whether or not the change has arrived. The
+//! rules on drains and cold starts use this time.
 //!
-//! What is pushed counts once the node's agent has it, what is asked for 6 s later at the latest. A watch that has fallen
-//! silent is broken, however the list comes: what it misses counts 6 s after it fell silent, or 2 s after the wait of its
-//! call is over if that is later. After SIGHUP everything counts 4 s later at the soonest. What has arrived counts at
-//! once.
+//! A pushed change counts once the node's agent has it, a polled one 6 s later at the latest. A silent watch is broken,
+//! whether the list is pushed or polled: a change that it misses counts 6 s after the watch fell silent, or 2 s after
+//! the wait of its long poll ends if that is later. After SIGHUP no change counts earlier than 4 s after it. A change
+//! that has arrived counts at once.
 //!
-//! Once a call has failed, was refused or was given up, and until the watch is opened anew, everything counts 6 s after
-//! discovery had it and could be reached, or sooner: before the longer time of a silent call.
+//! After a call that failed, was rejected or was abandoned, and until the watch is reopened, every change counts 6 s
+//! after discovery had it and was reachable, or sooner: this limit overrides the longer time of a silent call.
 
 use super::*;
 
-/// What discovery has to tell, and what a silent watch misses, counts as told after this.
+/// A change that discovery offers, or that a silent watch misses, counts as notified after this time.
 const LATEST: Span = Span::from_millis(6000);
-/// Past the wait of a call.
+/// Added to the wait of a silent long poll.
 const PAST_WAIT: Span = Span::from_millis(2000);
-/// Past SIGHUP.
+/// After SIGHUP, no change counts as notified before this time has passed.
 const PAST_HUP: Span = Span::from_millis(4000);
 
-/// What the list says of a box.
+/// Entry of a box in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct News {
     pub phase: Phase,
     pub started: Option<Time>,
 }
 
-/// The clocks of all nodes, and what has not counted yet: the last word on each box at most once for each node.
+/// Notification deadlines of all nodes. For each node and box at most the last pending change is kept.
 #[derive(Default)]
 pub(super) struct Clocks {
-    /// When what a silent watch misses counts.
+    /// Time from which changes missed by a node's silent watch count.
     silent: FxHashMap<NodeId, Time>,
-    /// When what is told after a SIGHUP counts.
+    /// Earliest time at which changes count after a node's SIGHUP.
     hup: FxHashMap<NodeId, Time>,
-    /// Nodes whose last call has failed.
+    /// Nodes whose last call to discovery has failed.
     failed: FxHashSet<NodeId>,
-    /// When it counts, the latest that it may if a call fails, and what it says.
+    /// Pending changes: deadline, deadline after a failed call, and the new state.
     pending: BTreeMap<(NodeId, BoxId), (Time, Time, News)>,
     due: BTreeSet<(Time, NodeId, BoxId)>,
 }
@@ -50,7 +50,7 @@
         self.failed.remove(&node);
     }
 
-    /// A call has failed: what is there to be told counts no later than that allows.
+    /// Records a failed call of a node, which shortens the deadlines of its pending changes.
     pub fn failed(&mut self, node: NodeId) {
         self.failed.insert(node);
         let late =
@@ -66,7 +66,7 @@
         self.hup.insert(node, at + PAST_HUP);
     }
 
-    /// News is there for a node; it counts as told in time.
+    /// Records a change that is available for a node and sets its deadline.
     pub fn has(&mut self, at: Time, node: NodeId, of: BoxId, news: News, asked: bool) {
         let usual = if asked { at + LATEST } else { at };
         let silent = self.silent.get(&node).copied().unwrap_or(at);
@@ -74,7 +74,7 @@
         let latest = at + LATEST;
         let longest = usual.max(silent).max(hup);
         let counts = if self.failed.contains(&node) { longest.min(latest) } else { longest };
-        // An earlier word that has not counted is overtaken; but what closes a box counts from the first such word on.
+        // A newer change replaces a pending one, but keeps its deadline if both of them close the box.
         let closes = |news: &News| news.phase != Phase::Ready;
         let before = self.taken(node, of).filter(|(.., old)| closes(old) && closes(&news));
         let (counts, latest) = before.map_or((counts, latest), |(first, latest, _)| (first, latest));
@@ -82,7 +82,7 @@
         self.due.insert((counts, node, of));
     }
 
-    /// A node is told of a box: what it was to have been told before that is overtaken.
+    /// Drops the pending change of a box that a node has now been notified of.
     pub fn arrived(&mut self, node: NodeId, of: BoxId) {
         self.taken(node, of);
     }
@@ -93,14 +93,14 @@
         Some((at, latest, news))
     }
 
-    /// The next word that counts by now.
+    /// Takes the next change whose deadline has passed.
     pub fn counted(&mut self, now: Time) -> Option<(Time, NodeId, BoxId, News)> {
         let (at, node, of) = self.due.first().copied().filter(|(at, ..)| *at <= now)?;
         let (.., news) = self.taken(node, of)?;
         Some((at, node, of, news))
     }
 
-    /// A node's process has ended: the next one starts with clocks of its own.
+    /// Resets the state of a node whose process has ended; the next process starts without pending changes.
     pub fn ended(&mut self, node: NodeId) {
         self.opened(node);
         self.hup.remove(&node);
@@ -113,7 +113,7 @@
 }
 
 impl Referee {
-    /// What counts as told by now, arrived or not.
+    /// Applies all changes whose notification deadline has passed, arrived or not.
     pub(super) fn counts_as_told(&mut self, now: Time) {
         while let Some((at, node, of, News { phase, started })) = self.clocks.counted(now) {
             self.hears(at, node, of, phase, started);
--- a/crates/simulation/src/referee/verdict.rs
+++ b/crates/simulation/src/referee/verdict.rs
@@ -1,4 +1,4 @@
-//! What a day comes to: the rules that were broken, the worth that was served, and who lost the rest.
+//! Result of a run: violated rules, the worth that was served, and the causes of the worth that was lost.
 
 use std::collections::BTreeMap;
 
@@ -8,70 +8,70 @@
 use crate::day::{Day, Effect};
 use crate::time::Time;
 
-/// The four rules, and the operators' terms on what is given up, on clients that have left, and on restarts.
+/// The four rules, and the operators' further requirements on rejections, disconnected clients and restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final answer per request taken, and in time.
+    /// Each accepted request gets exactly one final answer, in time.
     Lost,
-    /// Repeats within what the class allows.
+    /// Retries and hedged requests stay within the limits of the class.
     Repeated,
-    /// Drains honoured.
+    /// Nothing new is sent to draining or removed boxes.
     Drain,
-    /// Cold boxes and the planner not pushed over.
+    /// Cold boxes and the planner are not overloaded.
     Cold,
-    /// What is given up is answered at once, and a refusal says when to come back.
+    /// Rejections and failures are answered without delay, and a rejection carries a retry-after time.
     Waited,
-    /// Nothing is begun for a client that has left.
+    /// No attempt starts for a client that has disconnected or cancelled.
     Gone,
-    /// Restarted nodes are ready in time.
+    /// Restarted nodes become ready in time.
     Ready,
 }
 
-/// A rule was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
-    /// Which.
+    /// Violated rule.
     pub rule: Rule,
-    /// When, in microseconds.
+    /// Time of the violation, in microseconds.
     pub at: Time,
-    /// What happened.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// What became of a request that earned less than its full worth.
+/// Reason why a request earned less than its full worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Loss {
-    /// Refused, and not asked again in time.
+    /// Rejected, and not retried in time.
     Refused,
-    /// Refused or failed after over half of its time, with nothing sent for it.
+    /// Rejected or failed after more than half of its time, without an attempt that reached a box.
     RefusedLate,
     /// Answered with a failure.
     Failed,
-    /// Its client stopped waiting.
+    /// Its client stopped waiting before an answer came.
     NoAnswer,
-    /// Its node was down, or died with it.
+    /// Its node was down, or ended while the request was open.
     NodeDown,
-    /// Served after its aim.
+    /// Served after its latency objective.
     Late,
-    /// Still open when the day ended.
+    /// Still open at the end of the run.
     Open,
 }
 
-/// Sums over some of the requests.
+/// Totals over a group of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Worth {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Worth asked for.
+    /// Worth of all requests of the group.
     pub asked: f64,
-    /// Worth served.
+    /// Worth earned by served requests.
     pub served: f64,
 }
 
 impl Worth {
-    /// Served of asked; 1 where nothing was asked.
+    /// Served worth as a share of the worth asked for; 1 if nothing was asked for.
     pub fn share(&self) -> f64 {
         if self.asked > 0.0 {
             self.served / self.asked
@@ -86,105 +86,105 @@
     }
 }
 
-/// One second of the day.
+/// Totals of one second of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Worth asked for by requests that began in it.
+    /// Worth of the requests that started in this second.
     pub asked: f64,
-    /// Of that, what was served.
+    /// Worth earned by those requests.
     pub served: f64,
-    /// Requests that began in it.
+    /// Number of requests that started in this second.
     pub requests: u64,
-    /// Attempts sent.
+    /// Attempts sent to boxes.
     pub attempts: u64,
-    /// Final refusals.
+    /// Final answers that were rejections.
     pub rejected: u64,
-    /// Final failures.
+    /// Final answers that were failures.
     pub failed: u64,
     /// Calls to the planner.
     pub planner: u64,
-    /// Of those, from cold boxes.
+    /// Calls to the planner from cold boxes.
     pub planner_cold: u64,
 }
 
-/// What became of a class.
+/// Result of a request class.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassVerdict {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// May it run again?
+    /// Whether the class's requests may run more than once.
     #[serde(skip)]
     pub effect: Effect,
-    /// Its worth.
+    /// Worth of the class's requests.
     pub worth: Worth,
-    /// Requests served within the aim, and after it.
+    /// Requests served within the latency objective.
     pub in_aim: u64,
-    /// Requests served after the aim.
+    /// Requests served after the latency objective.
     pub late: u64,
     /// Requests that earned nothing.
     pub unserved: u64,
-    /// Final answers of nodes to tries.
+    /// Tries whose final answer was a completion.
     pub completed: u64,
-    /// Refusals.
+    /// Tries whose final answer was a rejection.
     pub rejected: u64,
-    /// Failures.
+    /// Tries whose final answer was a failure.
     pub failed: u64,
-    /// Time from a request's first sending to its answer, in microseconds; served ones only.
+    /// Latency of served requests, from the client's first try to its answer, in microseconds.
     #[serde(skip)]
     pub latency: Histogram<u64>,
 }
 
-/// What a day comes to.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The result: the goal's mix of shares, less the prices; 0 to 1.
+    /// Score from 0 to 1: the goal's weighted mix of served shares, less the prices.
     pub g: f64,
-    /// Breaches of each rule.
+    /// Number of violations of each rule.
     pub breaches: BTreeMap<Rule, u64>,
-    /// The first of them in words.
+    /// Descriptions of the first violations, at most 100.
     pub told: Vec<Breach>,
-    /// All requests.
+    /// Totals of all requests.
     pub whole: Worth,
-    /// Share of the worst window of 10 s, and when it began.
+    /// Served share of the worst 10 s window, and the start of that window.
     pub worst_window: (f64, Time),
-    /// Each class.
+    /// Result of each class.
     pub classes: Vec<ClassVerdict>,
-    /// Each tenant, within its share.
+    /// Name of each tenant and the totals of its requests within its quota.
     pub tenants: Vec<(String, Worth)>,
-    /// Worth lost, by what became of it.
+    /// Worth lost, by cause.
     pub losses: BTreeMap<Loss, f64>,
-    /// What the prices take off.
+    /// Sum of the prices that are subtracted from the score.
     pub prices: f64,
-    /// Attempts sent, and the share of them that was turned away as full.
+    /// Attempts sent to boxes.
     pub attempts: u64,
-    /// Attempts turned away.
+    /// Attempts that boxes rejected as overloaded.
     pub turned_away: u64,
     /// Attempts that timed out.
     pub timed_out: u64,
-    /// Share of served reads that were hits.
+    /// Cache hits as a share of the reads that boxes worked on.
     pub hits: f64,
-    /// Calls to the planner, those of cold boxes, and times that it stopped.
+    /// Calls to the planner.
     pub planner_calls: u64,
-    /// Calls from cold boxes.
+    /// Calls to the planner from cold boxes.
     pub planner_cold: u64,
-    /// Stops of its own accord.
+    /// Number of times that the planner stopped under overload.
     pub planner_stops: u64,
-    /// The most calls in any second.
+    /// Largest number of calls to the planner in a second.
     pub planner_peak: u64,
-    /// Boxes that fell over.
+    /// Number of boxes that crashed under overload while cold.
     pub fallen: u64,
-    /// New connections.
+    /// Connections opened to boxes.
     pub connections: u64,
-    /// Reads that were served a version older than one whose write its client had been told of.
+    /// Reads that were served a version older than one whose write had been acknowledged before.
     pub stale: u64,
-    /// Second by second.
+    /// Totals of each second.
     pub seconds: Vec<Second>,
-    /// Incidents: when each began and ended, and what it was.
+    /// Fault events: start, end if it was recorded, and description.
     pub incidents: Vec<(Time, Option<Time>, String)>,
 }
 
 impl Verdict {
-    /// Of a day on which nothing has happened yet.
+    /// Creates the result of a run without any events.
     pub(super) fn new(day: &Day) -> Self {
         let class = |c: &crate::day::ClassSpec| ClassVerdict {
             name: c.name.clone(),
@@ -224,14 +224,14 @@
         }
     }
 
-    /// No rule was broken.
+    /// True if no rule was violated.
     pub fn is_clean(&self) -> bool {
         self.breaches.is_empty()
     }
 }
 
-/// From a microsecond to an hour, to three digits.
+/// Creates a histogram of latencies from a microsecond to an hour, with three significant digits.
 pub fn latencies() -> Histogram<u64> {
-    // The bounds are constants that the crate accepts.
+    // These constant bounds are valid for the crate, so the constructor can't fail.
     Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap_or_else(|_| unreachable!("constant bounds"))
 }
--- a/crates/simulation/src/referee/waits.rs
+++ b/crates/simulation/src/referee/waits.rs
@@ -1,10 +1,10 @@
-//! The operators' term on the time that an attempt tells its cache server: at most what is left to the client, with some
-//! slack. It holds for the first attempt, for retries and for hedged requests.
+//! Deadline propagation: the wait time that an attempt carries to its cache server is at most the client's remaining
+//! time plus some slack. This holds for the first attempt, for retries and for hedged requests.
 
 use super::*;
 
 impl Referee {
-    /// An attempt begins, and has told its server so much time.
+    /// Checks the wait time that an attempt carries to its server.
     pub(super) fn tells_wait(&mut self, at: Time, id: TryId, wait: Option<Span>) {
         let Some((wait, taken)) = wait.zip(self.tries.get(&id)) else { return };
         let left = taken.until.since(at);
--- a/crates/simulation/src/referee/worth.rs
+++ b/crates/simulation/src/referee/worth.rs
@@ -1,13 +1,13 @@
-//! What requests are worth: what was asked, what was served, and what became of the rest.
+//! Worth of requests: worth asked for, worth served, and the causes of lost worth.
 
 use super::*;
 
-/// Length of the windows whose worst counts.
+/// Length of the windows of which the worst enters the score.
 const WINDOW: Span = Span(10_000_000);
-/// A window counts as one of the day's where it has this share of the mean window's worth.
+/// Windows with at most this share of the mean window's worth are ignored.
 const THIN: f64 = 0.2;
 
-/// A request that its client has not done with.
+/// A request that its client has neither received nor given up.
 pub(super) struct Asking {
     pub class: usize,
     pub tenant: Option<usize>,
@@ -47,12 +47,12 @@
         let second = self.second(at);
         second.asked += worth;
         second.requests += 1;
-        // Until a node takes a try of it.
+        // Holds until a try of the request gets an answer or its client leaves.
         let last = Loss::NodeDown;
         self.asks.insert(id, Asking { class, tenant, key, work, worth, within, first: at, last });
     }
 
-    /// A bucket of one second's quota for each tenant.
+    /// Takes a token from the tenant's bucket, which holds one second of its quota; false if it is empty.
     pub(super) fn is_within(&mut self, at: Time, tenant: usize) -> bool {
         let quota = self.terms.quotas[tenant];
         let (tokens, since) = &mut self.buckets[tenant];
@@ -72,7 +72,7 @@
         let earned = if took <= aim { ask.worth } else { ask.worth * late_worth };
         self.tallies.useful += ask.work;
         let class = &mut self.verdict.classes[ask.class];
-        // Out of range only beyond an hour, which saturates.
+        // Values beyond an hour are out of range and saturate.
         class.latency.saturating_record(took.0.max(1));
         if took <= aim {
             class.in_aim += 1;
@@ -90,7 +90,7 @@
             *self.verdict.losses.entry(Loss::Late).or_default() += ask.worth - earned;
         }
         if self.terms.effects[ask.class].0 != Effect::Free {
-            // Whoever asks from here on must not be served what was before this write.
+            // Requests accepted from now on must not be served a version before this write.
             let version = self.written.get(&ask.key).copied().unwrap_or(0);
             self.acknowledged.insert(ask.key, version);
         }
@@ -105,7 +105,7 @@
         *self.verdict.losses.entry(last.unwrap_or(ask.last)).or_default() += ask.worth;
     }
 
-    /// The day is over: what is open is lost, and the shares are drawn up.
+    /// Ends the run: open requests count as lost, and the shares are computed.
     pub(super) fn over(&mut self, at: Time) {
         self.overdue(Time(u64::MAX));
         self.restarts_in_all(at);
