--- a/crates/simulation/src/referee/gone.rs
+++ b/crates/simulation/src/referee/departed_clients.rs
@@ -8,23 +8,23 @@
 use super::*;
 
 /// An attempt that starts within this time may have crossed the client's disconnect.
-const CROSSING: Span = Span::from_millis(100);
+const CROSSING_TIME: Span = Span::from_millis(100);
 /// Number of remembered tries beyond which old ones are dropped.
-const MOST_LEFT: usize = 10_000;
+const MAX_DEPARTED_TRIES: usize = 10_000;
 /// Age at which a remembered try may be dropped.
-const LONG_AGO: Span = Span::from_millis(60_000);
+const DEPARTED_RETENTION: Span = Span::from_millis(60_000);
 
 /// Tries whose client has left, and when.
 #[derive(Default)]
-pub(super) struct Left {
-    at: FxHashMap<TryId, Time>,
+pub(super) struct DepartedClients {
+    left_at: FxHashMap<TryId, Time>,
 }
 
-impl Left {
-    pub fn leaves(&mut self, at: Time, id: TryId) {
-        self.at.entry(id).or_insert(at);
-        if self.at.len() > MOST_LEFT {
-            self.at.retain(|_, left| at.since(*left) <= LONG_AGO);
+impl DepartedClients {
+    pub fn record(&mut self, at: Time, id: TryId) {
+        self.left_at.entry(id).or_insert(at);
+        if self.left_at.len() > MAX_DEPARTED_TRIES {
+            self.left_at.retain(|_, left| at.since(*left) <= DEPARTED_RETENTION);
         }
     }
 }
@@ -32,16 +32,16 @@
 impl Referee {
     /// Reports an attempt that starts too long after its client left. Returns whether the client has left and rule one
     /// doesn't apply to the attempt.
-    pub(super) fn begun_after_leaving(&mut self, at: Time, id: TryId) -> bool {
-        let Some(left) = self.left.at.get(&id).copied() else { return false };
-        let owed = self.tries.get(&id).is_some_and(|taken| !taken.done);
-        if !self.terms.leaving_crosses && !owed {
+    pub(super) fn check_departed(&mut self, at: Time, id: TryId) -> bool {
+        let Some(left) = self.departed_clients.left_at.get(&id).copied() else { return false };
+        let owed = self.tries.get(&id).is_some_and(|accepted| !accepted.done);
+        if !self.parameters.leaving_crosses && !owed {
             return false;
         }
         let after = at.since(left);
-        if after > CROSSING {
-            let what = format!("try {id} was sent on {after} after its client had left");
-            self.breach(Rule::Gone, at, what);
+        if after > CROSSING_TIME {
+            let what = format!("try {id} was forwarded {after} after its client had disconnected");
+            self.report_violation(Rule::Gone, at, what);
         }
         true
     }
--- a/crates/simulation/src/referee/told.rs
+++ b/crates/simulation/src/referee/notifications.rs
@@ -12,47 +12,47 @@
 use super::*;
 
 /// A change that discovery offers, or that a silent watch misses, counts as notified after this time.
-const LATEST: Span = Span::from_millis(6000);
+const POLL_LIMIT: Span = Span::from_millis(6000);
 /// Added to the wait of a silent long poll.
-const PAST_WAIT: Span = Span::from_millis(2000);
+const WAIT_MARGIN: Span = Span::from_millis(2000);
 /// After SIGHUP, no change counts as notified before this time has passed.
-const PAST_HUP: Span = Span::from_millis(4000);
+const RECONFIGURATION_DELAY: Span = Span::from_millis(4000);
 
 /// Entry of a box in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct News {
+pub(super) struct EndpointState {
     pub phase: Phase,
     pub started: Option<Time>,
 }
 
 /// Notification deadlines of all nodes. For each node and box at most the last pending change is kept.
 #[derive(Default)]
-pub(super) struct Clocks {
+pub(super) struct NotificationDeadlines {
     /// Time from which changes missed by a node's silent watch count.
-    silent: FxHashMap<NodeId, Time>,
+    silent_until: FxHashMap<NodeId, Time>,
     /// Earliest time at which changes count after a node's SIGHUP.
-    hup: FxHashMap<NodeId, Time>,
+    reconfigured_until: FxHashMap<NodeId, Time>,
     /// Nodes whose last call to discovery has failed.
-    failed: FxHashSet<NodeId>,
+    failed_calls: FxHashSet<NodeId>,
     /// Pending changes: deadline, deadline after a failed call, and the new state.
-    pending: BTreeMap<(NodeId, BoxId), (Time, Time, News)>,
+    pending: BTreeMap<(NodeId, BoxId), (Time, Time, EndpointState)>,
     due: BTreeSet<(Time, NodeId, BoxId)>,
 }
 
-impl Clocks {
-    pub fn silent(&mut self, at: Time, node: NodeId, waits: Option<Span>) {
-        let wait = waits.map_or(at, |waits| at + waits + PAST_WAIT);
-        self.silent.insert(node, (at + LATEST).max(wait));
+impl NotificationDeadlines {
+    pub fn watch_silent(&mut self, at: Time, node: NodeId, waits: Option<Span>) {
+        let wait = waits.map_or(at, |waits| at + waits + WAIT_MARGIN);
+        self.silent_until.insert(node, (at + POLL_LIMIT).max(wait));
     }
 
-    pub fn opened(&mut self, node: NodeId) {
-        self.silent.remove(&node);
-        self.failed.remove(&node);
+    pub fn watch_opened(&mut self, node: NodeId) {
+        self.silent_until.remove(&node);
+        self.failed_calls.remove(&node);
     }
 
     /// Records a failed call of a node, which shortens the deadlines of its pending changes.
-    pub fn failed(&mut self, node: NodeId) {
-        self.failed.insert(node);
+    pub fn call_failed(&mut self, node: NodeId) {
+        self.failed_calls.insert(node);
         let late =
             self.pending.range_mut((node, 0)..=(node, BoxId::MAX)).filter(|(_, (at, latest, _))| at > latest);
         for ((node, of), (at, latest, _)) in late {
@@ -62,61 +62,63 @@
         }
     }
 
-    pub fn hup(&mut self, at: Time, node: NodeId) {
-        self.hup.insert(node, at + PAST_HUP);
+    pub fn reconfigured(&mut self, at: Time, node: NodeId) {
+        self.reconfigured_until.insert(node, at + RECONFIGURATION_DELAY);
     }
 
     /// Records a change that is available for a node and sets its deadline.
-    pub fn has(&mut self, at: Time, node: NodeId, of: BoxId, news: News, asked: bool) {
-        let usual = if asked { at + LATEST } else { at };
-        let silent = self.silent.get(&node).copied().unwrap_or(at);
-        let hup = self.hup.get(&node).copied().unwrap_or(at);
-        let latest = at + LATEST;
+    pub fn change_available(&mut self, at: Time, node: NodeId, of: BoxId, state: EndpointState, asked: bool) {
+        let usual = if asked { at + POLL_LIMIT } else { at };
+        let silent = self.silent_until.get(&node).copied().unwrap_or(at);
+        let hup = self.reconfigured_until.get(&node).copied().unwrap_or(at);
+        let latest = at + POLL_LIMIT;
         let longest = usual.max(silent).max(hup);
-        let counts = if self.failed.contains(&node) { longest.min(latest) } else { longest };
+        let counts = if self.failed_calls.contains(&node) { longest.min(latest) } else { longest };
         // A newer change replaces a pending one, but keeps its deadline if both of them close the box.
-        let closes = |news: &News| news.phase != Phase::Ready;
-        let before = self.taken(node, of).filter(|(.., old)| closes(old) && closes(&news));
+        let closes = |state: &EndpointState| state.phase != Phase::Ready;
+        let before = self.take_pending(node, of).filter(|(.., old)| closes(old) && closes(&state));
         let (counts, latest) = before.map_or((counts, latest), |(first, latest, _)| (first, latest));
-        self.pending.insert((node, of), (counts, latest, news));
+        self.pending.insert((node, of), (counts, latest, state));
         self.due.insert((counts, node, of));
     }
 
     /// Drops the pending change of a box that a node has now been notified of.
-    pub fn arrived(&mut self, node: NodeId, of: BoxId) {
-        self.taken(node, of);
+    pub fn change_arrived(&mut self, node: NodeId, of: BoxId) {
+        self.take_pending(node, of);
     }
 
-    fn taken(&mut self, node: NodeId, of: BoxId) -> Option<(Time, Time, News)> {
-        let (at, latest, news) = self.pending.remove(&(node, of))?;
+    fn take_pending(&mut self, node: NodeId, of: BoxId) -> Option<(Time, Time, EndpointState)> {
+        let (at, latest, state) = self.pending.remove(&(node, of))?;
         self.due.remove(&(at, node, of));
-        Some((at, latest, news))
+        Some((at, latest, state))
     }
 
     /// Takes the next change whose deadline has passed.
-    pub fn counted(&mut self, now: Time) -> Option<(Time, NodeId, BoxId, News)> {
+    pub fn take_due(&mut self, now: Time) -> Option<(Time, NodeId, BoxId, EndpointState)> {
         let (at, node, of) = self.due.first().copied().filter(|(at, ..)| *at <= now)?;
-        let (.., news) = self.taken(node, of)?;
-        Some((at, node, of, news))
+        let (.., state) = self.take_pending(node, of)?;
+        Some((at, node, of, state))
     }
 
     /// Resets the state of a node whose process has ended; the next process starts without pending changes.
-    pub fn ended(&mut self, node: NodeId) {
-        self.opened(node);
-        self.hup.remove(&node);
+    pub fn process_ended(&mut self, node: NodeId) {
+        self.watch_opened(node);
+        self.reconfigured_until.remove(&node);
         let boxes: Vec<BoxId> =
             self.pending.range((node, 0)..=(node, BoxId::MAX)).map(|((_, of), _)| *of).collect();
         for of in boxes {
-            self.arrived(node, of);
+            self.change_arrived(node, of);
         }
     }
 }
 
 impl Referee {
     /// Applies all changes whose notification deadline has passed, arrived or not.
-    pub(super) fn counts_as_told(&mut self, now: Time) {
-        while let Some((at, node, of, News { phase, started })) = self.clocks.counted(now) {
-            self.hears(at, node, of, phase, started);
+    pub(super) fn apply_due_notifications(&mut self, now: Time) {
+        while let Some((at, node, of, EndpointState { phase, started })) =
+            self.notification_deadlines.take_due(now)
+        {
+            self.box_notified(at, node, of, phase, started);
         }
     }
 }
--- a/crates/simulation/src/referee/terms.rs
+++ b/crates/simulation/src/referee/parameters.rs
@@ -4,11 +4,11 @@
 use crate::time::Span;
 
 /// Parameters of the rules for one run.
-pub(super) struct Terms {
+pub(super) struct RuleParameters {
     /// Each class's effect, and the window in which boxes drop its repeats.
     pub effects: Vec<(Effect, Span)>,
     /// Each class's latency objective, its worth, and the share of it that a late answer earns.
-    pub aims: Vec<(Span, f64, f64)>,
+    pub objectives: Vec<(Span, f64, f64)>,
     /// Quota of each tenant, in requests per second.
     pub quotas: Vec<f64>,
     pub goal: GoalSpec,
@@ -26,18 +26,18 @@
     pub unseen: Span,
     /// Allowed excess of an attempt's wait time over its client's remaining time.
     pub wait_slack: Span,
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     pub second_copies: bool,
     /// Rejections carry a retry-after time.
-    pub advises: bool,
+    pub sends_retry_after: bool,
     pub box_count: usize,
 }
 
-impl Terms {
+impl RuleParameters {
     pub fn new(day: &Day) -> Self {
-        Terms {
+        RuleParameters {
             effects: day.classes.iter().map(|c| (c.effect, c.window)).collect(),
-            aims: day.classes.iter().map(|c| (c.aim, c.worth, c.late_worth)).collect(),
+            objectives: day.classes.iter().map(|c| (c.aim, c.worth, c.late_worth)).collect(),
             quotas: day.tenants.iter().map(|t| t.quota).collect(),
             goal: day.goal.clone(),
             answer_grace: day.rules.answer_grace,
@@ -49,9 +49,9 @@
             leaving_crosses: day.rules.leaving_crosses,
             unseen: day.rules.unseen,
             wait_slack: day.rules.wait_slack,
-            most_attempts: day.limits.max_attempts,
+            max_attempts: day.limits.max_attempts,
             second_copies: day.limits.second_copies,
-            advises: day.limits.retry_after && !day.clients.most_advice.is_zero(),
+            sends_retry_after: day.limits.retry_after && !day.clients.most_advice.is_zero(),
             box_count: day.running.len().max(1),
         }
     }
--- a/crates/simulation/src/referee/planner.rs
+++ b/crates/simulation/src/referee/planner.rs
@@ -3,29 +3,29 @@
 use super::*;
 
 /// Misses at cold boxes are at fault beyond this share of the planner's calls, if `COLD_OVER_DUE` is exceeded too.
-const COLD_SHARE: f64 = 0.3;
+const MAX_COLD_CALL_SHARE: f64 = 0.3;
 /// Ratio of misses at cold boxes to the reads that the cold boxes' weight accounts for.
-const COLD_OVER_DUE: f64 = 1.25;
+const MAX_COLD_CALLS_PER_EXPECTED_READ: f64 = 1.25;
 
 /// Recent calls to the planner, with whether the caller was cold, and recent reads at boxes.
 #[derive(Default)]
-pub(super) struct Calls {
+pub(super) struct PlannerLoad {
     calls: VecDeque<(Time, bool)>,
     pub reads: VecDeque<Time>,
 }
 
 impl Referee {
-    pub(super) fn planner_asked(&mut self, at: Time, cold: bool) {
+    pub(super) fn planner_called(&mut self, at: Time, cold: bool) {
         self.verdict.planner_calls += 1;
         self.verdict.planner_cold += u64::from(cold);
-        let second = self.second(at);
+        let second = self.second_at(at);
         second.planner += 1;
         second.planner_cold += u64::from(cold);
         self.planner.calls.push_back((at, cold));
-        while self.planner.calls.front().is_some_and(|(t, _)| at.since(*t) > self.terms.planner_for) {
+        while self.planner.calls.front().is_some_and(|(t, _)| at.since(*t) > self.parameters.planner_for) {
             self.planner.calls.pop_front();
         }
-        while self.planner.reads.front().is_some_and(|t| at.since(*t) > self.terms.planner_for) {
+        while self.planner.reads.front().is_some_and(|t| at.since(*t) > self.parameters.planner_for) {
             self.planner.reads.pop_front();
         }
     }
@@ -35,16 +35,16 @@
         let all = self.planner.calls.len() as f64;
         let cold = self.planner.calls.iter().filter(|(_, cold)| *cold).count() as f64;
         let weight = |(of, size): (BoxId, &Option<f64>)| {
-            size.map(|size| (size, self.cold.get(&of).map(|c| warmth(c, at))))
+            size.map(|size| (size, self.cold_boxes.get(&of).map(|c| slow_start_factor(c, at))))
         };
-        let weights: Vec<(f64, Option<f64>)> = self.sizes.iter().enumerate().filter_map(weight).collect();
-        let total: f64 = weights.iter().map(|(size, warmth)| size * warmth.unwrap_or(1.0)).sum();
-        let theirs: f64 = weights.iter().filter_map(|(size, warmth)| warmth.map(|w| size * w)).sum();
-        let due = self.planner.reads.len() as f64 * theirs / total.max(1e-9);
-        if cold > COLD_SHARE * all && cold > COLD_OVER_DUE * due {
+        let weights: Vec<(f64, Option<f64>)> = self.box_sizes.iter().enumerate().filter_map(weight).collect();
+        let total: f64 = weights.iter().map(|(size, factor)| size * factor.unwrap_or(1.0)).sum();
+        let cold_weight: f64 = weights.iter().filter_map(|(size, factor)| factor.map(|w| size * w)).sum();
+        let expected = self.planner.reads.len() as f64 * cold_weight / total.max(1e-9);
+        if cold > MAX_COLD_CALL_SHARE * all && cold > MAX_COLD_CALLS_PER_EXPECTED_READ * expected {
             let what =
-                format!("the planner stopped; {cold} of {all} calls were misses at cold boxes, {due:.0} due");
-            self.breach(Rule::Cold, at, what);
+                format!("the planner stopped; {cold} of {all} calls were misses at cold boxes, {expected:.0} expected");
+            self.report_violation(Rule::Cold, at, what);
         }
     }
 }
--- a/crates/simulation/src/referee/prices.rs
+++ b/crates/simulation/src/referee/score.rs
@@ -4,7 +4,7 @@
 
 /// Totals that the prices are computed from, and the open connections.
 #[derive(Default)]
-pub(super) struct Tallies {
+pub(super) struct CostTotals {
     /// Work that boxes did, in microseconds of a standard core.
     pub worked: f64,
     /// Work of the requests that were served.
@@ -26,35 +26,35 @@
 }
 
 impl Referee {
-    pub(super) fn connections(&mut self, at: Time, to: BoxId, change: impl Fn(u64) -> u64) {
-        self.tallies.open_sum += self.tallies.open_now as f64 * at.since(self.tallies.open_since).as_secs();
-        self.tallies.open_since = at;
-        let open = self.tallies.open.entry(to).or_default();
+    pub(super) fn update_connections(&mut self, at: Time, to: BoxId, change: impl Fn(u64) -> u64) {
+        self.totals.open_sum += self.totals.open_now as f64 * at.since(self.totals.open_since).as_secs();
+        self.totals.open_since = at;
+        let open = self.totals.open.entry(to).or_default();
         let after = change(*open);
-        self.tallies.open_now = self.tallies.open_now + after - *open;
+        self.totals.open_now = self.totals.open_now + after - *open;
         *open = after;
     }
 
     /// Computes the score: the weighted shares less the prices.
-    pub(super) fn result(&mut self, at: Time) {
+    pub(super) fn compute_score(&mut self, at: Time) {
         self.verdict.planner_peak = self.verdict.seconds.iter().map(|s| s.planner).max().unwrap_or(0);
-        self.connections(at, 0, |open| open);
+        self.update_connections(at, 0, |open| open);
         let first_tries = (self.verdict.whole.requests as f64).max(1.0);
-        let prices = &self.terms.goal.prices;
-        let mean_open = self.tallies.open_sum / at.as_secs().max(1e-9);
-        let waste = (self.tallies.worked - self.tallies.useful).max(0.0) / self.tallies.asked_work.max(1e-9);
+        let prices = &self.parameters.goal.prices;
+        let mean_open = self.totals.open_sum / at.as_secs().max(1e-9);
+        let waste = (self.totals.worked - self.totals.useful).max(0.0) / self.totals.asked_work.max(1e-9);
         self.verdict.prices = prices.waste * waste
-            + prices.late_fail * self.tallies.late_fail / self.verdict.whole.asked.max(1e-9)
+            + prices.late_fail * self.totals.late_fail / self.verdict.whole.asked.max(1e-9)
             + prices.handshake * self.verdict.connections as f64 / first_tries
-            + prices.connection * mean_open / (100.0 * self.terms.box_count as f64)
-            + prices.probe * self.tallies.probes as f64 / first_tries
-            + prices.peer * self.tallies.message_bytes as f64 / (256.0 * first_tries)
-            + prices.cross_zone * self.tallies.crossings as f64 / first_tries
-            + prices.list * self.tallies.entries as f64 / first_tries;
+            + prices.connection * mean_open / (100.0 * self.parameters.box_count as f64)
+            + prices.probe * self.totals.probes as f64 / first_tries
+            + prices.peer * self.totals.message_bytes as f64 / (256.0 * first_tries)
+            + prices.cross_zone * self.totals.crossings as f64 / first_tries
+            + prices.list * self.totals.entries as f64 / first_tries;
         let least = |shares: &mut dyn Iterator<Item = f64>| shares.fold(1.0, f64::min);
         let class = least(&mut self.verdict.classes.iter().map(|c| c.worth.share()));
         let tenant = least(&mut self.verdict.tenants.iter().map(|(_, worth)| worth.share()));
-        let goal = &self.terms.goal;
+        let goal = &self.parameters.goal;
         let mix = goal.whole * self.verdict.whole.share()
             + goal.worst_window * self.verdict.worst_window.0
             + goal.worst_class * class
--- a/crates/simulation/src/referee/worth.rs
+++ b/crates/simulation/src/referee/worth.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 /// Length of the windows of which the worst enters the score.
-const WINDOW: Span = Span(10_000_000);
+const SCORE_WINDOW: Span = Span(10_000_000);
 /// Windows with at most this share of the mean window's worth are ignored.
-const THIN: f64 = 0.2;
+const MIN_WINDOW_SHARE: f64 = 0.2;
 
 /// A request that its client has neither received nor given up.
-pub(super) struct Asking {
+pub(super) struct OpenRequest {
     pub class: usize,
     pub tenant: Option<usize>,
     pub key: KeyId,
@@ -20,7 +20,7 @@
 }
 
 impl Referee {
-    pub(super) fn asked(
+    pub(super) fn request_started(
         &mut self,
         at: Time,
         id: AskId,
@@ -30,32 +30,33 @@
         work: f64,
     ) {
         let within = tenant.is_none_or(|t| self.is_within(at, t));
-        let units = if self.terms.goal.by_work { work / 1e6 } else { 1.0 };
-        let share = if within { 1.0 } else { self.terms.goal.over_share_worth };
-        let worth = self.terms.aims[class].1 * units * share;
-        self.tallies.asked_work += work;
+        let units = if self.parameters.goal.by_work { work / 1e6 } else { 1.0 };
+        let share = if within { 1.0 } else { self.parameters.goal.over_share_worth };
+        let worth = self.parameters.objectives[class].1 * units * share;
+        self.totals.asked_work += work;
         self.verdict.whole.ask(worth);
         self.verdict.classes[class].worth.ask(worth);
         if let Some(tenant) = tenant.filter(|_| within) {
-            self.tenants[tenant].ask(worth);
+            self.tenant_worth[tenant].ask(worth);
         }
-        let window = (at.0 / WINDOW.0) as usize;
-        if self.windows.len() <= window {
-            self.windows.resize(window + 1, Worth::default());
+        let window = (at.0 / SCORE_WINDOW.0) as usize;
+        if self.window_worth.len() <= window {
+            self.window_worth.resize(window + 1, Worth::default());
         }
-        self.windows[window].ask(worth);
-        let second = self.second(at);
+        self.window_worth[window].ask(worth);
+        let second = self.second_at(at);
         second.asked += worth;
         second.requests += 1;
         // Holds until a try of the request gets an answer or its client leaves.
         let last = Loss::NodeDown;
-        self.asks.insert(id, Asking { class, tenant, key, work, worth, within, first: at, last });
+        self.open_requests
+            .insert(id, OpenRequest { class, tenant, key, work, worth, within, first: at, last });
     }
 
     /// Takes a token from the tenant's bucket, which holds one second of its quota; false if it is empty.
     pub(super) fn is_within(&mut self, at: Time, tenant: usize) -> bool {
-        let quota = self.terms.quotas[tenant];
-        let (tokens, since) = &mut self.buckets[tenant];
+        let quota = self.parameters.quotas[tenant];
+        let (tokens, since) = &mut self.quota_buckets[tenant];
         *tokens = (*tokens + quota * at.since(*since).as_secs()).min(quota.max(1.0));
         *since = at;
         let within = *tokens >= 1.0;
@@ -63,14 +64,18 @@
         within
     }
 
-    pub(super) fn received(&mut self, at: Time, id: AskId) {
-        let Some(ask) = self.asks.remove(&id) else {
-            return self.breach(Rule::Lost, at, format!("request {id} was served twice, or never asked"));
+    pub(super) fn request_served(&mut self, at: Time, id: AskId) {
+        let Some(ask) = self.open_requests.remove(&id) else {
+            return self.report_violation(
+                Rule::Lost,
+                at,
+                format!("request {id} was served twice, or never started"),
+            );
         };
-        let (aim, _, late_worth) = self.terms.aims[ask.class];
+        let (aim, _, late_worth) = self.parameters.objectives[ask.class];
         let took = at.since(ask.first);
         let earned = if took <= aim { ask.worth } else { ask.worth * late_worth };
-        self.tallies.useful += ask.work;
+        self.totals.useful += ask.work;
         let class = &mut self.verdict.classes[ask.class];
         // Values beyond an hour are out of range and saturate.
         class.latency.saturating_record(took.0.max(1));
@@ -82,45 +87,46 @@
         class.worth.served += earned;
         self.verdict.whole.served += earned;
         if let Some(tenant) = ask.tenant.filter(|_| ask.within) {
-            self.tenants[tenant].served += earned;
+            self.tenant_worth[tenant].served += earned;
         }
-        self.windows[(ask.first.0 / WINDOW.0) as usize].served += earned;
-        self.second(ask.first).served += earned;
+        self.window_worth[(ask.first.0 / SCORE_WINDOW.0) as usize].served += earned;
+        self.second_at(ask.first).served += earned;
         if earned < ask.worth {
             *self.verdict.losses.entry(Loss::Late).or_default() += ask.worth - earned;
         }
-        if self.terms.effects[ask.class].0 != Effect::Free {
+        if self.parameters.effects[ask.class].0 != Effect::Free {
             // Requests accepted from now on must not be served a version before this write.
             let version = self.written.get(&ask.key).copied().unwrap_or(0);
             self.acknowledged.insert(ask.key, version);
         }
     }
 
-    pub(super) fn gave_up(&mut self, at: Time, id: AskId, last: Option<Loss>) {
-        let Some(ask) = self.asks.remove(&id) else { return };
-        if at.since(ask.first) > self.terms.aims[ask.class].0 {
-            self.tallies.late_fail += ask.worth;
+    pub(super) fn request_given_up(&mut self, at: Time, id: AskId, last: Option<Loss>) {
+        let Some(ask) = self.open_requests.remove(&id) else { return };
+        if at.since(ask.first) > self.parameters.objectives[ask.class].0 {
+            self.totals.late_fail += ask.worth;
         }
         self.verdict.classes[ask.class].unserved += 1;
         *self.verdict.losses.entry(last.unwrap_or(ask.last)).or_default() += ask.worth;
     }
 
     /// Ends the run: open requests count as lost, and the shares are computed.
-    pub(super) fn over(&mut self, at: Time) {
-        self.overdue(Time(u64::MAX));
-        self.restarts_in_all(at);
-        let mut open: Vec<AskId> = self.asks.keys().copied().collect();
+    pub(super) fn run_ended(&mut self, at: Time) {
+        self.expire_unanswered(Time(u64::MAX));
+        self.check_restarts(at);
+        let mut open: Vec<AskId> = self.open_requests.keys().copied().collect();
         open.sort_unstable();
         for id in open {
-            self.gave_up(at, id, Some(Loss::Open));
+            self.request_given_up(at, id, Some(Loss::Open));
         }
-        let mean = self.windows.iter().map(|w| w.asked).sum::<f64>() / self.windows.len().max(1) as f64;
-        let full = self.windows.iter().enumerate().filter(|(_, w)| w.asked > THIN * mean);
-        let worst = full.map(|(n, w)| (w.share(), Time(n as u64 * WINDOW.0)));
+        let mean =
+            self.window_worth.iter().map(|w| w.asked).sum::<f64>() / self.window_worth.len().max(1) as f64;
+        let full = self.window_worth.iter().enumerate().filter(|(_, w)| w.asked > MIN_WINDOW_SHARE * mean);
+        let worst = full.map(|(n, w)| (w.share(), Time(n as u64 * SCORE_WINDOW.0)));
         self.verdict.worst_window = worst.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((1.0, Time::ZERO));
-        for (named, worth) in self.verdict.tenants.iter_mut().zip(&self.tenants) {
+        for (named, worth) in self.verdict.tenants.iter_mut().zip(&self.tenant_worth) {
             named.1 = *worth;
         }
-        self.verdict.hits = self.tallies.read_hits.0 as f64 / (self.tallies.read_hits.1 as f64).max(1.0);
+        self.verdict.hits = self.totals.read_hits.0 as f64 / (self.totals.read_hits.1 as f64).max(1.0);
     }
 }
