--- a/crates/simulation/src/day/incident.rs
+++ b/crates/simulation/src/day/incident.rs
@@ -1,103 +1,104 @@
-//! What goes wrong on a day, or is done on purpose, and to whom.
+//! Fault events of a run and planned operations such as restarts and drains.
 
 use super::NodeId;
 use crate::list::BoxId;
 use crate::time::{Span, Time};
 
-/// How some clients are in haste: in a fleet short of room their tries are most of the load and serve next to nobody.
+/// Clients with short timeouts and immediate retries. In a fleet short of capacity their tries make up most of the load
+/// and almost none of them is served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Haste {
-    /// Share of the clients.
+    /// Share of clients that behave this way.
     pub share: f64,
-    /// How long they wait for a try.
+    /// Time that these clients wait for a try.
     pub gives: Span,
-    /// How often they come again, at once and whatever they are advised.
+    /// Number of retries, sent at once and without regard to retry-after times.
     pub again: u32,
 }
 
-/// How some clients write slowly: in pieces, from whose first byte on they wait for their answer.
+/// Clients that write commands slowly, in pieces. Their wait for the answer starts at the first byte.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowWriters {
-    /// Share of the tries.
+    /// Share of tries that are written slowly.
     pub share: f64,
-    /// From a command's first byte to its last passes up to so long.
+    /// Longest time from a command's first byte to its last.
     pub up_to: Span,
 }
 
-/// What goes wrong, or is done on purpose, and to whom.
+/// A fault or planned operation, with its targets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Incident {
-    /// Machines go silent, and come back with empty stores.
+    /// Machines stop responding, and come back with empty stores.
     Silent(Vec<BoxId>),
-    /// Machines run so many times slower.
+    /// Machines run slower by this factor.
     Slow(Vec<BoxId>, f64),
-    /// Machines fail this share of what they are asked.
+    /// Machines fail this share of their requests.
     Erring(Vec<BoxId>, f64),
-    /// Processes end at once, and come back with empty stores.
+    /// Processes are killed, and come back with empty stores.
     Kill(Vec<BoxId>),
-    /// This share of a class's requests costs so many times the usual work.
+    /// A share of a class's requests costs a multiple of the usual work.
     Heavy {
         /// Index of the class.
         class: usize,
-        /// Share of its requests.
+        /// Share of the class's requests.
         share: f64,
-        /// Times the usual work.
+        /// Multiple of the usual work.
         factor: f64,
     },
-    /// Nodes die at once, and come back with their last list.
+    /// Nodes are killed, and come back with their last endpoint list.
     NodeDeath(Vec<NodeId>),
-    /// Nodes are told to stop, finish, and come back.
+    /// Nodes receive SIGTERM, finish their requests, and come back.
     NodeRestart(Vec<NodeId>),
-    /// The list tells nothing.
+    /// The endpoint list sends no changes.
     ListOutage,
-    /// The planner is so many times slower.
+    /// The planner is slower by this factor.
     PlannerSlow(f64),
-    /// The planner answers nothing.
+    /// The planner doesn't answer.
     PlannerSilent,
-    /// Nothing passes from the first depot of each pair to the second, but for the list.
+    /// Nothing passes from the first depot of each pair to the second, except for the endpoint list.
     Partition(Vec<(usize, usize)>),
-    /// The list reaches the nodes of one depot, or of all, so much later.
+    /// Changes of the endpoint list reach the nodes of one depot, or of all, later.
     LateList {
-        /// Which depot; `None` for all.
+        /// Index of the depot; `None` for all.
         depot: Option<usize>,
-        /// How much later.
+        /// Additional delay.
         by: Span,
     },
     /// This share of the boxes' answers never arrives.
     LostAnswers(f64),
-    /// This share of the requests has its connection reset when it would be answered.
+    /// The connection of this share of requests is reset when the answer would be sent.
     Resets(f64),
     /// This share of the messages between nodes is lost.
     LostMessages(f64),
-    /// The nodes of a depot are sent so many times the requests.
+    /// The nodes of a depot receive a multiple of their requests.
     Shift {
-        /// Which depot.
+        /// Index of the depot.
         depot: usize,
-        /// Times the usual rate.
+        /// Multiple of the usual rate.
         factor: f64,
     },
-    /// Clients have no patience.
+    /// Clients abandon tries early and retry sooner.
     Impatient {
-        /// Share of tries that are left early.
+        /// Share of tries that are abandoned early.
         share: f64,
-        /// Clients come again so many times sooner.
+        /// Factor by which the time before a retry is shortened.
         hurry: f64,
     },
-    /// Clients give a try little time.
+    /// Clients have short timeouts and retry at once.
     Hasty(Haste),
     /// Clients write their commands slowly.
     SlowWriters(SlowWriters),
-    /// Boxes drain, and end when the incident does.
+    /// Boxes drain, and stop when the fault event ends.
     Drain(Vec<BoxId>),
-    /// Boxes start, and are on the list from then on.
+    /// Boxes start, and are listed from then on.
     Join(Vec<BoxId>),
-    /// The rate is so many times as high, and this share of all requests goes to so many keys.
+    /// The request rate rises by a factor, and a share of all requests goes to a few keys.
     Burst {
-        /// Times the usual rate.
+        /// Multiple of the usual rate.
         factor: f64,
         /// Share of the requests that goes to the keys.
         share: f64,
-        /// How many keys; drawn when it begins.
+        /// Number of keys, which are drawn when the burst begins.
         keys: u32,
     },
 }
@@ -119,7 +120,7 @@
             Incident::ListOutage => f.write_str("the list is silent"),
             Incident::PlannerSlow(factor) => write!(f, "the planner is {factor:.1} times slower"),
             Incident::PlannerSilent => f.write_str("the planner is silent"),
-            Incident::Partition(pairs) => parted(f, pairs),
+            Incident::Partition(pairs) => write_partition(f, pairs),
             Incident::LateList { depot: None, by } => write!(f, "the list is {by} late"),
             Incident::LateList { depot: Some(depot), by } => {
                 write!(f, "depot {depot} has the list {by} late")
@@ -151,12 +152,12 @@
     }
 }
 
-fn parted(f: &mut std::fmt::Formatter<'_>, pairs: &[(usize, usize)]) -> std::fmt::Result {
-    let common = |depot: usize| pairs.iter().all(|(from, to)| *from == depot || *to == depot);
+fn write_partition(f: &mut std::fmt::Formatter<'_>, pairs: &[(usize, usize)]) -> std::fmt::Result {
+    let in_all_pairs = |depot: usize| pairs.iter().all(|(from, to)| *from == depot || *to == depot);
     match *pairs {
         [(a, b)] => write!(f, "nothing passes from depot {a} to depot {b}"),
         [(a, b), (c, d)] if (a, b) == (d, c) => write!(f, "depots {a} and {b} are parted"),
-        _ => match pairs.iter().flat_map(|(from, to)| [*from, *to]).find(|depot| common(*depot)) {
+        _ => match pairs.iter().flat_map(|(from, to)| [*from, *to]).find(|depot| in_all_pairs(*depot)) {
             Some(depot) if pairs.iter().all(|(from, _)| *from == depot) => {
                 write!(f, "nothing comes out of depot {depot}")
             }
@@ -166,47 +167,47 @@
     }
 }
 
-/// An incident and its time.
+/// A fault event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scheduled {
-    /// When it begins.
+    /// Start of the fault event.
     pub at: Time,
-    /// How long it lasts.
+    /// Duration of the fault event.
     pub lasts: Span,
-    /// What it is.
+    /// The fault event.
     pub incident: Incident,
-    /// How a planned restart is played, where clients send until the kill.
+    /// Timing of a planned restart in which clients send until SIGKILL.
     pub stop: Option<Stop>,
 }
 
-/// The platform's side of a planned restart, from SIGTERM on.
+/// Timing of the platform in a planned restart, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
-    /// New connections keep coming for so long.
+    /// Time for which new connections keep arriving.
     pub coming: Span,
-    /// SIGKILL comes after so long.
+    /// Time until SIGKILL.
     pub kill: Span,
 }
 
-/// Longer deadlines count as this.
-const LONGEST_COUNTED: Span = Span::from_millis(3000);
-/// SIGKILL comes this much later than the longest deadline.
-const GRACE: Span = Span::from_millis(700);
+/// Longer client deadlines count as this when the time of SIGKILL is set.
+const MAX_COUNTED_DEADLINE: Span = Span::from_millis(3000);
+/// Time from the longest deadline to SIGKILL.
+const KILL_GRACE: Span = Span::from_millis(700);
 
 impl Stop {
-    /// With clients who wait this long at most, and so much time in which new connections come.
+    /// Creates the timing for clients with this longest deadline, and new connections arriving for this time.
     pub fn new(longest: Span, coming: Span) -> Self {
-        Stop { coming, kill: longest.min(LONGEST_COUNTED) + GRACE }
+        Stop { coming, kill: longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
     }
 }
 
-/// Watches that fall silent.
+/// Watches of the endpoint list that fall silent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Silence {
-    /// When.
+    /// Time at which the watches fall silent.
     pub at: Time,
-    /// Whose.
+    /// Nodes whose watches fall silent.
     pub nodes: Vec<NodeId>,
-    /// The call that falls silent may wait for so much longer; without it, it had begun to answer, or none was out.
+    /// Remaining wait of the silent long poll; `None` if its answer had begun or no call was in flight.
     pub waits: Option<Span>,
 }
--- a/crates/simulation/src/day/mod.rs
+++ b/crates/simulation/src/day/mod.rs
@@ -1,4 +1,5 @@
-//! A day: everything that a run depends on, drawn and in plain numbers. A scenario and a seed give one day.
+//! A run's parameters: all values that a run depends on, drawn from a scenario's ranges. A scenario and a seed always
+//! give the same values.
 
 mod incident;
 mod rules;
@@ -12,19 +13,19 @@
 pub use incident::{Haste, Incident, Scheduled, Silence, SlowWriters, Stop};
 pub use rules::{GoalSpec, LimitsSpec, PricesSpec, RulesSpec};
 
-/// Index of a node in the day.
+/// Index of a node in the run.
 pub type NodeId = usize;
 
-/// May a request run more than once?
+/// Whether a request may run more than once.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Idempotent: may run any number of times.
     #[default]
     Free,
-    /// Boxes drop repeats within the class's window.
+    /// Boxes drop repeats within the class's deduplication window.
     Guarded,
     /// Must never run twice.
     SingleShot,
@@ -33,42 +34,43 @@
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Share of the requests.
+    /// Share of the class in all requests.
     pub share: f64,
     /// Mean work, in time of a standard core.
     pub work: Span,
-    /// How work is spread round it.
+    /// Distribution of the work around its mean.
     pub spread: Spread,
-    /// Deviation of the work, as a share of the mean.
+    /// Standard deviation of the work, as a share of the mean.
     pub cv: f64,
-    /// Answered within this time it earns its full worth.
+    /// Latency objective: an answer within this time earns the full worth.
     pub aim: Span,
-    /// The client waits this long, over all its tries.
+    /// Time that the client waits, over all its tries.
     pub deadline: Span,
-    /// Worth of an answer within the aim, for each unit of work.
+    /// Worth of an answer within the latency objective: per second of work, or per request if the goal doesn't count
+    /// by work.
     pub worth: f64,
-    /// Share of the worth that a later answer still earns.
+    /// Share of the worth that a later answer earns.
     pub late_worth: f64,
-    /// May it run again?
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// How long boxes drop repeats.
+    /// Deduplication window: time for which boxes drop repeats.
     pub window: Span,
-    /// It writes.
+    /// Whether requests of the class are writes.
     pub write: bool,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSpec {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its share of the service.
+    /// Tenant's share of the capacity.
     pub share: f64,
-    /// Requests a second within its share.
+    /// Quota that this share amounts to, in requests per second.
     pub quota: f64,
-    /// Its part of the requests.
+    /// Tenant's weight in the requests that clients send.
     pub usage: f64,
 }
 
@@ -78,126 +80,126 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Entry {
-    /// Each client process has a node of its own.
+    /// Each client process has its own node.
     #[default]
     Own,
-    /// A front deals tries out to the nodes that it takes to be alive.
+    /// A load balancer in front distributes tries over the nodes that it considers alive.
     Front,
 }
 
-/// What clients are like.
+/// Behaviour of the clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientsSpec {
-    /// Requests a second, over all nodes.
+    /// Request rate over all nodes, in requests per second.
     pub rate: f64,
-    /// The rate's course: from each point on it is so many times as high, and even in between.
+    /// Multiples of the rate at points in time, interpolated linearly between them.
     pub curve: Vec<(Time, f64)>,
-    /// Each node's part of the requests.
+    /// Weight of each node in the requests.
     pub node_shares: Vec<f64>,
     /// How clients reach nodes.
     pub entry: Entry,
-    /// The front notices a dead node after this long.
+    /// Time after which the front detects a dead node.
     pub front_notice: Span,
-    /// Further tries after the first.
+    /// Maximum number of tries after the first one.
     pub retries: u32,
-    /// A try is given up after this share of the class's deadline.
+    /// Share of the class's deadline after which a client gives up a try.
     pub try_share: f64,
-    /// First wait before a further try; doubled each time.
+    /// Backoff before the first retry; doubled for each further one.
     pub backoff: Span,
-    /// Share of clients that heed the advice of a refusal.
+    /// Share of clients that honour the retry-after time of a rejection.
     pub honours: f64,
-    /// Advice is heeded up to this long.
+    /// Longest retry-after time that clients honour.
     pub most_advice: Span,
-    /// Share of tries that clients abandon early, at a point drawn within their time.
+    /// Share of tries that clients abandon early, at a random point within their time.
     pub abandons: f64,
-    /// Requests carry a guess of their work that is off by about this share; `None`: they carry none.
+    /// Relative error of the work estimate that requests carry; `None` if they carry no estimate.
     pub hint_noise: Option<f64>,
-    /// The work of an attempt differs from the request's by about this share.
+    /// Relative deviation of an attempt's work from the request's.
     pub attempt_noise: f64,
 }
 
-/// The keys that clients ask for.
+/// Keys that clients request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeysSpec {
-    /// How many there are.
+    /// Number of keys.
     pub count: u32,
-    /// Popularity falls as (rank + offset) to the power of this.
+    /// Zipf exponent: popularity falls with (rank + offset) to this power.
     pub zipf: f64,
-    /// Flattens the head.
+    /// Offset that flattens the head of the popularity distribution.
     pub offset: f64,
-    /// Share of the ranks that go to another key each second.
+    /// Share of the ranks that move to another key, per second.
     pub drift: f64,
-    /// Keys that change at the planner by themselves, a second.
+    /// Keys that change at the planner without a write, per second.
     pub changes: f64,
-    /// Mean bytes of a value, and their deviation as a share of it.
+    /// Mean size of a value, in bytes.
     pub bytes: f64,
-    /// Deviation of the bytes, as a share of the mean.
+    /// Standard deviation of the size, as a share of the mean.
     pub bytes_cv: f64,
 }
 
 /// Delays between machines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkSpec {
-    /// One way within a depot.
+    /// One-way delay within a depot.
     pub same: Span,
-    /// One way between depots.
+    /// One-way delay between depots.
     pub cross: Span,
-    /// One way between a client and its node.
+    /// One-way delay between a client and its node.
     pub client: Span,
-    /// Deviation of each delay, as a share of it.
+    /// Standard deviation of each delay, as a share of it.
     pub jitter: f64,
-    /// Round trips that a new connection takes.
+    /// Number of round trips to open a connection.
     pub handshake_rtts: f64,
-    /// One way for a message between nodes.
+    /// One-way delay of a message between nodes.
     pub message: Span,
-    /// Share of messages that are lost.
+    /// Share of messages between nodes that are lost.
     pub message_loss: f64,
 }
 
-/// How the list comes to know, and tells.
+/// Delays with which the endpoint list detects changes and notifies nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListSpec {
-    /// A process that has started is listed after this.
+    /// Time until a started process is listed.
     pub add: Span,
-    /// One that has ended or drains is noticed after this.
+    /// Time until an ended or draining process is detected.
     pub notice: Span,
-    /// A silent machine is noticed after this.
+    /// Time until a machine that has stopped responding is detected.
     pub silent_notice: Span,
-    /// Nodes are told at most so much after each other.
+    /// Longest time between the first and the last node's notification of a change.
     pub spread: Span,
 }
 
-/// What a node's shell does at its door and at its list, where the model has no sockets to see it by.
+/// Behaviour of a node at its listener and its watch of the endpoint list, which the simulation models without sockets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShellSpec {
-    /// After SIGTERM it goes on with the connections that clients hold for so long; what comes later is refused.
+    /// Time after SIGTERM for which the node serves open client connections; later requests are rejected.
     pub parting: Span,
-    /// A watch that is silent is opened anew after so long.
+    /// Time after which a silent watch is reopened.
     pub reopens: Span,
 }
 
-/// A day.
+/// Parameters of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Day {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub name: String,
-    /// What all chance of the day comes from.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// Requests come for so long; then what is open is answered.
+    /// Time for which clients send requests; open requests are answered after it.
     pub length: Span,
-    /// Depots by name.
+    /// Names of the depots.
     pub depots: Vec<String>,
-    /// Each node's depot.
+    /// Depot of each node.
     pub nodes: Vec<usize>,
-    /// All boxes of the day, those included that join later.
+    /// All boxes of the run, including those that join later.
     pub boxes: Vec<BoxSpec>,
-    /// What nodes do at their doors.
+    /// Behaviour of nodes at their listeners and watches.
     pub shell: ShellSpec,
-    /// Boxes that run when the day begins.
+    /// Boxes that run at the start.
     pub running: Vec<BoxId>,
     /// The planner.
     pub planner: PlannerSpec,
-    /// The list.
+    /// The endpoint list.
     pub list: ListSpec,
     /// The network.
     pub network: NetworkSpec,
@@ -209,15 +211,15 @@
     pub clients: ClientsSpec,
     /// Keys.
     pub keys: KeysSpec,
-    /// The rules' figures.
+    /// Parameters of the rules.
     pub rules: RulesSpec,
-    /// What is allowed.
+    /// Features and limits of the deployment.
     pub limits: LimitsSpec,
-    /// What a result is made of.
+    /// Weights and prices of the score.
     pub goal: GoalSpec,
-    /// What happens, in order of time.
+    /// Scheduled fault events, in order of time.
     pub incidents: Vec<Scheduled>,
-    /// When watches of the list fall silent.
+    /// Times at which watches of the endpoint list fall silent.
     pub silences: Vec<Silence>,
 }
 
@@ -233,7 +235,7 @@
     }
 }
 
-/// Mean work of requests of these classes, by their shares.
+/// Mean work of requests of these classes, weighted by their shares.
 pub fn mean_work(classes: &[ClassSpec]) -> Span {
     let shares: f64 = classes.iter().map(|c| c.share).sum();
     let work: f64 = classes.iter().map(|c| c.share * c.work.0 as f64).sum();
--- a/crates/simulation/src/day/rules.rs
+++ b/crates/simulation/src/day/rules.rs
@@ -1,55 +1,55 @@
-//! A day's rules, what its deployment allows, and what a result is made of.
+//! Rules of a run, features and limits of its deployment, and weights of its score.
 
 use crate::time::Span;
 
-/// Figures of the four rules.
+/// Parameters of the four rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RulesSpec {
-    /// A final answer counts until this long past the client's deadline.
+    /// Time past the client's deadline until which a final answer still counts.
     pub answer_grace: Span,
-    /// Sends to a draining box end within this time.
+    /// Time within which nodes must stop sending to a draining box.
     pub drain_grace: Span,
-    /// Share of its capacity that a box starts with, or more.
+    /// Smallest share of its capacity that a box starts with.
     pub cold_from: f64,
-    /// A box is warm after this long.
+    /// Longest time until a started box is warm.
     pub ramp: Span,
-    /// A cold box is allowed this many times its present capacity ...
+    /// Multiple of its present capacity that a cold box may be sent within `fall_for`.
     pub fall_multiple: f64,
-    /// ... in this long.
+    /// Time over which the work sent to a cold box is counted.
     pub fall_for: Span,
-    /// The planner stops when sent so many times its capacity ... (0: it bears all)
+    /// Multiple of its capacity at which the planner stops if it is sent that much for `planner_for`; 0 for no limit.
     pub planner_multiple: f64,
-    /// ... for this long.
+    /// Time over which the load of the planner is counted.
     pub planner_for: Span,
-    /// A node hears later that a client has left, and not in the same moment: what it begins meanwhile crosses that.
+    /// True if a node learns of a client's disconnect with a delay, so that attempts may cross it.
     pub leaving_crosses: bool,
-    /// For so long an attempt may be out that nobody but its node sees.
+    /// Longest time for which an attempt may be in flight that only its node can see.
     pub unseen: Span,
-    /// An attempt may tell its box so much more time than its client has left.
+    /// Allowed excess of an attempt's wait time over its client's remaining time.
     pub wait_slack: Span,
 }
 
-/// What the deployment allows, as a scenario writes it and a day has it.
+/// Features and limits of the deployment; the same in a scenario file and in a run.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitsSpec {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Boxes may be probed.
+    /// Whether nodes may send health checks to boxes.
     pub probes: bool,
-    /// Nodes may message each other.
+    /// Whether nodes may send messages to each other.
     pub peers: bool,
-    /// Two attempts of a request may be out at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub second_copies: bool,
-    /// Refusals may carry advice.
+    /// Whether rejections may carry a retry-after time.
     pub retry_after: bool,
-    /// Attempts for one request.
+    /// Maximum number of attempts for one try.
     pub max_attempts: u32,
-    /// A connection not up by then fails.
+    /// Time after which opening a connection fails.
     pub dial_timeout: Span,
-    /// A probe without an answer by then has failed.
+    /// Time after which an unanswered health check fails.
     pub probe_timeout: Span,
-    /// Load reports come with answers.
+    /// Whether answers carry load reports.
     pub reports: bool,
 }
 
@@ -69,42 +69,42 @@
     }
 }
 
-/// What a result is made of.
+/// Weights and prices of the score.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GoalSpec {
-    /// Weight of the whole day.
+    /// Weight of the served share of all requests.
     pub whole: f64,
-    /// Of the worst window of 10 s.
+    /// Weight of the worst 10 s window.
     pub worst_window: f64,
-    /// Of the worst class.
+    /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// Of the worst tenant, within its share.
+    /// Weight of the worst-served tenant, counting requests within its quota.
     pub worst_tenant: f64,
-    /// Worth of a request beyond its tenant's share, as a share.
+    /// Share of its worth that a request beyond its tenant's quota counts for.
     pub over_share_worth: f64,
-    /// Worth counts for each unit of work; otherwise for each request.
+    /// Whether worth counts per second of work; otherwise it counts per request.
     pub by_work: bool,
-    /// Prices, each for its rate at the stated level.
+    /// Prices that are subtracted from the score.
     pub prices: PricesSpec,
 }
 
-/// What costs points; each is taken off times its share or rate.
+/// Prices of resource use. Each is multiplied by its share or rate and subtracted from the score.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PricesSpec {
-    /// Work at boxes that gave no answer, as a share of the work asked for.
+    /// Price of work at boxes that led to no answer, as a share of the work asked for.
     pub waste: f64,
-    /// Worth that ended unserved after its aim.
+    /// Price of worth that ended unserved after its latency objective, as a share of the worth asked for.
     pub late_fail: f64,
-    /// New connections for each first try.
+    /// Price of one new connection per first try.
     pub handshake: f64,
-    /// Mean open connections, for each 100 a box.
+    /// Price of a mean of 100 open connections per box.
     pub connection: f64,
-    /// Probes for each first try.
+    /// Price of one health check per first try.
     pub probe: f64,
-    /// Messages of 256 bytes for each first try.
+    /// Price of 256 bytes of messages between nodes per first try.
     pub peer: f64,
-    /// Attempts that cross depots, for each first try.
+    /// Price of one attempt across depots per first try.
     pub cross_zone: f64,
-    /// Entries of the list that nodes are told, for each first try.
+    /// Price of one entry of the endpoint list sent to nodes per first try.
     pub list: f64,
 }
--- a/crates/simulation/src/day/settings.rs
+++ b/crates/simulation/src/day/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start, in the platform's words.
+//! Settings that a node receives at its start, in the platform's format.
 
 use serde_json::{json, Value};
 
@@ -6,7 +6,7 @@
 use crate::time::Span;
 
 impl Day {
-    /// What a node is told at its start, in the platform's words.
+    /// Settings that this node receives at its start, in the platform's format.
     pub fn settings(&self, node: NodeId) -> Value {
         let effect = |effect| match effect {
             Effect::Free => "free",
--- a/crates/simulation/src/scenario/boxes.rs
+++ b/crates/simulation/src/scenario/boxes.rs
@@ -1,4 +1,4 @@
-//! Kinds of boxes in a scenario file.
+//! Section of a scenario file for the kinds of boxes.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -9,73 +9,73 @@
 use crate::store::Evict;
 use crate::time::Span;
 
-/// A kind of boxes.
+/// A kind of box.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BoxKind {
-    /// Its name.
+    /// Name of the kind.
     pub kind: String,
-    /// How many run when the day begins.
+    /// Number of boxes that run at the start.
     pub count: Range<u32>,
-    /// Cores.
+    /// Number of cores.
     pub cores: Range<f64>,
-    /// What a core does, against a standard one.
+    /// Speed of a core, as a multiple of a standard core.
     pub speed: Range<f64>,
-    /// Its size on the list.
+    /// Size registered in the endpoint list.
     pub size: f64,
-    /// Requests in service at once, a core.
+    /// Requests in service at once, per core.
     pub slots_per_core: Range<f64>,
-    /// Requests that may wait, a core.
+    /// Requests that may wait, per core.
     pub waiting_per_core: Range<f64>,
-    /// Requests held a core from which on it gets less efficient.
+    /// Requests in service and waiting, per core, above which efficiency falls.
     pub crowd_from: Range<f64>,
-    /// Efficiency lost for each one more a core, as a share.
+    /// Share of the efficiency lost for each further request per core.
     pub crowd_loss: Range<f64>,
-    /// Open connections at most, a core.
+    /// Maximum number of open connections, per core.
     pub connections_per_core: Range<f64>,
-    /// Work that a new connection costs.
+    /// Work of a new connection.
     pub connection_work: Range<Span>,
-    /// Share of its capacity that a full table of connections takes.
+    /// Share of the capacity that is lost when the connection table is full.
     pub table_tax: Range<f64>,
-    /// It closes connections that are idle for so long.
+    /// Time after which idle connections are closed.
     pub idle_close: Range<Span>,
-    /// Work that a probe costs.
+    /// Work of a health check.
     pub probe_work: Range<Span>,
-    /// Load reports are made so often.
+    /// Interval between load reports.
     pub report_period: Range<Span>,
-    /// Load reports are told so late.
+    /// Delay of load reports.
     pub report_delay: Range<Span>,
-    /// Load reports are off by about this share.
+    /// Relative error of load reports.
     pub report_noise: Range<f64>,
-    /// Share of its capacity just after a start.
+    /// Share of the capacity just after a start.
     pub cold_from: Range<f64>,
-    /// Warm after this long.
+    /// Time until a started box is warm.
     pub ramp: Range<Span>,
-    /// By what it warms up: "time" or "work".
+    /// What the warm-up depends on: "time" or "work".
     pub warm_by: WarmBy,
-    /// Memory for copies.
+    /// Memory for cached copies.
     pub memory: Range<Bytes>,
-    /// Which copy goes first: "lru" or "fifo".
+    /// Eviction order of copies: "lru" or "fifo".
     pub evict: Evict,
-    /// How long a copy is good.
+    /// Time for which a copy is valid.
     pub ttl: Range<Span>,
-    /// Fetches out at once, for each slot.
+    /// Fetches in flight at once, per slot.
     pub fetches_per_slot: Range<f64>,
-    /// A fetch that takes longer has failed.
+    /// Time after which a fetch fails.
     pub fetch_timeout: Range<Span>,
-    /// How often a failed fetch is made again.
+    /// Maximum number of retries of a failed fetch.
     pub fetch_retries: Range<u32>,
-    /// Misses of one key share a fetch.
+    /// Whether concurrent misses of a key share one fetch.
     pub joins: bool,
-    /// Chance that requests of this day's boxes keep their slot while they wait for a fetch.
+    /// Probability that, in a run, requests keep their slot while they wait for a fetch.
     pub miss_holds: f64,
-    /// Work that a miss adds, as a share of the request's.
+    /// Additional work of a miss, as a share of the request's work.
     pub miss_extra: Range<f64>,
-    /// Chance that cancelled requests that still wait are dropped, on this day's boxes.
+    /// Probability that, in a run, cancelled requests that are still waiting are dropped.
     pub drops_cancelled: f64,
-    /// Requests whose deadline has passed are turned away when their turn comes.
+    /// Whether requests are rejected if their deadline has passed when they reach a slot.
     pub drops_expired: bool,
-    /// Share of requests that end in an error.
+    /// Share of requests that fail with an error.
     pub error_rate: Range<f64>,
 }
 
--- a/crates/simulation/src/scenario/draw/incidents.rs
+++ b/crates/simulation/src/scenario/draw/incidents.rs
@@ -1,176 +1,176 @@
-//! Incidents as a seed draws them: whom they strike, when, and in which groups.
+//! Draws fault events: their targets, their times, and the groups that are affected one after another.
 
 use super::super::{s, BoxKind, ClassFile, IncidentFile, IncidentKind, Scenario};
-use super::boxes::KindOfDay;
+use super::boxes::KindValues;
 use crate::cache_box::BoxSpec;
 use crate::chance::Chance;
 use crate::day::{Haste, Incident, Scheduled, Silence, SlowWriters, Stop};
 use crate::range::Range;
 use crate::time::{Span, Time};
 
-/// After SIGTERM new connections keep coming for a time in this range.
-const STILL_COMING: (Span, Span) = (Span::from_millis(200), Span::from_millis(400));
+/// Range of the time after SIGTERM in which new connections keep arriving.
+const NEW_CONNECTIONS_TIME: (Span, Span) = (Span::from_millis(200), Span::from_millis(400));
 
-/// What of a day is drawn when its incidents are.
-pub(super) struct Drawn {
+/// Values of a run that are known before its fault events are drawn, and the fault events drawn so far.
+pub(super) struct DrawnRun {
     pub length: Span,
     pub nodes: usize,
-    /// Boxes that run when it begins, the first of all.
+    /// Number of boxes that run at the start; these are the first ones of `boxes`.
     pub running: usize,
     pub boxes: Vec<BoxSpec>,
     pub incidents: Vec<Scheduled>,
     pub silences: Vec<Silence>,
 }
 
-/// Who is struck, of these: so many, or a share of them, or all of a depot.
-fn struck(
+/// Draws targets from the candidates: a number of them, else a share of them, else all of them if a depot is given.
+fn draw_targets(
     many: Option<Range<u32>>,
     part: Option<Range<f64>>,
     depot: Option<usize>,
     of: &[usize],
-    c: &mut Chance,
+    rng: &mut Chance,
 ) -> Vec<usize> {
-    let by_part = part.map(|part| (part.draw(c) * of.len() as f64).round().max(1.0) as usize);
+    let by_part = part.map(|part| (part.draw(rng) * of.len() as f64).round().max(1.0) as usize);
     let many = match (many, by_part) {
-        (Some(many), _) => many.draw(c) as usize,
+        (Some(many), _) => many.draw(rng) as usize,
         (None, Some(many)) => many,
         (None, None) if depot.is_some() => of.len(),
         (None, None) => 0,
     };
-    c.some(many, of.len()).into_iter().map(|n| of[n]).collect()
+    rng.some(many, of.len()).into_iter().map(|n| of[n]).collect()
 }
 
-/// Those struck, in the groups in which they are, and how long after the first.
-fn dealt(struck: Vec<usize>, each: Option<Span>, steps: Option<u32>) -> Vec<(Span, Vec<usize>)> {
-    let Some(each) = each else { return vec![(Span::ZERO, struck)] };
-    let size = steps.map_or(1, |steps| struck.len().div_ceil(steps.max(1) as usize)).max(1);
-    struck.chunks(size).enumerate().map(|(n, group)| (each * n as f64, group.to_vec())).collect()
+/// Splits targets into groups, each with its delay after the first group.
+fn split_into_groups(targets: Vec<usize>, each: Option<Span>, steps: Option<u32>) -> Vec<(Span, Vec<usize>)> {
+    let Some(each) = each else { return vec![(Span::ZERO, targets)] };
+    let size = steps.map_or(1, |steps| targets.len().div_ceil(steps.max(1) as usize)).max(1);
+    targets.chunks(size).enumerate().map(|(n, group)| (each * n as f64, group.to_vec())).collect()
 }
 
 impl Scenario {
-    pub(super) fn draw_incident(&self, file: &IncidentFile, day: &mut Drawn, c: &mut Chance) {
-        let happens = c.unit() < file.chance.unwrap_or(1.0);
-        let at = Time::ZERO + file.at.draw(c);
-        let lasts = file.lasts.map(|lasts| lasts.draw(c));
-        let depot = file.depot.as_ref().map(|name| self.draw_depot(name, c));
-        let strikes_boxes = |n: &usize| depot.is_none_or(|d| day.boxes[*n].depot == d);
-        let of_boxes: Vec<usize> = (0..day.running).filter(strikes_boxes).collect();
-        let struck_boxes = match file.kind {
+    pub(super) fn draw_incident(&self, file: &IncidentFile, run: &mut DrawnRun, rng: &mut Chance) {
+        let happens = rng.unit() < file.chance.unwrap_or(1.0);
+        let at = Time::ZERO + file.at.draw(rng);
+        let lasts = file.lasts.map(|lasts| lasts.draw(rng));
+        let depot = file.depot.as_ref().map(|name| self.draw_depot(name, rng));
+        let in_depot = |n: &usize| depot.is_none_or(|d| run.boxes[*n].depot == d);
+        let candidate_boxes: Vec<usize> = (0..run.running).filter(in_depot).collect();
+        let target_boxes = match file.kind {
             IncidentKind::Join => Vec::new(),
-            kind if kind.strikes_boxes() => struck(file.boxes, file.part, depot, &of_boxes, c),
+            kind if kind.strikes_boxes() => draw_targets(file.boxes, file.part, depot, &candidate_boxes, rng),
             _ => Vec::new(),
         };
-        let of_nodes: Vec<usize> =
-            (0..day.nodes).filter(|n| depot.is_none_or(|d| n % self.depots.len() == d)).collect();
-        let struck_nodes = match file.kind.strikes_nodes() {
-            true => struck(file.nodes, file.part, depot, &of_nodes, c),
+        let candidate_nodes: Vec<usize> =
+            (0..run.nodes).filter(|n| depot.is_none_or(|d| n % self.depots.len() == d)).collect();
+        let target_nodes = match file.kind.strikes_nodes() {
+            true => draw_targets(file.nodes, file.part, depot, &candidate_nodes, rng),
             false => Vec::new(),
         };
-        let factor = file.factor.map_or(1.0, |factor| factor.draw(c));
-        let share = file.share.map_or(0.0, |share| share.draw(c));
-        let keys = file.keys.map_or(0, |keys| keys.draw(c));
+        let factor = file.factor.map_or(1.0, |factor| factor.draw(rng));
+        let share = file.share.map_or(0.0, |share| share.draw(rng));
+        let keys = file.keys.map_or(0, |keys| keys.draw(rng));
         if !happens {
             return;
         }
-        let rest = lasts.unwrap_or(day.length + s(3600));
-        // Drawn last, and only where it is asked for: other days stay as they were.
+        let duration = lasts.unwrap_or(run.length + s(3600));
+        // Drawn last and only if configured, so that runs without it keep their random sequence.
         let stop = file.kill.unwrap_or(false).then(|| {
             let longest = self.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-            Stop::new(longest, Range { low: STILL_COMING.0, high: STILL_COMING.1 }.draw(c))
+            Stop::new(longest, Range { low: NEW_CONNECTIONS_TIME.0, high: NEW_CONNECTIONS_TIME.1 }.draw(rng))
         });
         let mut add = |at, lasts, incident| {
-            day.incidents.push(Scheduled { at, lasts, incident, stop });
+            run.incidents.push(Scheduled { at, lasts, incident, stop });
         };
-        let dealt = |struck: Vec<usize>| dealt(struck, file.each, file.steps);
+        let split_into_groups = |targets: Vec<usize>| split_into_groups(targets, file.each, file.steps);
         match file.kind {
-            IncidentKind::Silent => add(at, rest, Incident::Silent(struck_boxes)),
-            IncidentKind::Slow => add(at, rest, Incident::Slow(struck_boxes, factor)),
-            IncidentKind::Erring => add(at, rest, Incident::Erring(struck_boxes, share)),
+            IncidentKind::Silent => add(at, duration, Incident::Silent(target_boxes)),
+            IncidentKind::Slow => add(at, duration, Incident::Slow(target_boxes, factor)),
+            IncidentKind::Erring => add(at, duration, Incident::Erring(target_boxes, share)),
             IncidentKind::Kill => {
-                for (after, group) in dealt(struck_boxes) {
-                    add(at + after, rest, Incident::Kill(group));
+                for (after, group) in split_into_groups(target_boxes) {
+                    add(at + after, duration, Incident::Kill(group));
                 }
             }
             IncidentKind::Heavy => {
                 let named = |class: &ClassFile| Some(&class.name) == file.class.as_ref();
                 let class = self.classes.iter().position(named).unwrap_or(0);
-                add(at, rest, Incident::Heavy { class, share, factor });
+                add(at, duration, Incident::Heavy { class, share, factor });
             }
             IncidentKind::NodeDeath => {
-                for (after, group) in dealt(struck_nodes) {
-                    add(at + after, rest, Incident::NodeDeath(group));
+                for (after, group) in split_into_groups(target_nodes) {
+                    add(at + after, duration, Incident::NodeDeath(group));
                 }
             }
             IncidentKind::NodeRestart => {
-                for (after, group) in dealt(struck_nodes) {
-                    add(at + after, rest, Incident::NodeRestart(group));
+                for (after, group) in split_into_groups(target_nodes) {
+                    add(at + after, duration, Incident::NodeRestart(group));
                 }
             }
             IncidentKind::SilentWatch => {
-                let waits = file.by.map(|by| by.draw(c));
-                day.silences.push(Silence { at, nodes: struck_nodes, waits });
+                let waits = file.by.map(|by| by.draw(rng));
+                run.silences.push(Silence { at, nodes: target_nodes, waits });
             }
-            IncidentKind::ListOutage => add(at, rest, Incident::ListOutage),
+            IncidentKind::ListOutage => add(at, duration, Incident::ListOutage),
             IncidentKind::LateList => {
-                let by = file.by.map_or(Span::ZERO, |by| by.draw(c));
-                add(at, rest, Incident::LateList { depot, by });
+                let by = file.by.map_or(Span::ZERO, |by| by.draw(rng));
+                add(at, duration, Incident::LateList { depot, by });
             }
-            IncidentKind::PlannerSlow => add(at, rest, Incident::PlannerSlow(factor)),
-            IncidentKind::PlannerSilent => add(at, rest, Incident::PlannerSilent),
-            IncidentKind::LostAnswers => add(at, rest, Incident::LostAnswers(share)),
-            IncidentKind::Resets => add(at, rest, Incident::Resets(share)),
-            IncidentKind::LostMessages => add(at, rest, Incident::LostMessages(share)),
+            IncidentKind::PlannerSlow => add(at, duration, Incident::PlannerSlow(factor)),
+            IncidentKind::PlannerSilent => add(at, duration, Incident::PlannerSilent),
+            IncidentKind::LostAnswers => add(at, duration, Incident::LostAnswers(share)),
+            IncidentKind::Resets => add(at, duration, Incident::Resets(share)),
+            IncidentKind::LostMessages => add(at, duration, Incident::LostMessages(share)),
             IncidentKind::Shift => {
-                add(at, rest, Incident::Shift { depot: depot.unwrap_or(0), factor });
+                add(at, duration, Incident::Shift { depot: depot.unwrap_or(0), factor });
             }
-            IncidentKind::Impatient => add(at, rest, Incident::Impatient { share, hurry: factor }),
+            IncidentKind::Impatient => add(at, duration, Incident::Impatient { share, hurry: factor }),
             IncidentKind::Hasty => {
-                let gives = file.by.map_or(Span::ZERO, |by| by.draw(c));
-                add(at, rest, Incident::Hasty(Haste { share, gives, again: file.rounds.unwrap_or(8) }));
+                let gives = file.by.map_or(Span::ZERO, |by| by.draw(rng));
+                add(at, duration, Incident::Hasty(Haste { share, gives, again: file.rounds.unwrap_or(8) }));
             }
             IncidentKind::SlowWriters => {
-                let up_to = file.by.map_or(Span::ZERO, |by| by.draw(c));
-                add(at, rest, Incident::SlowWriters(SlowWriters { share, up_to }));
+                let up_to = file.by.map_or(Span::ZERO, |by| by.draw(rng));
+                add(at, duration, Incident::SlowWriters(SlowWriters { share, up_to }));
             }
             IncidentKind::Partition | IncidentKind::CutOff => {
-                add(at, rest, Incident::Partition(self.cut(file, depot)));
+                add(at, duration, Incident::Partition(self.cut_links(file, depot)));
             }
-            IncidentKind::Drain => add(at, rest, Incident::Drain(struck_boxes)),
+            IncidentKind::Drain => add(at, duration, Incident::Drain(target_boxes)),
             IncidentKind::Join => {
-                let many = file.boxes.map_or(0, |many| many.draw(c));
-                let joining = (0..many).map(|_| self.another(&mut day.boxes, None, c)).collect();
+                let many = file.boxes.map_or(0, |many| many.draw(rng));
+                let joining = (0..many).map(|_| self.add_box(&mut run.boxes, None, rng)).collect();
                 add(at, Span::ZERO, Incident::Join(joining));
             }
             IncidentKind::Replace => {
-                let (mut struck, mut begins) = (struck_boxes, at);
+                let (mut targets, mut begins) = (target_boxes, at);
                 for _ in 0..file.rounds.unwrap_or(1) {
                     let mut joined = Vec::new();
-                    let groups = dealt(struck);
+                    let groups = split_into_groups(targets);
                     let last = groups.last().map_or(Span::ZERO, |(after, _)| *after);
                     for (after, group) in groups {
-                        let replacing = |old: &usize| self.replacement(file, *old, &mut day.boxes, c);
+                        let replacing = |old: &usize| self.add_replacement(file, *old, &mut run.boxes, rng);
                         let joining: Vec<usize> = group.iter().map(replacing).collect();
                         joined.extend(&joining);
-                        add(begins + after, rest, Incident::Drain(group));
-                        add(begins + after + rest, Span::ZERO, Incident::Join(joining));
+                        add(begins + after, duration, Incident::Drain(group));
+                        add(begins + after + duration, Span::ZERO, Incident::Join(joining));
                     }
-                    // The first of the new ones drains once the last has joined.
-                    (struck, begins) =
-                        (joined, begins + last + rest.max(file.each.unwrap_or_default()) + Span(1));
+                    // The next round starts once the last replacement has joined.
+                    (targets, begins) =
+                        (joined, begins + last + duration.max(file.each.unwrap_or_default()) + Span(1));
                 }
             }
-            IncidentKind::Burst => add(at, rest, Incident::Burst { factor, share, keys }),
+            IncidentKind::Burst => add(at, duration, Incident::Burst { factor, share, keys }),
         }
     }
 
-    /// The number of a depot, or of any.
-    fn draw_depot(&self, name: &str, c: &mut Chance) -> usize {
-        let any = |c: &mut Chance| c.below(self.depots.len() as u64) as usize;
-        self.depots.iter().position(|d| d == name).unwrap_or_else(|| any(c))
+    /// Returns the index of the named depot, or of a random one if no depot has this name.
+    fn draw_depot(&self, name: &str, rng: &mut Chance) -> usize {
+        let any = |rng: &mut Chance| rng.below(self.depots.len() as u64) as usize;
+        self.depots.iter().position(|d| d == name).unwrap_or_else(|| any(rng))
     }
 
-    /// The ways between depots that are cut: from the first of each pair to the second.
-    fn cut(&self, file: &IncidentFile, depot: Option<usize>) -> Vec<(usize, usize)> {
+    /// Returns the links between depots that are cut, each from the first depot of a pair to the second.
+    fn cut_links(&self, file: &IncidentFile, depot: Option<usize>) -> Vec<(usize, usize)> {
         let named = |name: &String| self.depots.iter().position(|d| d == name).unwrap_or(0);
         let out: Vec<(usize, usize)> = match (&file.depots, depot) {
             (Some([a, b]), _) => vec![(named(a), named(b))],
@@ -183,28 +183,29 @@
         out.iter().copied().chain(back).collect()
     }
 
-    fn replacement(
+    /// Adds the box that replaces an old one, and returns its index.
+    fn add_replacement(
         &self,
         file: &IncidentFile,
         old: usize,
         boxes: &mut Vec<BoxSpec>,
-        c: &mut Chance,
+        rng: &mut Chance,
     ) -> usize {
         let address = file.same_address.unwrap_or(false).then(|| boxes[old].address);
-        let new = self.another(boxes, Some(old), c);
-        // It takes the place of the old one, in its depot too.
+        let new = self.add_box(boxes, Some(old), rng);
+        // With `same_address` it takes over the address of the old box.
         boxes[new].address = address.unwrap_or(boxes[new].address);
         new
     }
 
-    /// One more box, of the kind of the one that it replaces, or of the first kind.
-    fn another(&self, boxes: &mut Vec<BoxSpec>, like: Option<usize>, c: &mut Chance) -> usize {
+    /// Adds a box of the same kind as the one that it replaces, or of the first kind, and returns its index.
+    fn add_box(&self, boxes: &mut Vec<BoxSpec>, like: Option<usize>, rng: &mut Chance) -> usize {
         let named = |kind: &&BoxKind| like.is_some_and(|old| kind.kind == boxes[old].kind);
         let kind = self.boxes.iter().find(named).unwrap_or(&self.boxes[0]);
-        let day = KindOfDay::draw(kind, c);
-        let at = boxes.len();
-        let spec = self.draw_box(kind, &day, at, c);
+        let kind_values = KindValues::draw(kind, rng);
+        let index = boxes.len();
+        let spec = self.draw_box(kind, &kind_values, index, rng);
         boxes.push(spec);
-        at
+        index
     }
 }
--- a/crates/simulation/src/scenario/draw/mod.rs
+++ b/crates/simulation/src/scenario/draw/mod.rs
@@ -1,4 +1,4 @@
-//! A day drawn from a scenario's ranges.
+//! Draws the parameters of a run from a scenario's ranges.
 
 mod boxes;
 mod incidents;
@@ -12,35 +12,35 @@
 };
 use crate::planner::PlannerSpec;
 use crate::time::{Span, Time};
-use boxes::KindOfDay;
-use incidents::Drawn;
+use boxes::KindValues;
+use incidents::DrawnRun;
 
-/// An attempt may tell its box so much more time than its client has left.
+/// Allowed excess of an attempt's wait time over its client's remaining time.
 const WAIT_SLACK: Span = Span::from_millis(150);
 
 impl Scenario {
-    /// The day of this seed.
+    /// Draws the parameters of the run with this seed.
     ///
     /// # Errors
-    /// Where the scenario makes no sense.
+    /// If [`Scenario::check`] fails.
     pub fn draw(&self, seed: u64) -> Result<Day, Wrong> {
         self.check()?;
-        let mut c = Chance::new(seed, "day");
-        let length = self.length.draw(&mut c);
-        let nodes = self.nodes.count.draw(&mut c) as usize;
-        let unlike = self.nodes.unlike.draw(&mut c);
-        let shares = (0..nodes).map(|_| c.spread(Spread::LogNormal, 1.0, unlike)).collect();
+        let mut rng = Chance::new(seed, "day");
+        let length = self.length.draw(&mut rng);
+        let nodes = self.nodes.count.draw(&mut rng) as usize;
+        let unlike = self.nodes.unlike.draw(&mut rng);
+        let shares = (0..nodes).map(|_| rng.spread(Spread::LogNormal, 1.0, unlike)).collect();
         let depots = self.depots.len();
         let mut boxes = Vec::new();
         for kind in &self.boxes {
-            let day = KindOfDay::draw(kind, &mut c);
-            for _ in 0..kind.count.draw(&mut c) {
-                let at = boxes.len();
-                boxes.push(self.draw_box(kind, &day, at, &mut c));
+            let kind_values = KindValues::draw(kind, &mut rng);
+            for _ in 0..kind.count.draw(&mut rng) {
+                let index = boxes.len();
+                boxes.push(self.draw_box(kind, &kind_values, index, &mut rng));
             }
         }
         let running: Vec<usize> = (0..boxes.len()).collect();
-        let mut drawn = Drawn {
+        let mut drawn = DrawnRun {
             length,
             nodes,
             running: running.len(),
@@ -49,24 +49,24 @@
             silences: Vec::new(),
         };
         for (n, file) in self.incidents.iter().enumerate() {
-            // Each incident draws from a stream of its own, so that adding one leaves the others as they were.
-            let mut chance = Chance::new(seed, &format!("incident {n}"));
-            self.draw_incident(file, &mut drawn, &mut chance);
+            // Each fault event has its own random stream, so that adding one doesn't change the others.
+            let mut incident_rng = Chance::new(seed, &format!("incident {n}"));
+            self.draw_incident(file, &mut drawn, &mut incident_rng);
         }
-        let Drawn { mut boxes, mut incidents, mut silences, .. } = drawn;
+        let DrawnRun { mut boxes, mut incidents, mut silences, .. } = drawn;
         incidents.sort_by_key(|i: &Scheduled| i.at);
         silences.sort_by_key(|s| s.at);
-        let window = self.classes.iter().map(|c| c.window).max().unwrap_or_default();
-        let keys = self.draw_keys(&mut c);
-        let planner = self.draw_planner(window, &mut c);
+        let window = self.classes.iter().map(|class| class.window).max().unwrap_or_default();
+        let keys = self.draw_keys(&mut rng);
+        let planner = self.draw_planner(window, &mut rng);
         let list = ListSpec {
-            add: self.list.add.draw(&mut c),
-            notice: self.list.notice.draw(&mut c),
-            silent_notice: self.list.silent_notice.draw(&mut c),
-            spread: self.list.spread.draw(&mut c),
+            add: self.list.add.draw(&mut rng),
+            notice: self.list.notice.draw(&mut rng),
+            silent_notice: self.list.silent_notice.draw(&mut rng),
+            spread: self.list.spread.draw(&mut rng),
         };
-        let network = self.draw_network(&mut c);
-        let classes: Vec<ClassSpec> = self.classes.iter().map(|class| draw_class(class, &mut c)).collect();
+        let network = self.draw_network(&mut rng);
+        let classes: Vec<ClassSpec> = self.classes.iter().map(|class| draw_class(class, &mut rng)).collect();
         boxes.iter_mut().for_each(|b| b.mean_work = mean_work(&classes));
         Ok(Day {
             name: self.name.clone(),
@@ -79,8 +79,8 @@
             list,
             network,
             classes,
-            tenants: self.tenants.iter().map(|t| draw_tenant(t, &mut c)).collect(),
-            clients: self.draw_clients(shares, &mut c),
+            tenants: self.tenants.iter().map(|t| draw_tenant(t, &mut rng)).collect(),
+            clients: self.draw_clients(shares, &mut rng),
             keys,
             rules: self.rules(&boxes),
             limits: self.limits.clone(),
@@ -92,72 +92,72 @@
         })
     }
 
-    fn draw_planner(&self, repeat_window: Span, c: &mut Chance) -> PlannerSpec {
+    fn draw_planner(&self, repeat_window: Span, rng: &mut Chance) -> PlannerSpec {
         let file = &self.planner;
         PlannerSpec {
-            places: file.places.draw(c),
-            time: file.time.draw(c),
-            cv: file.cv.draw(c),
-            write_times: file.write_times.draw(c),
-            queue: file.queue.draw(c),
-            thrash: file.thrash.draw(c),
+            places: file.places.draw(rng),
+            time: file.time.draw(rng),
+            cv: file.cv.draw(rng),
+            write_times: file.write_times.draw(rng),
+            queue: file.queue.draw(rng),
+            thrash: file.thrash.draw(rng),
             fall_multiple: file.fall_multiple,
             fall_for: file.fall_for,
-            down_for: file.down_for.draw(c),
+            down_for: file.down_for.draw(rng),
             stops: file.stops,
             repeat_window,
         }
     }
 
-    fn draw_network(&self, c: &mut Chance) -> NetworkSpec {
+    fn draw_network(&self, rng: &mut Chance) -> NetworkSpec {
         let file = &self.network;
         NetworkSpec {
-            same: file.same.draw(c),
-            cross: file.cross.draw(c),
-            client: file.client.draw(c),
-            jitter: file.jitter.draw(c),
-            handshake_rtts: file.handshake_rtts.draw(c),
-            message: file.message.draw(c),
-            message_loss: file.message_loss.draw(c),
+            same: file.same.draw(rng),
+            cross: file.cross.draw(rng),
+            client: file.client.draw(rng),
+            jitter: file.jitter.draw(rng),
+            handshake_rtts: file.handshake_rtts.draw(rng),
+            message: file.message.draw(rng),
+            message_loss: file.message_loss.draw(rng),
         }
     }
 
-    fn draw_clients(&self, node_shares: Vec<f64>, c: &mut Chance) -> ClientsSpec {
+    fn draw_clients(&self, node_shares: Vec<f64>, rng: &mut Chance) -> ClientsSpec {
         let file = &self.clients;
         let mut curve: Vec<(Time, f64)> = file.curve.iter().map(|p| (Time::ZERO + p.at, p.times)).collect();
         curve.sort_by_key(|(at, _)| *at);
         ClientsSpec {
-            rate: file.rate.draw(c),
+            rate: file.rate.draw(rng),
             curve,
             node_shares,
             entry: file.entry,
-            front_notice: file.front_notice.draw(c),
-            retries: file.retries.draw(c),
-            try_share: file.try_share.draw(c),
-            backoff: file.backoff.draw(c),
-            honours: file.honours.draw(c),
+            front_notice: file.front_notice.draw(rng),
+            retries: file.retries.draw(rng),
+            try_share: file.try_share.draw(rng),
+            backoff: file.backoff.draw(rng),
+            honours: file.honours.draw(rng),
             most_advice: file.most_advice,
-            abandons: file.abandons.draw(c),
-            hint_noise: Some(file.hint_noise.draw(c)).filter(|_| file.hints),
-            attempt_noise: file.attempt_noise.draw(c),
+            abandons: file.abandons.draw(rng),
+            hint_noise: Some(file.hint_noise.draw(rng)).filter(|_| file.hints),
+            attempt_noise: file.attempt_noise.draw(rng),
         }
     }
 
-    fn draw_keys(&self, c: &mut Chance) -> KeysSpec {
+    fn draw_keys(&self, rng: &mut Chance) -> KeysSpec {
         let file = &self.keys;
-        let count = file.count.draw(c);
+        let count = file.count.draw(rng);
         KeysSpec {
             count,
-            zipf: file.zipf.draw(c),
-            offset: file.offset.draw(c),
-            drift: file.drift.draw(c),
-            changes: file.changes.draw(c) * f64::from(count),
-            bytes: file.size.draw(c).0 as f64,
-            bytes_cv: file.size_cv.draw(c),
+            zipf: file.zipf.draw(rng),
+            offset: file.offset.draw(rng),
+            drift: file.drift.draw(rng),
+            changes: file.changes.draw(rng) * f64::from(count),
+            bytes: file.size.draw(rng).0 as f64,
+            bytes_cv: file.size_cv.draw(rng),
         }
     }
 
-    /// What nodes are told of the rules: the least that any box of the day starts with, and the longest ramp.
+    /// Returns the rules as nodes receive them, with the smallest initial capacity share and the longest ramp of any box.
     fn rules(&self, boxes: &[BoxSpec]) -> RulesSpec {
         RulesSpec {
             answer_grace: self.rules.answer_grace,
@@ -197,13 +197,13 @@
     }
 }
 
-fn draw_class(file: &ClassFile, c: &mut Chance) -> ClassSpec {
+fn draw_class(file: &ClassFile, rng: &mut Chance) -> ClassSpec {
     ClassSpec {
         name: file.name.clone(),
-        share: file.share.draw(c),
-        work: file.work.draw(c),
+        share: file.share.draw(rng),
+        work: file.work.draw(rng),
         spread: file.spread,
-        cv: file.cv.draw(c),
+        cv: file.cv.draw(rng),
         aim: file.aim,
         deadline: file.deadline,
         worth: file.worth,
@@ -214,6 +214,6 @@
     }
 }
 
-fn draw_tenant(file: &TenantFile, c: &mut Chance) -> TenantSpec {
-    TenantSpec { name: file.name.clone(), share: file.share, quota: file.quota, usage: file.usage.draw(c) }
+fn draw_tenant(file: &TenantFile, rng: &mut Chance) -> TenantSpec {
+    TenantSpec { name: file.name.clone(), share: file.share, quota: file.quota, usage: file.usage.draw(rng) }
 }
--- a/crates/simulation/src/scenario/fleet.rs
+++ b/crates/simulation/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet in a scenario file: nodes, boxes, the planner, the list and the network.
+//! Sections of a scenario file for the fleet: nodes, the planner, the endpoint list and the network.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -11,24 +11,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Nodes {
-    /// How many.
+    /// Number of nodes.
     pub count: Range<u32>,
-    /// How unlike their parts of the traffic are: their deviation, as a share of the mean.
+    /// Standard deviation of the nodes' weights in the traffic, as a share of the mean.
     pub unlike: Range<f64>,
-    /// After SIGTERM a node goes on with the connections that clients hold for so long; what comes later it refuses.
+    /// Time after SIGTERM for which a node serves open client connections; later requests are rejected.
     #[serde(skip_serializing_if = "is_parting")]
     pub parting: Span,
-    /// A watch of the list that is silent is opened anew after so long.
+    /// Time after which a silent watch of the endpoint list is reopened.
     #[serde(skip_serializing_if = "is_reopening")]
     pub reopens: Span,
 }
 
-/// As the node does it: what it takes has 0.1 s more than its whole deadline before the kill.
+/// Same as in the node: a request that is accepted has its full deadline and 0.1 s more before SIGKILL.
 const PARTING: Span = ms(600);
-/// As the node does it: two calls that come to nothing.
+/// Same as in the node: the time of two failed calls.
 const REOPENS: Span = ms(800);
 
-// What is as usual is not written: histories of days without it stay as they were, byte for byte.
+// Default values are not serialised, so that histories without these fields stay identical byte for byte.
 fn is_parting(parting: &Span) -> bool {
     *parting == PARTING
 }
@@ -47,25 +47,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlannerFile {
-    /// Fetches in work at once.
+    /// Fetches in service at once.
     pub places: Range<u32>,
     /// Mean time of a fetch.
     pub time: Range<Span>,
-    /// Deviation of a fetch's time, as a share of the mean.
+    /// Standard deviation of a fetch's time, as a share of the mean.
     pub cv: Range<f64>,
-    /// A write takes so many times a fetch's work.
+    /// Work of a write, as a multiple of a fetch's work.
     pub write_times: Range<f64>,
-    /// Calls that would wait longer are failed at once.
+    /// Longest queueing time; calls that would wait longer fail at once.
     pub queue: Range<Span>,
-    /// Work grows by this share for each call that waits, a place.
+    /// Share by which work grows for each waiting call per place.
     pub thrash: Range<f64>,
-    /// It stops when sent more than this many times its capacity; 0 bears all.
+    /// Multiple of its capacity above which the planner stops; 0 for no limit.
     pub fall_multiple: f64,
-    /// How long it must be sent that much.
+    /// Time for which the load must exceed `fall_multiple` before the planner stops.
     pub fall_for: Span,
-    /// How long it stops.
+    /// Duration of a stop.
     pub down_for: Range<Span>,
-    /// How often a day it stops at most.
+    /// Maximum number of stops in a run.
     pub stops: u32,
 }
 
@@ -86,17 +86,17 @@
     }
 }
 
-/// How the list comes to know, and tells.
+/// Delays with which the endpoint list detects changes and notifies nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListFile {
-    /// A process that has started is listed after this.
+    /// Time until a started process is listed.
     pub add: Range<Span>,
-    /// One that drains or has ended is noticed after this.
+    /// Time until a draining or ended process is detected.
     pub notice: Range<Span>,
-    /// A silent machine is noticed after this.
+    /// Time until a machine that has stopped responding is detected.
     pub silent_notice: Range<Span>,
-    /// Nodes are told at most so much after each other.
+    /// Longest time between the first and the last node's notification of a change.
     pub spread: Range<Span>,
 }
 
@@ -115,19 +115,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct NetworkFile {
-    /// One way within a depot.
+    /// One-way delay within a depot.
     pub same: Range<Span>,
-    /// One way between depots.
+    /// One-way delay between depots.
     pub cross: Range<Span>,
-    /// One way between a client and its node.
+    /// One-way delay between a client and its node.
     pub client: Range<Span>,
-    /// Deviation of each delay, as a share of it.
+    /// Standard deviation of each delay, as a share of it.
     pub jitter: Range<f64>,
-    /// Round trips that a new connection takes.
+    /// Number of round trips to open a connection.
     pub handshake_rtts: Range<f64>,
-    /// One way for a message between nodes.
+    /// One-way delay of a message between nodes.
     pub message: Range<Span>,
-    /// Share of messages that are lost.
+    /// Share of messages between nodes that are lost.
     pub message_loss: Range<f64>,
 }
 
--- a/crates/simulation/src/scenario/goal.rs
+++ b/crates/simulation/src/scenario/goal.rs
@@ -1,4 +1,4 @@
-//! What counts, in a scenario file: the rules' figures and what a result is made of.
+//! Sections of a scenario file for the parameters of the rules and the weights of the score.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -6,17 +6,17 @@
 use super::{ms, s};
 use crate::time::Span;
 
-/// Figures of the four rules.
+/// Parameters of the four rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct RulesFile {
-    /// A final answer counts until this long past its client's deadline.
+    /// Time past the client's deadline until which a final answer still counts.
     pub answer_grace: Span,
-    /// Sends to a draining box end within this time.
+    /// Time within which nodes must stop sending to a draining box.
     pub drain_grace: Span,
-    /// A cold box is allowed this many times what it can do, and falls over well beyond that; 0 bears all.
+    /// Multiple of its present capacity that a cold box may be sent. Well beyond it the box crashes; 0 for no limit.
     pub fall_multiple: f64,
-    /// Time over which that is counted.
+    /// Time over which the work sent to a cold box is counted.
     pub fall_for: Span,
 }
 
@@ -26,37 +26,37 @@
     }
 }
 
-/// What a result is made of.
+/// Weights and prices of the score.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct GoalFile {
-    /// Weight of the whole day.
+    /// Weight of the served share of all requests.
     pub whole: f64,
-    /// Weight of the worst 10 s.
+    /// Weight of the worst 10 s window.
     pub worst_window: f64,
     /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// Weight of the worst-served tenant, within its share.
+    /// Weight of the worst-served tenant, counting requests within its quota.
     pub worst_tenant: f64,
-    /// Worth of requests beyond a tenant's share, as a share.
+    /// Share of its worth that a request beyond its tenant's quota counts for.
     pub over_share_worth: f64,
-    /// Worth counts for each unit of work; otherwise for each request.
+    /// Whether worth counts per second of work; otherwise it counts per request.
     pub by_work: bool,
-    /// Price of work at boxes that gave no answer, at as much as was asked for.
+    /// Price of work at boxes that led to no answer, if it equals the work asked for.
     pub waste: f64,
-    /// Price of failing after the aim, at all worth.
+    /// Price of failing after the latency objective, if all worth is lost that way.
     pub late_fail: f64,
-    /// Price of a new connection for each request.
+    /// Price of one new connection per request.
     pub handshake: f64,
-    /// Price of 100 open connections a box.
+    /// Price of a mean of 100 open connections per box.
     pub connection: f64,
-    /// Price of a probe for each request.
+    /// Price of one health check per request.
     pub probe: f64,
-    /// Price of a full message for each request.
+    /// Price of one full message of 256 bytes per request.
     pub peer: f64,
-    /// Price of each request crossing depots once.
+    /// Price of one attempt across depots per request.
     pub cross_zone: f64,
-    /// Price of an entry of the list told for each request.
+    /// Price of one entry of the endpoint list sent to nodes per request.
     pub list: f64,
 }
 
--- a/crates/simulation/src/scenario/incident.rs
+++ b/crates/simulation/src/scenario/incident.rs
@@ -1,4 +1,4 @@
-//! Incidents in a scenario file.
+//! Section of a scenario file for fault events and planned operations.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -6,121 +6,122 @@
 use crate::range::Range;
 use crate::time::Span;
 
-/// What an incident does.
+/// Kind of a fault event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum IncidentKind {
-    /// Machines say nothing, and come back empty.
+    /// Machines stop responding, and come back with empty stores.
     Silent,
-    /// Machines are `factor` times slower.
+    /// Machines are slower by `factor`.
     Slow,
-    /// Machines fail `share` of what they are asked.
+    /// Machines fail `share` of their requests.
     Erring,
-    /// Processes of boxes end at once, and come back empty; with `each`, in steps.
+    /// Processes of boxes are killed, and come back with empty stores; with `each`, in steps.
     Kill,
-    /// `share` of `class` costs `factor` times the work.
+    /// `share` of the requests of `class` costs `factor` times the work.
     Heavy,
-    /// Nodes die, and come back with their last list; with `each`, in steps.
+    /// Nodes are killed, and come back with their last endpoint list; with `each`, in steps.
     NodeDeath,
-    /// Nodes are told to stop, finish and come back; with `each`, in steps. With `kill`, clients send on every
-    /// connection that stays open until SIGKILL ends what has not ended by itself.
+    /// Nodes receive SIGTERM, finish their requests and come back; with `each`, in steps. With `kill`, clients send on
+    /// every connection that stays open until SIGKILL ends the processes that have not exited by themselves.
     NodeRestart,
-    /// The nodes' watches of the list fall silent, once; with `by`, the silent call may wait for so much longer.
+    /// The nodes' watches of the endpoint list fall silent once; `by` is the remaining wait of the silent long poll.
     SilentWatch,
-    /// The list tells nothing.
+    /// The endpoint list sends no changes.
     ListOutage,
-    /// The planner is `factor` times slower.
+    /// The planner is slower by `factor`.
     PlannerSlow,
-    /// The planner says nothing.
+    /// The planner doesn't answer.
     PlannerSilent,
     /// Nothing passes between the two `depots`; with `one_way`, from the first to the second.
     Partition,
-    /// Nothing passes between `depot` and the others; with `one_way`, nothing comes out of it.
+    /// Nothing passes between `depot` and the others; with `one_way`, only traffic from `depot` is cut.
     CutOff,
-    /// The list reaches the nodes of `depot`, or of all, later `by` so much.
+    /// Changes of the endpoint list reach the nodes of `depot`, or all nodes, later by `by`.
     LateList,
     /// `share` of the boxes' answers never arrives.
     LostAnswers,
-    /// `share` of the requests has its connection reset when it would be answered.
+    /// The connection of `share` of the requests is reset when the answer would be sent.
     Resets,
     /// `share` of the messages between nodes is lost.
     LostMessages,
-    /// `factor` times the requests at the nodes of `depot`.
+    /// The nodes of `depot` receive `factor` times their requests.
     Shift,
-    /// Clients leave `share` of their tries early, and come again `factor` times sooner.
+    /// Clients abandon `share` of their tries early, and retry `factor` times sooner.
     Impatient,
-    /// `share` of the clients give each try no more time than `by`, and come again at once, whatever they are advised,
-    /// up to `rounds` times and while their request has time.
+    /// `share` of the clients wait at most `by` for each try and retry at once, without regard to retry-after times, up to
+    /// `rounds` times and within the request's deadline.
     Hasty,
-    /// `share` of the commands are written in pieces, over up to `by` so much from their first byte to their last.
+    /// `share` of the commands are written in pieces, with up to `by` from the first byte to the last.
     SlowWriters,
-    /// Boxes drain, and end with the incident.
+    /// Boxes drain, and stop when the fault event ends.
     Drain,
-    /// Boxes of the first kind join, cold.
+    /// New, cold boxes of the first kind join.
     Join,
-    /// Boxes drain and are replaced by new ones, cold, when they end; with `each`, in steps; with `rounds`, again.
+    /// Boxes drain and are replaced by new, cold ones when they stop; with `each`, in steps; with `rounds`, repeatedly.
     Replace,
-    /// `factor` times the requests, `share` of them for `keys` keys.
+    /// The request rate rises by `factor`, and `share` of the requests goes to `keys` keys.
     Burst,
 }
 
 impl IncidentKind {
-    /// It strikes boxes, and says which.
+    /// Whether the kind has boxes as targets.
     pub(crate) fn strikes_boxes(self) -> bool {
         use IncidentKind as K;
         matches!(self, K::Silent | K::Slow | K::Erring | K::Kill | K::Drain | K::Join | K::Replace)
     }
 
-    /// It strikes nodes, and says which.
+    /// Whether the kind has nodes as targets.
     pub(crate) fn strikes_nodes(self) -> bool {
         use IncidentKind as K;
         matches!(self, K::NodeDeath | K::NodeRestart | K::SilentWatch)
     }
 }
 
-/// Something that happens.
+/// A fault event or planned operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct IncidentFile {
-    /// What it is.
+    /// Kind of the fault event.
     pub kind: IncidentKind,
-    /// When it begins.
+    /// Start, since the start of the run.
     pub at: Range<Span>,
-    /// How long it lasts; without it, to the day's end.
+    /// Duration; if not set, until the end of the run.
     pub lasts: Option<Range<Span>>,
-    /// Chance that it happens at all; without it, always.
+    /// Probability that the fault event happens; if not set, 1.
     pub chance: Option<f64>,
-    /// How many boxes it strikes.
+    /// Number of boxes affected.
     pub boxes: Option<Range<u32>>,
-    /// What share of the boxes or nodes it strikes, at least one.
+    /// Share of the boxes or nodes affected, at least one.
     pub part: Option<Range<f64>>,
-    /// How many nodes it strikes.
+    /// Number of nodes affected.
     pub nodes: Option<Range<u32>>,
-    /// Times slower, heavier or more.
+    /// Factor by which something is slower, heavier or more frequent.
     pub factor: Option<Range<f64>>,
-    /// Share of the requests.
+    /// Share of the requests, answers, messages, tries or clients affected.
     pub share: Option<Range<f64>>,
-    /// Name of the class.
+    /// Name of the class affected.
     pub class: Option<String>,
-    /// Name of a depot, or "any" for one that the seed draws: what it strikes is there, and all of it without a number.
+    /// Name of a depot, or "any" for a random one. Only boxes or nodes of the depot are affected: all of them if no number
+    /// is set.
     pub depot: Option<String>,
-    /// How much later, or how long.
+    /// Delay or time limit, depending on the kind.
     pub by: Option<Range<Span>>,
-    /// Only one way is cut.
+    /// Whether only one direction is cut.
     pub one_way: Option<bool>,
     /// Names of two depots.
     pub depots: Option<[String; 2]>,
     /// Number of keys.
     pub keys: Option<Range<u32>>,
-    /// Strikes one after the other, so much apart, and not all at once.
+    /// Time between targets, which are then affected one after another and not all at once.
     pub each: Option<Span>,
-    /// Strikes in so many groups, `each` apart, and not one by one.
+    /// Number of groups, `each` apart, in which the targets are affected instead of one by one.
     pub steps: Option<u32>,
-    /// So many times over: replacements are replaced in their turn, and hasty clients come again.
+    /// Number of repetitions: rounds of replacing the replacements, or retries of hasty clients.
     pub rounds: Option<u32>,
-    /// Replacements have the addresses of those that they replace.
+    /// Whether replacements take the addresses of the boxes that they replace.
     pub same_address: Option<bool>,
-    /// SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most, and 0.7 s more.
+    /// Whether SIGKILL follows SIGTERM, after the longest deadline (counted as 3 s at most) plus 0.7 s.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kill: Option<bool>,
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,17 +1,17 @@
-//! Scenarios: the TOML files that describe a fleet, its clients and what happens to them, with ranges that each seed
-//! draws from.
+//! Scenarios: TOML files that describe a fleet, its clients and the fault events of a run. A seed draws values from their
+//! ranges.
 
-mod asked;
 mod boxes;
-mod check;
 mod draw;
 mod fields;
 mod fleet;
 mod goal;
 mod incident;
-mod size;
+mod request_load;
+mod scaling;
 #[cfg(test)]
 mod tests;
+mod validation;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -19,11 +19,11 @@
 use crate::day::LimitsSpec;
 use crate::range::Range;
 use crate::time::Span;
-pub use asked::{ClassFile, ClientsFile, KeysFile, Point, TenantFile};
 pub use boxes::BoxKind;
 pub use fleet::{ListFile, NetworkFile, Nodes, PlannerFile};
 pub use goal::{GoalFile, RulesFile};
 pub use incident::{IncidentFile, IncidentKind};
+pub use request_load::{ClassFile, ClientsFile, KeysFile, Point, TenantFile};
 
 const fn ms(ms: u64) -> Span {
     Span::from_millis(ms)
@@ -37,41 +37,41 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
-    /// The form of this file; 1 is the only one.
+    /// Format version of the file; 1 is the only one.
     pub version: u32,
-    /// A short name.
+    /// Short name of the scenario.
     pub name: String,
-    /// What it is about, in a line.
+    /// One-line description.
     pub about: String,
-    /// Requests come for so long.
+    /// Time for which clients send requests.
     pub length: Range<Span>,
-    /// Depots by name; boxes and nodes are dealt out to them in turn.
+    /// Names of the depots; boxes and nodes are assigned to them in turn.
     pub depots: Vec<String>,
     /// The nodes.
     pub nodes: Nodes,
     /// The planner.
     pub planner: PlannerFile,
-    /// The list of boxes.
+    /// The endpoint list of boxes.
     pub list: ListFile,
     /// The network.
     pub network: NetworkFile,
     /// The clients.
     pub clients: ClientsFile,
-    /// The keys that they ask for.
+    /// The keys that clients request.
     pub keys: KeysFile,
-    /// Figures of the four rules.
+    /// Parameters of the four rules.
     pub rules: RulesFile,
-    /// What the deployment allows.
+    /// Features and limits of the deployment.
     pub limits: LimitsSpec,
-    /// What a result is made of.
+    /// Weights and prices of the score.
     pub goal: GoalFile,
-    /// Kinds of boxes; without any, seven large and five small ones.
+    /// Kinds of boxes; if not set, seven large and five small boxes.
     pub boxes: Vec<BoxKind>,
-    /// Request classes; without any, reads and keyed writes.
+    /// Request classes; if not set, reads and keyed writes.
     pub classes: Vec<ClassFile>,
-    /// Tenants; may be none.
+    /// Tenants; may be empty.
     pub tenants: Vec<TenantFile>,
-    /// What happens, and when.
+    /// Fault events and planned operations.
     pub incidents: Vec<IncidentFile>,
 }
 
@@ -100,17 +100,17 @@
     }
 }
 
-/// Something in a scenario that makes no sense, and where.
+/// An invalid value in a scenario, with its field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {what}")]
 pub struct Wrong {
-    /// The field, as `incidents[2].boxes`.
+    /// Path of the field, such as `incidents[2].boxes`.
     pub path: String,
-    /// What was expected, and what was found.
+    /// What was expected and what was found.
     pub what: String,
 }
 
-/// A scenario that cannot be read, with the place in its text.
+/// A parse or validation error of a scenario file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{line}:{column}: {path}: {what}")]
 pub struct Unreadable {
@@ -118,17 +118,17 @@
     pub line: usize,
     /// Column, from 1, in characters.
     pub column: usize,
-    /// The field.
+    /// Path of the field.
     pub path: String,
-    /// What was expected, and what was found.
+    /// What was expected and what was found.
     pub what: String,
 }
 
 impl Scenario {
-    /// Reads and checks a file's text.
+    /// Parses and checks the text of a scenario file.
     ///
     /// # Errors
-    /// Names line, column, field and what was expected.
+    /// If the text is malformed or a value is invalid; the error has line, column, field and what was expected.
     pub fn parse(text: &str) -> Result<Self, Unreadable> {
         let at = |offset: usize, path: String, what: String| {
             let before = &text[..offset.min(text.len())];
@@ -137,12 +137,13 @@
             Unreadable { line, column, path, what }
         };
         let start = |error: &toml::de::Error| error.span().map_or(0, |span| span.start);
-        let told = |error: &toml::de::Error| error.message().replace('\n', ", ");
-        let document = toml::Deserializer::parse(text).map_err(|e| at(start(&e), "file".into(), told(&e)))?;
+        let message = |error: &toml::de::Error| error.message().replace('\n', ", ");
+        let document =
+            toml::Deserializer::parse(text).map_err(|e| at(start(&e), "file".into(), message(&e)))?;
         let scenario: Scenario = serde_path_to_error::deserialize(document).map_err(|error| {
             let path = error.path().to_string();
             let inner = error.into_inner();
-            at(start(&inner), if path == "." { "file".into() } else { path }, told(&inner))
+            at(start(&inner), if path == "." { "file".into() } else { path }, message(&inner))
         })?;
         scenario
             .check()
--- a/crates/simulation/src/scenario/asked.rs
+++ b/crates/simulation/src/scenario/request_load.rs
@@ -1,4 +1,4 @@
-//! What is asked in a scenario file: clients, keys, classes and tenants.
+//! Sections of a scenario file for the request load: clients, keys, classes and tenants.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -9,13 +9,13 @@
 use crate::range::{Bytes, Range};
 use crate::time::Span;
 
-/// A point of the day's course.
+/// A point of the request rate's curve.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
-    /// When.
+    /// Time since the start of the run.
     pub at: Span,
-    /// Times the rate.
+    /// Multiple of the rate.
     pub times: f64,
 }
 
@@ -23,31 +23,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientsFile {
-    /// Requests a second, over all nodes.
+    /// Request rate over all nodes, in requests per second.
     pub rate: Range<f64>,
-    /// The rate's course: even between its points, flat beyond them, and none for a flat day.
+    /// Curve of the rate: linear between its points and constant beyond them; without points, the rate is constant.
     pub curve: Vec<Point>,
-    /// How clients reach nodes: "own", a node for each client process, or "front", which deals tries out.
+    /// How clients reach nodes: "own" for a node per client process, "front" for a load balancer that distributes tries.
     pub entry: Entry,
-    /// A front notices a dead node after this long.
+    /// Time after which the front detects a dead node.
     pub front_notice: Range<Span>,
-    /// Further tries after the first.
+    /// Maximum number of tries after the first one.
     pub retries: Range<u32>,
-    /// A try is given up after this share of its class's deadline.
+    /// Share of the class's deadline after which a client gives up a try.
     pub try_share: Range<f64>,
-    /// First wait before a further try; doubled each time.
+    /// Backoff before the first retry; doubled for each further one.
     pub backoff: Range<Span>,
-    /// Share of clients that heed the advice of a refusal.
+    /// Share of clients that honour the retry-after time of a rejection.
     pub honours: Range<f64>,
-    /// Advice is heeded up to this long.
+    /// Longest retry-after time that clients honour.
     pub most_advice: Span,
-    /// Share of tries that clients leave early.
+    /// Share of tries that clients abandon early.
     pub abandons: Range<f64>,
-    /// Requests carry a guess of their work.
+    /// Whether requests carry an estimate of their work.
     pub hints: bool,
-    /// The guess is off by about this share.
+    /// Relative error of the estimate.
     pub hint_noise: Range<f64>,
-    /// An attempt's work differs from its request's by about this share.
+    /// Relative deviation of an attempt's work from its request's.
     pub attempt_noise: Range<f64>,
 }
 
@@ -75,19 +75,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeysFile {
-    /// How many there are.
+    /// Number of keys.
     pub count: Range<u32>,
-    /// Popularity falls as (rank + offset) to the power of this.
+    /// Zipf exponent: popularity falls with (rank + offset) to this power.
     pub zipf: Range<f64>,
-    /// Flattens the head.
+    /// Offset that flattens the head of the popularity distribution.
     pub offset: Range<f64>,
-    /// Share of the ranks that go to another key each second.
+    /// Share of the ranks that move to another key, per second.
     pub drift: Range<f64>,
-    /// Keys that change at the planner by themselves, a second, as a share of all.
+    /// Share of the keys that change at the planner without a write, per second.
     pub changes: Range<f64>,
     /// Mean size of a value.
     pub size: Range<Bytes>,
-    /// Deviation of the sizes, as a share of the mean.
+    /// Standard deviation of the size, as a share of the mean.
     pub size_cv: Range<f64>,
 }
 
@@ -109,29 +109,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClassFile {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the requests.
+    /// Weight of the class in all requests.
     pub share: Range<f64>,
     /// Mean work, in time of a standard core.
     pub work: Range<Span>,
-    /// How work is spread: "fixed", "log-normal" or "pareto".
+    /// Distribution of the work: "fixed", "log-normal" or "pareto".
     pub spread: Spread,
-    /// Deviation of the work, as a share of the mean.
+    /// Standard deviation of the work, as a share of the mean.
     pub cv: Range<f64>,
-    /// Answered within this time it earns its worth.
+    /// Latency objective: an answer within this time earns the full worth.
     pub aim: Span,
-    /// Its client waits this long, over all tries.
+    /// Time that the client waits, over all its tries.
     pub deadline: Span,
-    /// Worth of an answer within the aim.
+    /// Worth of an answer within the latency objective.
     pub worth: f64,
-    /// Share of that which a later answer still earns.
+    /// Share of the worth that a later answer earns.
     pub late_worth: f64,
-    /// May it run again: "free", "guarded" or "single-shot".
+    /// Whether a request may run more than once: "free", "guarded" or "single-shot".
     pub effect: Effect,
-    /// How long boxes drop repeats of a guarded one.
+    /// Time for which boxes drop repeats of a guarded request.
     pub window: Span,
-    /// It writes.
+    /// Whether requests of the class are writes.
     pub write: bool,
 }
 
@@ -175,12 +175,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TenantFile {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its share of the service.
+    /// Tenant's share of the capacity.
     pub share: f64,
-    /// Requests a second within that share.
+    /// Quota that this share amounts to, in requests per second.
     pub quota: f64,
-    /// Its part of the requests.
+    /// Tenant's weight in the requests that clients send.
     pub usage: Range<f64>,
 }
--- a/crates/simulation/src/scenario/size.rs
+++ b/crates/simulation/src/scenario/scaling.rs
@@ -1,24 +1,24 @@
-//! Smaller days of the same kind.
+//! Smaller and shorter variants of a scenario.
 
 use super::Scenario;
 use crate::range::Range;
 use crate::time::Span;
 
 impl Scenario {
-    /// The same day for so many nodes: boxes, requests, keys, the planner and connections in proportion, so that each
-    /// node and each box meets what it did. A scenario that has no more nodes stays as it is.
+    /// Returns the scenario scaled down to this number of nodes. Boxes, requests, keys, the planner and connections shrink in
+    /// proportion, so that the load of each node and box stays the same. A scenario with no more nodes is unchanged.
     #[must_use]
     pub fn scaled(&self, nodes: u32) -> Scenario {
         let mut scaled = self.clone();
-        let part = f64::from(nodes) / f64::from(self.nodes.count.high.max(1));
-        if part >= 1.0 {
+        let ratio = f64::from(nodes) / f64::from(self.nodes.count.high.max(1));
+        if ratio >= 1.0 {
             return scaled;
         }
         let count = |many: Range<u32>| {
-            let part = |n: u32| (f64::from(n) * part).round().max(1.0) as u32;
-            Range { low: part(many.low), high: part(many.high) }
+            let scale = |n: u32| (f64::from(n) * ratio).round().max(1.0) as u32;
+            Range { low: scale(many.low), high: scale(many.high) }
         };
-        let amount = |many: Range<f64>| Range { low: many.low * part, high: many.high * part };
+        let amount = |many: Range<f64>| Range { low: many.low * ratio, high: many.high * ratio };
         scaled.nodes.count = count(self.nodes.count);
         scaled.clients.rate = amount(self.clients.rate);
         scaled.planner.places = count(self.planner.places);
@@ -34,7 +34,7 @@
         scaled
     }
 
-    /// The same day, ended earlier: what would begin behind its end does not.
+    /// Returns the scenario with an earlier end, without the fault events that could begin after it.
     #[must_use]
     pub fn shortened(&self, length: Span) -> Scenario {
         let mut shortened = self.clone();
--- a/crates/simulation/src/scenario/tests.rs
+++ b/crates/simulation/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! Scenario files that are right, and what is told of those that are wrong.
+//! Parsing and drawing of valid scenario files, and errors of invalid ones.
 
 use super::*;
 
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn the_same_seed_draws_the_same_day_and_another_one_another() {
+fn equal_seeds_draw_equal_runs_and_other_seeds_draw_others() {
     let scenario = Scenario::parse(FILE).unwrap();
     let day = scenario.draw(1).unwrap();
     assert_eq!(day, scenario.draw(1).unwrap());
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn defaults_make_a_fleet_and_its_settings_are_read() {
+fn the_defaults_make_a_fleet_with_valid_settings() {
     let day = Scenario::parse("version = 1").unwrap().draw(1).unwrap();
     assert_eq!(day.boxes.len(), 12);
     let settings = hallpin_balancer::Settings::from_json(&day.settings(0)).unwrap();
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place() {
-    for (from, to, line, column, path, says) in [
+fn errors_have_line_column_and_field() {
+    for (from, to, line, column, path, message) in [
         ("version = 1", "version = 2", 1, 11, "version", "1 expected, got 2"),
         ("count = 4", "count = 4\nwheels = 3", 10, 1, "boxes[0].wheels", "unknown field `wheels`"),
         ("count = 4", "count = -4", 9, 9, "boxes[0].count", "u32"),
@@ -77,7 +77,7 @@
         assert_ne!(text, FILE, "{from}");
         let error = Scenario::parse(&text).expect_err(to);
         assert_eq!((error.line, error.column, &error.path[..]), (line, column, path), "{to}: {error}");
-        assert!(error.what.contains(says), "{to}: {error}");
+        assert!(error.what.contains(message), "{to}: {error}");
     }
 }
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_written_scenario_is_read_back() {
+fn a_serialised_scenario_is_parsed_back() {
     let scenario = Scenario::parse(FILE).unwrap();
     let written = toml::to_string(&scenario).unwrap();
     assert_eq!(Scenario::parse(&written).unwrap(), scenario);
--- a/crates/simulation/src/scenario/check.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! What makes no sense in a scenario although it can be read.
+//! Validation of scenarios that parse but may hold invalid or contradictory values.
 
 use std::collections::BTreeSet;
 
@@ -7,37 +7,37 @@
 use crate::day::Effect;
 
 impl Scenario {
-    /// Finds what makes no sense although it can be read.
+    /// Checks the scenario for invalid or contradictory values.
     ///
     /// # Errors
-    /// Names the first such field.
+    /// Names the first invalid field.
     pub fn check(&self) -> Result<(), Wrong> {
-        let wrong = |path: &str, what: String| Err(Wrong { path: path.into(), what });
+        let error = |path: &str, what: String| Err(Wrong { path: path.into(), what });
         if self.version != 1 {
-            return wrong("version", format!("1 expected, got {}", self.version));
+            return error("version", format!("1 expected, got {}", self.version));
         }
         if self.depots.is_empty() {
-            return wrong("depots", "at least one expected, got none".into());
+            return error("depots", "at least one expected, got none".into());
         }
         if self.length.low < s(1) {
-            return wrong("length", format!("1s or more expected, got {}", self.length.low));
+            return error("length", format!("1s or more expected, got {}", self.length.low));
         }
         if self.nodes.count.low == 0 {
-            return wrong("nodes.count", "at least 1 expected, got 0".into());
+            return error("nodes.count", "at least 1 expected, got 0".into());
         }
         if self.keys.count.low == 0 {
-            return wrong("keys.count", "at least 1 expected, got 0".into());
+            return error("keys.count", "at least 1 expected, got 0".into());
         }
         if self.planner.places.low == 0 {
-            return wrong("planner.places", "at least 1 expected, got 0".into());
+            return error("planner.places", "at least 1 expected, got 0".into());
         }
-        if self.least_boxes() == 0 {
-            return wrong("boxes", "at least one box expected, got none".into());
+        if self.min_boxes() == 0 {
+            return error("boxes", "at least one box expected, got none".into());
         }
         if self.classes.is_empty() {
-            return wrong("classes", "at least one expected, got none".into());
+            return error("classes", "at least one expected, got none".into());
         }
-        self.check_figures()?;
+        self.check_ranges()?;
         self.check_classes()?;
         let mut drained = 0;
         for (n, incident) in self.incidents.iter().enumerate() {
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), Wrong> {
+    fn check_ranges(&self) -> Result<(), Wrong> {
         let mut shares: Vec<(String, f64, f64)> = vec![
             ("clients.try_share".into(), self.clients.try_share.low, self.clients.try_share.high),
             ("clients.honours".into(), self.clients.honours.low, self.clients.honours.high),
@@ -55,7 +55,7 @@
             ("network.message_loss".into(), self.network.message_loss.low, self.network.message_loss.high),
             ("keys.drift".into(), self.keys.drift.low, self.keys.drift.high),
         ];
-        let mut above: Vec<(String, f64)> = vec![("clients.rate".into(), self.clients.rate.low)];
+        let mut positive: Vec<(String, f64)> = vec![("clients.rate".into(), self.clients.rate.low)];
         for (n, b) in self.boxes.iter().enumerate() {
             let field = |name: &str| format!("boxes[{n}].{name}");
             shares.push((field("cold_from"), b.cold_from.low, b.cold_from.high));
@@ -70,7 +70,7 @@
                 ("slots_per_core", b.slots_per_core.low),
                 ("cold_from", b.cold_from.low),
             ] {
-                above.push((field(name), value));
+                positive.push((field(name), value));
             }
         }
         for (path, low, high) in shares {
@@ -81,7 +81,7 @@
                 });
             }
         }
-        for (path, value) in above {
+        for (path, value) in positive {
             if !(value > 0.0 && value.is_finite()) {
                 return Err(Wrong { path, what: format!("a number above 0 expected, got {value}") });
             }
@@ -92,23 +92,23 @@
     fn check_classes(&self) -> Result<(), Wrong> {
         let mut names = BTreeSet::new();
         for (n, class) in self.classes.iter().enumerate() {
-            let wrong =
+            let error =
                 |field: &str, what: String| Err(Wrong { path: format!("classes[{n}].{field}"), what });
-            let plain = |c: char| c.is_ascii_graphic() && c != ',' && c != '=';
-            if class.name.is_empty() || !class.name.chars().all(plain) {
-                return wrong(
+            let is_allowed = |c: char| c.is_ascii_graphic() && c != ',' && c != '=';
+            if class.name.is_empty() || !class.name.chars().all(is_allowed) {
+                return error(
                     "name",
                     format!("letters without spaces, commas or = expected, got {:?}", class.name),
                 );
             }
             if !names.insert(&class.name) {
-                return wrong("name", format!("a name of its own expected, {} has come before", class.name));
+                return error("name", format!("a unique name expected, got {} again", class.name));
             }
             if class.aim > class.deadline || class.aim.is_zero() {
-                return wrong("aim", format!("above 0 and up to the deadline {} expected", class.deadline));
+                return error("aim", format!("above 0 and up to the deadline {} expected", class.deadline));
             }
             if class.effect == Effect::Guarded && class.window.is_zero() {
-                return wrong(
+                return error(
                     "window",
                     "a time for which repeats are dropped expected, as it is guarded".into(),
                 );
@@ -120,17 +120,21 @@
         Ok(())
     }
 
-    /// Boxes that run when any day of this scenario begins.
-    fn least_boxes(&self) -> u32 {
+    /// Smallest number of boxes that run at the start of any run.
+    fn min_boxes(&self) -> u32 {
         self.boxes.iter().map(|b| b.count.low).sum()
     }
 
-    fn check_incident(&self, i: &IncidentFile, drained: &mut u32) -> Result<(), (&'static str, String)> {
-        check_fields(i)?;
-        self.check_time_and_figures(i)?;
-        self.check_depots(i)?;
-        self.check_struck(i, drained)?;
-        match &i.class {
+    fn check_incident(
+        &self,
+        incident: &IncidentFile,
+        drained: &mut u32,
+    ) -> Result<(), (&'static str, String)> {
+        check_fields(incident)?;
+        self.check_times_and_ranges(incident)?;
+        self.check_depots(incident)?;
+        self.check_targets(incident, drained)?;
+        match &incident.class {
             Some(class) if !self.classes.iter().any(|c| c.name == *class) => {
                 Err(("class", format!("the name of a class expected, got {class:?}")))
             }
@@ -138,79 +142,85 @@
         }
     }
 
-    fn check_time_and_figures(&self, i: &IncidentFile) -> Result<(), (&'static str, String)> {
-        if i.at.high >= self.length.low {
+    fn check_times_and_ranges(&self, incident: &IncidentFile) -> Result<(), (&'static str, String)> {
+        if incident.at.high >= self.length.low {
             return Err((
                 "at",
-                format!("before the day's end at {} expected, got {}", self.length.low, i.at.high),
+                format!("before the day's end at {} expected, got {}", self.length.low, incident.at.high),
             ));
         }
-        if i.factor.is_some_and(|f| f.low.is_nan() || f.low <= 0.0) {
+        if incident.factor.is_some_and(|f| f.low.is_nan() || f.low <= 0.0) {
             return Err(("factor", "a number above 0 expected".into()));
         }
-        for (field, share) in [("share", i.share), ("part", i.part)] {
+        for (field, share) in [("share", incident.share), ("part", incident.part)] {
             if let Some(share) = share.filter(|s| !(s.low >= 0.0 && s.high <= 1.0)) {
                 let what = format!("shares from 0 to 1 expected, got {} to {}", share.low, share.high);
                 return Err((field, what));
             }
         }
-        if i.steps == Some(0) {
+        if incident.steps == Some(0) {
             return Err(("steps", "at least 1 expected, got 0".into()));
         }
-        if i.rounds == Some(0) {
+        if incident.rounds == Some(0) {
             return Err(("rounds", "at least 1 expected, got 0".into()));
         }
-        if i.steps.is_some() && i.each.is_none() {
+        if incident.steps.is_some() && incident.each.is_none() {
             return Err(("steps", "`each` expected beside it, the time between two groups".into()));
         }
         Ok(())
     }
 
-    fn check_depots(&self, i: &IncidentFile) -> Result<(), (&'static str, String)> {
-        for depot in i.depots.iter().flatten() {
+    fn check_depots(&self, incident: &IncidentFile) -> Result<(), (&'static str, String)> {
+        for depot in incident.depots.iter().flatten() {
             if !self.depots.contains(depot) {
                 return Err(("depots", format!("names of depots expected, got {depot:?}")));
             }
         }
-        if let Some(depot) = i.depot.as_ref().filter(|d| *d != "any" && !self.depots.contains(d)) {
+        if let Some(depot) = incident.depot.as_ref().filter(|d| *d != "any" && !self.depots.contains(d)) {
             return Err(("depot", format!("the name of a depot or \"any\" expected, got {depot:?}")));
         }
-        if i.kind == IncidentKind::CutOff && self.depots.len() < 2 {
+        if incident.kind == IncidentKind::CutOff && self.depots.len() < 2 {
             return Err(("depot", "a second depot expected, as there is nothing to be cut off from".into()));
         }
         Ok(())
     }
 
-    /// No more boxes and nodes are struck than there are, and no more drain than run.
-    fn check_struck(&self, i: &IncidentFile, drained: &mut u32) -> Result<(), (&'static str, String)> {
-        // Boxes and nodes are dealt out to the depots in turn: the last has the fewest.
-        let there = |all: u32| if i.depot.is_some() { all / self.depots.len() as u32 } else { all };
-        let whose = if i.depot.is_some() { "in a depot" } else { "there" };
-        let boxes = there(self.least_boxes());
-        let counted = (i.kind != IncidentKind::Join).then_some(i.boxes).flatten();
-        for (field, many, all) in [("boxes", counted, boxes), ("nodes", i.nodes, there(self.nodes.count.low))]
+    /// Checks that no more boxes and nodes are affected than exist, and that no more boxes drain than run.
+    fn check_targets(
+        &self,
+        incident: &IncidentFile,
+        drained: &mut u32,
+    ) -> Result<(), (&'static str, String)> {
+        // Boxes and nodes are assigned to depots in turn, so the last depot has the fewest.
+        let in_scope = |all: u32| if incident.depot.is_some() { all / self.depots.len() as u32 } else { all };
+        let place = if incident.depot.is_some() { "in a depot" } else { "there" };
+        let boxes = in_scope(self.min_boxes());
+        let counted = (incident.kind != IncidentKind::Join).then_some(incident.boxes).flatten();
+        for (field, many, all) in
+            [("boxes", counted, boxes), ("nodes", incident.nodes, in_scope(self.nodes.count.low))]
         {
             if let Some(many) = many.filter(|many| many.high > all) {
                 let what = format!("at most {all} expected, as many as there are, got {}", many.high);
                 return Err((field, what));
             }
         }
-        if i.kind == IncidentKind::Drain {
+        if incident.kind == IncidentKind::Drain {
             let part = |share: f64| (share * f64::from(boxes)).round().max(1.0) as u32;
-            *drained += match (i.boxes, i.part) {
+            *drained += match (incident.boxes, incident.part) {
                 (Some(many), _) => many.high,
                 (None, Some(share)) => part(share.high),
                 (None, None) => boxes,
             };
-            let all = self.least_boxes();
+            let all = self.min_boxes();
             if *drained > all {
-                let field = if i.boxes.is_some() { "boxes" } else { "part" };
+                let field = if incident.boxes.is_some() { "boxes" } else { "part" };
                 return Err((field, format!("{drained} boxes drain by then, and there are only {all}")));
             }
         }
-        let struck = i.kind.strikes_boxes() && i.kind != IncidentKind::Join || i.kind.strikes_nodes();
-        if struck && i.depot.is_some() && boxes.min(there(self.nodes.count.low)) == 0 {
-            return Err(("depot", format!("one with boxes and nodes expected, and there are none {whose}")));
+        let has_targets = incident.kind.strikes_boxes() && incident.kind != IncidentKind::Join
+            || incident.kind.strikes_nodes();
+        if has_targets && incident.depot.is_some() && boxes.min(in_scope(self.nodes.count.low)) == 0 {
+            return Err(("depot", format!("one with boxes and nodes expected, and there are none {place}")));
         }
         Ok(())
     }
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,4 +1,5 @@
-//! What happened, event by event. The referee judges from this alone, and both ways of running a day write it.
+//! Trace of a run as a sequence of events. Both the simulator and the emulator write it, and the invariant checker reads
+//! nothing else.
 
 mod ends;
 mod event;
@@ -9,24 +10,24 @@
 pub use ends::{Ended, How};
 pub use event::Event;
 
-/// A client's request, over all its tries.
+/// Identifies a client's request over all its tries.
 pub type AskId = u64;
-/// One try of a client: what a node takes and owes an answer.
+/// Identifies one try of a request, which a node accepts and answers.
 pub type TryId = u64;
 
-/// An event and its time, as a line of a trace file.
+/// An event and its time: one line of a trace file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// When it happened, in microseconds.
+    /// Time of the event, in microseconds.
     pub at: Time,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// Takes events as they happen, in order of time.
+/// Receives events in order of time.
 pub trait Sink {
-    /// One event.
+    /// Records one event.
     fn record(&mut self, at: Time, event: &Event);
 }
 
--- a/crates/simulation/src/trace/ends.rs
+++ b/crates/simulation/src/trace/ends.rs
@@ -1,33 +1,33 @@
-//! How tries and attempts end, in the words of a trace.
+//! Outcomes of tries and attempts, as traces name them.
 
 use serde::{Deserialize, Serialize};
 
-/// How a try ended, by the answer that its client was given.
+/// Final answer of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum How {
     /// Served.
     Completed,
-    /// Refused: coming again is harmless.
+    /// Rejected; a retry is safe.
     Rejected,
     /// Failed.
     Failed,
 }
 
-/// How an attempt ended, as is seen at the box's end of it: by its answer, by a close before that, or by nothing
-/// that ever came.
+/// Outcome of an attempt as seen at the box's end of the connection: its answer, a close before an answer, or no answer
+/// at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ended {
     /// Served.
     Success,
-    /// An error; may have run.
+    /// The box answered with an error; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the box as overloaded, without being run.
     Overloaded,
     /// No answer in time.
     TimedOut,
-    /// No connection.
+    /// No connection could be opened.
     Unreachable,
     /// The connection broke.
     Broken,
@@ -38,7 +38,7 @@
 }
 
 impl From<hallpin_balancer::Status> for Ended {
-    /// How a node's outcome of an attempt reads in a trace.
+    /// Converts a node's status of an attempt to the outcome in a trace.
     fn from(status: hallpin_balancer::Status) -> Self {
         use hallpin_balancer::Status;
         match status {
@@ -55,7 +55,7 @@
 }
 
 impl Ended {
-    /// False where it proves that the attempt never ran.
+    /// False if the outcome proves that the attempt never ran.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Ended::Overloaded | Ended::Unreachable | Ended::Void)
     }
--- a/crates/simulation/src/trace/event.rs
+++ b/crates/simulation/src/trace/event.rs
@@ -1,4 +1,4 @@
-//! Every kind of thing that happens on a day.
+//! Kinds of trace events.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,43 +8,43 @@
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 
-/// Something that happened. In each kind `ask` is a request, `id` a try, `attempt` one of its attempts, `node` a node,
-/// and `of`, `to` or `by` a box.
+/// An event of a trace. In each variant `ask` is a request, `id` a try, `attempt` one of its attempts, `node` a node, and
+/// `of`, `to` or `by` a box.
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
-    /// A client has something to ask: its first try is on its way.
+    /// A client starts a request and sends its first try.
     Asked {
         ask: AskId,
-        /// Index of its class.
+        /// Index of the request's class.
         class: usize,
-        /// Index of its tenant.
+        /// Index of the request's tenant.
         tenant: Option<usize>,
-        /// Its key.
+        /// Requested key.
         key: KeyId,
-        /// Its work, in microseconds of a standard core.
+        /// Work of the request, in microseconds of a standard core.
         work: f64,
     },
-    /// A node has taken a try.
+    /// A node has accepted a try.
     Taken {
         id: TryId,
         /// The request that it belongs to.
         ask: AskId,
         node: NodeId,
-        /// When its client stops waiting for it.
+        /// Time at which the client stops waiting for the try.
         until: Time,
     },
-    /// A node sends an attempt on.
+    /// A node sends an attempt to a box.
     Sent {
         id: TryId,
-        /// The attempt's place among its attempts, from 0.
+        /// Number of the attempt within its try, from 0.
         attempt: u32,
         node: NodeId,
         to: BoxId,
-        /// Node and box are in different depots.
+        /// Whether node and box are in different depots.
         crosses: bool,
-        /// How long its client waits, as the attempt tells its box; where the box has read that.
+        /// Client's remaining wait time that the attempt carries, if the box has read it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         wait: Option<Span>,
     },
@@ -52,163 +52,164 @@
     Ended {
         id: TryId,
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         how: Ended,
     },
     /// A node gives a try's final answer.
     Answered {
         id: TryId,
-        /// Which.
+        /// Kind of the answer.
         how: How,
-        /// The version of the key that was served.
+        /// Version of the key that was served.
         version: Option<u64>,
-        /// How long a refused client is to hold off.
+        /// Retry-after time of a rejection.
         #[serde(default)]
         advice: Option<Span>,
     },
-    /// The client of a try has gone away, before or when its time was up.
+    /// The client of a try has disconnected or cancelled, before or at its deadline.
     Abandoned { id: TryId },
-    /// A client has the answer to its request, served.
+    /// A client has received the answer to its request, which was served.
     Received {
         ask: AskId,
-        /// The try that brought it.
+        /// The try that was answered.
         id: TryId,
     },
-    /// A client gives its request up, or has no try left.
+    /// A client gives up its request, or has no try left.
     GaveUp { ask: AskId },
-    /// A node is told of a box.
+    /// A node is notified of a box's state.
     Told {
         node: NodeId,
         of: BoxId,
-        /// What the list says.
+        /// State of the box in the endpoint list.
         phase: Phase,
-        /// When the box's process started, if that was within the day.
+        /// Start of the box's process, if it started during the run.
         started: Option<Time>,
     },
-    /// Work has reached a box: a request's, or that of a connection or a probe.
+    /// Work of a request, of a new connection or of a health check has arrived at a box.
     Reached {
         to: BoxId,
         /// The node that sent it.
         node: NodeId,
         /// Work, in microseconds of a standard core.
         work: f64,
-        /// A read; its first and only arrival at this box.
+        /// Whether this is a read, which arrives at this box for the first and only time.
         read: bool,
     },
-    /// A box has answered a request or dropped it; its work was for nothing if no client gets it.
+    /// A box has answered or dropped a request; the work is wasted if no client receives the answer.
     Worked {
         id: TryId,
         attempt: u32,
         /// Work done, in microseconds of a standard core.
         work: f64,
-        /// A read, and whether it was a hit.
+        /// For reads, whether it was a cache hit.
         hit: Option<bool>,
     },
-    /// A box's process has started, empty; or runs from the day's beginning, warm.
+    /// A box's process has started with an empty store, or has been running and warm since before the run.
     BoxUp {
         of: BoxId,
-        /// Its capacity when warm, in seconds of a standard core a second.
+        /// Capacity when warm, in seconds of work of a standard core per second.
         capacity: f64,
-        /// Its registered size.
+        /// Size registered in the endpoint list.
         size: f64,
-        /// It starts cold.
+        /// Whether the box starts cold.
         cold: bool,
-        /// Share of its capacity that it starts with.
+        /// Share of its capacity that the box starts with.
         from: f64,
-        /// It is warm after this long.
+        /// Time until the box is warm.
         ramp: Span,
     },
-    /// A box's process has ended, or its machine says nothing any more.
+    /// A box's process has ended, or its machine has stopped responding.
     BoxDown { of: BoxId },
-    /// A box fell over: it was sent too much while cold.
+    /// A box crashed because it was overloaded while cold.
     BoxFell { of: BoxId },
     /// A box has called the planner.
     PlannerAsked {
         by: BoxId,
-        /// A write.
+        /// Whether the call is a write.
         write: bool,
-        /// The box was cold.
+        /// Whether the box was cold.
         cold: bool,
     },
-    /// The planner was overdriven and says nothing for a while.
+    /// The planner stops answering for a while.
     PlannerStopped {
-        /// Of its own accord; otherwise an incident did it.
+        /// True if overload caused the stop, false if a fault event did.
         overdriven: bool,
     },
-    /// The planner works again.
+    /// The planner answers again.
     PlannerResumed,
-    /// A write was carried out: copies of versions before this one are void.
+    /// A write was applied; cached copies of older versions are invalid.
     Written {
-        /// The key.
+        /// Written key.
         key: KeyId,
-        /// The key's new version.
+        /// New version of the key.
         version: u64,
     },
-    /// A node runs.
+    /// A node's process runs.
     NodeUp { node: NodeId },
-    /// A node that runs wants clients from here on; told where that takes time.
+    /// A running node is ready for clients; recorded only where this takes time.
     NodeReady { node: NodeId },
-    /// A node is told to stop: SIGTERM. From here on [`Event::NodeDown`] is planned where it ends by itself, and not
-    /// where SIGKILL ends it.
+    /// A node receives SIGTERM. A later [`Event::NodeDown`] is planned if the node exits by itself, and not if SIGKILL
+    /// ends it.
     Stopping { node: NodeId },
-    /// A node has read a request on a client's new connection and closed that with no answer: it was never taken nor sent
-    /// on. One that is closed unread is a refusal, and not told.
+    /// A node has read a request on a client's new connection and closed the connection without an answer. The request was
+    /// neither accepted nor forwarded. A connection closed before anything was read is a rejection and isn't recorded.
     Dropped { ask: AskId, node: NodeId },
-    /// A node's agent has something new of a box, or discovery has it to tell where lists are asked for and can be
-    /// reached: to be recorded where the node is not told in the same moment. It counts as told in time whether or not
-    /// it arrives.
+    /// A change of a box's state is available to a node: its agent has it, or, where lists are polled, discovery has it and
+    /// can be reached. Recorded if the node isn't notified at the same moment. The change counts as notified in time whether
+    /// or not it arrives.
     Has {
         node: NodeId,
         of: BoxId,
-        /// What the list says.
+        /// State of the box in the endpoint list.
         phase: Phase,
-        /// When the box's process started, if that was within the day.
+        /// Start of the box's process, if it started during the run.
         started: Option<Time>,
-        /// It is there to be asked for; otherwise it has been pushed.
+        /// True if the change is polled by the node, false if it is pushed.
         #[serde(default)]
         asked: bool,
     },
-    /// A node's watch of the list falls silent.
+    /// A node's watch of the endpoint list falls silent.
     WatchSilent {
         node: NodeId,
-        /// The call may wait for so much longer; none where it had begun to answer, or no call was out.
+        /// Remaining wait of the silent long poll; `None` if its answer had begun or no call was in flight.
         waits: Option<Span>,
     },
-    /// A node's call to discovery has failed or was refused, or the node has given it up.
+    /// A node's call to discovery has failed or was rejected, or the node has abandoned it.
     CallFailed { node: NodeId },
-    /// A node opens its watch anew.
+    /// A node reopens its watch.
     WatchOpened { node: NodeId },
-    /// A node is given a new configuration, with another discovery: SIGHUP.
+    /// A node receives SIGHUP, with a new configuration that names another discovery.
     Reconfigured { node: NodeId },
     /// A node has ended.
     NodeDown {
         node: NodeId,
-        /// It was told to; otherwise it was killed, and what it held is nobody's fault.
+        /// True if the node exited after SIGTERM. False if it was killed; its open requests then count as failed or lost
+        /// with the node, not as a violation.
         planned: bool,
     },
     /// A connection was opened to a box.
     Opened { to: BoxId },
     /// A connection to a box was closed.
     Closed { to: BoxId },
-    /// A node has probed a box.
+    /// A node has sent a health check to a box.
     Probed { of: BoxId },
     /// A message was delivered to a node.
     Message {
-        /// Its bytes.
+        /// Size of the message, in bytes.
         bytes: usize,
     },
-    /// An incident begins.
+    /// A fault event of the scenario begins.
     Begins {
-        /// Index in the day.
+        /// Index of the fault event in the run.
         incident: usize,
-        /// What it is.
+        /// Description of the fault event.
         what: String,
     },
-    /// An incident ends.
+    /// A fault event of the scenario ends.
     Ends {
-        /// Index in the day.
+        /// Index of the fault event in the run.
         incident: usize,
     },
-    /// Nothing more will happen.
+    /// Last event of a trace.
     DayOver,
 }
--- a/crates/simulation/tests/referee/events.rs
+++ b/crates/simulation/tests/referee/events.rs
@@ -1,4 +1,4 @@
-//! Events in a row, and what the referee makes of them.
+//! Builders of events, and helpers that run the invariant checker on them.
 
 use hallpin_simulation::day::{Day, Effect};
 use hallpin_simulation::list::Phase;
@@ -12,7 +12,7 @@
 pub const WRITE: usize = 1;
 pub const ONCE: usize = 2;
 
-/// Two nodes and twelve boxes; a class that may not run twice beside the usual two.
+/// The default scenario with seed 1, and a third class whose requests must not run twice.
 pub fn day() -> Day {
     let mut day = Scenario::default().draw(1).expect("the defaults make a day");
     let mut once = day.classes[READ].clone();
@@ -21,18 +21,19 @@
     day
 }
 
-pub fn judge(day: &Day, events: &[(u64, Event)]) -> Verdict {
-    let mut referee = Referee::new(day);
+/// Runs the checker on these events, with times in milliseconds, and ends the run at 70 s.
+pub fn check(day: &Day, events: &[(u64, Event)]) -> Verdict {
+    let mut checker = Referee::new(day);
     let mut events = events.to_vec();
     events.sort_by_key(|(at, _)| *at);
     for (at, event) in &events {
-        referee.record(Time(at * MS), event);
+        checker.record(Time(at * MS), event);
     }
-    referee.record(Time(70_000 * MS), &Event::DayOver);
-    referee.verdict()
+    checker.record(Time(70_000 * MS), &Event::DayOver);
+    checker.verdict()
 }
 
-pub fn told(of: usize, phase: Phase, started: Option<Time>) -> Event {
+pub fn box_notified(of: usize, phase: Phase, started: Option<Time>) -> Event {
     Event::Told { node: 0, of, phase, started }
 }
 
@@ -40,7 +41,7 @@
     Event::Asked { ask, class, tenant: None, key: 7, work: 50_000.0 }
 }
 
-pub fn taken(id: u64, ask: u64, until: u64) -> Event {
+pub fn accepted(id: u64, ask: u64, until: u64) -> Event {
     Event::Taken { id, ask, node: 0, until: Time(until * MS) }
 }
 
@@ -57,13 +58,13 @@
     Event::Answered { id, how, version: (how == How::Completed).then_some(0), advice }
 }
 
-/// A request of this class that is served by its first attempt.
+/// A request of this class that its first attempt serves.
 pub fn good(class: usize) -> Vec<(u64, Event)> {
     vec![
-        (0, told(0, Phase::Ready, None)),
-        (0, told(1, Phase::Ready, None)),
+        (0, box_notified(0, Phase::Ready, None)),
+        (0, box_notified(1, Phase::Ready, None)),
         (100, asked(1, class)),
-        (101, taken(1, 1, 1100)),
+        (101, accepted(1, 1, 1100)),
         (102, sent(1, 0, 0)),
         (150, answered(1, How::Completed)),
         (150, ended(1, 0, Ended::Success)),
@@ -76,14 +77,15 @@
     events
 }
 
-/// Breaks exactly this rule, once.
-pub fn breaks(what: &str, rule: Rule, events: Vec<(u64, Event)>) {
-    let verdict = judge(&day(), &events);
+/// Asserts that the events violate exactly this rule, once.
+pub fn assert_violates(what: &str, rule: Rule, events: Vec<(u64, Event)>) {
+    let verdict = check(&day(), &events);
     assert_eq!(verdict.breaches.into_iter().collect::<Vec<_>>(), [(rule, 1)], "{what}: {:?}", verdict.told);
 }
 
-pub fn keeps(what: &str, events: Vec<(u64, Event)>) -> Verdict {
-    let verdict = judge(&day(), &events);
+/// Asserts that the events violate no rule, and returns the result.
+pub fn assert_clean(what: &str, events: Vec<(u64, Event)>) -> Verdict {
+    let verdict = check(&day(), &events);
     assert!(verdict.is_clean(), "{what}: {:?}", verdict.told);
     verdict
 }
--- a/crates/simulation/tests/referee/trouble.rs
+++ b/crates/simulation/tests/referee/faults.rs
@@ -1,4 +1,4 @@
-//! Trouble at cache servers, at the origin and with other clients frees no request of its final answer.
+//! Faults of cache servers, of the origin and of other clients don't excuse a missing final answer.
 
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::Rule;
@@ -7,14 +7,14 @@
 
 use crate::events::*;
 
-/// A request that is taken and sent on, and another one that is answered.
-fn open() -> Vec<(u64, Event)> {
+/// A request that is accepted and forwarded, and another one that is answered.
+fn open_request() -> Vec<(u64, Event)> {
     vec![
-        (0, told(0, Phase::Ready, None)),
+        (0, box_notified(0, Phase::Ready, None)),
         (100, asked(1, READ)),
         (100, asked(2, READ)),
-        (101, taken(1, 1, 1100)),
-        (101, taken(2, 2, 1100)),
+        (101, accepted(1, 1, 1100)),
+        (101, accepted(2, 2, 1100)),
         (102, sent(1, 0, 0)),
         (102, sent(2, 0, 0)),
         (140, answered(2, How::Completed)),
@@ -23,10 +23,10 @@
     ]
 }
 
-/// What happens to others while the request is out, each by itself.
-fn troubles() -> Vec<(&'static str, Vec<(u64, Event)>)> {
+/// Faults elsewhere while the request is in flight, each with its events.
+fn faults() -> Vec<(&'static str, Vec<(u64, Event)>)> {
     let incident = |what: &str| vec![(150, Event::Begins { incident: 0, what: what.into() })];
-    let hears = |phase| vec![(150, told(0, phase, None))];
+    let notified = |phase| vec![(150, box_notified(0, phase, None))];
     let cold_start = Event::BoxUp {
         of: 0,
         capacity: 2.0,
@@ -40,8 +40,8 @@
         ("the server vanishes", vec![(150, Event::BoxDown { of: 0 })]),
         ("the server falls", vec![(150, Event::BoxFell { of: 0 })]),
         ("the server comes back", vec![(150, Event::BoxDown { of: 0 }), (900, cold_start)]),
-        ("the server drains", hears(Phase::Draining)),
-        ("the server is gone from the list", hears(Phase::Gone)),
+        ("the server drains", notified(Phase::Draining)),
+        ("the server is gone from the list", notified(Phase::Gone)),
         ("the connection breaks", vec![(150, ended(1, 0, Ended::Broken))]),
         ("no connection comes up", vec![(150, ended(1, 0, Ended::Unreachable))]),
         ("the server rejects it", vec![(150, ended(1, 0, Ended::Overloaded))]),
@@ -55,7 +55,7 @@
         ("answers are lost", incident("50.0 % of the answers are lost")),
         ("clients are impatient", incident("clients leave 50 % of their tries")),
         ("another client leaves", {
-            vec![(120, asked(3, READ)), (121, taken(3, 3, 1100)), (150, Event::Abandoned { id: 3 })]
+            vec![(120, asked(3, READ)), (121, accepted(3, 3, 1100)), (150, Event::Abandoned { id: 3 })]
         }),
         ("another client gives up", { vec![(120, asked(3, READ)), (150, Event::GaveUp { ask: 3 })] }),
         ("another node is killed", vec![(150, Event::NodeDown { node: 1, planned: false })]),
@@ -63,17 +63,17 @@
 }
 
 #[test]
-fn a_request_is_owed_its_answer_whatever_happens_to_servers_or_to_other_clients() {
-    for (what, trouble) in troubles() {
-        let unanswered = with(open(), trouble);
-        breaks(what, Rule::Lost, unanswered.clone());
+fn a_request_needs_its_answer_whatever_happens_to_servers_or_to_other_clients() {
+    for (what, fault) in faults() {
+        let unanswered = with(open_request(), fault);
+        assert_violates(what, Rule::Lost, unanswered.clone());
         let (mut in_time, mut late) = (unanswered.clone(), unanswered.clone());
         in_time.push((1120, answered(1, How::Failed)));
-        assert!(!judge(&day(), &in_time).breaches.contains_key(&Rule::Lost), "{what}: at the grace");
+        assert!(!check(&day(), &in_time).breaches.contains_key(&Rule::Lost), "{what}: at the grace");
         late.push((1121, answered(1, How::Failed)));
-        assert!(judge(&day(), &late).breaches.contains_key(&Rule::Lost), "{what}: later");
-        // Its own client gives the request up, but has waited to the end.
+        assert!(check(&day(), &late).breaches.contains_key(&Rule::Lost), "{what}: later");
+        // The request's own client gives up, but only at its deadline.
         let waited = vec![(1100, Event::Abandoned { id: 1 }), (1101, Event::GaveUp { ask: 1 })];
-        breaks(what, Rule::Lost, with(unanswered, waited));
+        assert_violates(what, Rule::Lost, with(unanswered, waited));
     }
 }
--- a/crates/simulation/tests/referee/main.rs
+++ b/crates/simulation/tests/referee/main.rs
@@ -1,11 +1,11 @@
-//! The referee against traces that break each rule by one event, beside the same trace without it.
+//! Tests of the invariant checker: for each rule, a trace that violates it by one event and the same trace without it.
 
-mod cold;
+mod departed_clients;
 mod events;
-mod gone;
+mod faults;
+mod notifications;
+mod overload;
+mod planned_restarts;
 mod restarts;
 mod rules;
-mod stops;
-mod told;
-mod trouble;
-mod waits;
+mod wait_budget;
--- a/crates/simulation/tests/referee/restarts.rs
+++ b/crates/simulation/tests/referee/restarts.rs
@@ -1,11 +1,11 @@
-//! Restarts: nine in ten nodes are ready within 10 s.
+//! Restarts: nine in ten restarted nodes must be ready within 10 s.
 
 use hallpin_simulation::referee::Rule;
 use hallpin_simulation::trace::Event;
 
 use crate::events::*;
 
-/// So many restarts of a node that runs, each ready after so long.
+/// Restarts of a running node, each with its time in milliseconds until it is ready.
 fn restarts(ready_after: &[u64]) -> Vec<(u64, Event)> {
     let mut events = vec![(0, Event::NodeUp { node: 0 }), (20_000, Event::NodeReady { node: 0 })];
     let mut at = 20_000;
@@ -24,19 +24,19 @@
         let after: Vec<u64> = (0..all).map(|n| if n < late { 10_001 } else { 10 }).collect();
         restarts(&after)
     };
-    keeps("none at all", of(0, 0));
-    keeps("within the time", restarts(&[10_000]));
-    keeps("one in ten later", of(1, 10));
-    breaks("one in nine", Rule::Ready, of(1, 9));
-    breaks("two in nineteen", Rule::Ready, of(2, 19));
+    assert_clean("none at all", of(0, 0));
+    assert_clean("within the time", restarts(&[10_000]));
+    assert_clean("one in ten later", of(1, 10));
+    assert_violates("one in nine", Rule::Ready, of(1, 9));
+    assert_violates("two in nineteen", Rule::Ready, of(2, 19));
     let never = |down: u64| {
         let start =
             vec![(20_001, Event::NodeDown { node: 0, planned: false }), (20_002, Event::NodeUp { node: 0 })];
         with(with(restarts(&[]), start), vec![(down, Event::NodeDown { node: 0, planned: false })])
     };
-    keeps("killed before its time was over", never(30_002));
-    breaks("not ready when it was killed", Rule::Ready, never(30_003));
+    assert_clean("killed before its time was over", never(30_002));
+    assert_violates("not ready when it was killed", Rule::Ready, never(30_003));
     let mut open = never(40_000);
     open.pop();
-    breaks("not ready by the day's end", Rule::Ready, open);
+    assert_violates("not ready by the day's end", Rule::Ready, open);
 }
--- a/crates/simulation/tests/referee/rules.rs
+++ b/crates/simulation/tests/referee/rules.rs
@@ -1,4 +1,4 @@
-//! Answers, repeats, drains, what is kept waiting, and worth.
+//! Final answers, repeats, drains, prompt rejections, and worth.
 
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::{Loss, Referee, Rule};
@@ -10,54 +10,60 @@
 #[test]
 fn a_request_that_is_served_breaks_nothing_and_earns_its_worth() {
     for class in [READ, WRITE, ONCE] {
-        let verdict = keeps("served", good(class));
+        let verdict = assert_clean("served", good(class));
         assert_eq!((verdict.whole.share(), verdict.classes[class].in_aim), (1.0, 1));
     }
 }
 
 #[test]
-fn one_final_answer_no_more_no_less_and_in_time() {
+fn each_request_gets_exactly_one_final_answer_in_time() {
     let open = vec![
-        (0, told(0, Phase::Ready, None)),
+        (0, box_notified(0, Phase::Ready, None)),
         (100, asked(1, READ)),
-        (101, taken(1, 1, 1100)),
+        (101, accepted(1, 1, 1100)),
         (102, sent(1, 0, 0)),
     ];
     let late =
         |at| with(open.clone(), vec![(at, answered(1, How::Failed)), (at, ended(1, 0, Ended::TimedOut))]);
-    keeps("within the grace", late(1120));
-    breaks("no answer", Rule::Lost, open.clone());
+    assert_clean("within the grace", late(1120));
+    assert_violates("no answer", Rule::Lost, open.clone());
     let after = with(good(READ), vec![(160, answered(1, How::Failed))]);
-    breaks("two answers", Rule::Lost, after);
-    breaks("sent after the answer", Rule::Lost, with(good(READ), vec![(160, sent(1, 1, 1))]));
-    let unasked = vec![(0, told(0, Phase::Ready, None)), (100, asked(1, READ)), (101, taken(1, 1, 1100))];
-    let made_up = with(unasked, vec![(150, answered(1, How::Completed))]);
-    breaks("served what no box made", Rule::Lost, made_up);
-    // A client that leaves is owed nothing, one whose time is up is.
-    keeps("left early", with(open.clone(), vec![(500, Event::Abandoned { id: 1 })]));
-    breaks("waited to the end", Rule::Lost, with(open.clone(), vec![(1100, Event::Abandoned { id: 1 })]));
+    assert_violates("two answers", Rule::Lost, after);
+    assert_violates("sent after the answer", Rule::Lost, with(good(READ), vec![(160, sent(1, 1, 1))]));
+    let unsent =
+        vec![(0, box_notified(0, Phase::Ready, None)), (100, asked(1, READ)), (101, accepted(1, 1, 1100))];
+    let fabricated = with(unsent, vec![(150, answered(1, How::Completed))]);
+    assert_violates("completed without an attempt", Rule::Lost, fabricated);
+    // A client that leaves early needs no answer; one that waits until its deadline does.
+    assert_clean("left early", with(open.clone(), vec![(500, Event::Abandoned { id: 1 })]));
+    assert_violates(
+        "waited until the deadline",
+        Rule::Lost,
+        with(open.clone(), vec![(1100, Event::Abandoned { id: 1 })]),
+    );
     let down = |planned| with(open.clone(), vec![(300, Event::NodeDown { node: 0, planned })]);
-    let verdict = keeps("the node was killed", with(down(false), vec![(400, Event::GaveUp { ask: 1 })]));
+    let verdict =
+        assert_clean("the node was killed", with(down(false), vec![(400, Event::GaveUp { ask: 1 })]));
     assert_eq!(verdict.losses.keys().collect::<Vec<_>>(), [&Loss::NodeDown]);
-    breaks("the node was told to stop", Rule::Lost, down(true));
+    assert_violates("the node exited by itself", Rule::Lost, down(true));
 }
 
 #[test]
-fn the_answer_past_the_grace_comes_too_late() {
+fn an_answer_past_the_grace_period_is_late() {
     let events = vec![
-        (0, told(0, Phase::Ready, None)),
+        (0, box_notified(0, Phase::Ready, None)),
         (100, asked(1, READ)),
-        (101, taken(1, 1, 1100)),
+        (101, accepted(1, 1, 1100)),
         (1121, answered(1, How::Failed)),
     ];
-    let verdict = judge(&day(), &events);
-    // Overdue, and then answered though it counts as lost.
+    let verdict = check(&day(), &events);
+    // Two violations: it is overdue, and then answered after it counts as lost.
     assert_eq!(verdict.breaches.get(&Rule::Lost), Some(&2));
 }
 
-/// A client that writes slowly waits from its first byte on, whenever its last one was written.
+/// A slow writer's deadline counts from its first byte, whenever the last one was written.
 #[test]
-fn a_slow_writers_answer_comes_half_a_second_after_its_time_from_the_first_byte_at_the_latest() {
+fn a_slow_writers_deadline_counts_from_the_first_byte_with_half_a_second_of_grace() {
     const FIRST_BYTE: u64 = 100;
     const LAST_BYTE: u64 = 450;
     const TIME: u64 = 1000;
@@ -65,29 +71,29 @@
     day.rules.answer_grace = hallpin_simulation::time::Span::from_millis(500);
     let broken = |answer: u64| {
         let events = vec![
-            (0, told(0, Phase::Ready, None)),
+            (0, box_notified(0, Phase::Ready, None)),
             (FIRST_BYTE, asked(1, READ)),
-            (LAST_BYTE, taken(1, 1, FIRST_BYTE + TIME)),
+            (LAST_BYTE, accepted(1, 1, FIRST_BYTE + TIME)),
             (LAST_BYTE + 1, sent(1, 0, 0)),
             (answer, answered(1, How::Completed)),
             (answer, ended(1, 0, Ended::Success)),
         ];
-        judge(&day, &events).breaches.get(&Rule::Lost).copied().unwrap_or(0)
+        check(&day, &events).breaches.get(&Rule::Lost).copied().unwrap_or(0)
     };
     assert_eq!(broken(FIRST_BYTE + TIME + 500), 0);
-    // Overdue, and then answered though it counts as lost.
+    // Two violations: it is overdue, and then answered after it counts as lost.
     assert_eq!(broken(FIRST_BYTE + TIME + 501), 2);
-    assert_eq!(broken(LAST_BYTE + TIME + 500), 2, "what the last byte would allow is too late");
+    assert_eq!(broken(LAST_BYTE + TIME + 500), 2, "a deadline from the last byte would be too late");
 }
 
 #[test]
-fn repeats_stay_within_the_class() {
+fn repeats_stay_within_the_limits_of_the_class() {
     let first = |class| {
         vec![
-            (0, told(0, Phase::Ready, None)),
-            (0, told(1, Phase::Ready, None)),
+            (0, box_notified(0, Phase::Ready, None)),
+            (0, box_notified(1, Phase::Ready, None)),
             (100, asked(1, class)),
-            (101, taken(1, 1, 1900)),
+            (101, accepted(1, 1, 1900)),
             (102, sent(1, 0, 0)),
         ]
     };
@@ -96,43 +102,55 @@
         let repeat = vec![(at - 1, ended(1, 0, how)), (at, sent(1, 1, 1))];
         with(first(class), with(repeat, end(at + 5, 1)))
     };
-    keeps("a read again", again(READ, Ended::TimedOut, 1500));
-    keeps("a guarded write again within the window", again(WRITE, Ended::TimedOut, 102 + 1200));
-    breaks("a guarded write past the window", Rule::Repeated, again(WRITE, Ended::TimedOut, 102 + 1201));
-    keeps("a guarded write that never ran, past the window", again(WRITE, Ended::Overloaded, 102 + 1201));
-    keeps("once, where it never ran", again(ONCE, Ended::Unreachable, 300));
-    breaks("twice, where it may have run", Rule::Repeated, again(ONCE, Ended::Broken, 300));
-    let refused =
+    assert_clean("a read repeated", again(READ, Ended::TimedOut, 1500));
+    assert_clean("a guarded write repeated within the window", again(WRITE, Ended::TimedOut, 102 + 1200));
+    assert_violates(
+        "a guarded write past the window",
+        Rule::Repeated,
+        again(WRITE, Ended::TimedOut, 102 + 1201),
+    );
+    assert_clean(
+        "a guarded write that never ran, past the window",
+        again(WRITE, Ended::Overloaded, 102 + 1201),
+    );
+    assert_clean("once, where it never ran", again(ONCE, Ended::Unreachable, 300));
+    assert_violates("twice, where it may have run", Rule::Repeated, again(ONCE, Ended::Broken, 300));
+    let rejected =
         |class, how| with(first(class), vec![(200, ended(1, 0, how)), (201, answered(1, How::Rejected))]);
-    keeps("refused, never ran", refused(ONCE, Ended::Overloaded));
-    breaks("refused, may have run", Rule::Repeated, refused(ONCE, Ended::TimedOut));
-    keeps("a guarded write refused", refused(WRITE, Ended::TimedOut));
-    let copies = |n: u32| {
-        let copies = (1..=n).map(|n| (110 + u64::from(n), sent(1, n, n as usize))).collect();
+    assert_clean("rejected, never ran", rejected(ONCE, Ended::Overloaded));
+    assert_violates("rejected, may have run", Rule::Repeated, rejected(ONCE, Ended::TimedOut));
+    assert_clean("a guarded write rejected", rejected(WRITE, Ended::TimedOut));
+    let hedged = |n: u32| {
+        let hedged = (1..=n).map(|n| (110 + u64::from(n), sent(1, n, n as usize))).collect();
         let ends = (0..=n).map(|n| (200, ended(1, n, Ended::Cancelled))).collect();
-        let told = (2..4).map(|of| (0, told(of, Phase::Ready, None))).collect();
-        with(with(first(READ), told), with(with(copies, vec![(199, answered(1, How::Failed))]), ends))
+        let told = (2..4).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
+        with(with(first(READ), told), with(with(hedged, vec![(199, answered(1, How::Failed))]), ends))
     };
-    keeps("a second copy", copies(1));
-    breaks("a third at once", Rule::Repeated, copies(2));
+    assert_clean("a hedged request", hedged(1));
+    assert_violates("a third attempt at once", Rule::Repeated, hedged(2));
     let mut strict = day();
     strict.limits.second_copies = false;
-    assert_eq!(judge(&strict, &copies(1)).breaches.get(&Rule::Repeated), Some(&1), "no second copy allowed");
+    assert_eq!(
+        check(&strict, &hedged(1)).breaches.get(&Rule::Repeated),
+        Some(&1),
+        "hedged requests are not allowed"
+    );
 }
 
 #[test]
-fn what_is_given_up_is_answered_at_once_and_with_advice() {
+fn rejections_are_answered_at_once_and_with_a_retry_after_time() {
     let aim = day().classes[READ].aim.0 / MS;
-    let open = vec![(0, told(0, Phase::Ready, None)), (100, asked(1, READ)), (101, taken(1, 1, 1900))];
-    let held = |for_ms, how| with(open.clone(), vec![(101 + for_ms, answered(1, how))]);
+    let open =
+        vec![(0, box_notified(0, Phase::Ready, None)), (100, asked(1, READ)), (101, accepted(1, 1, 1900))];
+    let idle = |for_ms, how| with(open.clone(), vec![(101 + for_ms, answered(1, how))]);
     for how in [How::Rejected, How::Failed] {
-        keeps("held for half its aim", held(aim / 2, how));
-        breaks("held for longer", Rule::Waited, held(aim / 2 + 1, how));
+        assert_clean("idle for half the latency objective", idle(aim / 2, how));
+        assert_violates("idle for longer", Rule::Waited, idle(aim / 2 + 1, how));
     }
     let tried = |until| vec![(102, sent(1, 0, 0)), (until, ended(1, 0, Ended::TimedOut))];
-    keeps("an attempt was out", with(held(aim, How::Rejected), tried(101 + aim / 2)));
-    breaks("it ended long ago", Rule::Waited, with(held(aim, How::Rejected), tried(100 + aim / 2)));
-    // Another try's attempt for the same key at the same node may serve it too.
+    assert_clean("an attempt was in flight", with(idle(aim, How::Rejected), tried(101 + aim / 2)));
+    assert_violates("it ended long ago", Rule::Waited, with(idle(aim, How::Rejected), tried(100 + aim / 2)));
+    // Another try's attempt for the same key at the same node may serve this try too.
     let other = |node| {
         let taken = Event::Taken { id: 2, ask: 2, node, until: Time(1900 * MS) };
         let sent = Event::Sent { id: 2, attempt: 0, node, to: 0, crosses: false, wait: None };
@@ -140,39 +158,50 @@
         let end = vec![(1800, answered(2, How::Failed)), (1800, ended(2, 0, Ended::TimedOut))];
         with(vec![(0, told), (99, asked(2, READ)), (99, taken), (99, sent)], end)
     };
-    keeps("its key was out", with(held(aim, How::Rejected), other(0)));
-    breaks("its key was out elsewhere", Rule::Waited, with(held(aim, How::Rejected), other(1)));
-    let mute = Event::Answered { id: 1, how: How::Rejected, version: None, advice: None };
-    breaks("no advice", Rule::Waited, with(open.clone(), vec![(110, mute.clone())]));
-    let mut silent = day();
-    silent.limits.retry_after = false;
-    assert!(judge(&silent, &with(open, vec![(110, mute)])).is_clean(), "none is asked for");
+    assert_clean("an attempt for its key was in flight", with(idle(aim, How::Rejected), other(0)));
+    assert_violates(
+        "an attempt for its key was in flight at another node",
+        Rule::Waited,
+        with(idle(aim, How::Rejected), other(1)),
+    );
+    let without_advice = Event::Answered { id: 1, how: How::Rejected, version: None, advice: None };
+    assert_violates(
+        "no retry-after time",
+        Rule::Waited,
+        with(open.clone(), vec![(110, without_advice.clone())]),
+    );
+    let mut without_retry_after = day();
+    without_retry_after.limits.retry_after = false;
+    assert!(
+        check(&without_retry_after, &with(open, vec![(110, without_advice)])).is_clean(),
+        "no retry-after time is required"
+    );
 }
 
 #[test]
-fn drains_are_honoured_from_the_first_word_of_them() {
+fn drains_are_honoured_from_the_first_notification() {
     let at = |at: u64| {
-        let ask = vec![(at - 2, asked(1, READ)), (at - 1, taken(1, 1, at + 1000)), (at, sent(1, 0, 0))];
+        let ask = vec![(at - 2, asked(1, READ)), (at - 1, accepted(1, 1, at + 1000)), (at, sent(1, 0, 0))];
         with(ask, vec![(at + 5, answered(1, How::Completed)), (at + 5, ended(1, 0, Ended::Success))])
     };
-    let listed = |phase| vec![(0, told(0, Phase::Ready, None)), (1000, told(0, phase, None))];
+    let listed = |phase| vec![(0, box_notified(0, Phase::Ready, None)), (1000, box_notified(0, phase, None))];
     for phase in [Phase::Draining, Phase::Gone] {
-        keeps("within the grace", with(listed(phase), at(2000)));
-        breaks("past the grace", Rule::Drain, with(listed(phase), at(2001)));
-        let repeated = with(listed(phase), vec![(1900, told(0, phase, None))]);
-        breaks("a repetition gives no new grace", Rule::Drain, with(repeated, at(2100)));
-        let back = with(listed(phase), vec![(1900, told(0, Phase::Ready, None))]);
-        keeps("ready again", with(back, at(5000)));
+        assert_clean("within the grace", with(listed(phase), at(2000)));
+        assert_violates("past the grace", Rule::Drain, with(listed(phase), at(2001)));
+        let repeated = with(listed(phase), vec![(1900, box_notified(0, phase, None))]);
+        assert_violates("a repetition gives no new grace", Rule::Drain, with(repeated, at(2100)));
+        let back = with(listed(phase), vec![(1900, box_notified(0, Phase::Ready, None))]);
+        assert_clean("ready again", with(back, at(5000)));
     }
-    breaks("never on the list", Rule::Drain, at(100));
+    assert_violates("never listed", Rule::Drain, at(100));
 }
 
 #[test]
-fn stale_reads_are_counted_once_the_writer_was_told() {
+fn stale_reads_are_counted_once_the_write_was_acknowledged() {
     let write = vec![
-        (0, told(0, Phase::Ready, None)),
+        (0, box_notified(0, Phase::Ready, None)),
         (100, asked(1, WRITE)),
-        (101, taken(1, 1, 1100)),
+        (101, accepted(1, 1, 1100)),
         (102, sent(1, 0, 0)),
         (140, Event::Written { key: 7, version: 3 }),
         (150, Event::Answered { id: 1, how: How::Completed, version: Some(3), advice: None }),
@@ -182,7 +211,7 @@
     let read = |asked_at, version| {
         vec![
             (asked_at, asked(2, READ)),
-            (asked_at + 1, taken(2, 2, 1100)),
+            (asked_at + 1, accepted(2, 2, 1100)),
             (asked_at + 2, sent(2, 0, 0)),
             (400, Event::Answered { id: 2, how: How::Completed, version: Some(version), advice: None }),
             (400, ended(2, 0, Ended::Success)),
@@ -190,20 +219,20 @@
         ]
     };
     for (asked_at, version, stale) in [(200, 2, 1), (200, 3, 0), (120, 2, 0)] {
-        let verdict = keeps("reads", with(write.clone(), read(asked_at, version)));
+        let verdict = assert_clean("reads", with(write.clone(), read(asked_at, version)));
         assert_eq!(verdict.stale, stale, "asked at {asked_at}, version {version}");
     }
 }
 
 #[test]
-fn worth_beyond_a_share_counts_little_and_losses_are_told_apart() {
+fn worth_beyond_the_quota_is_reduced_and_losses_are_distinguished() {
     let mut day = day();
     day.tenants =
         vec![hallpin_simulation::day::TenantSpec { name: "t".into(), share: 1.0, quota: 10.0, usage: 1.0 }];
     let ask = |n: u64| (100, Event::Asked { ask: n, class: READ, tenant: Some(0), key: 1, work: 50_000.0 });
     let mut events: Vec<(u64, Event)> = (1..=20).map(ask).collect();
     events.extend((1..=20).map(|n| (200, Event::GaveUp { ask: n })));
-    let verdict = judge(&day, &events);
+    let verdict = check(&day, &events);
     let one = day.classes[READ].worth * 0.05;
     let want = one * (10.0 + 10.0 * day.goal.over_share_worth);
     assert!((verdict.whole.asked - want).abs() < 1e-9, "{}", verdict.whole.asked);
@@ -212,9 +241,9 @@
 }
 
 #[test]
-fn a_trace_that_goes_back_in_time_is_no_trace() {
-    let mut referee = Referee::new(&day());
-    referee.record(Time(5), &Event::NodeUp { node: 0 });
-    referee.record(Time(4), &Event::NodeUp { node: 1 });
-    assert!(!referee.verdict().is_clean());
+fn a_trace_that_goes_back_in_time_is_a_violation() {
+    let mut checker = Referee::new(&day());
+    checker.record(Time(5), &Event::NodeUp { node: 0 });
+    checker.record(Time(4), &Event::NodeUp { node: 1 });
+    assert!(!checker.verdict().is_clean());
 }
--- a/crates/simulation/tests/terms.rs
+++ b/crates/simulation/tests/terms.rs
@@ -1,4 +1,5 @@
-//! Planned restarts, silent watches and new processes in virtual time, with right and wrong times at the node's door.
+//! Planned restarts, silent watches and new processes in virtual time, with timings of the node that keep or violate the
+//! rules.
 
 use hallpin_simulation::policy;
 use hallpin_simulation::referee::{Referee, Rule, Verdict};
@@ -7,21 +8,21 @@
 use hallpin_simulation::trace::{Event, Sink};
 use hallpin_simulation::world::World;
 
-/// All that happened, and what the referee makes of it.
-fn play(scenario: &str, seed: u64) -> (Vec<(Time, Event)>, Verdict) {
+/// Runs a scenario, and returns its events and the checker's result.
+fn run(scenario: &str, seed: u64) -> (Vec<(Time, Event)>, Verdict) {
     let scenario = Scenario::parse(scenario).expect("a scenario");
     let day = scenario.draw(seed).expect("a day");
-    let (mut events, mut referee) = (Vec::new(), Referee::new(&day));
+    let (mut events, mut checker) = (Vec::new(), Referee::new(&day));
     let sink = |at: Time, event: &Event| {
         events.push((at, event.clone()));
-        referee.record(at, event);
+        checker.record(at, event);
     };
     let _ = World::new(&day, &policy::module, sink).expect("a world").run();
-    (events, referee.verdict())
+    (events, checker.verdict())
 }
 
-/// All nodes are restarted one after the other while the planner is silent: what has to be fetched stays out for as
-/// long as its client waits, up to its deadline of 2 s.
+/// All nodes restart one after another while the planner is silent, so that requests that need a fetch stay open up to
+/// their deadline of 2 s.
 fn restarts(parting: &str) -> String {
     format!(
         r#"version = 1
@@ -49,10 +50,10 @@
 }
 
 #[test]
-fn a_node_that_parts_too_late_loses_what_the_kill_cuts_off() {
+fn a_node_that_closes_connections_too_late_loses_requests_at_the_kill() {
     for seed in 1..=2 {
-        let (events, right) = play(&restarts(""), seed);
-        assert!(right.is_clean(), "seed {seed}: {:?}", right.told);
+        let (events, valid) = run(&restarts(""), seed);
+        assert!(valid.is_clean(), "seed {seed}: {:?}", valid.told);
         let stops: Vec<Time> = events
             .iter()
             .filter_map(|(at, e)| matches!(e, Event::Stopping { node: 0 }).then_some(*at))
@@ -66,22 +67,22 @@
         };
         assert!(taken(400, 600) > 0, "seed {seed}: kept connections go on when no new ones come");
         assert_eq!(taken(601, 2700), 0, "seed {seed}: and are closed before the kill");
-        let (_, wrong) = play(&restarts("parting = \"1500ms\""), seed);
-        assert_eq!(wrong.breaches.keys().collect::<Vec<_>>(), [&Rule::Lost], "seed {seed}: {:?}", wrong.told);
-        assert!(wrong.told.iter().all(|b| b.what.contains("was cut off")), "seed {seed}: {:?}", wrong.told);
+        let (_, late) = run(&restarts("parting = \"1500ms\""), seed);
+        assert_eq!(late.breaches.keys().collect::<Vec<_>>(), [&Rule::Lost], "seed {seed}: {:?}", late.told);
+        assert!(late.told.iter().all(|b| b.what.contains("was cut off")), "seed {seed}: {:?}", late.told);
     }
 }
 
 #[test]
-fn a_node_that_parts_at_once_closes_new_connections_unanswered() {
-    let (events, verdict) = play(&restarts("parting = \"0s\""), 1);
+fn a_node_that_closes_connections_at_once_leaves_new_ones_unanswered() {
+    let (events, verdict) = run(&restarts("parting = \"0s\""), 1);
     let dropped = events.iter().filter(|(_, e)| matches!(e, Event::Dropped { .. })).count();
     assert!(dropped > 0, "of {}", verdict.whole.requests);
     let lost: Vec<_> = verdict.breaches.into_iter().collect();
     assert_eq!(lost, [(Rule::Lost, dropped as u64)], "each is lost: {:?}", verdict.told);
 }
 
-/// Half of the boxes drain while the watches of all nodes are silent, for as long as nodes bear that.
+/// Half of the boxes drain while the watches of all nodes are silent, until the nodes reopen them.
 fn silences(reopens: &str, waits: &str) -> String {
     format!(
         r#"version = 1
@@ -109,53 +110,53 @@
 }
 
 #[test]
-fn a_watch_that_is_not_opened_anew_in_time_breaks_the_rule_on_drains() {
-    for (reopens, waits, breaks) in [
+fn a_silent_watch_that_is_not_reopened_in_time_violates_the_drain_rule() {
+    for (reopens, waits, violates) in [
         ("", "", false),
         ("reopens = \"5500ms\"", "", false),
         ("reopens = \"8s\"", "", true),
         ("reopens = \"8s\"", "by = \"6s\"", false),
         ("reopens = \"11s\"", "by = \"6s\"", true),
     ] {
-        let (events, verdict) = play(&silences(reopens, waits), 1);
+        let (events, verdict) = run(&silences(reopens, waits), 1);
         let count = |is: &dyn Fn(&Event) -> bool| events.iter().filter(|(_, e)| is(e)).count();
         assert_eq!(count(&|e| matches!(e, Event::WatchSilent { .. })), 3);
         let missed = count(&|e| matches!(e, Event::Has { .. }));
-        assert!(missed > 0 || reopens.is_empty(), "{reopens}: nothing was missed");
-        let broken: Vec<&Rule> = verdict.breaches.keys().collect();
-        let expected: &[&Rule] = if breaks { &[&Rule::Drain] } else { &[] };
-        assert_eq!(broken, expected, "{reopens}, {waits}: {:?}", verdict.told);
+        assert!(missed > 0 || reopens.is_empty(), "{reopens}: no change was missed");
+        let violated: Vec<&Rule> = verdict.breaches.keys().collect();
+        let expected: &[&Rule] = if violates { &[&Rule::Drain] } else { &[] };
+        assert_eq!(violated, expected, "{reopens}, {waits}: {:?}", verdict.told);
     }
 }
 
-/// The silent call may wait for long, and it is given up while discovery is down: what discovery had until then counts 6 s
-/// after it had it, however long the wait.
+/// A silent call with a long wait is abandoned while discovery is down: a change that discovery had before counts 6 s
+/// after discovery had it, however long the wait.
 #[test]
-fn a_call_that_is_given_up_in_an_outage_leaves_6_s_for_what_discovery_had_before() {
+fn after_a_call_abandoned_in_an_outage_earlier_changes_count_within_6_s() {
     let day = |reopens: &str, lasts: &str| {
         let outage = format!("[[incidents]]\nkind = \"list-outage\"\nat = \"10s\"\nlasts = \"{lasts}\"\n");
         silences(&format!("reopens = \"{reopens}\""), "by = \"30s\"") + &outage
     };
-    for (reopens, lasts, failed, breaks) in [
+    for (reopens, lasts, failed, violates) in [
         ("8s", "900ms", 0, false),
-        // Given up at 11 s, and anew at 19 s only.
+        // Abandoned at 11 s, and repeated only at 19 s.
         ("8s", "2s", 3, true),
-        // Given up at 11 s and at 12 s, and answered right after the outage.
+        // Abandoned at 11 s and at 12 s, and answered right after the outage.
         ("1s", "2500ms", 3 * 2, false),
     ] {
-        let (events, verdict) = play(&day(reopens, lasts), 1);
+        let (events, verdict) = run(&day(reopens, lasts), 1);
         let calls = events.iter().filter(|(_, e)| matches!(e, Event::CallFailed { .. })).count();
         assert_eq!(calls, failed, "{reopens}, {lasts}");
-        let broken: Vec<&Rule> = verdict.breaches.keys().collect();
-        let expected: &[&Rule] = if breaks { &[&Rule::Drain] } else { &[] };
-        assert_eq!(broken, expected, "{reopens}, {lasts}: {:?}", verdict.told);
+        let violated: Vec<&Rule> = verdict.breaches.keys().collect();
+        let expected: &[&Rule] = if violates { &[&Rule::Drain] } else { &[] };
+        assert_eq!(violated, expected, "{reopens}, {lasts}: {:?}", verdict.told);
     }
 }
 
-/// Boxes drain while all nodes are down, and while the list is silent: the agent tells a new process at once, and all of
-/// them right after the outage.
+/// Boxes drain while all nodes are down, with and without an outage of the endpoint list: the agent notifies a new
+/// process at once, and all nodes right after an outage.
 #[test]
-fn a_new_process_has_what_its_agent_has_at_once_and_right_after_an_outage() {
+fn a_new_process_is_notified_at_once_and_right_after_an_outage() {
     let day = |outage: &str| {
         format!(
             r#"version = 1
@@ -183,11 +184,11 @@
     };
     let outage = "[[incidents]]\nkind = \"list-outage\"\nat = \"6500ms\"\nlasts = \"4s\"\n";
     for (outage, since) in [("", 8_000_000), (outage, 10_500_000)] {
-        let (events, verdict) = play(&day(outage), 1);
+        let (events, verdict) = run(&day(outage), 1);
         assert!(verdict.is_clean(), "{:?}", verdict.told);
         let drains =
             |e: &Event| matches!(e, Event::Told { phase: hallpin_simulation::list::Phase::Draining, .. });
-        let first = events.iter().find(|(_, e)| drains(e)).expect("told of the drains").0;
+        let first = events.iter().find(|(_, e)| drains(e)).expect("a notification of the drains").0;
         assert_eq!(first, Time(since), "at once, and not up to the spread later");
         let told = events.iter().filter(|(at, e)| drains(e) && at.0 == since).count();
         assert_eq!(told % 3, 0, "all nodes");
