--- a/crates/simulation/src/referee/departed_clients.rs
+++ b/crates/simulation/src/referee/departed_clients.rs
@@ -1,5 +1,5 @@
-//! Disconnected clients: no attempt, the first or a further one, starts for a client more than 0.1 s after it closed its
-//! connection or cancelled.
+//! Disconnected clients: no attempt, the first or a further one, starts for a client more than 0.1 s after it closed
+//! its connection or cancelled.
 //!
 //! On sockets an attempt may start within that time because the close is still under way. In virtual time the node is
 //! notified at once, and any later attempt violates rule one, unless the client left at its deadline and still needs an
--- a/crates/simulation/src/referee/final_answers.rs
+++ b/crates/simulation/src/referee/final_answers.rs
@@ -128,7 +128,8 @@
             ask.last = Loss::NoAnswer;
         }
         self.departed_clients.record(at, id);
-        // A client that leaves before its deadline needs no answer; one that waited until then does, within the grace period.
+        // A client that leaves before its deadline needs no answer; one that waited until then does, within the grace
+        // period.
         if at < accepted.until {
             self.finish(id);
         }
--- a/crates/simulation/src/referee/planner.rs
+++ b/crates/simulation/src/referee/planner.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Misses at cold boxes are at fault beyond this share of the planner's calls, if `COLD_OVER_DUE` is exceeded too.
+/// Misses at cold boxes are at fault beyond this share of the planner's calls, if they exceed the expected reads too.
 const MAX_COLD_CALL_SHARE: f64 = 0.3;
 /// Ratio of misses at cold boxes to the reads that the cold boxes' weight accounts for.
 const MAX_COLD_CALLS_PER_EXPECTED_READ: f64 = 1.25;
--- a/crates/simulation/src/scenario/draw/mod.rs
+++ b/crates/simulation/src/scenario/draw/mod.rs
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Returns the rules as nodes receive them, with the smallest initial capacity share and the longest ramp of any box.
+    /// Returns the rules as nodes receive them, with the smallest initial capacity share and the longest ramp of any
+    /// box.
     fn rules(&self, boxes: &[BoxSpec]) -> RulesSpec {
         RulesSpec {
             answer_grace: self.rules.answer_grace,
--- a/crates/simulation/src/scenario/incident.rs
+++ b/crates/simulation/src/scenario/incident.rs
@@ -49,8 +49,8 @@
     Shift,
     /// Clients abandon `share` of their tries early, and retry `factor` times sooner.
     Impatient,
-    /// `share` of the clients wait at most `by` for each try and retry at once, without regard to retry-after times, up to
-    /// `rounds` times and within the request's deadline.
+    /// `share` of the clients wait at most `by` for each try and retry at once, without regard to retry-after times,
+    /// up to `rounds` times and within the request's deadline.
     Hasty,
     /// `share` of the commands are written in pieces, with up to `by` from the first byte to the last.
     SlowWriters,
@@ -102,8 +102,8 @@
     pub share: Option<Range<f64>>,
     /// Name of the class affected.
     pub class: Option<String>,
-    /// Name of a depot, or "any" for a random one. Only boxes or nodes of the depot are affected: all of them if no number
-    /// is set.
+    /// Name of a depot, or "any" for a random one. Only boxes or nodes of the depot are affected: all of them if no
+    /// number is set.
     pub depot: Option<String>,
     /// Delay or time limit, depending on the kind.
     pub by: Option<Range<Span>>,
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: TOML files that describe a fleet, its clients and the fault events of a run. A seed draws values from their
-//! ranges.
+//! Scenarios: TOML files that describe a fleet, its clients and the fault events of a run. A seed draws values from
+//! their ranges.
 
 mod boxes;
 mod draw;
--- a/crates/simulation/src/scenario/request_load.rs
+++ b/crates/simulation/src/scenario/request_load.rs
@@ -27,7 +27,8 @@
     pub rate: Range<f64>,
     /// Curve of the rate: linear between its points and constant beyond them; without points, the rate is constant.
     pub curve: Vec<Point>,
-    /// How clients reach nodes: "own" for a node per client process, "front" for a load balancer that distributes tries.
+    /// How clients reach nodes: "own" for a node per client process, "front" for a load balancer that distributes
+    /// tries.
     pub entry: Entry,
     /// Time after which the front detects a dead node.
     pub front_notice: Range<Span>,
--- a/crates/simulation/src/scenario/scaling.rs
+++ b/crates/simulation/src/scenario/scaling.rs
@@ -5,8 +5,9 @@
 use crate::time::Span;
 
 impl Scenario {
-    /// Returns the scenario scaled down to this number of nodes. Boxes, requests, keys, the planner and connections shrink in
-    /// proportion, so that the load of each node and box stays the same. A scenario with no more nodes is unchanged.
+    /// Returns the scenario scaled down to this number of nodes. Boxes, requests, keys, the planner and connections
+    /// shrink in proportion, so that the load of each node and box stays the same. A scenario with no more nodes is
+    /// unchanged.
     #[must_use]
     pub fn scaled(&self, nodes: u32) -> Scenario {
         let mut scaled = self.clone();
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,5 +1,5 @@
-//! Trace of a run as a sequence of events. Both the simulator and the emulator write it, and the invariant checker reads
-//! nothing else.
+//! Trace of a run as a sequence of events. Both the simulator and the emulator write it, and the invariant checker
+//! reads nothing else.
 
 mod ends;
 mod event;
--- a/crates/simulation/src/trace/event.rs
+++ b/crates/simulation/src/trace/event.rs
@@ -8,8 +8,8 @@
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 
-/// An event of a trace. In each variant `ask` is a request, `id` a try, `attempt` one of its attempts, `node` a node, and
-/// `of`, `to` or `by` a box.
+/// An event of a trace. In each variant `ask` is a request, `id` a try, `attempt` one of its attempts, `node` a node,
+/// and `of`, `to` or `by` a box.
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
@@ -151,12 +151,13 @@
     /// A node receives SIGTERM. A later [`Event::NodeDown`] is planned if the node exits by itself, and not if SIGKILL
     /// ends it.
     Stopping { node: NodeId },
-    /// A node has read a request on a client's new connection and closed the connection without an answer. The request was
-    /// neither accepted nor forwarded. A connection closed before anything was read is a rejection and isn't recorded.
+    /// A node has read a request on a client's new connection and closed the connection without an answer. The request
+    /// was neither accepted nor forwarded. A connection closed before anything was read is a rejection and isn't
+    /// recorded.
     Dropped { ask: AskId, node: NodeId },
-    /// A change of a box's state is available to a node: its agent has it, or, where lists are polled, discovery has it and
-    /// can be reached. Recorded if the node isn't notified at the same moment. The change counts as notified in time whether
-    /// or not it arrives.
+    /// A change of a box's state is available to a node: its agent has it, or, where lists are polled, discovery has
+    /// it and can be reached. Recorded if the node isn't notified at the same moment. The change counts as notified in
+    /// time whether or not it arrives.
     Has {
         node: NodeId,
         of: BoxId,
@@ -183,8 +184,8 @@
     /// A node has ended.
     NodeDown {
         node: NodeId,
-        /// True if the node exited after SIGTERM. False if it was killed; its open requests then count as failed or lost
-        /// with the node, not as a violation.
+        /// True if the node exited after SIGTERM. False if it was killed; its open requests then count as failed or
+        /// lost with the node, not as a violation.
         planned: bool,
     },
     /// A connection was opened to a box.
--- a/crates/simulation/tests/referee/notifications.rs
+++ b/crates/simulation/tests/referee/notifications.rs
@@ -108,7 +108,8 @@
     let rejected =
         with(failed(1000), vec![(1100, silent(Some(10_000))), (1500, available(Phase::Draining, true))]);
     counts_from("rejected before there was a change", 7500, rejected);
-    // When discovery is reachable again, its state is recorded as available; the deadline of the first closing change stays.
+    // When discovery is reachable again, its state is recorded as available; the deadline of the first closing change
+    // stays.
     let down = vec![(1500, available(Phase::Draining, true)), (5000, available(Phase::Gone, true))];
     counts_from("the first closing change counts", 7500, with(failed(1000), down));
     let opened = vec![
--- a/crates/simulation/tests/referee/overload.rs
+++ b/crates/simulation/tests/referee/overload.rs
@@ -118,8 +118,8 @@
     assert_eq!(pushed(tolerated + 1), [(Rule::Cold, 1)], "one over the limit");
 }
 
-/// The limit is N + 2 sqrt(N) + 2 from 30 allowed requests on and N + 3 sqrt(N) + 3 below that, for any settings and any
-/// number of nodes.
+/// The limit is N + 2 sqrt(N) + 2 from 30 allowed requests on and N + 3 sqrt(N) + 3 below that, for any settings and
+/// any number of nodes.
 #[test]
 fn a_cold_box_allowed_few_requests_tolerates_three_roots_and_three_more() {
     const FROM: f64 = 0.1;
--- a/crates/simulation/tests/terms.rs
+++ b/crates/simulation/tests/terms.rs
@@ -1,5 +1,5 @@
-//! Planned restarts, silent watches and new processes in virtual time, with timings of the node that keep or violate the
-//! rules.
+//! Planned restarts, silent watches and new processes in virtual time, with timings of the node that keep or violate
+//! the rules.
 
 use hallpin_simulation::policy;
 use hallpin_simulation::referee::{Referee, Rule, Verdict};
