--- a/crates/simulation/src/referee/attempt_limits.rs
+++ b/crates/simulation/src/referee/attempt_limits.rs
@@ -7,7 +7,7 @@
     pub(super) fn check_attempt(&mut self, at: Time, id: TryId, attempt: u32, node: NodeId) {
         let (hedging_allowed, max_attempts) = (self.parameters.second_copies, self.parameters.max_attempts);
         let client_left = self.check_departed(at, id);
-        let Some(accepted) = self.tries.get_mut(&id).filter(|t| !t.done || client_left) else {
+        let Some(accepted) = self.tries.get_mut(&id).filter(|t| !t.finished || client_left) else {
             if !client_left {
                 self.report_violation(
                     Rule::Lost,
@@ -17,11 +17,11 @@
             }
             return;
         };
-        let in_flight = accepted.sent.iter().filter(|s| s.ended.is_none()).count();
-        let mut ran = accepted.sent.iter().filter(|s| s.ended.is_none_or(Ended::may_have_run));
+        let in_flight = accepted.attempts.iter().filter(|s| s.ended.is_none()).count();
+        let mut ran = accepted.attempts.iter().filter(|s| s.ended.is_none_or(Ended::may_have_run));
         let (effect, window) = self.parameters.effects[accepted.class];
         let violation = match effect {
-            _ if accepted.sent.len() >= max_attempts as usize => Some("more often than is allowed"),
+            _ if accepted.attempts.len() >= max_attempts as usize => Some("more often than is allowed"),
             _ if in_flight > usize::from(hedging_allowed) => {
                 Some("while as many attempts as are allowed were out")
             }
@@ -31,7 +31,7 @@
                 ran.any(|s| at > s.at + window).then_some("past the time in which repeats are dropped")
             }
         };
-        accepted.sent.push(SentAttempt { number: attempt, at, ended: None });
+        accepted.attempts.push(SentAttempt { number: attempt, at, ended: None });
         let key = accepted.key;
         self.track_in_flight(at, node, key, true);
         if let Some(violation) = violation {
@@ -43,7 +43,7 @@
         self.verdict.turned_away += u64::from(how == Ended::Overloaded);
         self.verdict.timed_out += u64::from(how == Ended::TimedOut);
         if let Some(accepted) = self.tries.get_mut(&id) {
-            let sent = accepted.sent.iter_mut().find(|s| s.number == attempt && s.ended.is_none());
+            let sent = accepted.attempts.iter_mut().find(|s| s.number == attempt && s.ended.is_none());
             if let Some(sent) = sent {
                 sent.ended = Some(how);
                 let (node, key) = (accepted.node, accepted.key);
--- a/crates/simulation/src/referee/cold.rs
+++ b/crates/simulation/src/referee/cold.rs
@@ -27,16 +27,17 @@
     pub started: Time,
     /// Capacity when warm, in seconds of work of a standard core per second.
     pub capacity: f64,
-    pub from: f64,
+    /// Share of the capacity just after the start.
+    pub initial_share: f64,
     pub ramp: Span,
     /// Work within the last `fall_for`: arrival, amount, and whether its sender knew of the start.
-    pub work: VecDeque<(Time, f64, bool)>,
+    pub recent_work: VecDeque<(Time, f64, bool)>,
 }
 
 /// Slow-start factor: share of its capacity that a box has at this time.
 pub(super) fn slow_start_factor(cold: &ColdBox, now: Time) -> f64 {
     let progress = now.since(cold.started).as_secs() / cold.ramp.as_secs().max(1e-6);
-    (cold.from + (1.0 - cold.from) * progress).min(1.0)
+    (cold.initial_share + (1.0 - cold.initial_share) * progress).min(1.0)
 }
 
 impl Referee {
@@ -50,15 +51,15 @@
             self.cold_boxes.remove(&to);
             return;
         }
-        cold.work.push_back((at, work, informed(cold.started)));
-        while cold.work.front().is_some_and(|(t, ..)| at.since(*t) > self.parameters.fall_for) {
-            cold.work.pop_front();
+        cold.recent_work.push_back((at, work, informed(cold.started)));
+        while cold.recent_work.front().is_some_and(|(t, ..)| at.since(*t) > self.parameters.fall_for) {
+            cold.recent_work.pop_front();
         }
         let (multiple, within) = (self.parameters.fall_multiple, self.parameters.fall_for.0 as f64);
         // `within` is in microseconds and capacity in core seconds per second, so the result is in core microseconds.
         let allowed = multiple * cold.capacity * slow_start_factor(cold, at) * within;
         let tolerated = tolerated_requests(allowed / self.parameters.mean_work) * self.parameters.mean_work;
-        let sent: f64 = cold.work.iter().map(|(_, work, _)| work).sum();
+        let sent: f64 = cold.recent_work.iter().map(|(_, work, _)| work).sum();
         if multiple > 0.0 && sent > tolerated {
             self.check_overload(at, to);
         }
@@ -72,9 +73,9 @@
     /// Checks who overloaded a box; once for each of its starts.
     fn check_overload(&mut self, at: Time, of: BoxId) {
         let Some(cold) = self.cold_boxes.remove(&of) else { return };
-        let all: f64 = cold.work.iter().map(|(_, work, _)| work).sum();
+        let all: f64 = cold.recent_work.iter().map(|(_, work, _)| work).sum();
         let informed: f64 =
-            cold.work.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
+            cold.recent_work.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
         if informed > MAX_INFORMED_SHARE * all {
             let share = 100.0 * informed / all.max(1e-9);
             let what = format!(
--- a/crates/simulation/src/referee/departed_clients.rs
+++ b/crates/simulation/src/referee/departed_clients.rs
@@ -34,7 +34,7 @@
     /// doesn't apply to the attempt.
     pub(super) fn check_departed(&mut self, at: Time, id: TryId) -> bool {
         let Some(left) = self.departed_clients.left_at.get(&id).copied() else { return false };
-        let owed = self.tries.get(&id).is_some_and(|accepted| !accepted.done);
+        let owed = self.tries.get(&id).is_some_and(|accepted| !accepted.finished);
         if !self.parameters.leaving_crosses && !owed {
             return false;
         }
--- a/crates/simulation/src/referee/final_answers.rs
+++ b/crates/simulation/src/referee/final_answers.rs
@@ -14,7 +14,7 @@
 /// A request accepted within this time after SIGTERM has its full deadline before SIGKILL.
 const STOP_GRACE: Span = Span::from_millis(700);
 
-/// An attempt that a node has sent to a box.
+/// An attempt that a node has sent to a box; `ended` is `None` while it is in flight.
 pub(super) struct SentAttempt {
     pub number: u32,
     pub at: Time,
@@ -25,14 +25,14 @@
 pub(super) struct OpenTry {
     pub ask: AskId,
     pub node: NodeId,
-    pub at: Time,
-    pub until: Time,
+    pub accepted_at: Time,
+    pub deadline: Time,
     pub class: usize,
     pub key: KeyId,
     /// Last acknowledged version of the key when the try was accepted; an older one is stale.
-    pub version: u64,
-    pub done: bool,
-    pub sent: Vec<SentAttempt>,
+    pub min_version: u64,
+    pub finished: bool,
+    pub attempts: Vec<SentAttempt>,
 }
 
 impl Referee {
@@ -40,7 +40,17 @@
         let Some(request) = self.open_requests.get(&ask) else { return };
         let (class, key) = (request.class, request.key);
         let version = self.acknowledged.get(&key).copied().unwrap_or(0);
-        let accepted = OpenTry { ask, node, at, until, class, key, version, done: false, sent: Vec::new() };
+        let accepted = OpenTry {
+            ask,
+            node,
+            accepted_at: at,
+            deadline: until,
+            class,
+            key,
+            min_version: version,
+            finished: false,
+            attempts: Vec::new(),
+        };
         self.tries.insert(id, accepted);
         self.due.insert((until + self.parameters.answer_grace, id));
     }
@@ -49,7 +59,7 @@
     pub(super) fn expire_unanswered(&mut self, now: Time) {
         while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at < now) {
             self.due.pop_first();
-            if self.tries.get(&id).is_some_and(|t| !t.done) {
+            if self.tries.get(&id).is_some_and(|t| !t.finished) {
                 self.report_violation(Rule::Lost, at, format!("try {id} had no final answer in time"));
                 self.finish(id);
             }
@@ -59,19 +69,19 @@
     /// Marks a try as finished: it needs no further answer.
     pub(super) fn finish(&mut self, id: TryId) {
         let Some(accepted) = self.tries.get_mut(&id) else { return };
-        accepted.done = true;
-        self.due.remove(&(accepted.until + self.parameters.answer_grace, id));
+        accepted.finished = true;
+        self.due.remove(&(accepted.deadline + self.parameters.answer_grace, id));
         self.remove_if_ended(id);
     }
 
     pub(super) fn remove_if_ended(&mut self, id: TryId) {
-        if self.tries.get(&id).is_some_and(|t| t.done && t.sent.iter().all(|s| s.ended.is_some())) {
+        if self.tries.get(&id).is_some_and(|t| t.finished && t.attempts.iter().all(|s| s.ended.is_some())) {
             self.tries.remove(&id);
         }
     }
 
     pub(super) fn try_answered(&mut self, at: Time, id: TryId, how: How, version: Option<u64>) {
-        let Some(accepted) = self.tries.get(&id).filter(|t| !t.done) else {
+        let Some(accepted) = self.tries.get(&id).filter(|t| !t.finished) else {
             return self.report_violation(
                 Rule::Lost,
                 at,
@@ -80,13 +90,15 @@
         };
         let (class, ask) = (accepted.class, accepted.ask);
         let (effect, _) = self.parameters.effects[class];
-        let ran = accepted.sent.iter().any(|s| s.ended.is_none_or(Ended::may_have_run));
-        let late = at.since(accepted.at).0 * 2 > accepted.until.since(accepted.at).0;
-        let unsent =
-            accepted.sent.iter().all(|s| s.ended == Some(Ended::Unreachable) || s.ended == Some(Ended::Void));
-        let stale = version.is_some_and(|version| version < accepted.version);
+        let ran = accepted.attempts.iter().any(|s| s.ended.is_none_or(Ended::may_have_run));
+        let late = at.since(accepted.accepted_at).0 * 2 > accepted.deadline.since(accepted.accepted_at).0;
+        let unsent = accepted
+            .attempts
+            .iter()
+            .all(|s| s.ended == Some(Ended::Unreachable) || s.ended == Some(Ended::Void));
+        let stale = version.is_some_and(|version| version < accepted.min_version);
         let (completed, rejected) = (how == How::Completed, how == How::Rejected);
-        if completed && !accepted.sent.iter().any(|s| s.ended.is_none_or(|e| e == Ended::Success)) {
+        if completed && !accepted.attempts.iter().any(|s| s.ended.is_none_or(|e| e == Ended::Success)) {
             self.report_violation(
                 Rule::Lost,
                 at,
@@ -116,21 +128,21 @@
             How::Rejected => Loss::Refused,
             How::Failed => Loss::Failed,
         };
-        if let Some(ask) = self.open_requests.get_mut(&ask) {
-            ask.last = loss;
+        if let Some(request) = self.open_requests.get_mut(&ask) {
+            request.last_loss = loss;
         }
         self.finish(id);
     }
 
     pub(super) fn try_abandoned(&mut self, id: TryId, at: Time) {
         let Some(accepted) = self.tries.get(&id) else { return };
-        if let Some(ask) = self.open_requests.get_mut(&accepted.ask) {
-            ask.last = Loss::NoAnswer;
+        if let Some(request) = self.open_requests.get_mut(&accepted.ask) {
+            request.last_loss = Loss::NoAnswer;
         }
         self.departed_clients.record(at, id);
         // A client that leaves before its deadline needs no answer; one that waited until then does, within the grace
         // period.
-        if at < accepted.until {
+        if at < accepted.deadline {
             self.finish(id);
         }
     }
@@ -140,19 +152,20 @@
         let stopping = self.stopping.remove(&node);
         for id in open {
             let Some(accepted) = self.tries.remove(&id) else { continue };
-            self.due.remove(&(accepted.until + self.parameters.answer_grace, id));
-            if accepted.done {
+            self.due.remove(&(accepted.deadline + self.parameters.answer_grace, id));
+            if accepted.finished {
                 continue;
             }
-            let late = stopping.filter(|since| accepted.at > *since + STOP_GRACE);
-            if let Some(ask) = self.open_requests.get_mut(&accepted.ask) {
-                ask.last = if stopping.is_some() && !planned { Loss::Failed } else { Loss::NodeDown };
+            let late = stopping.filter(|since| accepted.accepted_at > *since + STOP_GRACE);
+            if let Some(request) = self.open_requests.get_mut(&accepted.ask) {
+                request.last_loss =
+                    if stopping.is_some() && !planned { Loss::Failed } else { Loss::NodeDown };
             }
             if planned {
                 let what = format!("try {id} was open when node {node} exited after SIGTERM");
                 self.report_violation(Rule::Lost, at, what);
             } else if let Some(since) = late {
-                let after = accepted.at.since(since);
+                let after = accepted.accepted_at.since(since);
                 let what =
                     format!("try {id} was accepted {after} after SIGTERM to node {node}, and was cut off");
                 self.report_violation(Rule::Lost, at, what);
--- a/crates/simulation/src/referee/mod.rs
+++ b/crates/simulation/src/referee/mod.rs
@@ -141,7 +141,7 @@
             }
             Event::Taken { id, ask, node, until } => self.try_accepted(at, id, ask, node, until),
             Event::Sent { id, attempt, node, to, crosses, wait } => {
-                self.totals.crossings += u64::from(crosses);
+                self.totals.depot_crossings += u64::from(crosses);
                 self.check_target(at, node, to);
                 self.check_wait(at, id, wait);
                 self.check_attempt(at, id, attempt, node);
@@ -155,21 +155,29 @@
             Event::Received { ask, .. } => self.request_served(at, ask),
             Event::GaveUp { ask } => self.request_given_up(at, ask, None),
             Event::Told { node, of, phase, started } => {
-                self.totals.entries += 1;
+                self.totals.list_entries += 1;
                 self.notification_deadlines.change_arrived(node, of);
                 self.box_notified(at, node, of, phase, started);
             }
             Event::Reached { to, node, work, read } => self.work_arrived(at, to, node, work, read),
             Event::Worked { work, hit, .. } => {
-                self.totals.worked += work;
+                self.totals.work_done += work;
                 self.totals.read_hits.0 += u64::from(hit == Some(true));
                 self.totals.read_hits.1 += u64::from(hit.is_some());
             }
             Event::BoxUp { of, capacity, size, cold, from, ramp } => {
                 self.box_sizes[of] = Some(size);
                 if cold {
-                    self.cold_boxes
-                        .insert(of, ColdBox { started: at, capacity, from, ramp, work: VecDeque::new() });
+                    self.cold_boxes.insert(
+                        of,
+                        ColdBox {
+                            started: at,
+                            capacity,
+                            initial_share: from,
+                            ramp,
+                            recent_work: VecDeque::new(),
+                        },
+                    );
                 }
             }
             Event::BoxDown { of } => {
--- a/crates/simulation/src/referee/parameters.rs
+++ b/crates/simulation/src/referee/parameters.rs
@@ -23,7 +23,7 @@
     /// True if a node learns later that a client has left, so that an attempt may cross the disconnect.
     pub leaving_crosses: bool,
     /// Longest time for which an attempt may be in flight without being visible in the trace.
-    pub unseen: Span,
+    pub max_unseen_time: Span,
     /// Allowed excess of an attempt's wait time over its client's remaining time.
     pub wait_slack: Span,
     pub max_attempts: u32,
@@ -47,7 +47,7 @@
             mean_work: day.mean_work().0 as f64,
             planner_for: day.rules.planner_for,
             leaving_crosses: day.rules.leaving_crosses,
-            unseen: day.rules.unseen,
+            max_unseen_time: day.rules.unseen,
             wait_slack: day.rules.wait_slack,
             max_attempts: day.limits.max_attempts,
             second_copies: day.limits.second_copies,
--- a/crates/simulation/src/referee/prompt_answers.rs
+++ b/crates/simulation/src/referee/prompt_answers.rs
@@ -11,12 +11,16 @@
     /// Checks that a rejection or failure doesn't follow a long time without an attempt in flight for the try or, as
     /// answers may be shared, for its key at its node.
     pub(super) fn check_prompt_answer(&mut self, at: Time, id: TryId, how: How, advice: Option<Span>) {
-        let Some(accepted) = self.tries.get(&id).filter(|t| !t.done && how != How::Completed) else { return };
+        let Some(accepted) = self.tries.get(&id).filter(|t| !t.finished && how != How::Completed) else {
+            return;
+        };
         let (in_flight, ended) =
-            self.in_flight.get(&(accepted.node, accepted.key)).copied().unwrap_or((0, accepted.at));
-        let idle = at.since(ended.max(accepted.at));
+            self.in_flight.get(&(accepted.node, accepted.key)).copied().unwrap_or((0, accepted.accepted_at));
+        let idle = at.since(ended.max(accepted.accepted_at));
         if in_flight == 0
-            && idle > self.parameters.objectives[accepted.class].0 * MAX_IDLE_SHARE + self.parameters.unseen
+            && idle
+                > self.parameters.objectives[accepted.class].0 * MAX_IDLE_SHARE
+                    + self.parameters.max_unseen_time
         {
             self.report_violation(
                 Rule::Waited,
--- a/crates/simulation/src/referee/restarts.rs
+++ b/crates/simulation/src/referee/restarts.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// Time within which a restarted node must be ready.
 const READY_TIME_LIMIT: Span = Span::from_millis(10_000);
 /// One in this many restarts may take longer.
 const RESTARTS_PER_LATE_ONE: u64 = 10;
--- a/crates/simulation/src/referee/verdict.rs
+++ b/crates/simulation/src/referee/verdict.rs
@@ -118,6 +118,7 @@
     /// Worth of the class's requests.
     pub worth: Worth,
     /// Requests served within the latency objective.
+    #[serde(rename = "in_aim")]
     pub in_aim: u64,
     /// Requests served after the latency objective.
     pub late: u64,
@@ -138,10 +139,13 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// Score from 0 to 1: the goal's weighted mix of served shares, less the prices.
+    #[serde(rename = "g")]
     pub g: f64,
     /// Number of violations of each rule.
+    #[serde(rename = "breaches")]
     pub breaches: BTreeMap<Rule, u64>,
     /// Descriptions of the first violations, at most 100.
+    #[serde(rename = "told")]
     pub told: Vec<Breach>,
     /// Totals of all requests.
     pub whole: Worth,
@@ -158,6 +162,7 @@
     /// Attempts sent to boxes.
     pub attempts: u64,
     /// Attempts that boxes rejected as overloaded.
+    #[serde(rename = "turned_away")]
     pub turned_away: u64,
     /// Attempts that timed out.
     pub timed_out: u64,
@@ -172,6 +177,7 @@
     /// Largest number of calls to the planner in a second.
     pub planner_peak: u64,
     /// Number of boxes that crashed under overload while cold.
+    #[serde(rename = "fallen")]
     pub fallen: u64,
     /// Connections opened to boxes.
     pub connections: u64,
--- a/crates/simulation/src/referee/worth.rs
+++ b/crates/simulation/src/referee/worth.rs
@@ -14,9 +14,11 @@
     pub key: KeyId,
     pub work: f64,
     pub worth: f64,
-    pub within: bool,
-    pub first: Time,
-    pub last: Loss,
+    /// Whether the request was within its tenant's quota.
+    pub within_quota: bool,
+    pub started: Time,
+    /// Cause of the loss if the client gives up now.
+    pub last_loss: Loss,
 }
 
 impl Referee {
@@ -49,8 +51,19 @@
         second.requests += 1;
         // Holds until a try of the request gets an answer or its client leaves.
         let last = Loss::NodeDown;
-        self.open_requests
-            .insert(id, OpenRequest { class, tenant, key, work, worth, within, first: at, last });
+        self.open_requests.insert(
+            id,
+            OpenRequest {
+                class,
+                tenant,
+                key,
+                work,
+                worth,
+                within_quota: within,
+                started: at,
+                last_loss: last,
+            },
+        );
     }
 
     /// Takes a token from the tenant's bucket, which holds one second of its quota; false if it is empty.
@@ -65,18 +78,18 @@
     }
 
     pub(super) fn request_served(&mut self, at: Time, id: AskId) {
-        let Some(ask) = self.open_requests.remove(&id) else {
+        let Some(request) = self.open_requests.remove(&id) else {
             return self.report_violation(
                 Rule::Lost,
                 at,
                 format!("request {id} was served twice, or never started"),
             );
         };
-        let (aim, _, late_worth) = self.parameters.objectives[ask.class];
-        let took = at.since(ask.first);
-        let earned = if took <= aim { ask.worth } else { ask.worth * late_worth };
-        self.totals.useful += ask.work;
-        let class = &mut self.verdict.classes[ask.class];
+        let (aim, _, late_worth) = self.parameters.objectives[request.class];
+        let took = at.since(request.started);
+        let earned = if took <= aim { request.worth } else { request.worth * late_worth };
+        self.totals.useful_work += request.work;
+        let class = &mut self.verdict.classes[request.class];
         // Values beyond an hour are out of range and saturate.
         class.latency.saturating_record(took.0.max(1));
         if took <= aim {
@@ -86,28 +99,28 @@
         }
         class.worth.served += earned;
         self.verdict.whole.served += earned;
-        if let Some(tenant) = ask.tenant.filter(|_| ask.within) {
+        if let Some(tenant) = request.tenant.filter(|_| request.within_quota) {
             self.tenant_worth[tenant].served += earned;
         }
-        self.window_worth[(ask.first.0 / SCORE_WINDOW.0) as usize].served += earned;
-        self.second_at(ask.first).served += earned;
-        if earned < ask.worth {
-            *self.verdict.losses.entry(Loss::Late).or_default() += ask.worth - earned;
+        self.window_worth[(request.started.0 / SCORE_WINDOW.0) as usize].served += earned;
+        self.second_at(request.started).served += earned;
+        if earned < request.worth {
+            *self.verdict.losses.entry(Loss::Late).or_default() += request.worth - earned;
         }
-        if self.parameters.effects[ask.class].0 != Effect::Free {
+        if self.parameters.effects[request.class].0 != Effect::Free {
             // Requests accepted from now on must not be served a version before this write.
-            let version = self.written.get(&ask.key).copied().unwrap_or(0);
-            self.acknowledged.insert(ask.key, version);
+            let version = self.written.get(&request.key).copied().unwrap_or(0);
+            self.acknowledged.insert(request.key, version);
         }
     }
 
     pub(super) fn request_given_up(&mut self, at: Time, id: AskId, last: Option<Loss>) {
-        let Some(ask) = self.open_requests.remove(&id) else { return };
-        if at.since(ask.first) > self.parameters.objectives[ask.class].0 {
-            self.totals.late_fail += ask.worth;
+        let Some(request) = self.open_requests.remove(&id) else { return };
+        if at.since(request.started) > self.parameters.objectives[request.class].0 {
+            self.totals.late_unserved_worth += request.worth;
         }
-        self.verdict.classes[ask.class].unserved += 1;
-        *self.verdict.losses.entry(last.unwrap_or(ask.last)).or_default() += ask.worth;
+        self.verdict.classes[request.class].unserved += 1;
+        *self.verdict.losses.entry(last.unwrap_or(request.last_loss)).or_default() += request.worth;
     }
 
     /// Ends the run: open requests count as lost, and the shares are computed.
--- a/crates/simulation/src/scenario/draw/incidents.rs
+++ b/crates/simulation/src/scenario/draw/incidents.rs
@@ -57,12 +57,12 @@
         let candidate_boxes: Vec<usize> = (0..run.running).filter(in_depot).collect();
         let target_boxes = match file.kind {
             IncidentKind::Join => Vec::new(),
-            kind if kind.strikes_boxes() => draw_targets(file.boxes, file.part, depot, &candidate_boxes, rng),
+            kind if kind.targets_boxes() => draw_targets(file.boxes, file.part, depot, &candidate_boxes, rng),
             _ => Vec::new(),
         };
         let candidate_nodes: Vec<usize> =
             (0..run.nodes).filter(|n| depot.is_none_or(|d| n % self.depots.len() == d)).collect();
-        let target_nodes = match file.kind.strikes_nodes() {
+        let target_nodes = match file.kind.targets_nodes() {
             true => draw_targets(file.nodes, file.part, depot, &candidate_nodes, rng),
             false => Vec::new(),
         };
--- a/crates/simulation/src/scenario/fields.rs
+++ b/crates/simulation/src/scenario/fields.rs
@@ -5,7 +5,7 @@
 /// Checks that a fault event has all required fields of its kind and no foreign ones.
 pub(super) fn check_fields(incident: &IncidentFile) -> Result<(), (&'static str, String)> {
     use IncidentKind as K;
-    let (boxes, nodes) = (incident.kind.strikes_boxes(), incident.kind.strikes_nodes());
+    let (boxes, nodes) = (incident.kind.targets_boxes(), incident.kind.targets_nodes());
     let in_steps = matches!(incident.kind, K::NodeRestart | K::NodeDeath | K::Replace | K::Kill);
     let by_factor = matches!(incident.kind, K::Slow | K::Heavy | K::PlannerSlow | K::Burst | K::Shift);
     let of_clients = matches!(incident.kind, K::Impatient | K::Hasty | K::SlowWriters);
--- a/crates/simulation/src/scenario/incident.rs
+++ b/crates/simulation/src/scenario/incident.rs
@@ -66,13 +66,13 @@
 
 impl IncidentKind {
     /// Whether the kind has boxes as targets.
-    pub(crate) fn strikes_boxes(self) -> bool {
+    pub(crate) fn targets_boxes(self) -> bool {
         use IncidentKind as K;
         matches!(self, K::Silent | K::Slow | K::Erring | K::Kill | K::Drain | K::Join | K::Replace)
     }
 
     /// Whether the kind has nodes as targets.
-    pub(crate) fn strikes_nodes(self) -> bool {
+    pub(crate) fn targets_nodes(self) -> bool {
         use IncidentKind as K;
         matches!(self, K::NodeDeath | K::NodeRestart | K::SilentWatch)
     }
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -217,8 +217,8 @@
                 return Err((field, format!("{drained} boxes drain by then, and there are only {all}")));
             }
         }
-        let has_targets = incident.kind.strikes_boxes() && incident.kind != IncidentKind::Join
-            || incident.kind.strikes_nodes();
+        let has_targets = incident.kind.targets_boxes() && incident.kind != IncidentKind::Join
+            || incident.kind.targets_nodes();
         if has_targets && incident.depot.is_some() && boxes.min(in_scope(self.nodes.count.low)) == 0 {
             return Err(("depot", format!("one with boxes and nodes expected, and there are none {place}")));
         }
--- a/crates/simulation/src/trace/event.rs
+++ b/crates/simulation/src/trace/event.rs
@@ -15,6 +15,7 @@
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
     /// A client starts a request and sends its first try.
+    #[serde(rename = "asked")]
     Asked {
         ask: AskId,
         /// Index of the request's class.
@@ -27,6 +28,7 @@
         work: f64,
     },
     /// A node has accepted a try.
+    #[serde(rename = "taken")]
     Taken {
         id: TryId,
         /// The request that it belongs to.
@@ -77,6 +79,7 @@
     /// A client gives up its request, or has no try left.
     GaveUp { ask: AskId },
     /// A node is notified of a box's state.
+    #[serde(rename = "told")]
     Told {
         node: NodeId,
         of: BoxId,
@@ -121,8 +124,10 @@
     /// A box's process has ended, or its machine has stopped responding.
     BoxDown { of: BoxId },
     /// A box crashed because it was overloaded while cold.
+    #[serde(rename = "box-fell")]
     BoxFell { of: BoxId },
     /// A box has called the planner.
+    #[serde(rename = "planner-asked")]
     PlannerAsked {
         by: BoxId,
         /// Whether the call is a write.
@@ -158,6 +163,7 @@
     /// A change of a box's state is available to a node: its agent has it, or, where lists are polled, discovery has
     /// it and can be reached. Recorded if the node isn't notified at the same moment. The change counts as notified in
     /// time whether or not it arrives.
+    #[serde(rename = "has")]
     Has {
         node: NodeId,
         of: BoxId,
@@ -200,6 +206,7 @@
         bytes: usize,
     },
     /// A fault event of the scenario begins.
+    #[serde(rename = "begins")]
     Begins {
         /// Index of the fault event in the run.
         incident: usize,
@@ -207,10 +214,12 @@
         what: String,
     },
     /// A fault event of the scenario ends.
+    #[serde(rename = "ends")]
     Ends {
         /// Index of the fault event in the run.
         incident: usize,
     },
     /// Last event of a trace.
+    #[serde(rename = "day-over")]
     DayOver,
 }
