--- a/crates/simulation/src/day/mod.rs
+++ b/crates/simulation/src/day/mod.rs
@@ -171,7 +171,7 @@
 
 /// Behaviour of a node at its listener and its watch of the endpoint list, which the simulation models without sockets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ShellSpec {
+pub struct NodeTimings {
     /// Time after SIGTERM for which the node serves open client connections; later requests are rejected.
     pub parting: Span,
     /// Time after which a silent watch is reopened.
@@ -194,7 +194,7 @@
     /// All boxes of the run, including those that join later.
     pub boxes: Vec<BoxSpec>,
     /// Behaviour of nodes at their listeners and watches.
-    pub shell: ShellSpec,
+    pub shell: NodeTimings,
     /// Boxes that run at the start.
     pub running: Vec<BoxId>,
     /// The planner.
--- a/crates/simulation/src/day/rules.rs
+++ b/crates/simulation/src/day/rules.rs
@@ -22,7 +22,7 @@
     /// Time over which the load of the planner is counted.
     pub planner_for: Span,
     /// True if a node learns of a client's disconnect with a delay, so that attempts may cross it.
-    pub leaving_crosses: bool,
+    pub disconnects_cross: bool,
     /// Longest time for which an attempt may be in flight that only its node can see.
     pub unseen: Span,
     /// Allowed excess of an attempt's wait time over its client's remaining time.
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -59,7 +59,7 @@
         // A connection that is never established is visible only to the node that waits for it.
         let dial_time = day.limits.dial_timeout * f64::from(day.limits.max_attempts);
         extended.rules.unseen = leeway + dial_time;
-        extended.rules.leaving_crosses = true;
+        extended.rules.disconnects_cross = true;
     }
     extended
 }
--- a/crates/simulation/src/referee/attempt_limits.rs
+++ b/crates/simulation/src/referee/attempt_limits.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Referee {
-    /// Checks a further attempt of a try. The choice of its box is checked elsewhere.
+    /// Checks a further attempt of a try. `check_target` checks the choice of its box.
     pub(super) fn check_attempt(&mut self, at: Time, id: TryId, attempt: u32, node: NodeId) {
         let (hedging_allowed, max_attempts) = (self.parameters.second_copies, self.parameters.max_attempts);
         let client_left = self.check_departed(at, id);
@@ -23,7 +23,7 @@
         let violation = match effect {
             _ if accepted.attempts.len() >= max_attempts as usize => Some("more often than is allowed"),
             _ if in_flight > usize::from(hedging_allowed) => {
-                Some("while as many attempts as are allowed were out")
+                Some("while as many attempts as are allowed were in flight")
             }
             Effect::Free => None,
             Effect::SingleShot => ran.next().map(|_| "though it may have run"),
--- a/crates/simulation/src/referee/departed_clients.rs
+++ b/crates/simulation/src/referee/departed_clients.rs
@@ -34,8 +34,8 @@
     /// doesn't apply to the attempt.
     pub(super) fn check_departed(&mut self, at: Time, id: TryId) -> bool {
         let Some(left) = self.departed_clients.left_at.get(&id).copied() else { return false };
-        let owed = self.tries.get(&id).is_some_and(|accepted| !accepted.finished);
-        if !self.parameters.leaving_crosses && !owed {
+        let needs_answer = self.tries.get(&id).is_some_and(|accepted| !accepted.finished);
+        if !self.parameters.disconnects_cross && !needs_answer {
             return false;
         }
         let after = at.since(left);
--- a/crates/simulation/src/referee/drains.rs
+++ b/crates/simulation/src/referee/drains.rs
@@ -9,6 +9,7 @@
     pub phase: Option<Phase>,
     /// Time of the first notification that the box drains or is gone.
     pub closing_since: Option<Time>,
+    /// Start of the process, if it started during the run.
     pub started: Option<Time>,
 }
 
@@ -27,11 +28,11 @@
                 format!("node {node} sent to box {to}, which was never in its endpoint list"),
             );
         } else if let Some(since) = late {
-            let held = at.since(since);
+            let elapsed = at.since(since);
             self.report_violation(
                 Rule::Drain,
                 at,
-                format!("node {node} sent to box {to} {held} after notice that the box is closing"),
+                format!("node {node} sent to box {to} {elapsed} after notice that the box is closing"),
             );
         }
     }
--- a/crates/simulation/src/referee/notifications.rs
+++ b/crates/simulation/src/referee/notifications.rs
@@ -22,6 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct EndpointState {
     pub phase: Phase,
+    /// Start of the process, if it started during the run.
     pub started: Option<Time>,
 }
 
@@ -36,6 +37,7 @@
     failed_calls: FxHashSet<NodeId>,
     /// Pending changes: deadline, deadline after a failed call, and the new state.
     pending: BTreeMap<(NodeId, BoxId), (Time, Time, EndpointState)>,
+    /// Pending changes by deadline.
     due: BTreeSet<(Time, NodeId, BoxId)>,
 }
 
@@ -70,16 +72,16 @@
     pub fn change_available(&mut self, at: Time, node: NodeId, of: BoxId, state: EndpointState, asked: bool) {
         let usual = if asked { at + POLL_LIMIT } else { at };
         let silent = self.silent_until.get(&node).copied().unwrap_or(at);
-        let hup = self.reconfigured_until.get(&node).copied().unwrap_or(at);
+        let reconfigured = self.reconfigured_until.get(&node).copied().unwrap_or(at);
         let latest = at + POLL_LIMIT;
-        let longest = usual.max(silent).max(hup);
-        let counts = if self.failed_calls.contains(&node) { longest.min(latest) } else { longest };
+        let longest = usual.max(silent).max(reconfigured);
+        let deadline = if self.failed_calls.contains(&node) { longest.min(latest) } else { longest };
         // A newer change replaces a pending one, but keeps its deadline if both of them close the box.
         let closes = |state: &EndpointState| state.phase != Phase::Ready;
         let before = self.take_pending(node, of).filter(|(.., old)| closes(old) && closes(&state));
-        let (counts, latest) = before.map_or((counts, latest), |(first, latest, _)| (first, latest));
-        self.pending.insert((node, of), (counts, latest, state));
-        self.due.insert((counts, node, of));
+        let (deadline, latest) = before.map_or((deadline, latest), |(first, latest, _)| (first, latest));
+        self.pending.insert((node, of), (deadline, latest, state));
+        self.due.insert((deadline, node, of));
     }
 
     /// Drops the pending change of a box that a node has now been notified of.
--- a/crates/simulation/src/referee/parameters.rs
+++ b/crates/simulation/src/referee/parameters.rs
@@ -21,7 +21,7 @@
     pub mean_work: f64,
     pub planner_for: Span,
     /// True if a node learns later that a client has left, so that an attempt may cross the disconnect.
-    pub leaving_crosses: bool,
+    pub disconnects_cross: bool,
     /// Longest time for which an attempt may be in flight without being visible in the trace.
     pub max_unseen_time: Span,
     /// Allowed excess of an attempt's wait time over its client's remaining time.
@@ -46,7 +46,7 @@
             fall_for: day.rules.fall_for,
             mean_work: day.mean_work().0 as f64,
             planner_for: day.rules.planner_for,
-            leaving_crosses: day.rules.leaving_crosses,
+            disconnects_cross: day.rules.disconnects_cross,
             max_unseen_time: day.rules.unseen,
             wait_slack: day.rules.wait_slack,
             max_attempts: day.limits.max_attempts,
--- a/crates/simulation/src/referee/planner.rs
+++ b/crates/simulation/src/referee/planner.rs
@@ -42,8 +42,9 @@
         let cold_weight: f64 = weights.iter().filter_map(|(size, factor)| factor.map(|w| size * w)).sum();
         let expected = self.planner.reads.len() as f64 * cold_weight / total.max(1e-9);
         if cold > MAX_COLD_CALL_SHARE * all && cold > MAX_COLD_CALLS_PER_EXPECTED_READ * expected {
-            let what =
-                format!("the planner stopped; {cold} of {all} calls were misses at cold boxes, {expected:.0} expected");
+            let what = format!(
+                "the planner stopped; {cold} of {all} calls were cold misses, {expected:.0} expected"
+            );
             self.report_violation(Rule::Cold, at, what);
         }
     }
--- a/crates/simulation/src/referee/prompt_answers.rs
+++ b/crates/simulation/src/referee/prompt_answers.rs
@@ -57,7 +57,7 @@
     /// Keys without an attempt in flight stay within `MAX_IDLE_KEYS` while keys go idle one after another, each for
     /// longer than the longest latency objective.
     #[test]
-    fn keys_with_nothing_out_are_remembered_within_their_bound() {
+    fn idle_keys_are_remembered_within_their_bound() {
         let day = Scenario::default().draw(1).expect("the defaults make a day");
         let mut checker = Referee::new(&day);
         checker.record(Time::ZERO, &Event::Told { node: 0, of: 0, phase: Phase::Ready, started: None });
--- a/crates/simulation/src/referee/restarts.rs
+++ b/crates/simulation/src/referee/restarts.rs
@@ -12,6 +12,7 @@
 pub(super) struct Restarts {
     /// Nodes that have run before, whose next start is a restart.
     has_run: FxHashSet<NodeId>,
+    /// Restarted nodes that are not ready yet, and when they started.
     starting: FxHashMap<NodeId, Time>,
     restarted: u64,
     late: u64,
@@ -29,18 +30,18 @@
     pub fn ready(&mut self, at: Time, node: NodeId) {
         self.readiness_reported = true;
         if let Some(since) = self.starting.remove(&node) {
-            self.count(at, since);
+            self.count_restart(at, since);
         }
     }
 
     /// Counts a process that ends before it is ready as late if its time had passed; otherwise it isn't counted.
     pub fn ended(&mut self, at: Time, node: NodeId) {
         if let Some(since) = self.starting.remove(&node).filter(|since| at.since(*since) > READY_TIME_LIMIT) {
-            self.count(at, since);
+            self.count_restart(at, since);
         }
     }
 
-    fn count(&mut self, at: Time, since: Time) {
+    fn count_restart(&mut self, at: Time, since: Time) {
         self.restarted += 1;
         self.late += u64::from(at.since(since) > READY_TIME_LIMIT);
     }
--- a/crates/simulation/src/referee/verdict.rs
+++ b/crates/simulation/src/referee/verdict.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn ask(&mut self, worth: f64) {
+    pub(super) fn add_request(&mut self, worth: f64) {
         self.requests += 1;
         self.asked += worth;
     }
@@ -148,6 +148,7 @@
     #[serde(rename = "told")]
     pub told: Vec<Breach>,
     /// Totals of all requests.
+    #[serde(rename = "whole")]
     pub whole: Worth,
     /// Served share of the worst 10 s window, and the start of that window.
     pub worst_window: (f64, Time),
--- a/crates/simulation/src/referee/worth.rs
+++ b/crates/simulation/src/referee/worth.rs
@@ -31,21 +31,21 @@
         key: KeyId,
         work: f64,
     ) {
-        let within = tenant.is_none_or(|t| self.is_within(at, t));
+        let within = tenant.is_none_or(|t| self.take_quota_token(at, t));
         let units = if self.parameters.goal.by_work { work / 1e6 } else { 1.0 };
         let share = if within { 1.0 } else { self.parameters.goal.over_share_worth };
         let worth = self.parameters.objectives[class].1 * units * share;
         self.totals.asked_work += work;
-        self.verdict.whole.ask(worth);
-        self.verdict.classes[class].worth.ask(worth);
+        self.verdict.whole.add_request(worth);
+        self.verdict.classes[class].worth.add_request(worth);
         if let Some(tenant) = tenant.filter(|_| within) {
-            self.tenant_worth[tenant].ask(worth);
+            self.tenant_worth[tenant].add_request(worth);
         }
         let window = (at.0 / SCORE_WINDOW.0) as usize;
         if self.window_worth.len() <= window {
             self.window_worth.resize(window + 1, Worth::default());
         }
-        self.window_worth[window].ask(worth);
+        self.window_worth[window].add_request(worth);
         let second = self.second_at(at);
         second.asked += worth;
         second.requests += 1;
@@ -67,7 +67,7 @@
     }
 
     /// Takes a token from the tenant's bucket, which holds one second of its quota; false if it is empty.
-    pub(super) fn is_within(&mut self, at: Time, tenant: usize) -> bool {
+    pub(super) fn take_quota_token(&mut self, at: Time, tenant: usize) -> bool {
         let quota = self.parameters.quotas[tenant];
         let (tokens, since) = &mut self.quota_buckets[tenant];
         *tokens = (*tokens + quota * at.since(*since).as_secs()).min(quota.max(1.0));
--- a/crates/simulation/src/scenario/draw/mod.rs
+++ b/crates/simulation/src/scenario/draw/mod.rs
@@ -7,8 +7,8 @@
 use crate::cache_box::BoxSpec;
 use crate::chance::{Chance, Spread};
 use crate::day::{
-    mean_work, ClassSpec, ClientsSpec, Day, GoalSpec, KeysSpec, ListSpec, NetworkSpec, PricesSpec, RulesSpec,
-    Scheduled, ShellSpec, TenantSpec,
+    mean_work, ClassSpec, ClientsSpec, Day, GoalSpec, KeysSpec, ListSpec, NetworkSpec, NodeTimings,
+    PricesSpec, RulesSpec, Scheduled, TenantSpec,
 };
 use crate::planner::PlannerSpec;
 use crate::time::{Span, Time};
@@ -74,7 +74,7 @@
             length,
             depots: self.depots.clone(),
             nodes: (0..nodes).map(|n| n % depots).collect(),
-            shell: ShellSpec { parting: self.nodes.parting, reopens: self.nodes.reopens },
+            shell: NodeTimings { parting: self.nodes.parting, reopens: self.nodes.reopens },
             planner,
             list,
             network,
@@ -169,7 +169,7 @@
             fall_for: self.rules.fall_for,
             planner_multiple: self.planner.fall_multiple,
             planner_for: self.planner.fall_for,
-            leaving_crosses: false,
+            disconnects_cross: false,
             wait_slack: WAIT_SLACK,
             unseen: Span::ZERO,
         }
--- a/crates/simulation/src/scenario/tests.rs
+++ b/crates/simulation/src/scenario/tests.rs
@@ -69,7 +69,7 @@
             "incidents[2].boxes",
             "5 boxes drain by then, and there are only 4",
         ),
-        ("at = \"30s\"", "at = \"60s\"", 19, 6, "incidents[1].at", "before the day's end"),
+        ("at = \"30s\"", "at = \"60s\"", 19, 6, "incidents[1].at", "before the end of the run"),
         ("kind = \"drain\"", "kind = \"dance\"", 18, 8, "incidents[1].kind", "unknown variant `dance`"),
         ("name = \"t\"", "name = t", 2, 8, "file", "invalid"),
     ] {
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -146,7 +146,10 @@
         if incident.at.high >= self.length.low {
             return Err((
                 "at",
-                format!("before the day's end at {} expected, got {}", self.length.low, incident.at.high),
+                format!(
+                    "before the end of the run at {} expected, got {}",
+                    self.length.low, incident.at.high
+                ),
             ));
         }
         if incident.factor.is_some_and(|f| f.low.is_nan() || f.low <= 0.0) {
--- a/crates/simulation/tests/referee/restarts.rs
+++ b/crates/simulation/tests/referee/restarts.rs
@@ -38,5 +38,5 @@
     assert_violates("not ready when it was killed", Rule::Ready, never(30_003));
     let mut open = never(40_000);
     open.pop();
-    assert_violates("not ready by the day's end", Rule::Ready, open);
+    assert_violates("not ready by the end of the run", Rule::Ready, open);
 }
--- a/crates/simulation/tests/referee/rules.rs
+++ b/crates/simulation/tests/referee/rules.rs
@@ -123,8 +123,8 @@
     let hedged = |n: u32| {
         let hedged = (1..=n).map(|n| (110 + u64::from(n), sent(1, n, n as usize))).collect();
         let ends = (0..=n).map(|n| (200, ended(1, n, Ended::Cancelled))).collect();
-        let told = (2..4).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
-        with(with(first(READ), told), with(with(hedged, vec![(199, answered(1, How::Failed))]), ends))
+        let listed = (2..4).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
+        with(with(first(READ), listed), with(with(hedged, vec![(199, answered(1, How::Failed))]), ends))
     };
     assert_clean("a hedged request", hedged(1));
     assert_violates("a third attempt at once", Rule::Repeated, hedged(2));
@@ -154,9 +154,9 @@
     let other = |node| {
         let taken = Event::Taken { id: 2, ask: 2, node, until: Time(1900 * MS) };
         let sent = Event::Sent { id: 2, attempt: 0, node, to: 0, crosses: false, wait: None };
-        let told = Event::Told { node, of: 0, phase: Phase::Ready, started: None };
+        let notified = Event::Told { node, of: 0, phase: Phase::Ready, started: None };
         let end = vec![(1800, answered(2, How::Failed)), (1800, ended(2, 0, Ended::TimedOut))];
-        with(vec![(0, told), (99, asked(2, READ)), (99, taken), (99, sent)], end)
+        with(vec![(0, notified), (99, asked(2, READ)), (99, taken), (99, sent)], end)
     };
     assert_clean("an attempt for its key was in flight", with(idle(aim, How::Rejected), other(0)));
     assert_violates(
--- a/crates/simulation/tests/terms.rs
+++ b/crates/simulation/tests/terms.rs
@@ -190,7 +190,7 @@
             |e: &Event| matches!(e, Event::Told { phase: hallpin_simulation::list::Phase::Draining, .. });
         let first = events.iter().find(|(_, e)| drains(e)).expect("a notification of the drains").0;
         assert_eq!(first, Time(since), "at once, and not up to the spread later");
-        let told = events.iter().filter(|(at, e)| drains(e) && at.0 == since).count();
-        assert_eq!(told % 3, 0, "all nodes");
+        let notified = events.iter().filter(|(at, e)| drains(e) && at.0 == since).count();
+        assert_eq!(notified % 3, 0, "all nodes");
     }
 }
