--- a/crates/simulation/tests/referee/rules.rs
+++ b/crates/simulation/tests/referee/rules.rs
@@ -45,7 +45,7 @@
     let verdict =
         assert_clean("the node was killed", with(down(false), vec![(400, Event::GaveUp { ask: 1 })]));
     assert_eq!(verdict.losses.keys().collect::<Vec<_>>(), [&Loss::NodeDown]);
-    assert_violates("the node exited by itself", Rule::Lost, down(true));
+    assert_violates("the node exited after SIGTERM", Rule::Lost, down(true));
 }
 
 #[test]
