--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -45,7 +45,7 @@
 pub struct HistoryError {
     /// Line number, from 1; one past the last line if something is missing at the end.
     pub line: usize,
-    /// What was expected and what was found.
+    /// The expected and the found value.
     pub what: String,
 }
 
--- a/crates/simulation/src/referee/verdict.rs
+++ b/crates/simulation/src/referee/verdict.rs
@@ -49,9 +49,9 @@
     RefusedLate,
     /// Answered with a failure.
     Failed,
-    /// Its client stopped waiting before an answer came.
+    /// The client stopped waiting before an answer came.
     NoAnswer,
-    /// Its node was down, or ended while the request was open.
+    /// The node was down, or ended while the request was open.
     NodeDown,
     /// Served after its latency objective.
     Late,
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -106,7 +106,7 @@
 pub struct Wrong {
     /// Path of the field, such as `incidents[2].boxes`.
     pub path: String,
-    /// What was expected and what was found.
+    /// The expected and the found value.
     pub what: String,
 }
 
@@ -120,7 +120,7 @@
     pub column: usize,
     /// Path of the field.
     pub path: String,
-    /// What was expected and what was found.
+    /// The expected and the found value.
     pub what: String,
 }
 
