--- a/crates/simulation/src/cache_box/connections.rs
+++ b/crates/simulation/src/cache_box/connections.rs
@@ -1,40 +1,41 @@
-//! Connections and probes: what reaches a box beside requests.
+//! Work at a box that belongs to no request: opening connections and answering probes.
 
 use super::*;
 
 impl CacheBox {
-    /// A connection is opened, which costs work; false if the table is full.
+    /// Opens a connection, which costs work; false if the connection table is full.
     pub fn connect(&mut self, now: Time, out: &mut Vec<BoxOut>) -> bool {
-        if self.open >= self.spec.connections {
+        if self.open_connections >= self.spec.connections {
             return false;
         }
         self.advance(now);
-        self.open += 1;
-        self.overhead(now, self.spec.connection_work, out);
+        self.open_connections += 1;
+        self.add_overhead(now, self.spec.connection_work, out);
         true
     }
 
-    /// A connection is closed.
+    /// Closes a connection.
     pub fn disconnect(&mut self, now: Time) {
         self.advance(now);
-        self.open = self.open.saturating_sub(1);
+        self.open_connections = self.open_connections.saturating_sub(1);
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn connections(&self) -> u32 {
-        self.open
+        self.open_connections
     }
 
-    /// A probe, answered beside the queue.
+    /// Answers a probe at once, without queueing for a slot; the probe still costs work.
     pub fn probe(&mut self, now: Time, out: &mut Vec<BoxOut>) {
         self.advance(now);
-        self.overhead(now, self.spec.probe_work, out);
+        self.add_overhead(now, self.spec.probe_work, out);
     }
 
-    pub(super) fn overhead(&mut self, now: Time, work: Span, out: &mut Vec<BoxOut>) {
+    /// Adds work that belongs to no request.
+    pub(super) fn add_overhead(&mut self, now: Time, work: Span, out: &mut Vec<BoxOut>) {
         if !work.is_zero() {
-            self.serve(work.0 as f64, None);
-            self.weigh(now, work.0 as f64, out);
+            self.enter_service(work.0 as f64, None);
+            self.record_offered_work(now, work.0 as f64, out);
         }
     }
 }
--- a/crates/simulation/src/cache_box/fetches.rs
+++ b/crates/simulation/src/cache_box/fetches.rs
@@ -1,8 +1,9 @@
-//! Fetches from the planner, shared by those who wait for the same key.
+//! Calls from a box to the planner; requests that miss on the same key share one fetch.
 
 use super::*;
 
 impl CacheBox {
+    /// Starts a call to the planner, a write or a read, and returns its id.
     pub(super) fn fetch(
         &mut self,
         now: Time,
@@ -10,20 +11,20 @@
         write: Option<Option<u64>>,
         out: &mut Vec<BoxOut>,
     ) -> u64 {
-        self.next_fetch += 1;
-        let id = self.next_fetch;
-        let fetch = Fetch { key, waiters: Vec::new(), write, tries: 0, over: false };
+        self.last_fetch_id += 1;
+        let id = self.last_fetch_id;
+        let fetch = Fetch { key, waiters: Vec::new(), write, retries: 0, abandoned: false };
         self.fetches.insert(id, fetch);
         if write.is_none() {
             self.joinable.insert(key, id);
-            self.fetches_out += 1;
+            self.fetches_in_flight += 1;
         }
         self.fetch_order.push_back((now, id));
         out.push(BoxOut::Ask { ask: Ask { id, key, write }, cold: self.warmth(now) < 1.0 });
         id
     }
 
-    /// The planner has answered one of this process's calls, with the key's version or a failure.
+    /// Handles the planner's reply to a call of this process: the key's version, or `None` for a failure.
     pub fn fetched(
         &mut self,
         now: Time,
@@ -35,32 +36,33 @@
     ) {
         self.advance(now);
         let Some(fetch) = self.fetches.get(&id) else { return };
-        let (key, over, write) = (fetch.key, fetch.over, fetch.write);
-        if version.is_none() && !over && self.again(now, id, out) {
+        let (key, abandoned, write) = (fetch.key, fetch.abandoned, fetch.write);
+        if version.is_none() && !abandoned && self.retry_fetch(now, id, out) {
             return;
         }
         let Some(version) = version else {
-            self.fetches.remove(&id).into_iter().for_each(|fetch| self.give_up(id, fetch, out));
+            self.fetches.remove(&id).into_iter().for_each(|fetch| self.fail_fetch(id, fetch, out));
             return self.fill_slots(now, planner, out);
         };
         let Some(fetch) = self.fetches.remove(&id) else { return };
         if write.is_some() {
-            // The copy that was kept here is of the version before.
+            // The cached copy has the version before the write.
             self.store.drop_copy(key);
         } else if version == planner.version(key) {
-            // A write may have voided it on its way: then those who waited have it, and nobody else.
+            // Cached only if no write changed the key while the reply was on its way; otherwise only the waiting requests
+            // get this version.
             self.store.keep(key, version, bytes(key), now);
         }
-        self.forget_fetch(id, &fetch);
+        self.release_fetch(id, &fetch);
         for index in fetch.waiters {
-            let Some(held) = self.held.get_mut(index) else { continue };
-            held.version = version;
-            match held.stage {
-                Stage::Writing => self.answer(index, self.served(index), out),
-                Stage::Fetching { slot: true } => self.begin(index),
-                Stage::Fetching { slot: false } => {
-                    held.stage = Stage::Fetched;
-                    self.fetched.push_back(index);
+            let Some(request) = self.requests.get_mut(index) else { continue };
+            request.version = version;
+            match request.stage {
+                Stage::Writing => self.answer(index, self.served_answer(index), out),
+                Stage::Fetching { keeps_slot: true } => self.begin_service(index),
+                Stage::Fetching { keeps_slot: false } => {
+                    request.stage = Stage::Fetched;
+                    self.fetch_done.push_back(index);
                 }
                 Stage::Waiting | Stage::Fetched | Stage::Serving => {}
             }
@@ -68,32 +70,33 @@
         self.fill_slots(now, planner, out);
     }
 
-    /// Makes a failed fetch once more, where that is allowed.
-    pub(super) fn again(&mut self, now: Time, id: u64, out: &mut Vec<BoxOut>) -> bool {
+    /// Retries a failed fetch; false for a write and when the retries are used up.
+    pub(super) fn retry_fetch(&mut self, now: Time, id: u64, out: &mut Vec<BoxOut>) -> bool {
         let cold = self.warmth(now) < 1.0;
         let Some(fetch) = self.fetches.get_mut(&id) else { return false };
-        if fetch.write.is_some() || fetch.tries >= self.spec.fetch_retries {
+        if fetch.write.is_some() || fetch.retries >= self.spec.fetch_retries {
             return false;
         }
-        fetch.tries += 1;
+        fetch.retries += 1;
         out.push(BoxOut::Ask { ask: Ask { id, key: fetch.key, write: None }, cold });
         true
     }
 
-    pub(super) fn forget_fetch(&mut self, id: u64, fetch: &Fetch) {
+    /// Stops counting a fetch as in flight and lets no more requests join it.
+    pub(super) fn release_fetch(&mut self, id: u64, fetch: &Fetch) {
         if self.joinable.get(&fetch.key) == Some(&id) {
             self.joinable.remove(&fetch.key);
         }
-        if fetch.write.is_none() && !fetch.over {
-            self.fetches_out -= 1;
+        if fetch.write.is_none() && !fetch.abandoned {
+            self.fetches_in_flight -= 1;
         }
     }
 
-    /// A fetch has failed for those who wait.
-    pub(super) fn give_up(&mut self, id: u64, fetch: Fetch, out: &mut Vec<BoxOut>) {
-        self.forget_fetch(id, &fetch);
+    /// Fails all requests that wait for a fetch.
+    pub(super) fn fail_fetch(&mut self, id: u64, fetch: Fetch, out: &mut Vec<BoxOut>) {
+        self.release_fetch(id, &fetch);
         for index in fetch.waiters {
-            if self.held.contains(index) {
+            if self.requests.contains(index) {
                 self.answer(index, BoxAnswer::Failed, out);
             }
         }
--- a/crates/simulation/src/cache_box/mod.rs
+++ b/crates/simulation/src/cache_box/mod.rs
@@ -1,13 +1,13 @@
-//! A cache box: cores shared by the requests in service, a waiting room, kept copies, and fetches from the planner.
+//! A cache box: cores with processor sharing, a bounded queue, a store of cached copies, and fetches from the planner.
 //!
-//! All requests in service get the same share of the cores, so one running sum of the work that each has been given
-//! tells who ends next: a request ends when the sum has grown by its work. A change of speed changes how fast the sum
-//! grows and touches no request.
+//! All requests in service get an equal share of the cores. One running sum, the attained work of each request in
+//! service, therefore gives the order of completion: a request ends when the sum has grown by its work. A change of
+//! speed changes only how fast the sum grows and updates no request.
 
 mod connections;
-mod fall;
 mod fetches;
-mod held;
+mod overload;
+mod requests;
 mod service;
 mod spec;
 mod speed;
@@ -24,196 +24,204 @@
 use crate::planner::{Ask, Planner};
 use crate::store::{KeyId, Store};
 use crate::time::{Span, Time};
-use held::{End, Fetch, Held, Stage};
+use requests::{Fetch, PendingRequest, ServiceEnd, Stage};
 pub use spec::{bears, BoxSpec, WarmBy};
 
-/// A request as a box sees it.
+/// A request as it arrives at a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Comes back with the answer.
+    /// Identifies the request; returned with the answer.
     pub token: u64,
-    /// Its key, and the bytes of its value.
+    /// The requested key.
     pub key: KeyId,
-    /// Bytes of its value.
+    /// Size of the value, in bytes.
     pub bytes: u64,
     /// Work, in microseconds of a standard core.
     pub work: f64,
-    /// A write, under this idempotency key if it has one.
+    /// For a write: its idempotency key, if it has one. `None` for a read.
     pub write: Option<Option<u64>>,
-    /// When nobody waits for it any more.
+    /// Time after which no client waits for the answer.
     pub deadline: Time,
 }
 
 /// How a request ended at a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BoxAnswer {
-    /// A value or a receipt, of this version of the key.
+    /// A read returned its value, or a write was carried out.
     Served {
-        /// How the read went.
+        /// Whether the read was a hit, a miss, or joined a fetch in flight.
         note: CacheNote,
-        /// The version of what was served.
+        /// Version of the key that was served or written.
         version: u64,
     },
-    /// Turned away unseen.
+    /// Rejected before any work on it was done.
     Busy,
-    /// An error; it may have run.
+    /// An error; the request may have run.
     Failed,
 }
 
-/// A load report.
+/// A load report of a box.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests held.
+    /// Requests that the box holds, queued ones included.
     pub inflight: f64,
-    /// Busy share of the cores.
+    /// Share of the core time that was busy, 0 to 1.
     pub util: f64,
-    /// Requests ended a second.
+    /// Requests answered per second.
     pub qps: f64,
 }
 
-/// What a box asks of the world.
+/// An output of a box, which the simulation carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BoxOut {
     /// An answer to the request with this token.
     Answer(u64, BoxAnswer),
-    /// A call for the planner; `cold` where the box was warming up.
+    /// A call to the planner.
     Ask {
         /// The call.
         ask: Ask,
-        /// The box was not warm.
+        /// The box was warming up when it made the call.
         cold: bool,
     },
-    /// It fell over.
+    /// The box fell over under too much load.
     Fell,
 }
 
-/// A box's state.
+/// A cache box and its process.
 pub struct CacheBox {
-    /// What it is like.
+    /// Fixed properties of the box.
     pub spec: BoxSpec,
-    chance: Chance,
-    /// Its process runs. One that has fallen over does not come up by itself.
+    rng: Chance,
+    /// Whether the process runs. A box that fell over does not restart by itself.
     up: bool,
     fallen: bool,
-    /// When the process started, if that was within the day.
+    /// Start of the process; `None` if it started before the simulated time.
     started: Option<Time>,
-    /// Work done since then, in microseconds of a standard core.
+    /// Work done since `started`, in microseconds of a standard core.
     done_work: f64,
-    /// Incidents: how many times slower it is.
+    /// Factor by which incidents slow the box; 1 without any.
     slowness: f64,
-    /// Share of the requests that fail beyond the usual.
-    errs: f64,
-    held: Slab<Held>,
+    /// Error rate that incidents add to that of the spec.
+    extra_error_rate: f64,
+    requests: Slab<PendingRequest>,
+    /// Requests that wait for their first slot, oldest first.
     waiting: VecDeque<usize>,
-    fetched: VecDeque<usize>,
-    /// Slots in use.
-    slots: u32,
-    serving: BinaryHeap<Reverse<End>>,
-    /// Work that each in service has been given, in microseconds of a standard core, as of `at`.
-    given: f64,
-    at: Time,
-    number: u64,
+    /// Requests whose fetch succeeded and that wait for a slot again; they go before `waiting`.
+    fetch_done: VecDeque<usize>,
+    /// Number of slots in use.
+    slots_in_use: u32,
+    serving: BinaryHeap<Reverse<ServiceEnd>>,
+    /// Running sum of the work that each request in service attained, in microseconds of a standard core, as of
+    /// `updated_at`.
+    attained_work: f64,
+    updated_at: Time,
+    last_sequence: u64,
     store: Store,
+    /// Calls to the planner by their id.
     fetches: FxHashMap<u64, Fetch>,
+    /// The fetch in flight of each key that more requests can join.
     joinable: FxHashMap<KeyId, u64>,
-    /// Fetches that nobody has given up, and when the next of them is: in order of their start.
+    /// Start and id of calls to the planner, oldest first, to time them out; finished ones are skipped when reached.
     fetch_order: VecDeque<(Time, u64)>,
-    fetches_out: u32,
-    next_fetch: u64,
-    open: u32,
-    /// Work it was sent of late while cold.
-    sent: VecDeque<(Time, f64)>,
-    sent_sum: f64,
+    /// Reads at the planner that have not timed out.
+    fetches_in_flight: u32,
+    last_fetch_id: u64,
+    open_connections: u32,
+    /// Work sent to the box while it warms up, within the last `fall_for`.
+    offered_work: VecDeque<(Time, f64)>,
+    offered_work_sum: f64,
     report: Report,
 }
 
+/// Measurements of the current reporting period, and the reports made from earlier ones.
 #[derive(Default)]
 struct Report {
-    busy: f64,
-    ended: u64,
-    next: Time,
-    since: Time,
-    /// Reports made and not yet told, and the one that is.
-    made: VecDeque<(Time, Load)>,
-    told: Load,
+    busy_core_us: f64,
+    completed: u64,
+    next_at: Time,
+    period_start: Time,
+    /// Reports that are not visible yet, each with the time from which it is.
+    delayed: VecDeque<(Time, Load)>,
+    /// The visible report.
+    published: Load,
 }
 
 impl CacheBox {
-    /// A box that has run for long, with nothing kept yet.
-    pub fn new(spec: BoxSpec, chance: Chance) -> Self {
+    /// A warm box with an empty store, whose process started before the simulated time.
+    pub fn new(spec: BoxSpec, rng: Chance) -> Self {
         let store = Store::new(spec.memory, spec.evict, spec.ttl);
         CacheBox {
             spec,
-            chance,
+            rng,
             up: true,
             fallen: false,
             started: None,
             done_work: 0.0,
             slowness: 1.0,
-            errs: 0.0,
-            held: Slab::new(),
+            extra_error_rate: 0.0,
+            requests: Slab::new(),
             waiting: VecDeque::new(),
-            fetched: VecDeque::new(),
-            slots: 0,
+            fetch_done: VecDeque::new(),
+            slots_in_use: 0,
             serving: BinaryHeap::new(),
-            given: 0.0,
-            at: Time::ZERO,
-            number: 0,
+            attained_work: 0.0,
+            updated_at: Time::ZERO,
+            last_sequence: 0,
             store,
             fetches: FxHashMap::default(),
             joinable: FxHashMap::default(),
             fetch_order: VecDeque::new(),
-            fetches_out: 0,
-            next_fetch: 0,
-            open: 0,
-            sent: VecDeque::new(),
-            sent_sum: 0.0,
+            fetches_in_flight: 0,
+            last_fetch_id: 0,
+            open_connections: 0,
+            offered_work: VecDeque::new(),
+            offered_work_sum: 0.0,
             report: Report::default(),
         }
     }
 
-    /// Puts a copy in its store that is good until then, as before a day begins.
+    /// Stores a copy of version 0 that expires at the given time; used to fill the cache before the simulation starts.
     pub fn fill(&mut self, key: KeyId, bytes: u64, expires: Time) {
         self.store.keep_until(key, 0, bytes, expires);
     }
 
-    /// The process ends: all that it held is lost, and nobody is told.
+    /// Ends the process: all requests, fetches, connections and copies are lost without any answer.
     pub fn stop(&mut self) {
         self.up = false;
-        self.held.clear();
+        self.requests.clear();
         self.waiting.clear();
-        self.fetched.clear();
+        self.fetch_done.clear();
         self.serving.clear();
-        self.slots = 0;
+        self.slots_in_use = 0;
         self.fetches.clear();
         self.joinable.clear();
         self.fetch_order.clear();
-        self.fetches_out = 0;
-        self.open = 0;
-        self.sent.clear();
-        self.sent_sum = 0.0;
+        self.fetches_in_flight = 0;
+        self.open_connections = 0;
+        self.offered_work.clear();
+        self.offered_work_sum = 0.0;
         self.store.clear();
         self.report = Report::default();
     }
 
-    /// The process starts, cold.
+    /// Starts the process with an empty store and at the beginning of its warm-up.
     pub fn start(&mut self, now: Time) {
         self.stop();
         self.up = true;
         self.fallen = false;
         self.started = Some(now);
         self.done_work = 0.0;
-        (self.given, self.at) = (0.0, now);
+        (self.attained_work, self.updated_at) = (0.0, now);
     }
 
-    /// An incident makes it so many times slower, or ends with the inverse.
+    /// Multiplies the slowdown by `factor`; an incident that ends passes the inverse.
     pub fn slow_by(&mut self, now: Time, factor: f64) {
         self.advance(now);
         self.slowness *= factor;
     }
 
-    /// An incident makes it fail so much more of what it is asked, or ends with the opposite.
+    /// Adds `share` to the error rate; an incident that ends passes the negative.
     pub fn errs_by(&mut self, share: f64) {
-        self.errs = (self.errs + share).max(0.0);
+        self.extra_error_rate = (self.extra_error_rate + share).max(0.0);
     }
 }
--- a/crates/simulation/src/cache_box/spec.rs
+++ b/crates/simulation/src/cache_box/spec.rs
@@ -1,113 +1,114 @@
-//! What a box is like.
+//! Fixed properties of a box.
 
 use serde::{Deserialize, Serialize};
 
 use crate::store::Evict;
 use crate::time::Span;
 
-/// By what a box that has started warms up.
+/// What determines the progress of a warm-up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum WarmBy {
-    /// Evenly over the ramp.
+    /// Linear in the time since the start, over the ramp.
     #[default]
     Time,
-    /// By the work it has done, and with the ramp's end at the latest.
+    /// Linear in the work done since the start, and complete at the end of the ramp at the latest.
     Work,
 }
 
-/// What a box is like.
+/// Fixed properties of a box.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BoxSpec {
-    /// Its name on the list.
+    /// Name of the box on the endpoint list.
     pub id: String,
-    /// Its machine kind.
+    /// Machine kind.
     pub kind: String,
-    /// Index of its depot.
+    /// Index of the depot.
     pub depot: usize,
-    /// The cell it is in.
+    /// Number of the cell.
     pub cell: u64,
-    /// Its registered size.
+    /// Size that the box is registered with.
     pub size: f64,
-    /// Its address; a box that replaces another may have that one's.
+    /// Address; a box that replaces another may take over the address.
     pub address: u32,
-    /// Its cores, and the work that one does in a second, in seconds of a standard core.
+    /// Number of cores.
     pub cores: f64,
-    /// Work a core does in a second.
+    /// Work that one core does per second, in seconds of a standard core.
     pub speed: f64,
-    /// Requests in service at once.
+    /// Slots: most requests in service at once.
     pub slots: u32,
-    /// Requests that may wait for a slot.
+    /// Most requests that wait for a slot.
     pub waiting: u32,
-    /// Requests held a core from which on it gets less efficient ...
+    /// Requests held per core above which efficiency drops.
     pub crowd_from: f64,
-    /// ... by this share for each one more a core.
+    /// Relative loss of efficiency for each request per core above `crowd_from`.
     pub crowd_loss: f64,
-    /// Open connections at most.
+    /// Most open connections.
     pub connections: u32,
-    /// What a new connection costs it.
+    /// Work to open a connection.
     pub connection_work: Span,
-    /// Share of its capacity that a full table of connections takes.
+    /// Share of the capacity that a full connection table costs.
     pub table_tax: f64,
-    /// It closes connections that are idle for so long.
+    /// Idle time after which the box closes a connection.
     pub idle_close: Span,
-    /// What a probe costs it.
+    /// Work to answer a probe.
     pub probe_work: Span,
-    /// Load reports are made so often ...
+    /// Interval between load reports.
     pub report_period: Span,
-    /// ... are told so late ...
+    /// Delay until a load report is visible.
     pub report_delay: Span,
-    /// ... and are off by about this share.
+    /// Relative standard deviation of the values of load reports.
     pub report_noise: f64,
-    /// Share of its capacity just after a start.
+    /// Share of the capacity that is available just after a start.
     pub cold_from: f64,
-    /// Warm after this long.
+    /// Length of the warm-up.
     pub ramp: Span,
-    /// By what it warms up.
+    /// What determines the progress of the warm-up.
     pub warm_by: WarmBy,
-    /// While cold: what it is allowed is this many times its capacity by then ... (0: it bears all)
+    /// Work allowed during the warm-up, as a multiple of the capacity available then; 0 for no limit.
     pub fall_multiple: f64,
-    /// ... within this long; beyond what [`bears`] makes of that, it falls over and stays down.
+    /// Window in which that work is counted; above the limit of [`bears`] for it, the box falls over and stays down.
     pub fall_for: Span,
-    /// Mean work of the day's requests, in which that is counted.
+    /// Mean work of a request in the scenario; the limit is counted in requests of this size.
     pub mean_work: Span,
-    /// Memory for copies, in bytes.
+    /// Memory for cached copies, in bytes.
     pub memory: u64,
-    /// Which copy goes first.
+    /// Eviction policy.
     pub evict: Evict,
-    /// How long a copy is good.
+    /// Time to live of a copy.
     pub ttl: Span,
-    /// Fetches out at once; more are turned away.
+    /// Most fetches in flight; misses beyond that are rejected.
     pub fetch_places: u32,
-    /// A fetch that takes longer has failed.
+    /// Time after which a fetch has failed.
     pub fetch_timeout: Span,
-    /// How often a failed fetch is made again.
+    /// Most retries of a failed fetch.
     pub fetch_retries: u32,
-    /// Misses of one key share a fetch.
+    /// Whether misses of the same key share a fetch.
     pub joins: bool,
-    /// A request keeps its slot while it waits for a fetch.
+    /// Whether a request keeps its slot while it waits for a fetch.
     pub miss_holds: bool,
-    /// A miss takes so much more work, as a share of the request's.
+    /// Extra work of a miss, as a share of the request's work.
     pub miss_extra: f64,
-    /// Cancelled requests that still wait are dropped.
+    /// Whether cancelled requests that still wait for a slot are dropped.
     pub drops_cancelled: bool,
-    /// Requests whose deadline has passed are turned away when their turn comes.
+    /// Whether requests past their deadline are rejected when they get a slot.
     pub drops_expired: bool,
-    /// Share of requests that end in an error.
+    /// Share of the requests that end in an error.
     pub error_rate: f64,
 }
 
-/// Work that a cold box bears in the time that the settings name, where they allow it so much: allowed N requests of
-/// mean work from all nodes together, it falls beyond N + 2 root N + 2 of them (N under 30: N + 3 root N + 3): only so much
-/// is put down to chance, however many nodes there are. All in the same unit of work.
+/// Most work that a box that warms up takes within `fall_for` without falling over, in the unit of the arguments.
+///
+/// With `allowed` work worth N requests of mean work from all nodes together, the limit is N + 2 √N + 2 requests, or
+/// N + 3 √N + 3 for N under 30. The margin covers random variation only and does not grow with the number of nodes.
 pub fn bears(allowed: f64, mean: f64) -> f64 {
-    let n = allowed / mean;
-    let beyond = if n < 30.0 { 3.0 } else { 2.0 };
-    (n + beyond * n.sqrt() + beyond) * mean
+    let requests = allowed / mean;
+    let margin = if requests < 30.0 { 3.0 } else { 2.0 };
+    (requests + margin * requests.sqrt() + margin) * mean
 }
 
 impl BoxSpec {
-    /// Work a second when warm, in seconds of a standard core.
+    /// Work per second when warm, in seconds of a standard core.
     pub fn capacity(&self) -> f64 {
         self.cores * self.speed
     }
--- a/crates/simulation/src/cache_box/views.rs
+++ b/crates/simulation/src/cache_box/views.rs
@@ -1,49 +1,49 @@
-//! What can be seen of a box.
+//! Read access to the state of a box.
 
 use super::*;
 
 impl CacheBox {
-    /// Its process runs.
+    /// Whether the process runs.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// It has fallen over.
+    /// Whether the box fell over under too much load.
     pub fn has_fallen(&self) -> bool {
         self.fallen
     }
 
-    /// When its process started, if that was within the day.
+    /// Start of the process; `None` if it started before the simulated time.
     pub fn started(&self) -> Option<Time> {
         self.started
     }
 
-    /// Requests that it holds.
+    /// Number of requests that were accepted and not answered.
     pub fn held(&self) -> usize {
-        self.held.len()
+        self.requests.len()
     }
 
-    /// Slots that are in use, or wanted by requests that it holds.
+    /// Slots in use, plus requests that wait for one.
     pub fn wanted_slots(&self) -> usize {
-        self.slots as usize + self.fetched.len() + self.waiting.len()
+        self.slots_in_use as usize + self.fetch_done.len() + self.waiting.len()
     }
 
-    /// It could call the planner for one more key now.
+    /// Whether the limit of fetches allows one more now.
     pub fn may_fetch(&self) -> bool {
-        self.fetches_out < self.spec.fetch_places
+        self.fetches_in_flight < self.spec.fetch_places
     }
 
-    /// A request for this key would join a call to the planner that is out.
+    /// Whether a request for this key would join a fetch in flight.
     pub fn fetches(&self, key: KeyId) -> bool {
         self.spec.joins && self.joinable.contains_key(&key)
     }
 
-    /// Copies that it keeps.
+    /// Number of cached copies.
     pub fn kept(&self) -> usize {
         self.store.len()
     }
 
-    /// Whether it has a good copy; the order of leaving stays.
+    /// Whether a valid copy of this version is cached; leaves the eviction order unchanged.
     pub fn keeps(&self, now: Time, key: KeyId, version: u64) -> bool {
         self.store.has(key, version, now)
     }
