--- a/crates/simulation/src/cache_box/fetches.rs
+++ b/crates/simulation/src/cache_box/fetches.rs
@@ -49,8 +49,8 @@
             // The cached copy has the version before the write.
             self.store.drop_copy(key);
         } else if version == planner.version(key) {
-            // Cached only if no write changed the key while the reply was on its way; otherwise only the waiting requests
-            // get this version.
+            // Cached only if no write changed the key while the reply was on its way; otherwise only the waiting
+            // requests get this version.
             self.store.keep(key, version, bytes(key), now);
         }
         self.release_fetch(id, &fetch);
--- a/crates/simulation/src/cache_box/service.rs
+++ b/crates/simulation/src/cache_box/service.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Looks up a request that got its first slot: serves a write or a hit, and lets a miss join or start a fetch. Expired
-    /// requests, and misses beyond the fetch limit, are rejected.
+    /// Looks up a request that got its first slot: serves a write or a hit, and lets a miss join or start a fetch.
+    /// Expired requests, and misses beyond the fetch limit, are rejected.
     pub(super) fn dispatch(&mut self, now: Time, index: usize, planner: &Planner, out: &mut Vec<BoxOut>) {
         let job = self.requests[index].job;
         if self.spec.drops_expired && now >= job.deadline {
--- a/crates/simulation/src/cache_box/speed.rs
+++ b/crates/simulation/src/cache_box/speed.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl CacheBox {
-    /// Slow-start factor by the time since the start alone, as the settings describe it: the share of the capacity, from
-    /// `cold_from` to 1 over the ramp.
+    /// Slow-start factor by the time since the start alone, as the settings describe it: the share of the capacity,
+    /// from `cold_from` to 1 over the ramp.
     pub(super) fn slow_start_factor_by_time(&self, now: Time) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let share = now.since(started).as_secs() / self.spec.ramp.as_secs().max(1e-6);
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they ask for and when, how long they wait, and whether they come again.
+//! Clients: their arrivals and requests, how long they wait, and whether they retry.
 
 use rustc_hash::FxHashMap;
 
@@ -9,117 +9,123 @@
 use crate::time::{Span, Time};
 use crate::trace::{AskId, Event, How, TryId};
 
-/// After so long a hasty client is back: a turn of its own loop.
-const HURRY: Span = Span(1000);
+/// Delay before a hasty client retries: one pass of its own event loop.
+const HASTY_RETRY_DELAY: Span = Span(1000);
 
-/// How a try ended for its client.
+/// How a try ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The node's final answer, with how long to stay away where it was a refusal.
+    /// The final answer of the node.
     Answer {
-        /// Which.
+        /// Outcome that the answer states.
         how: How,
-        /// Advice to stay away for so long.
+        /// Retry-after advice of a rejection.
         advice: Option<Span>,
     },
-    /// No node took it.
+    /// The try reached no node.
     Unreached,
-    /// The connection broke behind the request.
+    /// The connection broke after the request was sent.
     Reset,
-    /// Nothing came while the client waited.
+    /// No answer came while the client waited.
     Nothing,
 }
 
-/// What a client does next.
+/// An output of the clients, which the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Something to be recorded.
+    /// Record this event in the trace.
     Record(Event),
-    /// A try of this request is due.
+    /// Start a try of this request at this time.
     TryAt(Time, AskId),
 }
 
-/// A client's request.
+/// A request of a client, with all its tries.
 #[derive(Clone, Debug)]
-pub struct Asking {
-    /// Index of its class.
+pub struct ClientRequest {
+    /// Index of the class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant.
     pub tenant: Option<usize>,
-    /// Its key.
+    /// Requested key.
     pub key: KeyId,
-    /// Its work, in microseconds of a standard core.
+    /// Work, in microseconds of a standard core.
     pub work: f64,
-    /// The guess that it carries, in seconds.
+    /// The client's estimate of the work that the request carries, in seconds.
     pub hint: Option<f64>,
-    /// Its idempotency key, where its class has them.
+    /// Idempotency key, for classes that use one.
     pub effect: Option<u64>,
     node: NodeId,
+    /// Time of the request, from which its deadline counts.
     first: Time,
+    /// Tries started so far.
     tries: u32,
-    heeds: bool,
-    /// It is one of the hasty, if any are.
+    /// Whether the client honours retry-after advice.
+    honours_advice: bool,
+    /// How the client hurries; `None` for one that is not hasty.
     haste: Option<Haste>,
 }
 
-/// A try that is open.
+/// A try in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
-    /// The request that it belongs to.
+    /// Request that the try belongs to.
     pub ask: AskId,
-    /// Its node.
+    /// Node that the try is sent to.
     pub node: NodeId,
-    /// When its client stops waiting for it, counted from its first byte.
+    /// Time at which the client stops waiting for an answer; the wait counts from the first byte written.
     pub until: Time,
-    /// So long after its first byte its last one is written.
+    /// Time from the first byte written to the last.
     pub writing: Span,
-    /// Its client leaves before that, for good.
-    leaves: bool,
+    /// Whether the client abandons the try and the request before `until`.
+    abandons: bool,
 }
 
-/// A surge: times the usual rate, the share of all requests that goes to the keys, and those.
+/// A surge of traffic: the factor on the request rate, the share of requests that goes to the hot keys, and these keys.
 type Burst = (f64, f64, Vec<KeyId>);
 
-/// All clients of a day.
+/// All clients of a scenario.
 pub struct Clients {
     classes: Vec<crate::day::ClassSpec>,
     tenants: Vec<crate::day::TenantSpec>,
     spec: crate::day::ClientsSpec,
     length: Span,
-    chance: Chance,
-    attempts: Chance,
-    asks: FxHashMap<AskId, Asking>,
+    rng: Chance,
+    attempt_rng: Chance,
+    asks: FxHashMap<AskId, ClientRequest>,
     tries: FxHashMap<TryId, Try>,
-    next_ask: AskId,
-    next_try: TryId,
-    heavy: Vec<Vec<(f64, f64)>>,
+    last_ask: AskId,
+    last_try: TryId,
+    /// By class: shares of requests with more work, and the factor on the work.
+    heavy_work: Vec<Vec<(f64, f64)>>,
+    /// Surges that go on, by incident.
     bursts: Vec<(usize, Burst)>,
-    /// Each node's depot, and its part of the requests while traffic is as it is now.
+    /// Depot of each node.
     depots: Vec<usize>,
+    /// Present share of the requests that goes to each node.
     shares: Vec<f64>,
-    /// Share of tries left early, and how many times sooner clients come again, by incident.
+    /// By incident: share of tries that clients abandon, and the factor by which they shorten the backoff.
     impatient: Vec<(usize, f64, f64)>,
-    /// What makes clients hasty, by incident.
+    /// By incident: which clients are hasty, and how.
     hasty: Vec<(usize, Haste)>,
-    /// What makes clients write slowly, by incident.
+    /// By incident: which clients write slowly, and how slowly.
     slow_writers: Vec<(usize, SlowWriters)>,
 }
 
 impl Clients {
-    /// The clients of this day.
+    /// The clients of this scenario.
     pub fn new(day: &Day) -> Self {
         Clients {
             classes: day.classes.clone(),
             tenants: day.tenants.clone(),
             spec: day.clients.clone(),
             length: day.length,
-            chance: Chance::new(day.seed, "clients"),
-            attempts: Chance::new(day.seed, "attempts"),
+            rng: Chance::new(day.seed, "clients"),
+            attempt_rng: Chance::new(day.seed, "attempts"),
             asks: FxHashMap::default(),
             tries: FxHashMap::default(),
-            next_ask: 0,
-            next_try: 0,
-            heavy: vec![Vec::new(); day.classes.len()],
+            last_ask: 0,
+            last_try: 0,
+            heavy_work: vec![Vec::new(); day.classes.len()],
             bursts: Vec::new(),
             depots: day.nodes.clone(),
             shares: day.clients.node_shares.clone(),
@@ -129,111 +135,123 @@
         }
     }
 
-    /// Requests a second at this time.
+    /// Requests per second at this time.
     pub fn rate(&self, now: Time) -> f64 {
         let bursts: f64 = self.bursts.iter().map(|(_, (factor, ..))| factor).product();
-        let usual: f64 = self.spec.node_shares.iter().sum();
-        let shifted = self.shares.iter().sum::<f64>() / usual.max(f64::MIN_POSITIVE);
-        self.spec.rate * course(&self.spec.curve, now) * bursts * shifted
+        let base_shares: f64 = self.spec.node_shares.iter().sum();
+        let shift_factor = self.shares.iter().sum::<f64>() / base_shares.max(f64::MIN_POSITIVE);
+        self.spec.rate * interpolate(&self.spec.curve, now) * bursts * shift_factor
     }
 
-    /// When the next request comes; `None` once the day's are over.
+    /// Time of the next request; `None` if that is after the end of the scenario.
     pub fn next_arrival(&mut self, now: Time) -> Option<Time> {
-        let wait = self.chance.exponential(1.0 / self.rate(now).max(1e-9));
+        let wait = self.rng.exponential(1.0 / self.rate(now).max(1e-9));
         Some(now + Span::from_secs(wait.min(1e6))).filter(|at| *at < Time::ZERO + self.length)
     }
 
-    /// The node of one more client process.
-    pub fn draw_node(&self, chance: &mut Chance) -> NodeId {
-        pick(chance, self.spec.node_shares.iter().copied())
+    /// Draws the node that one more client process connects to.
+    pub fn draw_node(&self, rng: &mut Chance) -> NodeId {
+        weighted_index(rng, self.spec.node_shares.iter().copied())
     }
 
-    /// A client has something to ask.
+    /// Creates a request and starts its first try.
     pub fn arrival(&mut self, now: Time, keys: &Keys) -> Vec<Step> {
-        self.next_ask += 1;
-        let id = self.next_ask;
-        let class = pick(&mut self.chance, self.classes.iter().map(|c| c.share));
-        let tenant =
-            (!self.tenants.is_empty()).then(|| pick(&mut self.chance, self.tenants.iter().map(|t| t.usage)));
-        let node = pick(&mut self.chance, self.shares.iter().copied());
-        let mut key = keys.draw(&mut self.chance);
-        for (_, (_, share, hot)) in &self.bursts {
-            if !hot.is_empty() && self.chance.happens(*share) {
-                key = hot[self.chance.below(hot.len() as u64) as usize];
+        self.last_ask += 1;
+        let id = self.last_ask;
+        let class = weighted_index(&mut self.rng, self.classes.iter().map(|class| class.share));
+        let tenant = (!self.tenants.is_empty())
+            .then(|| weighted_index(&mut self.rng, self.tenants.iter().map(|tenant| tenant.usage)));
+        let node = weighted_index(&mut self.rng, self.shares.iter().copied());
+        let mut key = keys.draw(&mut self.rng);
+        for (_, (_, share, hot_keys)) in &self.bursts {
+            if !hot_keys.is_empty() && self.rng.happens(*share) {
+                key = hot_keys[self.rng.below(hot_keys.len() as u64) as usize];
             }
         }
-        let c = &self.classes[class];
-        let mut work = self.chance.spread(c.spread, c.work.0 as f64, c.cv);
-        for (share, factor) in &self.heavy[class] {
-            if self.chance.happens(*share) {
+        let class_spec = &self.classes[class];
+        let mut work = self.rng.spread(class_spec.spread, class_spec.work.0 as f64, class_spec.cv);
+        for (share, factor) in &self.heavy_work[class] {
+            if self.rng.happens(*share) {
                 work *= factor;
             }
         }
         let hint = self.spec.hint_noise.map(|noise| {
-            // Guesses are off by a factor, as likely up as down.
-            self.chance.spread(Spread::LogNormal, work, noise) / 1e6
+            // Estimates are off by a log-normal factor, which is as often above 1 as below.
+            self.rng.spread(Spread::LogNormal, work, noise) / 1e6
         });
-        let effect = (c.effect == Effect::Guarded).then_some(id);
-        let heeds = self.chance.happens(self.spec.honours);
-        // Nothing is drawn while none are: days without them stay as they were.
-        let haste = self.hasty.iter().map(|(_, haste)| *haste).find(|h| self.chance.happens(h.share));
-        let asking =
-            Asking { class, tenant, key, work, hint, effect, node, first: now, tries: 0, heeds, haste };
-        self.asks.insert(id, asking);
+        let effect = (class_spec.effect == Effect::Guarded).then_some(id);
+        let honours_advice = self.rng.happens(self.spec.honours);
+        // Without hasty clients no random number is drawn, so that scenarios without them give unchanged results.
+        let haste = self.hasty.iter().map(|(_, haste)| *haste).find(|haste| self.rng.happens(haste.share));
+        let request = ClientRequest {
+            class,
+            tenant,
+            key,
+            work,
+            hint,
+            effect,
+            node,
+            first: now,
+            tries: 0,
+            honours_advice,
+            haste,
+        };
+        self.asks.insert(id, request);
         vec![Step::Record(Event::Asked { ask: id, class, tenant, key, work }), Step::TryAt(now, id)]
     }
 
-    /// A try sets out, to one of the nodes that are open; says when its client's patience with it ends.
+    /// Starts a try at one of the open nodes; returns its id and the time at which the client stops waiting or abandons
+    /// it.
     pub fn next_try(&mut self, now: Time, ask: AskId, open: &[bool]) -> Option<(TryId, Time)> {
-        let asking = self.asks.get_mut(&ask)?;
-        let class = &self.classes[asking.class];
+        let request = self.asks.get_mut(&ask)?;
+        let class = &self.classes[request.class];
         let node = match self.spec.entry {
-            Entry::Own => asking.node,
+            Entry::Own => request.node,
             Entry::Front => {
                 let shares = self.shares.iter().zip(open);
-                pick(&mut self.chance, shares.map(|(share, open)| if *open { *share } else { 0.0 }))
+                weighted_index(&mut self.rng, shares.map(|(share, open)| if *open { *share } else { 0.0 }))
             }
         };
-        asking.tries += 1;
-        let rest = (asking.first + class.deadline).since(now);
-        let gives = class.deadline * self.spec.try_share;
-        let wait = asking.haste.map_or(gives, |haste| haste.gives.min(gives)).min(rest);
-        let stays: f64 = self.impatient.iter().map(|(_, share, _)| 1.0 - share).product();
-        let leaves = self.chance.happens(1.0 - (1.0 - self.spec.abandons) * stays);
+        request.tries += 1;
+        let time_left = (request.first + class.deadline).since(now);
+        let patience = class.deadline * self.spec.try_share;
+        let wait = request.haste.map_or(patience, |haste| haste.gives.min(patience)).min(time_left);
+        let stay_probability: f64 = self.impatient.iter().map(|(_, share, _)| 1.0 - share).product();
+        let abandons = self.rng.happens(1.0 - (1.0 - self.spec.abandons) * stay_probability);
         let until = now + wait;
-        let over = if leaves { now + wait * self.chance.unit() } else { until };
+        let ends_at = if abandons { now + wait * self.rng.unit() } else { until };
         let writing = self.draw_writing();
-        self.next_try += 1;
-        self.tries.insert(self.next_try, Try { ask, node, until, writing, leaves });
-        Some((self.next_try, over))
+        self.last_try += 1;
+        self.tries.insert(self.last_try, Try { ask, node, until, writing, abandons });
+        Some((self.last_try, ends_at))
     }
 
-    /// How long one more command takes to be written. Nothing is drawn while all clients write at once: days without
-    /// slow ones stay as they were.
+    /// Draws how long a command takes to be written. Without slow writers no random number is drawn, so that scenarios
+    /// without them give unchanged results.
     fn draw_writing(&mut self) -> Span {
-        let slow = self.slow_writers.iter().map(|(_, slow)| *slow).find(|s| self.chance.happens(s.share));
-        slow.map_or(Span::ZERO, |slow| slow.up_to * self.chance.unit())
+        let slow = self.slow_writers.iter().map(|(_, slow)| *slow).find(|slow| self.rng.happens(slow.share));
+        slow.map_or(Span::ZERO, |slow| slow.up_to * self.rng.unit())
     }
 
-    /// A try that its client waits for.
+    /// A try in flight, by its id.
     pub fn open_try(&self, id: TryId) -> Option<&Try> {
         self.tries.get(&id)
     }
 
-    /// A request that its client has not done with.
-    pub fn ask(&self, ask: AskId) -> Option<&Asking> {
+    /// A request that is neither answered nor given up, by its id.
+    pub fn ask(&self, ask: AskId) -> Option<&ClientRequest> {
         self.asks.get(&ask)
     }
 
-    /// A try has ended for its client, who may come again.
+    /// Ends a try: records success, schedules a retry, or gives the request up.
     pub fn reply(&mut self, now: Time, id: TryId, reply: Reply) -> Vec<Step> {
-        let Some(Try { ask, leaves, .. }) = self.tries.remove(&id) else { return Vec::new() };
+        let Some(Try { ask, abandons, .. }) = self.tries.remove(&id) else { return Vec::new() };
         if matches!(reply, Reply::Answer { how: How::Completed, .. }) {
             self.asks.remove(&ask);
             return vec![Step::Record(Event::Received { ask, id })];
         }
-        let again = if leaves { None } else { self.again(now, ask, reply) };
-        match again {
+        let retry_at = if abandons { None } else { self.retry_time(now, ask, reply) };
+        match retry_at {
             Some(at) => vec![Step::TryAt(at, ask)],
             None => {
                 self.asks.remove(&ask);
@@ -242,97 +260,99 @@
         }
     }
 
-    /// When the client tries again, if it may and has the time.
-    fn again(&mut self, now: Time, ask: AskId, reply: Reply) -> Option<Time> {
-        let asking = self.asks.get(&ask)?;
-        let class = &self.classes[asking.class];
-        if asking.tries > asking.haste.map_or(self.spec.retries, |haste| haste.again) {
+    /// Time of the next try, if the class allows a retry and the deadline leaves time for it. The backoff is
+    /// exponential with jitter, and at least the retry-after advice, up to `most_advice`, for clients that honour it.
+    /// Hasty clients retry after a short fixed delay instead.
+    fn retry_time(&mut self, now: Time, ask: AskId, reply: Reply) -> Option<Time> {
+        let request = self.asks.get(&ask)?;
+        let class = &self.classes[request.class];
+        if request.tries > request.haste.map_or(self.spec.retries, |haste| haste.again) {
             return None;
         }
-        let harmless = matches!(reply, Reply::Answer { how: How::Rejected, .. } | Reply::Unreached);
+        let not_executed = matches!(reply, Reply::Answer { how: How::Rejected, .. } | Reply::Unreached);
         let hurry: f64 = self.impatient.iter().map(|(.., hurry)| hurry).product();
-        let base = self.spec.backoff * hurry.recip() * f64::from(1u32 << (asking.tries - 1).min(16));
-        let mut wait = base * self.chance.between(0.5, 1.5);
-        match (asking.haste, reply) {
-            (Some(_), _) => wait = HURRY,
-            (None, Reply::Answer { advice: Some(advice), .. }) if asking.heeds => {
+        let base_backoff = self.spec.backoff * hurry.recip() * f64::from(1u32 << (request.tries - 1).min(16));
+        let mut wait = base_backoff * self.rng.between(0.5, 1.5);
+        match (request.haste, reply) {
+            (Some(_), _) => wait = HASTY_RETRY_DELAY,
+            (None, Reply::Answer { advice: Some(advice), .. }) if request.honours_advice => {
                 wait = wait.max(advice.min(self.spec.most_advice));
             }
             _ => {}
         }
         let at = now + wait;
-        let may = match class.effect {
+        let may_retry = match class.effect {
             Effect::Free => true,
-            Effect::Guarded => harmless || at < asking.first + class.window,
-            Effect::SingleShot => harmless,
+            Effect::Guarded => not_executed || at < request.first + class.window,
+            Effect::SingleShot => not_executed,
         };
-        (may && at < asking.first + class.deadline).then_some(at)
+        (may_retry && at < request.first + class.deadline).then_some(at)
     }
 
-    /// What an attempt's work is, as a factor of its request's.
+    /// Draws the work of an attempt, as a factor on the work of its request.
     pub fn attempt_factor(&mut self) -> f64 {
-        self.attempts.spread(Spread::LogNormal, 1.0, self.spec.attempt_noise)
+        self.attempt_rng.spread(Spread::LogNormal, 1.0, self.spec.attempt_noise)
     }
 
-    /// Part of a class becomes heavy; or the last such thing ends.
+    /// Makes a share of the requests of a class heavier by a factor; `None` ends the latest such change of the class.
     pub fn heavy(&mut self, class: usize, begins: Option<(f64, f64)>) {
         match begins {
-            Some(heavy) => self.heavy[class].push(heavy),
-            None => drop(self.heavy[class].pop()),
+            Some(heavy) => self.heavy_work[class].push(heavy),
+            None => drop(self.heavy_work[class].pop()),
         }
     }
 
-    /// The nodes of a depot are sent so many times the requests, or that ends with the inverse.
+    /// Multiplies the traffic to the nodes of a depot; an incident that ends passes the inverse.
     pub fn shift(&mut self, depot: usize, factor: f64) {
-        let there = self.depots.iter().zip(&mut self.shares).filter(|(at, _)| **at == depot);
-        there.for_each(|(_, share)| *share *= factor);
+        let depot_shares = self.depots.iter().zip(&mut self.shares).filter(|(at, _)| **at == depot);
+        depot_shares.for_each(|(_, share)| *share *= factor);
     }
 
-    /// Clients lose their patience, under a number, or have it back.
+    /// Begins (`Some`) or ends (`None`) the impatience of clients in the incident with this number.
     pub fn impatient(&mut self, number: usize, begins: Option<(f64, f64)>) {
         self.impatient.retain(|(n, ..)| *n != number);
         self.impatient.extend(begins.map(|(share, hurry)| (number, share, hurry)));
     }
 
-    /// Clients become hasty, under a number, or those that come are no more.
+    /// Begins or ends the incident with this number, in which some new requests are hasty.
     pub fn hasty(&mut self, number: usize, begins: Option<Haste>) {
         self.hasty.retain(|(n, _)| *n != number);
         self.hasty.extend(begins.map(|haste| (number, haste)));
     }
 
-    /// Clients write slowly, under a number, or at once again.
+    /// Begins or ends the incident with this number, in which some clients write slowly.
     pub fn slow_writers(&mut self, number: usize, begins: Option<SlowWriters>) {
         self.slow_writers.retain(|(n, _)| *n != number);
         self.slow_writers.extend(begins.map(|slow| (number, slow)));
     }
 
-    /// A surge begins, under a number, or ends.
+    /// Begins or ends the surge with this incident number.
     pub fn burst(&mut self, number: usize, begins: Option<Burst>) {
         self.bursts.retain(|(n, _)| *n != number);
         self.bursts.extend(begins.map(|burst| (number, burst)));
     }
 }
 
-/// The course's value at a time: even between its points, and flat beyond them.
-fn course(curve: &[(Time, f64)], now: Time) -> f64 {
-    let after = curve.partition_point(|(at, _)| *at <= now);
-    match (after.checked_sub(1).map(|i| curve[i]), curve.get(after)) {
+/// Value of a curve at a time: linear between its points, and flat beyond them.
+fn interpolate(curve: &[(Time, f64)], now: Time) -> f64 {
+    let next = curve.partition_point(|(at, _)| *at <= now);
+    match (next.checked_sub(1).map(|i| curve[i]), curve.get(next)) {
         (None, None) => 1.0,
         (Some((_, value)), None) | (None, Some(&(_, value))) => value,
-        (Some((from, a)), Some(&(to, b))) => {
-            a + (b - a) * now.since(from).as_secs() / to.since(from).as_secs().max(1e-9)
+        (Some((from, start)), Some(&(to, end))) => {
+            start + (end - start) * now.since(from).as_secs() / to.since(from).as_secs().max(1e-9)
         }
     }
 }
 
-/// An index by weight; 0 where no weight is above 0.
-fn pick(chance: &mut Chance, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut left = chance.unit() * weights.clone().sum::<f64>();
+/// Draws an index with probability in proportion to its weight; 0 if no weight is positive.
+fn weighted_index(rng: &mut Chance, weights: impl Iterator<Item = f64> + Clone) -> usize {
+    let mut remaining = rng.unit() * weights.clone().sum::<f64>();
     let mut last = 0;
     for (index, weight) in weights.enumerate().filter(|(_, weight)| *weight > 0.0) {
         last = index;
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             break;
         }
     }
@@ -344,19 +364,19 @@
     use super::*;
 
     #[test]
-    fn a_course_is_even_between_its_points_and_flat_beyond() {
+    fn a_curve_is_linear_between_its_points_and_flat_beyond() {
         let curve = [(Time(10), 1.0), (Time(20), 3.0)];
-        let at = |us| course(&curve, Time(us));
+        let at = |us| interpolate(&curve, Time(us));
         assert_eq!((at(0), at(10), at(15), at(20), at(99)), (1.0, 1.0, 2.0, 3.0, 3.0));
-        assert_eq!(course(&[], Time(5)), 1.0);
+        assert_eq!(interpolate(&[], Time(5)), 1.0);
     }
 
     #[test]
-    fn picks_follow_the_weights_and_never_what_has_none() {
-        let mut chance = Chance::new(1, "pick");
+    fn weighted_index_follows_the_weights_and_skips_zero_weights() {
+        let mut rng = Chance::new(1, "pick");
         let mut counts = [0; 4];
         for _ in 0..10_000 {
-            counts[pick(&mut chance, [0.0, 1.0, 3.0, 0.0].into_iter())] += 1;
+            counts[weighted_index(&mut rng, [0.0, 1.0, 3.0, 0.0].into_iter())] += 1;
         }
         assert_eq!((counts[0], counts[3]), (0, 0));
         assert!((2300..2700).contains(&counts[1]), "{counts:?}");
--- a/crates/simulation/src/keys.rs
+++ b/crates/simulation/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys that clients ask for: how popular each is, how that drifts, and how long their values are.
+//! The keys that clients request: popularity by a Zipf-Mandelbrot law, its drift, and the sizes of the values.
 
 use hallpin_balancer::Key;
 use rand_distr::weighted::{Error, WeightedAliasIndex};
@@ -8,17 +8,20 @@
 use crate::day::KeysSpec;
 use crate::store::KeyId;
 
-/// All keys of a day.
+/// All keys of a scenario.
 pub struct Keys {
     spec: KeysSpec,
+    /// Samples a rank by its popularity.
     by_rank: WeightedAliasIndex<f64>,
-    /// The key at each rank of popularity.
-    ranks: Vec<KeyId>,
+    /// The key at each rank of popularity, the most popular first.
+    keys_by_rank: Vec<KeyId>,
+    /// Size of the value of each key, in bytes.
     bytes: Vec<u32>,
-    /// What a node makes of each key's name.
+    /// Hash of each key's name, as a node computes it.
     hashed: Vec<Key>,
-    chance: Chance,
-    drifted: f64,
+    rng: Chance,
+    /// Swaps of ranks that are due, with a fraction carried over between seconds.
+    pending_swaps: f64,
 }
 
 /// The name of a key on the wire.
@@ -27,53 +30,53 @@
 }
 
 impl Keys {
-    /// The keys of a day.
+    /// Draws the popularity and the value sizes of all keys.
     ///
     /// # Errors
-    /// Where the popularity can be no distribution, as with no keys at all.
+    /// If the weights form no distribution, as without any keys.
     pub fn new(spec: KeysSpec, seed: u64) -> Result<Self, Error> {
-        let mut chance = Chance::new(seed, "keys");
+        let mut rng = Chance::new(seed, "keys");
         let weight = |rank: u32| libm::pow(f64::from(rank) + 1.0 + spec.offset, -spec.zipf);
         let by_rank = WeightedAliasIndex::new((0..spec.count).map(weight).collect())?;
         let bytes = (0..spec.count)
-            .map(|_| chance.spread(Spread::LogNormal, spec.bytes, spec.bytes_cv).max(1.0) as u32)
+            .map(|_| rng.spread(Spread::LogNormal, spec.bytes, spec.bytes_cv).max(1.0) as u32)
             .collect();
         let hashed = (0..spec.count).map(|key| hallpin_protocol::key_of(&name(key))).collect();
-        let mut ranks: Vec<KeyId> = (0..spec.count).collect();
-        for at in (1..ranks.len()).rev() {
-            ranks.swap(at, chance.below(at as u64 + 1) as usize);
+        let mut keys_by_rank: Vec<KeyId> = (0..spec.count).collect();
+        for rank in (1..keys_by_rank.len()).rev() {
+            keys_by_rank.swap(rank, rng.below(rank as u64 + 1) as usize);
         }
-        Ok(Keys { spec, by_rank, ranks, bytes, hashed, chance, drifted: 0.0 })
+        Ok(Keys { spec, by_rank, keys_by_rank, bytes, hashed, rng, pending_swaps: 0.0 })
     }
 
-    /// A key by its popularity.
-    pub fn draw(&self, chance: &mut Chance) -> KeyId {
-        self.ranks[self.by_rank.sample(chance.source())]
+    /// Draws a key by popularity.
+    pub fn draw(&self, rng: &mut Chance) -> KeyId {
+        self.keys_by_rank[self.by_rank.sample(rng.source())]
     }
 
-    /// The value's length.
+    /// Size of the value of a key, in bytes.
     pub fn bytes(&self, key: KeyId) -> u64 {
         u64::from(self.bytes[key as usize])
     }
 
-    /// The key as a node sees it.
+    /// The key as a node sees it, by its hash.
     pub fn hashed(&self, key: KeyId) -> Key {
         self.hashed[key as usize]
     }
 
-    /// The most popular keys now.
-    pub fn top(&self, many: usize) -> Vec<KeyId> {
-        self.ranks.iter().take(many).copied().collect()
+    /// The `count` most popular keys now.
+    pub fn top(&self, count: usize) -> Vec<KeyId> {
+        self.keys_by_rank.iter().take(count).copied().collect()
     }
 
-    /// A second passes: some ranks, popular ones as likely as others, go to other keys.
+    /// Applies one second of drift: swaps the keys of random pairs of ranks, all ranks with equal probability.
     pub fn drift(&mut self) {
-        let (many, count) = (self.ranks.len() as f64, self.ranks.len() as u64);
-        self.drifted += self.spec.drift * many;
-        while self.drifted >= 1.0 {
-            self.drifted -= 1.0;
-            let (a, b) = (self.chance.below(count) as usize, self.chance.below(count) as usize);
-            self.ranks.swap(a, b);
+        let (key_count, bound) = (self.keys_by_rank.len() as f64, self.keys_by_rank.len() as u64);
+        self.pending_swaps += self.spec.drift * key_count;
+        while self.pending_swaps >= 1.0 {
+            self.pending_swaps -= 1.0;
+            let (a, b) = (self.rng.below(bound) as usize, self.rng.below(bound) as usize);
+            self.keys_by_rank.swap(a, b);
         }
     }
 }
@@ -96,12 +99,12 @@
 
     #[test]
     fn popular_keys_are_drawn_more_often_and_drift_moves_them() {
-        let (mut keys, mut chance) = (Keys::new(spec(), 3).unwrap(), Chance::new(3, "t"));
+        let (mut keys, mut rng) = (Keys::new(spec(), 3).unwrap(), Chance::new(3, "t"));
         let first = keys.top(1)[0];
-        let hits = (0..100_000).filter(|_| keys.draw(&mut chance) == first).count() as f64;
+        let hits = (0..100_000).filter(|_| keys.draw(&mut rng) == first).count() as f64;
         let norm: f64 = (0..1000).map(|rank| 1.0 / (f64::from(rank) + 5.0)).sum();
-        let want = 100_000.0 / 5.0 / norm;
-        assert!((hits / want - 1.0).abs() < 0.1, "{hits} against {want}");
+        let expected = 100_000.0 / 5.0 / norm;
+        assert!((hits / expected - 1.0).abs() < 0.1, "{hits} hits, expected {expected}");
         let before = keys.top(1000);
         keys.drift();
         let moved = keys.top(1000).iter().zip(&before).filter(|(a, b)| a != b).count();
--- a/crates/simulation/src/list.rs
+++ b/crates/simulation/src/list.rs
@@ -1,64 +1,65 @@
-//! The list of boxes as discovery has it: numbered revisions, and what changed since any of them.
+//! The endpoint list of service discovery: numbered revisions, and the changes since any of them.
 
 use std::collections::BTreeMap;
 
 use crate::time::Time;
 
-/// Index of a box in the day.
+/// Index of a box in the scenario.
 pub type BoxId = usize;
 
-/// What the list says of a box.
+/// State of a box on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Takes requests.
+    /// Accepts new requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// Is off the list; told among changes only.
+    /// Removed from the list; appears only among changes.
     Gone,
 }
 
-/// One box on the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listing {
     /// The box.
     pub cache_box: BoxId,
-    /// What the list says of it.
+    /// State of the box.
     pub phase: Phase,
-    /// When its process started, if that was within the day.
+    /// Start of the process; `None` if it started before the simulated time.
     pub started: Option<Time>,
 }
 
-/// What a node is told.
+/// A watch event: what discovery sends to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct News {
-    /// The revision that it brings a node to.
+    /// Revision of the list after this event.
     pub revision: u64,
-    /// The whole list; otherwise the entries that changed.
+    /// Whether `listings` is the complete list; otherwise it has only the entries that changed.
     pub complete: bool,
-    /// The entries.
+    /// Complete list or changed entries, as `complete` says.
     pub listings: Vec<Listing>,
 }
 
-/// Discovery's list.
+/// The endpoint list with its history.
 #[derive(Clone, Debug, Default)]
 pub struct List {
+    /// Latest entry of each box that was ever listed, by its index.
     listings: Vec<Option<Listing>>,
-    /// What each revision from 1 on brought.
+    /// The entry that each revision changed, from revision 1 on.
     changes: Vec<Listing>,
 }
 
-/// A node that is so many revisions behind is sent the whole list.
-const FAR_BEHIND: usize = 256;
+/// Most revisions sent as changes; a node that is further behind gets the complete list.
+const MAX_CHANGES: usize = 256;
 
 impl List {
-    /// The list's revision; 0 while it is empty.
+    /// Current revision of the list; 0 before the first entry.
     pub fn revision(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// Enters what is known of a box; returns the new revision, or `None` where nothing changes.
+    /// Sets the entry of a box; returns the new revision, or `None` if nothing changes.
     pub fn set(&mut self, listing: Listing) -> Option<u64> {
         if self.listings.len() <= listing.cache_box {
             self.listings.resize(listing.cache_box + 1, None);
@@ -72,37 +73,39 @@
         Some(self.revision())
     }
 
-    /// The whole list.
+    /// The complete list.
     pub fn whole(&self) -> News {
-        let listed = self.listings.iter().flatten().filter(|l| l.phase != Phase::Gone);
+        let listed = self.listings.iter().flatten().filter(|listing| listing.phase != Phase::Gone);
         News { revision: self.revision(), complete: true, listings: listed.copied().collect() }
     }
 
     /// The list as it was at an earlier revision.
     pub fn until(&self, revision: u64) -> List {
         let mut list = List::default();
-        let until = usize::try_from(revision).unwrap_or(usize::MAX).min(self.changes.len());
-        self.changes[..until].iter().for_each(|l| {
-            list.set(*l);
+        let change_count = usize::try_from(revision).unwrap_or(usize::MAX).min(self.changes.len());
+        self.changes[..change_count].iter().for_each(|listing| {
+            list.set(*listing);
         });
         list
     }
 
-    /// What changed since a revision, each box once and as it is now; the whole list for one that is far behind, or
-    /// ahead of it, as after a restart of discovery.
+    /// The changes since a revision, with each box once in its latest state. The complete list for a revision that is
+    /// far behind, or ahead, as after a restart of discovery.
     pub fn since(&self, revision: u64) -> News {
         self.between(revision, self.revision())
     }
 
-    /// As [`List::since`], for one that is told what the list was at an earlier revision.
+    /// Like [`List::since`], for the list as it was at revision `until`. Where the complete list is due, that is the
+    /// current one.
     pub fn between(&self, revision: u64, until: u64) -> News {
         let until = until.min(self.revision());
-        let place = |revision| usize::try_from(revision).ok();
-        let missed = place(revision).zip(place(until)).and_then(|(from, to)| self.changes.get(from..to));
-        let Some(missed) = missed.filter(|missed| missed.len() <= FAR_BEHIND) else { return self.whole() };
-        // Each box once, and as it was last.
-        let last: BTreeMap<BoxId, Listing> = missed.iter().map(|l| (l.cache_box, *l)).collect();
-        News { revision: until, complete: false, listings: last.into_values().collect() }
+        let index = |revision| usize::try_from(revision).ok();
+        let missed = index(revision).zip(index(until)).and_then(|(from, to)| self.changes.get(from..to));
+        let Some(missed) = missed.filter(|missed| missed.len() <= MAX_CHANGES) else { return self.whole() };
+        // Later changes of a box replace earlier ones.
+        let latest: BTreeMap<BoxId, Listing> =
+            missed.iter().map(|listing| (listing.cache_box, *listing)).collect();
+        News { revision: until, complete: false, listings: latest.into_values().collect() }
     }
 }
 
@@ -115,28 +118,28 @@
     }
 
     #[test]
-    fn changes_since_a_revision_are_told_once_each_as_they_are_now() {
+    fn an_update_has_each_changed_box_once_in_its_latest_state() {
         let mut list = List::default();
-        assert_eq!(list.set(entry(0, Phase::Gone)), None, "what was never listed cannot leave");
+        assert_eq!(list.set(entry(0, Phase::Gone)), None, "a box that was never listed cannot be removed");
         assert_eq!(list.set(entry(0, Phase::Ready)), Some(1));
         assert_eq!(list.set(entry(2, Phase::Ready)), Some(2));
         assert_eq!(list.set(entry(2, Phase::Ready)), None);
         list.set(entry(0, Phase::Draining));
         list.set(entry(0, Phase::Gone));
-        let news = list.since(2);
-        assert_eq!(news, News { revision: 4, complete: false, listings: vec![entry(0, Phase::Gone)] });
+        let update = list.since(2);
+        assert_eq!(update, News { revision: 4, complete: false, listings: vec![entry(0, Phase::Gone)] });
         assert_eq!(list.since(4).listings, []);
         assert_eq!(list.whole().listings, [entry(2, Phase::Ready)]);
-        assert!(list.since(5).complete, "a node that is ahead holds another list");
-        let late = News { revision: 3, complete: false, listings: vec![entry(0, Phase::Draining)] };
-        assert_eq!(list.between(2, 3), late, "as it was then");
+        assert!(list.since(5).complete, "a node that is ahead has a different list");
+        let earlier = News { revision: 3, complete: false, listings: vec![entry(0, Phase::Draining)] };
+        assert_eq!(list.between(2, 3), earlier, "as the list was at revision 3");
         assert_eq!((list.until(3).revision(), list.until(3).whole().listings.len()), (3, 2));
     }
 
     #[test]
-    fn a_node_far_behind_is_sent_the_whole_list() {
+    fn a_node_far_behind_gets_the_complete_list() {
         let mut list = List::default();
-        for n in 0..=FAR_BEHIND {
+        for n in 0..=MAX_CHANGES {
             list.set(entry(0, if n % 2 == 0 { Phase::Ready } else { Phase::Draining }));
         }
         assert!(list.since(0).complete && !list.since(1).complete);
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -1,110 +1,117 @@
-//! The planner and who asked it: ids of its own for calls of all boxes, and each answer for the right life of a box.
+//! The planner with the callers of its calls: gives the calls of all boxes ids of its own, and addresses each answer to
+//! the incarnation of the box that made the call.
 //!
-//! Whoever moves the events carries out what is told here: in virtual time, or by the clock.
+//! The caller of this module carries out its outputs, in virtual time or by the wall clock.
 
 use rustc_hash::FxHashMap;
 
 use crate::list::BoxId;
-use crate::planner::{Ask, Planner, Told};
+use crate::planner::{Ask, Planner, PlannerNotification};
 use crate::time::{Span, Time};
 use crate::trace::Event;
 
-/// What comes of an event at the planner.
+/// An output of the planner, which the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OriginOut {
-    /// For the trace.
+    /// An event for the trace.
     Record(Event),
-    /// An answer leaves for a box, if that is still in the same life: the box's own id, and the key's version or
-    /// `None` for a failure.
+    /// Deliver an answer to a box, if that is still the same incarnation.
     Answer {
-        /// The box that asked.
+        /// The box that made the call.
         to: BoxId,
-        /// Its life when it asked.
+        /// Incarnation of the box when it made the call.
         life: u32,
-        /// Its own id of the call.
+        /// Id that the box gave the call.
         id: u64,
-        /// The key's version, or `None` where the call failed.
+        /// Version of the key, or `None` if the call failed.
         version: Option<u64>,
     },
-    /// It wants to be woken then; an earlier wish is void.
+    /// Call [`Origin::wake`] at this time. It replaces an earlier request.
     WakeAt(Time),
 }
 
-/// The planner, with the calls that are out at it.
+/// The planner, with the callers of the calls in flight.
 pub struct Origin {
     planner: Planner,
-    wakes: Option<Time>,
-    /// Who asked, by the planner's ids: the box, its life, and the box's own id.
-    askers: FxHashMap<u64, (BoxId, u32, u64)>,
-    asked: u64,
-    told: Vec<Told>,
+    scheduled_wake: Option<Time>,
+    /// Callers by the planner's call ids: the box, its incarnation, and the box's own call id.
+    callers: FxHashMap<u64, (BoxId, u32, u64)>,
+    last_call_id: u64,
+    notifications: Vec<PlannerNotification>,
 }
 
 impl Origin {
-    /// With nothing asked yet.
+    /// A planner without any calls in flight.
     pub fn new(planner: Planner) -> Self {
-        Origin { planner, wakes: None, askers: FxHashMap::default(), asked: 0, told: Vec::new() }
+        Origin {
+            planner,
+            scheduled_wake: None,
+            callers: FxHashMap::default(),
+            last_call_id: 0,
+            notifications: Vec::new(),
+        }
     }
 
-    /// The planner itself.
+    /// Read access to the planner.
     pub fn planner(&self) -> &Planner {
         &self.planner
     }
 
-    /// The planner itself, for what makes it tell nothing.
+    /// Write access to the planner, for calls that cause no notifications.
     pub fn planner_mut(&mut self) -> &mut Planner {
         &mut self.planner
     }
 
-    /// A call comes in from a box.
+    /// Handles a call from a box; `cold` if the box is warming up.
     pub fn ask(&mut self, now: Time, by: BoxId, life: u32, ask: Ask, cold: bool, out: &mut Vec<OriginOut>) {
         out.push(OriginOut::Record(Event::PlannerAsked { by, write: ask.write.is_some(), cold }));
-        self.asked += 1;
-        let id = self.asked;
+        self.last_call_id += 1;
+        let id = self.last_call_id;
         if !self.planner.is_down() {
-            self.askers.insert(id, (by, life, ask.id));
+            self.callers.insert(id, (by, life, ask.id));
         }
-        self.planner.ask(now, Ask { id, ..ask }, &mut self.told);
-        self.tell(now, out);
+        self.planner.ask(now, Ask { id, ..ask }, &mut self.notifications);
+        self.forward_notifications(now, out);
     }
 
-    /// The time that it asked to be woken at has come; one that it has moved since does nothing.
+    /// Handles the wake-up scheduled for `at`; does nothing if it was rescheduled since.
     pub fn wake(&mut self, now: Time, at: Time, out: &mut Vec<OriginOut>) {
-        if self.wakes == Some(at) {
-            self.wakes = None;
-            self.planner.wake(now, &mut self.told);
-            self.tell(now, out);
+        if self.scheduled_wake == Some(at) {
+            self.scheduled_wake = None;
+            self.planner.wake(now, &mut self.notifications);
+            self.forward_notifications(now, out);
         }
     }
 
-    /// An incident silences it, or ends.
+    /// Begins or ends an incident in which the planner does not answer.
     pub fn silence(&mut self, now: Time, silent: bool, out: &mut Vec<OriginOut>) {
-        self.planner.silence(now, silent, &mut self.told);
-        self.tell(now, out);
+        self.planner.silence(now, silent, &mut self.notifications);
+        self.forward_notifications(now, out);
     }
 
-    fn tell(&mut self, now: Time, out: &mut Vec<OriginOut>) {
-        for told in self.told.drain(..) {
-            match told {
-                Told::Done { id, key, version, wrote } => {
+    /// Turns the planner's notifications into outputs, and schedules the next wake-up.
+    fn forward_notifications(&mut self, now: Time, out: &mut Vec<OriginOut>) {
+        for notification in self.notifications.drain(..) {
+            match notification {
+                PlannerNotification::Done { id, key, version, wrote } => {
                     if let Some(version) = version.filter(|_| wrote) {
                         out.push(OriginOut::Record(Event::Written { key, version }));
                     }
-                    if let Some((to, life, id)) = self.askers.remove(&id) {
+                    if let Some((to, life, id)) = self.callers.remove(&id) {
                         out.push(OriginOut::Answer { to, life, id, version });
                     }
                 }
-                Told::Stopped => {
-                    self.askers.clear();
+                PlannerNotification::Stopped => {
+                    self.callers.clear();
                     let overdriven = self.planner.is_overdriven();
                     out.push(OriginOut::Record(Event::PlannerStopped { overdriven }));
                 }
-                Told::Resumed => out.push(OriginOut::Record(Event::PlannerResumed)),
+                PlannerNotification::Resumed => out.push(OriginOut::Record(Event::PlannerResumed)),
             }
         }
         if let Some(wake) = self.planner.wakes().map(|at| at.max(now + Span(1))) {
-            if self.wakes.is_none_or(|scheduled| wake < scheduled || scheduled <= now) {
-                self.wakes = Some(wake);
+            if self.scheduled_wake.is_none_or(|scheduled| wake < scheduled || scheduled <= now) {
+                self.scheduled_wake = Some(wake);
                 out.push(OriginOut::WakeAt(wake));
             }
         }
--- a/crates/simulation/src/plane/boxes.rs
+++ b/crates/simulation/src/plane/boxes.rs
@@ -1,4 +1,4 @@
-//! What a node was told of boxes by the list, and saw of them itself, gathered for its plane.
+//! A node's record of the boxes on the endpoint list and of its own attempts at them, as input to its plane.
 
 use std::collections::BTreeMap;
 
@@ -9,136 +9,145 @@
 use hallpin_placement::TableEntry;
 use twox_hash::XxHash3_64;
 
-/// An attempt that is under way at one life of a box.
+/// An attempt in flight at one incarnation of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent(BoxIncarnation);
 
+/// A listed box with the counts of attempts at its present incarnation.
 #[derive(Debug)]
-struct Seen {
+struct ObservedBox {
     server: ServerId,
-    life: BoxIncarnation,
+    incarnation: BoxIncarnation,
     started: Option<Seconds>,
-    /// Its part of a placement table, in thousandths; none where it belongs in no table.
-    part: Option<u32>,
+    /// Weight in a placement table, in thousandths; `None` if the box belongs in no table.
+    table_weight_milli: Option<u32>,
+    /// Attempts answered since the last observation was taken.
     answered: u32,
+    /// Attempts that ended unanswered since then.
     silent: u32,
     in_flight: u32,
-    news: bool,
+    /// Whether anything changed since then.
+    is_changed: bool,
 }
 
-/// The boxes of the list, by the hash of their id; as many as that names.
+/// The boxes on the endpoint list, by the hash of their id.
 #[derive(Debug)]
 pub(super) struct Boxes {
-    planner: Option<String>,
-    /// Weights are a box's own size, and no reading that differs from list to list.
-    weighed: bool,
-    seen: BTreeMap<u64, Seen>,
+    /// Kind of the list entries that are planners; only with a look-aside cache.
+    planner_kind: Option<String>,
+    /// Whether table weights follow the boxes' sizes. Otherwise list weights are load readings that differ from list to
+    /// list, and every box weighs the same.
+    uses_weights: bool,
+    boxes: BTreeMap<u64, ObservedBox>,
 }
 
 impl Boxes {
     pub fn new(settings: &Settings) -> Self {
-        let planner = match &settings.cache {
+        let planner_kind = match &settings.cache {
             CacheMode::Aside { origin_kind } => Some(origin_kind.clone()),
             CacheMode::Through => None,
         };
-        let weighed = matches!(settings.weights, WeightSource::Nominal | WeightSource::Rough);
-        Boxes { planner, weighed, seen: BTreeMap::new() }
+        let uses_weights = matches!(settings.weights, WeightSource::Nominal | WeightSource::Rough);
+        Boxes { planner_kind, uses_weights, boxes: BTreeMap::new() }
     }
 
-    /// Follows the whole list. A box that has started anew begins with nothing held of it.
-    pub fn learn(&mut self, list: &[EndpointEntry]) {
-        let mut before = std::mem::take(&mut self.seen);
+    /// Replaces the list by a complete one. The counts of a box that restarted begin anew.
+    pub fn set_list(&mut self, list: &[EndpointEntry]) {
+        let mut previous = std::mem::take(&mut self.boxes);
         for entry in list.iter().filter(|entry| entry.state != ServerState::Gone) {
-            let id = hash(&entry.server);
-            let life = BoxIncarnation { id, started_unix_ms: milliseconds(entry.started) };
-            let part = self.part(entry);
-            let new = || Seen {
+            let id = box_id(&entry.server);
+            let incarnation = BoxIncarnation { id, started_unix_ms: milliseconds(entry.started) };
+            let table_weight_milli = self.table_weight_milli(entry);
+            let unobserved = || ObservedBox {
                 server: entry.server.clone(),
-                life,
+                incarnation,
                 started: entry.started,
-                part: None,
+                table_weight_milli: None,
                 answered: 0,
                 silent: 0,
                 in_flight: 0,
-                news: false,
+                is_changed: false,
             };
-            let held = before.remove(&id).filter(|seen| seen.life == life);
-            self.seen.insert(id, Seen { part, ..held.unwrap_or_else(new) });
+            let known = previous.remove(&id).filter(|known| known.incarnation == incarnation);
+            self.boxes.insert(id, ObservedBox { table_weight_milli, ..known.unwrap_or_else(unobserved) });
         }
     }
 
-    fn part(&self, entry: &EndpointEntry) -> Option<u32> {
-        let placed = entry.state == ServerState::Ready && self.planner.as_ref() != Some(&entry.kind);
-        // A cast of a float ends at the bounds; what is no number is 0.
-        let milli = if self.weighed { (entry.weight * 1000.0).round() as u32 } else { 1000 };
-        placed.then_some(milli)
+    /// Weight of a list entry in a placement table, in thousandths; `None` for planners and boxes that are not ready.
+    fn table_weight_milli(&self, entry: &EndpointEntry) -> Option<u32> {
+        let is_placed = entry.state == ServerState::Ready && self.planner_kind.as_ref() != Some(&entry.kind);
+        // The cast saturates at the bounds of u32 and turns NaN into 0.
+        let milli = if self.uses_weights { (entry.weight * 1000.0).round() as u32 } else { 1000 };
+        is_placed.then_some(milli)
     }
 
-    /// The array that the list would make.
+    /// The entries of a placement table made from this list.
     pub fn table(&self) -> Vec<TableEntry> {
-        let entry =
-            |seen: &Seen| Some(TableEntry { server: seen.server.0.to_string(), weight_milli: seen.part? });
-        self.seen.values().filter_map(entry).collect()
+        let entry = |known: &ObservedBox| {
+            Some(TableEntry { server: known.server.0.to_string(), weight_milli: known.table_weight_milli? })
+        };
+        self.boxes.values().filter_map(entry).collect()
     }
 
-    /// What peers found of a life of a box, if that is the one listed.
-    pub fn evidence(&self, found: &BoxEvidence) -> Option<ServerReport> {
-        let seen = self.seen.get(&found.of.id).filter(|seen| seen.life == found.of)?;
-        let BoxEvidence { silent, answering, in_flight, .. } = *found;
+    /// The report for the policy on what peers observed of a box; `None` unless it concerns the listed incarnation.
+    pub fn evidence(&self, evidence: &BoxEvidence) -> Option<ServerReport> {
+        let known = self.boxes.get(&evidence.of.id).filter(|known| known.incarnation == evidence.of)?;
+        let BoxEvidence { silent, answering, in_flight, .. } = *evidence;
         Some(ServerReport {
-            server: seen.server.clone(),
-            started: seen.started,
+            server: known.server.clone(),
+            started: known.started,
             silent,
             answering,
             in_flight,
         })
     }
 
-    /// An attempt goes out. `None` for a box that the list does not name.
+    /// Records that an attempt is sent; `None` for a box that is not on the list.
     pub fn sent(&mut self, server: &ServerId) -> Option<Sent> {
-        let seen = self.seen.get_mut(&hash(server))?;
-        seen.in_flight = seen.in_flight.saturating_add(1);
-        seen.news = true;
-        Some(Sent(seen.life))
+        let known = self.boxes.get_mut(&box_id(server))?;
+        known.in_flight = known.in_flight.saturating_add(1);
+        known.is_changed = true;
+        Some(Sent(known.incarnation))
     }
 
-    /// It ended. What went to an earlier life of the box says nothing of this one.
+    /// Records the end of an attempt. Attempts at an earlier incarnation of the box are ignored.
     pub fn ended(&mut self, sent: Sent, status: Status) {
-        let Some(seen) = self.seen.get_mut(&sent.0.id).filter(|seen| seen.life == sent.0) else { return };
-        seen.in_flight = seen.in_flight.saturating_sub(1);
-        seen.news = true;
+        let Some(known) = self.boxes.get_mut(&sent.0.id).filter(|b| b.incarnation == sent.0) else { return };
+        known.in_flight = known.in_flight.saturating_sub(1);
+        known.is_changed = true;
         match status {
             Status::Success | Status::Error | Status::Overloaded | Status::Absent => {
-                seen.answered = seen.answered.saturating_add(1);
+                known.answered = known.answered.saturating_add(1);
             }
             Status::TimedOut | Status::Unreachable | Status::Broken => {
-                seen.silent = seen.silent.saturating_add(1);
+                known.silent = known.silent.saturating_add(1);
             }
-            // What the node itself ended.
+            // The node itself ended the attempt.
             _ => {}
         }
     }
 
-    /// What was seen since the last call.
-    pub fn facts(&mut self) -> Vec<OwnObservation> {
-        let fact = |seen: &mut Seen| {
-            seen.news = false;
+    /// The boxes whose counts changed since the last call.
+    pub fn take_observations(&mut self) -> Vec<OwnObservation> {
+        let observation = |known: &mut ObservedBox| {
+            known.is_changed = false;
             OwnObservation {
-                of: seen.life,
-                answered: std::mem::take(&mut seen.answered),
-                silent: std::mem::take(&mut seen.silent),
-                in_flight: seen.in_flight,
+                of: known.incarnation,
+                answered: std::mem::take(&mut known.answered),
+                silent: std::mem::take(&mut known.silent),
+                in_flight: known.in_flight,
             }
         };
-        self.seen.values_mut().filter(|seen| seen.news).map(fact).collect()
+        self.boxes.values_mut().filter(|known| known.is_changed).map(observation).collect()
     }
 }
 
-fn hash(server: &ServerId) -> u64 {
+/// Id of a box in datagrams: the hash of its name.
+fn box_id(server: &ServerId) -> u64 {
     XxHash3_64::oneshot(server.0.as_bytes())
 }
 
-/// A start on the world's clock; 0 for one of before the day.
+/// Start of a box in milliseconds of simulated time; 0 if it started before.
 fn milliseconds(started: Option<Seconds>) -> u64 {
     started.map_or(0, |at| (at * 1000.0).round() as u64)
 }
--- a/crates/simulation/src/plane/mod.rs
+++ b/crates/simulation/src/plane/mod.rs
@@ -1,38 +1,38 @@
-//! The plane between the nodes of a world: which parts of it are on, a node's own, and what it is measured by.
+//! The control plane between simulated nodes: which parts are on, the plane of one node, and its measurements.
 
 mod boxes;
 mod node;
 mod tally;
 
-use hallpin_membership::ConfigError as PeersError;
-use hallpin_placement::ConfigError as AccordError;
+use hallpin_membership::ConfigError as MembershipError;
+use hallpin_placement::ConfigError as PlacementError;
 
 pub use boxes::Sent;
 pub use node::{NodePlane, Seat, Told};
 pub use tally::{Spread, Tally};
 
-/// Which parts of the plane the nodes of a day have.
+/// Which parts of the control plane are on in a scenario.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Switch {
-    /// None: every node goes by its own list and experience.
+    /// None: every node uses only its own endpoint list and attempts.
     #[default]
     Off,
-    /// Membership, and what peers found of boxes.
+    /// Membership, and the peers' evidence about boxes.
     Peers,
-    /// That, and a placement table that all agree on.
+    /// Membership and a placement table that all nodes agree on.
     Table,
 }
 
-/// A plane that cannot be made.
+/// Why a plane cannot be created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlaneError {
-    /// More nodes than datagrams can number.
+    /// More nodes than the 16-bit node number in datagrams allows.
     #[error("at most 65,535 nodes expected, got {0}")]
     Nodes(usize),
-    /// Of membership.
+    /// Invalid configuration of the membership protocol.
     #[error("membership: {0}")]
-    Peers(#[from] PeersError),
-    /// Of the table.
+    Peers(#[from] MembershipError),
+    /// Invalid configuration of the placement table.
     #[error("table: {0}")]
-    Accord(#[from] AccordError),
+    Accord(#[from] PlacementError),
 }
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -1,4 +1,4 @@
-//! A node's plane in virtual time: what it is told, when it wants its turn, and what comes out of that.
+//! The control plane of one node, driven in virtual time.
 
 use std::time::Duration;
 
@@ -14,62 +14,62 @@
 use super::{PlaneError, Switch};
 use crate::time::Time;
 
-/// How often peers are told what a node saw of boxes, as in the real node.
-const GATHER: Duration = Duration::from_millis(200);
-/// How often the module is told of evidence that stands, as in the real node.
-const TELL_EVERY: Duration = Duration::from_secs(1);
-/// The least time between two turns, as in the real node.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
-/// The defaults of the operators' file.
-const RATE: Rate = Rate { per_second: 1000, burst: 500 };
-const LEASE: Duration = Duration::from_secs(2);
+/// Interval at which a node gives its own observations of boxes to its peers, as in the real node.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the policy is notified of the peers' evidence while it persists, as in the real node.
+const EVIDENCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Shortest time between two ticks, as in the real node.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
+/// Limit on datagrams sent; this and the table's lease and clock drift are the defaults of the operators' file.
+const DATAGRAM_RATE: Rate = Rate { per_second: 1000, burst: 500 };
+const TABLE_LEASE: Duration = Duration::from_secs(2);
 const DRIFT_PPM: u32 = 20_000;
 const REALM: u32 = 1;
 
-/// What a plane asks of the world, in order.
+/// An output of a plane, which the simulation carries out in order.
 pub enum Told {
-    /// Send this to that node.
+    /// Send these bytes to the node with this number.
     Datagram(usize, Vec<u8>),
-    /// Tell the node's policy this.
+    /// Pass this update to the node's policy.
     News(FleetUpdate),
-    /// Tell it that this table is in force; it is of that revision of the list.
+    /// Pass the placement table in force to the policy; the number is the revision of the endpoint list behind it.
     Table(FleetUpdate, u64),
 }
 
-/// Where a node stands among the others.
+/// The place of a node in the fleet, and its process generation.
 pub struct Seat {
-    /// Its number.
+    /// Number of the node, from 0.
     pub node: usize,
-    /// How many there are.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Its depot.
+    /// Index of the depot.
     pub depot: usize,
-    /// How many depots there are.
+    /// Number of depots.
     pub depots: usize,
-    /// Which start of it this is, from 0.
+    /// Process generation of the node, from 0.
     pub start: u32,
 }
 
-/// The machines of one life of a node, its view of the boxes, and its clock.
+/// The control plane of one process generation of a node, with its view of the boxes and its clock.
 pub struct NodePlane {
     plane: Plane<Placement, Budgets>,
     boxes: Boxes,
     started: Time,
-    gather_at: Moment,
-    /// When the module is told of peers' evidence next, if there is any.
-    tell_at: Moment,
-    /// When the world is to give it its next turn.
+    next_observation_at: Moment,
+    /// Next time at which the policy is notified of the peers' evidence, if there is any.
+    next_evidence_at: Moment,
+    /// Time of the next tick that the simulation has scheduled.
     pub wakes: Option<Time>,
 }
 
 impl NodePlane {
-    /// A node that has just started and has nothing of an earlier life; none with the switch off.
+    /// The plane of a node that has just started without stored state; `None` with the switch off.
     ///
     /// # Errors
-    /// Where there are too many nodes.
+    /// If there are too many nodes, or membership or placement rejects its configuration.
     pub fn new(
         switch: Switch,
-        seat: &Seat,
+        position: &Seat,
         settings: &Settings,
         seed: u64,
         started: Time,
@@ -77,108 +77,125 @@
         if switch == Switch::Off {
             return Ok(None);
         }
-        let number = |n: usize| u16::try_from(n).map_err(|_| PlaneError::Nodes(seat.nodes));
+        let to_u16 = |n: usize| u16::try_from(n).map_err(|_| PlaneError::Nodes(position.nodes));
         let (configured, zone, zones) =
-            (number(seat.nodes)?, ZoneId(number(seat.depot)?), number(seat.depots)?);
+            (to_u16(position.nodes)?, ZoneId(to_u16(position.depot)?), to_u16(position.depots)?);
         let this = NodeIncarnation {
-            node: NodeId(number(seat.node)?),
-            incarnation: Incarnation(u64::from(seat.start) + 1),
+            node: NodeId(to_u16(position.node)?),
+            incarnation: Incarnation(u64::from(position.start) + 1),
         };
         let now = Moment::ZERO;
         let peers = Peers::new(PeersConfig::new(this, zone, configured), seed, now, &[])?;
-        let with = || PlacementConfig::with_lease(this, zone, zones, configured, LEASE, DRIFT_PPM);
-        let placement =
-            (switch == Switch::Table).then(|| Placement::new(with(), None, now, seed)).transpose()?;
-        let door = DatagramFilter { realm: REALM, this, configured };
-        let plane = Plane::new(door, RATE, now, peers, placement, None);
+        let placement_config =
+            || PlacementConfig::with_lease(this, zone, zones, configured, TABLE_LEASE, DRIFT_PPM);
+        let placement = (switch == Switch::Table)
+            .then(|| Placement::new(placement_config(), None, now, seed))
+            .transpose()?;
+        let filter = DatagramFilter { realm: REALM, this, configured };
+        let plane = Plane::new(filter, DATAGRAM_RATE, now, peers, placement, None);
         let boxes = Boxes::new(settings);
-        Ok(Some(NodePlane { plane, boxes, started, gather_at: GATHER, tell_at: Moment::ZERO, wakes: None }))
+        Ok(Some(NodePlane {
+            plane,
+            boxes,
+            started,
+            next_observation_at: OBSERVATION_INTERVAL,
+            next_evidence_at: Moment::ZERO,
+            wakes: None,
+        }))
     }
 
+    /// Time since the start of the node.
     fn moment(&self, now: Time) -> Moment {
         Duration::from_micros(now.since(self.started).0)
     }
 
-    /// Follows the list, which is whole; at a start it may be old, and then no table is made of it.
+    /// Takes a complete endpoint list. `revision` is `None` for a list that may be outdated, as at a start: no table is
+    /// made from that.
     pub fn learn(&mut self, now: Time, revision: Option<u64>, list: &[EndpointEntry]) {
-        self.boxes.learn(list);
+        self.boxes.set_list(list);
         let now = self.moment(now);
         if let (Some(placement), Some(revision)) = (self.plane.placement(), revision) {
             placement.set_endpoint_list(now, revision, self.boxes.table());
         }
     }
 
-    /// An attempt goes out.
+    /// Records that an attempt is sent; `None` for a box that is not on the list.
     pub fn sent(&mut self, server: &ServerId) -> Option<Sent> {
         self.boxes.sent(server)
     }
 
-    /// It has its outcome.
+    /// Records the outcome of an attempt.
     pub fn ended(&mut self, sent: Sent, status: Status) {
         self.boxes.ended(sent, status);
     }
 
-    /// A datagram came from that node's address. One that is refused is counted in the plane.
+    /// Handles a datagram from the address of node `from`. The plane counts those that it rejects.
     pub fn receive(&mut self, now: Time, from: usize, datagram: &[u8]) {
-        let (now, by) = (self.moment(now), u16::try_from(from).ok().map(NodeId));
-        let _ = self.plane.receive(now, by, datagram);
+        let (now, sender) = (self.moment(now), u16::try_from(from).ok().map(NodeId));
+        let _ = self.plane.receive(now, sender, datagram);
     }
 
-    /// The node goes, and says so.
+    /// Announces to the peers that the node leaves.
     pub fn leave(&mut self, now: Time) {
         let now = self.moment(now);
         self.plane.peers().leave(now);
     }
 
-    /// Gives it its turn, and hands on what comes of it.
+    /// Runs everything that is due by now and returns the outputs.
     pub fn turn(&mut self, now: Time) -> Vec<Told> {
         let now = self.moment(now);
-        let mut told = Vec::new();
-        if now >= self.gather_at {
-            self.gather_at = now + GATHER;
-            self.gather(now, &mut told);
+        let mut notifications = Vec::new();
+        if now >= self.next_observation_at {
+            self.next_observation_at = now + OBSERVATION_INTERVAL;
+            self.exchange_observations(now, &mut notifications);
         }
         if self.plane.due().is_some_and(|due| due <= now) {
             self.plane.tick(now);
         }
         for output in self.plane.take(now) {
             match output {
-                PlaneOutput::Datagram { to, bytes } => told.push(Told::Datagram(usize::from(to.0), bytes)),
+                PlaneOutput::Datagram { to, bytes } => {
+                    notifications.push(Told::Datagram(usize::from(to.0), bytes))
+                }
                 PlaneOutput::Event(PlaneEvent::Placement(PlacementEvent::Switch(table))) => {
-                    told.push(switch(&table))
+                    notifications.push(table_notification(&table))
                 }
-                PlaneOutput::Event(PlaneEvent::Peers(PeersEvent::Evidence)) => self.tell_at = now,
+                PlaneOutput::Event(PlaneEvent::Peers(PeersEvent::Evidence)) => self.next_evidence_at = now,
                 PlaneOutput::Event(_) => {}
             }
         }
-        told
+        notifications
     }
 
-    fn gather(&mut self, now: Moment, told: &mut Vec<Told>) {
-        for fact in self.boxes.facts() {
-            self.plane.peers().observe(now, fact);
+    /// Gives the node's own observations to its peers, and the peers' evidence to the policy when that is due.
+    fn exchange_observations(&mut self, now: Moment, notifications: &mut Vec<Told>) {
+        for observation in self.boxes.take_observations() {
+            self.plane.peers().observe(now, observation);
         }
-        if now >= self.tell_at {
-            // Anew each second while it stands, as the module lets a doubt pass that nobody renews.
-            self.tell_at = now + TELL_EVERY;
-            let found = self.plane.peers().evidence(now);
-            let servers: Vec<_> = found.iter().filter_map(|each| self.boxes.evidence(each)).collect();
+        if now >= self.next_evidence_at {
+            // Repeated each second while the evidence persists, because the policy lets a suspicion expire that is not
+            // renewed.
+            self.next_evidence_at = now + EVIDENCE_INTERVAL;
+            let evidence = self.plane.peers().evidence(now);
+            let servers: Vec<_> =
+                evidence.iter().filter_map(|box_evidence| self.boxes.evidence(box_evidence)).collect();
             if !servers.is_empty() {
-                told.push(Told::News(FleetUpdate::Servers(servers)));
+                notifications.push(Told::News(FleetUpdate::Servers(servers)));
             }
         }
     }
 
-    /// When it wants its next turn.
+    /// Time of the next tick that the plane needs.
     pub fn due(&self, now: Time) -> Time {
-        let next = self.plane.due().map_or(self.gather_at, |due| due.min(self.gather_at));
-        let next = next.max(self.moment(now) + LEAST_WAIT);
-        // Upwards: a turn before the machines' time would do nothing.
+        let next = self.plane.due().map_or(self.next_observation_at, |due| due.min(self.next_observation_at));
+        let next = next.max(self.moment(now) + MIN_TICK_INTERVAL);
+        // Rounded up: a tick before the plane's due time would do nothing.
         Time(self.started.0 + u64::try_from(next.as_nanos().div_ceil(1000)).unwrap_or(u64::MAX / 2))
     }
 }
 
-fn switch(table: &Table) -> Told {
+/// The notification of a placement table in force.
+fn table_notification(table: &Table) -> Told {
     let entry = |entry: &hallpin_placement::TableEntry| TableEntry {
         server: ServerId(entry.server.as_str().into()),
         weight: f64::from(entry.weight_milli) / 1000.0,
--- a/crates/simulation/src/plane/tally.rs
+++ b/crates/simulation/src/plane/tally.rs
@@ -1,4 +1,5 @@
-//! What a day is measured by beside its verdict, with the plane and without: counted by the world, never by a node.
+//! Measurements of a scenario beside its verdict, with and without the control plane. The simulation counts them, not
+//! the nodes.
 
 use rustc_hash::FxHashMap;
 use serde::Serialize;
@@ -7,47 +8,49 @@
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 
-/// A key that two boxes fetch within this time is fetched twice.
-const TWICE_WITHIN: Span = Span(10_000_000);
+/// Window in which reads of a key by two boxes count as a double fetch.
+const DOUBLE_FETCH_WINDOW: Span = Span(10_000_000);
 
-/// How long the nodes took to place by a revision of the list.
+/// How long all nodes took to place requests by a revision of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Spread {
-    /// The revision.
+    /// Revision of the list.
     pub revision: u64,
-    /// When the list had it.
+    /// Time at which the list reached this revision.
     pub listed: Time,
-    /// When all nodes that ran placed by it or a later one; none where that never came.
+    /// Time from which all running nodes placed by this revision or a later one; `None` if that was never reached.
     pub all: Option<Time>,
 }
 
-/// What is counted.
+/// The counts of a scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Tally {
-    /// Datagrams that nodes sent.
+    /// Datagrams sent by nodes.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Bytes of these datagrams.
     pub bytes: u64,
-    /// The most datagrams that one node sent in any one second of the day.
+    /// Most datagrams sent by one node in one second of the scenario.
     pub most_in_a_second: u64,
     /// Attempts at silent boxes that ended unanswered.
     pub unanswered: u64,
-    /// Of those, attempts that were sent after the first of that silence had ended at any node.
+    /// Unanswered attempts that were sent after the first unanswered attempt of that silence had ended at any node.
     pub after_evidence: u64,
     /// Calls to the planner.
     pub fetches: u64,
-    /// Of those, reads of a key that another box had read within 10 s.
+    /// Calls that read a key which another box had read less than 10 s before.
     pub double_fetches: u64,
-    /// Each revision of the list.
+    /// How each revision of the list spread.
     pub spreads: Vec<Spread>,
+    /// The box that last read each key, and when.
     #[serde(skip)]
     fetched: FxHashMap<KeyId, (BoxId, Time)>,
+    /// The current second, and the datagrams that each node sent in it.
     #[serde(skip)]
     second: (u64, FxHashMap<usize, u64>),
 }
 
 impl Tally {
-    /// A node sends a datagram.
+    /// Counts a datagram that a node sends.
     pub fn datagram(&mut self, at: Time, node: usize, bytes: usize) {
         let second = at.0 / 1_000_000;
         if self.second.0 != second {
@@ -60,20 +63,21 @@
         self.bytes += bytes as u64;
     }
 
-    /// A box calls the planner.
+    /// Counts a call from a box to the planner.
     pub fn fetch(&mut self, at: Time, by: BoxId, key: KeyId, write: bool) {
         self.fetches += 1;
         if write {
             return;
         }
-        let before = self.fetched.insert(key, (by, at));
-        let twice = before.is_some_and(|(other, then)| other != by && at.since(then) < TWICE_WITHIN);
-        self.double_fetches += u64::from(twice);
+        let previous = self.fetched.insert(key, (by, at));
+        let is_double = previous
+            .is_some_and(|(other, fetched_at)| other != by && at.since(fetched_at) < DOUBLE_FETCH_WINDOW);
+        self.double_fetches += u64::from(is_double);
     }
 
-    /// All running nodes place by this revision at least.
+    /// Records that all running nodes now place by this revision or a later one.
     pub fn all_place_by(&mut self, at: Time, revision: u64) {
-        let open = self.spreads.iter_mut().rev().take_while(|spread| spread.all.is_none());
-        open.filter(|spread| spread.revision <= revision).for_each(|spread| spread.all = Some(at));
+        let incomplete = self.spreads.iter_mut().rev().take_while(|spread| spread.all.is_none());
+        incomplete.filter(|spread| spread.revision <= revision).for_each(|spread| spread.all = Some(at));
     }
 }
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -1,5 +1,5 @@
-//! The round planner: one slow origin of fixed capacity, which all boxes share. It holds the truth of every key, and
-//! carries on with work that nobody waits for.
+//! The planner: one slow origin of fixed capacity, which all boxes share. It has the current version of every key, and
+//! does not cancel work whose caller stopped waiting.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,269 +11,283 @@
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 
-/// What a planner is like.
+/// Fixed properties of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerSpec {
-    /// Fetches in work at once.
+    /// Most calls in progress at once.
     pub places: u32,
-    /// Mean time of a fetch.
+    /// Mean duration of a fetch.
     pub time: Span,
-    /// Its deviation, as a share of the mean.
+    /// Standard deviation of the duration, as a share of the mean.
     pub cv: f64,
-    /// A write takes so many times a fetch's work.
+    /// Work of a write, as a multiple of the work of a fetch.
     pub write_times: f64,
-    /// Calls that would wait longer than this are failed at once.
+    /// Longest expected wait; calls that would wait longer fail at once.
     pub queue: Span,
-    /// Work grows by this share for each call that waits, per place.
+    /// Relative growth of the work of a call for each waiting call per place.
     pub thrash: f64,
-    /// Sent more than this many times its capacity ... (0: it bears all)
+    /// Load at which the planner stops, as a multiple of its capacity; 0 for no limit.
     pub fall_multiple: f64,
-    /// ... for this long, it stops ...
+    /// Window over which that load is averaged.
     pub fall_for: Span,
-    /// ... for so long ...
+    /// Time that the planner stays down after it stopped.
     pub down_for: Span,
-    /// ... and so often at most.
+    /// Most stops by overload in a scenario.
     pub stops: u32,
-    /// Repeats of a keyed write are dropped for so long.
+    /// Time for which repeats of a write with the same idempotency key are dropped.
     pub repeat_window: Span,
 }
 
 impl PlannerSpec {
-    /// Fetches a second that it bears.
+    /// Capacity, in fetches per second.
     pub fn capacity(&self) -> f64 {
         f64::from(self.places) / self.time.as_secs().max(1e-6)
     }
 }
 
-/// What a box asks of the planner.
+/// A call from a box to the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// Comes back with the answer.
+    /// Identifies the call; returned with the answer.
     pub id: u64,
-    /// The key.
+    /// Key to read or write.
     pub key: KeyId,
-    /// A write, under this idempotency key if it has one.
+    /// For a write: its idempotency key, if it has one. `None` for a read.
     pub write: Option<Option<u64>>,
 }
 
-/// What the planner has to tell.
+/// A notification from the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// An answer to the call with this id: the key's version, or `None` for a failure.
+pub enum PlannerNotification {
+    /// The answer to a call.
     Done {
-        /// As asked.
+        /// Id of the call.
         id: u64,
-        /// Of the key.
+        /// Key of the call.
         key: KeyId,
-        /// The key's version, or `None` where the call failed.
+        /// Version of the key, or `None` if the call failed.
         version: Option<u64>,
-        /// This call changed the key.
+        /// Whether the call changed the key.
         wrote: bool,
     },
-    /// It has been overdriven, and answers nothing for a while.
+    /// The planner stopped, by overload or an incident: it dropped all calls and answers none until it resumes.
     Stopped,
-    /// It works again.
+    /// The planner works again.
     Resumed,
 }
 
-/// The planner's state.
+/// The planner.
 pub struct Planner {
     spec: PlannerSpec,
-    chance: Chance,
+    rng: Chance,
     versions: FxHashMap<KeyId, u64>,
-    /// When a keyed write was last carried out, and the oldest first.
-    effects: FxHashMap<u64, Time>,
-    effect_order: VecDeque<(Time, u64)>,
+    /// Time at which a write was last carried out, by its idempotency key.
+    applied_writes: FxHashMap<u64, Time>,
+    /// The same writes, oldest first, to expire them.
+    applied_order: VecDeque<(Time, u64)>,
     waiting: VecDeque<Ask>,
-    working: FxHashMap<u64, Ask>,
-    /// Ends of what is in work.
-    ends: BinaryHeap<Reverse<(Time, u64)>>,
-    next: u64,
-    /// Calls of the last `fall_for`, in units of a fetch.
-    sent: VecDeque<(Time, f64)>,
-    sent_sum: f64,
+    in_progress: FxHashMap<u64, Ask>,
+    /// Completion times of the calls in progress.
+    completions: BinaryHeap<Reverse<(Time, u64)>>,
+    last_sequence: u64,
+    /// Times and work of the calls within the last `fall_for`, in units of a fetch.
+    recent_work: VecDeque<(Time, f64)>,
+    recent_work_sum: f64,
     down_until: Option<Time>,
-    stops: u32,
-    /// Incidents: how many times slower it is, and how many have silenced it.
+    stop_count: u32,
+    /// Factor by which incidents slow the planner; 1 without any.
     slowness: f64,
-    silenced: u32,
-    /// Writes carried out, repeats left out.
+    /// Number of incidents that silence the planner now.
+    active_silences: u32,
+    /// Writes carried out, without repeats.
     writes: u64,
 }
 
 impl Planner {
-    /// One that has just come up and never changed a key.
-    pub fn new(spec: PlannerSpec, chance: Chance) -> Self {
+    /// A planner that just started, with every key at version 0.
+    pub fn new(spec: PlannerSpec, rng: Chance) -> Self {
         Planner {
             spec,
-            chance,
+            rng,
             versions: FxHashMap::default(),
-            effects: FxHashMap::default(),
-            effect_order: VecDeque::new(),
+            applied_writes: FxHashMap::default(),
+            applied_order: VecDeque::new(),
             waiting: VecDeque::new(),
-            working: FxHashMap::default(),
-            ends: BinaryHeap::new(),
-            next: 0,
-            sent: VecDeque::new(),
-            sent_sum: 0.0,
+            in_progress: FxHashMap::default(),
+            completions: BinaryHeap::new(),
+            last_sequence: 0,
+            recent_work: VecDeque::new(),
+            recent_work_sum: 0.0,
             down_until: None,
-            stops: 0,
+            stop_count: 0,
             slowness: 1.0,
-            silenced: 0,
+            active_silences: 0,
             writes: 0,
         }
     }
 
-    /// The version that copies of this key must have to be good.
+    /// Current version of a key; copies of another version are stale.
     pub fn version(&self, key: KeyId) -> u64 {
         self.versions.get(&key).copied().unwrap_or(0)
     }
 
-    /// The key changes by itself.
+    /// Changes a key without a call.
     pub fn change(&mut self, key: KeyId) {
         *self.versions.entry(key).or_default() += 1;
     }
 
-    /// Writes carried out so far.
+    /// Writes carried out so far, without repeats.
     pub fn writes(&self) -> u64 {
         self.writes
     }
 
-    /// It answers nothing now.
+    /// Whether the planner is down, by overload or an incident, and answers no calls.
     pub fn is_down(&self) -> bool {
-        self.down_until.is_some() || self.silenced > 0
+        self.down_until.is_some() || self.active_silences > 0
     }
 
-    /// As it is, for a policy that may know: what waits goes before a new call.
+    /// The actual state, for policies with perfect information. Waiting calls go before a new one.
     pub fn truth(&self) -> TruePlanner {
         let time = self.spec.time.as_secs() * self.slowness;
         let places = f64::from(self.spec.places.max(1));
         let ahead = self.waiting.len() as f64 / places;
-        let load = (self.waiting.len() + self.working.len()) as f64 / places;
+        let load = (self.waiting.len() + self.in_progress.len()) as f64 / places;
         TruePlanner { up: !self.is_down(), answers_in: time * (1.0 + ahead), load }
     }
 
-    /// It was overdriven and has stopped, of its own accord.
+    /// Whether the planner is down by overload.
     pub fn is_overdriven(&self) -> bool {
         self.down_until.is_some()
     }
 
-    /// An incident makes it so many times slower, or ends with the inverse.
+    /// Multiplies the slowdown by `factor`; an incident that ends passes the inverse.
     pub fn slow_by(&mut self, factor: f64) {
         self.slowness *= factor;
     }
 
-    /// An incident silences it, or ends.
-    pub fn silence(&mut self, now: Time, silent: bool, told: &mut Vec<Told>) {
-        let was = self.is_down();
-        self.silenced = if silent { self.silenced + 1 } else { self.silenced.saturating_sub(1) };
-        if silent && !was {
-            self.lose_all();
-            told.push(Told::Stopped);
-        } else if was && !self.is_down() {
-            told.push(Told::Resumed);
-            self.begin(now);
+    /// Begins or ends an incident in which the planner does not answer.
+    pub fn silence(&mut self, now: Time, silent: bool, notifications: &mut Vec<PlannerNotification>) {
+        let was_down = self.is_down();
+        self.active_silences =
+            if silent { self.active_silences + 1 } else { self.active_silences.saturating_sub(1) };
+        if silent && !was_down {
+            self.drop_calls();
+            notifications.push(PlannerNotification::Stopped);
+        } else if was_down && !self.is_down() {
+            notifications.push(PlannerNotification::Resumed);
+            self.start_waiting(now);
         }
     }
 
-    fn lose_all(&mut self) {
+    /// Drops all calls without an answer.
+    fn drop_calls(&mut self) {
         self.waiting.clear();
-        self.working.clear();
-        self.ends.clear();
+        self.in_progress.clear();
+        self.completions.clear();
     }
 
-    /// Takes a call.
-    pub fn ask(&mut self, now: Time, ask: Ask, told: &mut Vec<Told>) {
+    /// Handles a call; it is lost while the planner is down, and fails at once if the queue is too long.
+    pub fn ask(&mut self, now: Time, ask: Ask, notifications: &mut Vec<PlannerNotification>) {
         let weight = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
-        self.count(now, weight, told);
+        self.record_load(now, weight, notifications);
         if self.is_down() {
-            // Nobody hears it.
+            // The call is lost without an answer.
             return;
         }
-        let waits = self.waiting.len() as f64 / self.spec.capacity();
-        if waits > self.spec.queue.as_secs() {
-            told.push(Told::Done { id: ask.id, key: ask.key, version: None, wrote: false });
+        let expected_wait_s = self.waiting.len() as f64 / self.spec.capacity();
+        if expected_wait_s > self.spec.queue.as_secs() {
+            notifications.push(PlannerNotification::Done {
+                id: ask.id,
+                key: ask.key,
+                version: None,
+                wrote: false,
+            });
             return;
         }
         self.waiting.push_back(ask);
-        self.begin(now);
+        self.start_waiting(now);
     }
 
-    /// Counts what it is sent, and stops where that is too much for too long.
-    fn count(&mut self, now: Time, weight: f64, told: &mut Vec<Told>) {
+    /// Counts the work of a call, and stops the planner if the work within the window exceeds the limit.
+    fn record_load(&mut self, now: Time, weight: f64, notifications: &mut Vec<PlannerNotification>) {
         if self.spec.fall_multiple <= 0.0 {
             return;
         }
-        self.sent.push_back((now, weight));
-        self.sent_sum += weight;
-        while self.sent.front().is_some_and(|(at, _)| now.since(*at) > self.spec.fall_for) {
-            self.sent_sum -= self.sent.pop_front().map_or(0.0, |(_, weight)| weight);
+        self.recent_work.push_back((now, weight));
+        self.recent_work_sum += weight;
+        while self.recent_work.front().is_some_and(|(at, _)| now.since(*at) > self.spec.fall_for) {
+            self.recent_work_sum -= self.recent_work.pop_front().map_or(0.0, |(_, weight)| weight);
         }
-        let bears = self.spec.fall_multiple * self.spec.capacity() * self.spec.fall_for.as_secs();
-        if self.sent_sum > bears && !self.is_down() && self.stops < self.spec.stops {
-            self.stops += 1;
+        let limit = self.spec.fall_multiple * self.spec.capacity() * self.spec.fall_for.as_secs();
+        if self.recent_work_sum > limit && !self.is_down() && self.stop_count < self.spec.stops {
+            self.stop_count += 1;
             self.down_until = Some(now + self.spec.down_for);
-            self.lose_all();
-            told.push(Told::Stopped);
+            self.drop_calls();
+            notifications.push(PlannerNotification::Stopped);
         }
     }
 
-    fn begin(&mut self, now: Time) {
-        while !self.is_down() && self.working.len() < self.spec.places as usize {
+    /// Starts waiting calls while places are free.
+    fn start_waiting(&mut self, now: Time) {
+        while !self.is_down() && self.in_progress.len() < self.spec.places as usize {
             let Some(ask) = self.waiting.pop_front() else { return };
-            let crowd = self.waiting.len() as f64 / f64::from(self.spec.places.max(1));
+            let waiting_per_place = self.waiting.len() as f64 / f64::from(self.spec.places.max(1));
             let weight = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
-            let mean = self.spec.time.as_secs() * weight * self.slowness * (1.0 + self.spec.thrash * crowd);
-            let takes = Span::from_secs(self.chance.spread(Spread::LogNormal, mean, self.spec.cv));
-            self.next += 1;
-            self.working.insert(self.next, ask);
-            self.ends.push(Reverse((now + takes, self.next)));
+            let mean = self.spec.time.as_secs()
+                * weight
+                * self.slowness
+                * (1.0 + self.spec.thrash * waiting_per_place);
+            let duration = Span::from_secs(self.rng.spread(Spread::LogNormal, mean, self.spec.cv));
+            self.last_sequence += 1;
+            self.in_progress.insert(self.last_sequence, ask);
+            self.completions.push(Reverse((now + duration, self.last_sequence)));
         }
     }
 
-    /// When it next has something to do.
+    /// Time at which the planner next needs a call of `wake`, if any.
     pub fn wakes(&self) -> Option<Time> {
-        self.down_until.or_else(|| self.ends.peek().map(|Reverse((at, _))| *at))
+        self.down_until.or_else(|| self.completions.peek().map(|Reverse((at, _))| *at))
     }
 
-    /// Does what is due by now.
-    pub fn wake(&mut self, now: Time, told: &mut Vec<Told>) {
+    /// Handles everything that is due by now: the end of an overload stop, and completed calls.
+    pub fn wake(&mut self, now: Time, notifications: &mut Vec<PlannerNotification>) {
         if self.down_until.is_some_and(|at| at <= now) {
             self.down_until = None;
             if !self.is_down() {
-                told.push(Told::Resumed);
+                notifications.push(PlannerNotification::Resumed);
             }
         }
-        while let Some(Reverse((at, number))) =
-            self.ends.peek().copied().filter(|Reverse((at, _))| *at <= now)
+        while let Some(Reverse((at, sequence))) =
+            self.completions.peek().copied().filter(|Reverse((at, _))| *at <= now)
         {
-            self.ends.pop();
-            if let Some(ask) = self.working.remove(&number) {
-                let wrote = ask.write.is_some_and(|effect| self.carry_out(at, ask.key, effect));
+            self.completions.pop();
+            if let Some(ask) = self.in_progress.remove(&sequence) {
+                let wrote =
+                    ask.write.is_some_and(|idempotency_key| self.apply_write(at, ask.key, idempotency_key));
                 let version = Some(self.version(ask.key));
-                told.push(Told::Done { id: ask.id, key: ask.key, version, wrote });
+                notifications.push(PlannerNotification::Done { id: ask.id, key: ask.key, version, wrote });
             }
         }
-        self.begin(now);
+        self.start_waiting(now);
     }
 
-    /// Carries a write out, unless it is a repeat within the window.
-    fn carry_out(&mut self, now: Time, key: KeyId, effect: Option<u64>) -> bool {
-        while let Some((at, old)) = self.effect_order.front().copied() {
+    /// Carries out a write, unless it repeats an idempotency key within the window; returns whether the key changed.
+    fn apply_write(&mut self, now: Time, key: KeyId, idempotency_key: Option<u64>) -> bool {
+        while let Some((at, old)) = self.applied_order.front().copied() {
             if now.since(at) < self.spec.repeat_window {
                 break;
             }
-            self.effect_order.pop_front();
-            if self.effects.get(&old) == Some(&at) {
-                self.effects.remove(&old);
+            self.applied_order.pop_front();
+            if self.applied_writes.get(&old) == Some(&at) {
+                self.applied_writes.remove(&old);
             }
         }
-        if let Some(effect) = effect {
-            if self.effects.contains_key(&effect) {
+        if let Some(idempotency_key) = idempotency_key {
+            if self.applied_writes.contains_key(&idempotency_key) {
                 return false;
             }
-            self.effects.insert(effect, now);
-            self.effect_order.push_back((now, effect));
+            self.applied_writes.insert(idempotency_key, now);
+            self.applied_order.push_back((now, idempotency_key));
         }
         self.writes += 1;
         self.change(key);
@@ -309,87 +323,105 @@
         Ask { id, key: 7, write: None }
     }
 
-    fn run(planner: &mut Planner, until: Time) -> Vec<(Time, Told)> {
+    fn run(planner: &mut Planner, until: Time) -> Vec<(Time, PlannerNotification)> {
         let mut all = Vec::new();
         while let Some(at) = planner.wakes().filter(|at| *at <= until) {
-            let mut told = Vec::new();
-            planner.wake(at, &mut told);
-            all.extend(told.into_iter().map(|t| (at, t)));
+            let mut notifications = Vec::new();
+            planner.wake(at, &mut notifications);
+            all.extend(notifications.into_iter().map(|notification| (at, notification)));
         }
         all
     }
 
     #[test]
-    fn its_places_bound_what_it_does_at_once() {
-        let (mut planner, mut told) = (planner(spec()), Vec::new());
+    fn places_bound_the_concurrent_calls() {
+        let (mut planner, mut notifications) = (planner(spec()), Vec::new());
         for id in 0..4 {
-            planner.ask(Time(0), read(id), &mut told);
+            planner.ask(Time(0), read(id), &mut notifications);
         }
-        assert!(told.is_empty());
+        assert!(notifications.is_empty());
         let ends: Vec<u64> = run(&mut planner, Time(1_000_000)).iter().map(|(at, _)| at.0).collect();
         assert_eq!(ends, [100_000, 100_000, 200_000, 200_000]);
     }
 
     #[test]
     fn a_repeat_of_a_keyed_write_within_the_window_changes_nothing() {
-        let (mut planner, mut told) = (planner(spec()), Vec::new());
+        let (mut planner, mut notifications) = (planner(spec()), Vec::new());
         let write = |id| Ask { id, key: 7, write: Some(Some(5)) };
-        planner.ask(Time(0), write(1), &mut told);
+        planner.ask(Time(0), write(1), &mut notifications);
         run(&mut planner, Time(250_000));
-        planner.ask(Time(250_000), write(2), &mut told);
+        planner.ask(Time(250_000), write(2), &mut notifications);
         let second = run(&mut planner, Time(600_000));
-        assert!(matches!(second[..], [(_, Told::Done { wrote: false, version: Some(1), .. })]), "{second:?}");
-        // The window counts from when it was carried out; past it the same key is a new write.
-        planner.ask(Time(1_500_000), write(3), &mut told);
+        assert!(
+            matches!(second[..], [(_, PlannerNotification::Done { wrote: false, version: Some(1), .. })]),
+            "{second:?}"
+        );
+        // The window counts from the time of the write; after it, the same idempotency key is a new write.
+        planner.ask(Time(1_500_000), write(3), &mut notifications);
         let third = run(&mut planner, Time(2_000_000));
-        assert!(matches!(third[..], [(_, Told::Done { wrote: true, version: Some(2), .. })]), "{third:?}");
+        assert!(
+            matches!(third[..], [(_, PlannerNotification::Done { wrote: true, version: Some(2), .. })]),
+            "{third:?}"
+        );
         assert_eq!(planner.writes(), 2);
     }
 
     #[test]
-    fn overdriven_it_stops_loses_all_and_comes_back_twice_at_most() {
-        let (mut planner, mut told) = (planner(spec()), Vec::new());
-        // 2.5 x 20 a second x 3 s are 150: the 151st within the window stops it.
+    fn an_overload_stops_the_planner_and_drops_its_calls_at_most_twice() {
+        let (mut planner, mut notifications) = (planner(spec()), Vec::new());
+        // The limit is 2.5 x 20 calls/s x 3 s = 150 calls: the 151st within the window stops the planner.
         for id in 0..150 {
-            planner.ask(Time(id * 1000), read(id), &mut told);
+            planner.ask(Time(id * 1000), read(id), &mut notifications);
         }
         assert!(!planner.is_down());
-        planner.ask(Time(150_000), read(150), &mut told);
-        assert!(planner.is_down() && told.contains(&Told::Stopped));
-        let rest = run(&mut planner, Time(10_000_000));
-        assert_eq!(rest, [(Time(5_150_000), Told::Resumed)]);
-        for round in [20_000_000, 40_000_000] {
+        planner.ask(Time(150_000), read(150), &mut notifications);
+        assert!(planner.is_down() && notifications.contains(&PlannerNotification::Stopped));
+        let later = run(&mut planner, Time(10_000_000));
+        assert_eq!(later, [(Time(5_150_000), PlannerNotification::Resumed)]);
+        for start_us in [20_000_000, 40_000_000] {
             for id in 0..151 {
-                planner.ask(Time(round + id), read(id), &mut told);
+                planner.ask(Time(start_us + id), read(id), &mut notifications);
             }
-            run(&mut planner, Time(round + 10_000_000));
+            run(&mut planner, Time(start_us + 10_000_000));
         }
-        assert_eq!(told.iter().filter(|t| **t == Told::Stopped).count(), 2);
+        assert_eq!(
+            notifications
+                .iter()
+                .filter(|notification| **notification == PlannerNotification::Stopped)
+                .count(),
+            2
+        );
     }
 
     #[test]
     fn a_queue_that_is_too_long_fails_calls_at_once() {
-        let (mut planner, mut told) = (planner(PlannerSpec { fall_multiple: 0.0, ..spec() }), Vec::new());
+        let (mut planner, mut notifications) =
+            (planner(PlannerSpec { fall_multiple: 0.0, ..spec() }), Vec::new());
         for id in 0..40 {
-            planner.ask(Time(0), read(id), &mut told);
+            planner.ask(Time(0), read(id), &mut notifications);
         }
-        // Two in work and 21 waiting, who wait for over a second.
-        assert_eq!(told.len(), 40 - 23);
-        assert!(told.iter().all(|t| matches!(t, Told::Done { version: None, .. })));
+        // 2 calls are in progress and 21 wait; the wait for a further call would be over 1 s.
+        assert_eq!(notifications.len(), 40 - 23);
+        assert!(notifications
+            .iter()
+            .all(|notification| matches!(notification, PlannerNotification::Done { version: None, .. })));
     }
 
     #[test]
-    fn silenced_twice_it_is_heard_again_when_both_have_ended() {
-        let (mut planner, mut told) = (planner(spec()), Vec::new());
-        planner.ask(Time(0), read(1), &mut told);
-        planner.silence(Time(1), true, &mut told);
-        planner.silence(Time(2), true, &mut told);
-        planner.silence(Time(3), false, &mut told);
-        planner.ask(Time(4), read(2), &mut told);
-        assert_eq!((planner.is_down(), &told[..]), (true, &[Told::Stopped][..]));
-        planner.silence(Time(5), false, &mut told);
-        planner.ask(Time(6), read(3), &mut told);
+    fn after_two_overlapping_silences_it_answers_when_both_have_ended() {
+        let (mut planner, mut notifications) = (planner(spec()), Vec::new());
+        planner.ask(Time(0), read(1), &mut notifications);
+        planner.silence(Time(1), true, &mut notifications);
+        planner.silence(Time(2), true, &mut notifications);
+        planner.silence(Time(3), false, &mut notifications);
+        planner.ask(Time(4), read(2), &mut notifications);
+        assert_eq!((planner.is_down(), &notifications[..]), (true, &[PlannerNotification::Stopped][..]));
+        planner.silence(Time(5), false, &mut notifications);
+        planner.ask(Time(6), read(3), &mut notifications);
         let done = run(&mut planner, Time(1_000_000));
-        assert!(matches!(done[..], [(_, Told::Done { id: 3, .. })]), "what it held was lost: {done:?}");
+        assert!(
+            matches!(done[..], [(_, PlannerNotification::Done { id: 3, .. })]),
+            "earlier calls were lost: {done:?}"
+        );
     }
 }
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -1,4 +1,4 @@
-//! The copies that a box keeps: within its memory, and of one version each.
+//! The cached copies of a box: bounded by its memory, with one version of each key.
 
 use std::hash::BuildHasherDefault;
 
@@ -8,42 +8,43 @@
 
 use crate::time::{Span, Time};
 
-/// A key of the model, numbered from 0.
+/// Number of a simulated key, from 0.
 pub type KeyId = u32;
 
-/// Which copy goes when memory is short.
+/// Eviction policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Evict {
-    /// The one that was used longest ago.
+    /// Evicts the least recently used copy.
     #[default]
     Lru,
-    /// The one that was stored longest ago.
+    /// Evicts the copy that was stored first.
     Fifo,
 }
 
-struct Copy {
+struct CachedCopy {
     bytes: u64,
     version: u64,
     expires: Time,
 }
 
-/// Copies in order of leaving.
+/// The cached copies, in eviction order.
 pub struct Store {
-    copies: LinkedHashMap<KeyId, Copy, BuildHasherDefault<FxHasher>>,
-    held: u64,
+    copies: LinkedHashMap<KeyId, CachedCopy, BuildHasherDefault<FxHasher>>,
+    used_bytes: u64,
     memory: u64,
     evict: Evict,
     ttl: Span,
 }
 
 impl Store {
-    /// An empty one of so many bytes, whose copies are good for so long.
+    /// An empty store of `memory` bytes whose copies expire after `ttl`.
     pub fn new(memory: u64, evict: Evict, ttl: Span) -> Self {
-        Store { copies: LinkedHashMap::default(), held: 0, memory, evict, ttl }
+        Store { copies: LinkedHashMap::default(), used_bytes: 0, memory, evict, ttl }
     }
 
-    /// Whether a copy of this version is kept and good. One that is not good is dropped.
+    /// Whether a valid copy of this version is cached; marks it as used for LRU. A copy of another version or past its
+    /// expiry is dropped.
     pub fn find(&mut self, key: KeyId, version: u64, now: Time) -> bool {
         let Some(copy) = self.copies.get(&key) else { return false };
         if copy.version != version || now >= copy.expires {
@@ -56,49 +57,49 @@
         true
     }
 
-    /// Whether it has a good copy of this version; nothing changes.
+    /// Whether a valid copy of this version is cached, without marking it as used.
     pub fn has(&self, key: KeyId, version: u64, now: Time) -> bool {
-        self.copies.get(&key).is_some_and(|c| c.version == version && now < c.expires)
+        self.copies.get(&key).is_some_and(|copy| copy.version == version && now < copy.expires)
     }
 
-    /// Keeps a copy that is new, where it fits at all.
+    /// Stores a copy that expires after the TTL, unless it is larger than the memory.
     pub fn keep(&mut self, key: KeyId, version: u64, bytes: u64, now: Time) {
         self.keep_until(key, version, bytes, now + self.ttl);
     }
 
-    /// Keeps a copy that is good until then, where it fits at all.
+    /// Stores a copy that expires at the given time, unless it is larger than the memory.
     pub fn keep_until(&mut self, key: KeyId, version: u64, bytes: u64, expires: Time) {
         self.drop_copy(key);
         if bytes > self.memory {
             return;
         }
-        while self.held + bytes > self.memory {
+        while self.used_bytes + bytes > self.memory {
             let Some((_, old)) = self.copies.pop_front() else { break };
-            self.held -= old.bytes;
+            self.used_bytes -= old.bytes;
         }
-        self.held += bytes;
-        self.copies.insert(key, Copy { bytes, version, expires });
+        self.used_bytes += bytes;
+        self.copies.insert(key, CachedCopy { bytes, version, expires });
     }
 
-    /// Forgets a copy.
+    /// Removes the copy of a key.
     pub fn drop_copy(&mut self, key: KeyId) {
         if let Some(copy) = self.copies.remove(&key) {
-            self.held -= copy.bytes;
+            self.used_bytes -= copy.bytes;
         }
     }
 
-    /// Forgets all.
+    /// Removes all copies.
     pub fn clear(&mut self) {
         self.copies.clear();
-        self.held = 0;
+        self.used_bytes = 0;
     }
 
-    /// Copies kept.
+    /// Number of cached copies.
     pub fn len(&self) -> usize {
         self.copies.len()
     }
 
-    /// Nothing is kept.
+    /// Whether no copy is cached.
     pub fn is_empty(&self) -> bool {
         self.copies.is_empty()
     }
@@ -108,32 +109,32 @@
 mod tests {
     use super::*;
 
-    const LONG: Span = Span(u64::MAX / 2);
+    const NEVER_EXPIRES: Span = Span(u64::MAX / 2);
 
     #[test]
-    fn memory_is_kept_and_the_order_of_leaving_is_the_policy() {
-        for (evict, left) in [(Evict::Lru, 2), (Evict::Fifo, 1)] {
-            let mut store = Store::new(30, evict, LONG);
+    fn memory_is_bounded_and_eviction_follows_the_policy() {
+        for (evict, evicted) in [(Evict::Lru, 2), (Evict::Fifo, 1)] {
+            let mut store = Store::new(30, evict, NEVER_EXPIRES);
             for key in 1..=3 {
                 store.keep(key, 1, 10, Time(key.into()));
             }
             assert!(store.find(1, 1, Time(9)));
             store.keep(4, 1, 10, Time(10));
             assert_eq!(store.len(), 3);
-            assert!(!store.find(left, 1, Time(11)), "{evict:?}");
+            assert!(!store.find(evicted, 1, Time(11)), "{evict:?}");
         }
-        let mut store = Store::new(30, Evict::Lru, LONG);
+        let mut store = Store::new(30, Evict::Lru, NEVER_EXPIRES);
         store.keep(1, 1, 31, Time(0));
-        assert!(store.is_empty(), "what never fits evicts nothing");
+        assert!(store.is_empty(), "a copy larger than the memory evicts nothing");
     }
 
     #[test]
-    fn a_copy_is_good_for_its_time_and_version() {
+    fn a_copy_is_valid_until_it_expires_or_the_version_changes() {
         let mut store = Store::new(100, Evict::Lru, Span(10));
         store.keep(1, 1, 10, Time(0));
         assert!(store.find(1, 1, Time(9)));
         assert!(!store.find(1, 1, Time(10)) && store.is_empty());
         store.keep(1, 1, 10, Time(20));
-        assert!(!store.find(1, 2, Time(21)), "the key has changed since");
+        assert!(!store.find(1, 2, Time(21)), "the key has a newer version");
     }
 }
