--- a/crates/simulation/src/cache_box/fetches.rs
+++ b/crates/simulation/src/cache_box/fetches.rs
@@ -51,7 +51,7 @@
         } else if version == planner.version(key) {
             // Cached only if no write changed the key while the reply was on its way; otherwise only the waiting
             // requests get this version.
-            self.store.keep(key, version, bytes(key), now);
+            self.store.insert(key, version, bytes(key), now);
         }
         self.release_fetch(id, &fetch);
         for index in fetch.waiters {
--- a/crates/simulation/src/cache_box/mod.rs
+++ b/crates/simulation/src/cache_box/mod.rs
@@ -25,7 +25,7 @@
 use crate::store::{KeyId, Store};
 use crate::time::{Span, Time};
 use requests::{Fetch, PendingRequest, ServiceEnd, Stage};
-pub use spec::{bears, BoxSpec, WarmBy};
+pub use spec::{overload_limit, BoxSpec, WarmBy};
 
 /// A request as it arrives at a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -182,7 +182,7 @@
 
     /// Stores a copy of version 0 that expires at the given time; used to fill the cache before the simulation starts.
     pub fn fill(&mut self, key: KeyId, bytes: u64, expires: Time) {
-        self.store.keep_until(key, 0, bytes, expires);
+        self.store.insert_until(key, 0, bytes, expires);
     }
 
     /// Ends the process: all requests, fetches, connections and copies are lost without any answer.
--- a/crates/simulation/src/cache_box/overload.rs
+++ b/crates/simulation/src/cache_box/overload.rs
@@ -22,7 +22,7 @@
             * spec.capacity()
             * self.slow_start_factor_by_time(now)
             * spec.fall_for.0 as f64;
-        if self.offered_work_sum > bears(allowed, spec.mean_work.0.max(1) as f64) {
+        if self.offered_work_sum > overload_limit(allowed, spec.mean_work.0.max(1) as f64) {
             self.stop();
             self.fallen = true;
             out.push(BoxOut::Fell);
--- a/crates/simulation/src/cache_box/spec.rs
+++ b/crates/simulation/src/cache_box/spec.rs
@@ -67,7 +67,7 @@
     pub warm_by: WarmBy,
     /// Work allowed during the warm-up, as a multiple of the capacity available then; 0 for no limit.
     pub fall_multiple: f64,
-    /// Window in which that work is counted; above the limit of [`bears`] for it, the box falls over and stays down.
+    /// Window in which that work is counted; above the [`overload_limit`] for it, the box falls over and stays down.
     pub fall_for: Span,
     /// Mean work of a request in the scenario; the limit is counted in requests of this size.
     pub mean_work: Span,
@@ -101,7 +101,7 @@
 ///
 /// With `allowed` work worth N requests of mean work from all nodes together, the limit is N + 2 √N + 2 requests, or
 /// N + 3 √N + 3 for N under 30. The margin covers random variation only and does not grow with the number of nodes.
-pub fn bears(allowed: f64, mean: f64) -> f64 {
+pub fn overload_limit(allowed: f64, mean: f64) -> f64 {
     let requests = allowed / mean;
     let margin = if requests < 30.0 { 3.0 } else { 2.0 };
     (requests + margin * requests.sqrt() + margin) * mean
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -103,7 +103,7 @@
                 }
                 PlannerNotification::Stopped => {
                     self.callers.clear();
-                    let overdriven = self.planner.is_overdriven();
+                    let overdriven = self.planner.is_overloaded();
                     out.push(OriginOut::Record(Event::PlannerStopped { overdriven }));
                 }
                 PlannerNotification::Resumed => out.push(OriginOut::Record(Event::PlannerResumed)),
--- a/crates/simulation/src/plane/mod.rs
+++ b/crates/simulation/src/plane/mod.rs
@@ -28,11 +28,11 @@
 pub enum PlaneError {
     /// More nodes than the 16-bit node number in datagrams allows.
     #[error("at most 65,535 nodes expected, got {0}")]
-    Nodes(usize),
+    TooManyNodes(usize),
     /// Invalid configuration of the membership protocol.
     #[error("membership: {0}")]
     Peers(#[from] MembershipError),
     /// Invalid configuration of the placement table.
     #[error("table: {0}")]
-    Accord(#[from] PlacementError),
+    Placement(#[from] PlacementError),
 }
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -20,10 +20,13 @@
 const EVIDENCE_INTERVAL: Duration = Duration::from_secs(1);
 /// Shortest time between two ticks, as in the real node.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// Limit on datagrams sent; this and the table's lease and clock drift are the defaults of the operators' file.
+/// Limit on datagrams sent, the default of the operators' file.
 const DATAGRAM_RATE: Rate = Rate { per_second: 1000, burst: 500 };
+/// Lease on the placement table, the default of the operators' file.
 const TABLE_LEASE: Duration = Duration::from_secs(2);
-const DRIFT_PPM: u32 = 20_000;
+/// Bound on the drift between the nodes' clocks in parts per million, the default of the operators' file.
+const MAX_CLOCK_DRIFT_PPM: u32 = 20_000;
+/// Realm in the header of datagrams, the default of the operators' file.
 const REALM: u32 = 1;
 
 /// An output of a plane, which the simulation carries out in order.
@@ -77,7 +80,7 @@
         if switch == Switch::Off {
             return Ok(None);
         }
-        let to_u16 = |n: usize| u16::try_from(n).map_err(|_| PlaneError::Nodes(position.nodes));
+        let to_u16 = |n: usize| u16::try_from(n).map_err(|_| PlaneError::TooManyNodes(position.nodes));
         let (configured, zone, zones) =
             (to_u16(position.nodes)?, ZoneId(to_u16(position.depot)?), to_u16(position.depots)?);
         let this = NodeIncarnation {
@@ -87,7 +90,7 @@
         let now = Moment::ZERO;
         let peers = Peers::new(PeersConfig::new(this, zone, configured), seed, now, &[])?;
         let placement_config =
-            || PlacementConfig::with_lease(this, zone, zones, configured, TABLE_LEASE, DRIFT_PPM);
+            || PlacementConfig::with_lease(this, zone, zones, configured, TABLE_LEASE, MAX_CLOCK_DRIFT_PPM);
         let placement = (switch == Switch::Table)
             .then(|| Placement::new(placement_config(), None, now, seed))
             .transpose()?;
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -156,7 +156,7 @@
     }
 
     /// Whether the planner is down by overload.
-    pub fn is_overdriven(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.down_until.is_some()
     }
 
@@ -188,8 +188,8 @@
 
     /// Handles a call; it is lost while the planner is down, and fails at once if the queue is too long.
     pub fn ask(&mut self, now: Time, ask: Ask, notifications: &mut Vec<PlannerNotification>) {
-        let weight = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
-        self.record_load(now, weight, notifications);
+        let work = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
+        self.record_load(now, work, notifications);
         if self.is_down() {
             // The call is lost without an answer.
             return;
@@ -209,14 +209,14 @@
     }
 
     /// Counts the work of a call, and stops the planner if the work within the window exceeds the limit.
-    fn record_load(&mut self, now: Time, weight: f64, notifications: &mut Vec<PlannerNotification>) {
+    fn record_load(&mut self, now: Time, work: f64, notifications: &mut Vec<PlannerNotification>) {
         if self.spec.fall_multiple <= 0.0 {
             return;
         }
-        self.recent_work.push_back((now, weight));
-        self.recent_work_sum += weight;
+        self.recent_work.push_back((now, work));
+        self.recent_work_sum += work;
         while self.recent_work.front().is_some_and(|(at, _)| now.since(*at) > self.spec.fall_for) {
-            self.recent_work_sum -= self.recent_work.pop_front().map_or(0.0, |(_, weight)| weight);
+            self.recent_work_sum -= self.recent_work.pop_front().map_or(0.0, |(_, work)| work);
         }
         let limit = self.spec.fall_multiple * self.spec.capacity() * self.spec.fall_for.as_secs();
         if self.recent_work_sum > limit && !self.is_down() && self.stop_count < self.spec.stops {
@@ -232,9 +232,9 @@
         while !self.is_down() && self.in_progress.len() < self.spec.places as usize {
             let Some(ask) = self.waiting.pop_front() else { return };
             let waiting_per_place = self.waiting.len() as f64 / f64::from(self.spec.places.max(1));
-            let weight = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
+            let work = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
             let mean = self.spec.time.as_secs()
-                * weight
+                * work
                 * self.slowness
                 * (1.0 + self.spec.thrash * waiting_per_place);
             let duration = Span::from_secs(self.rng.spread(Spread::LogNormal, mean, self.spec.cv));
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -63,12 +63,12 @@
     }
 
     /// Stores a copy that expires after the TTL, unless it is larger than the memory.
-    pub fn keep(&mut self, key: KeyId, version: u64, bytes: u64, now: Time) {
-        self.keep_until(key, version, bytes, now + self.ttl);
+    pub fn insert(&mut self, key: KeyId, version: u64, bytes: u64, now: Time) {
+        self.insert_until(key, version, bytes, now + self.ttl);
     }
 
     /// Stores a copy that expires at the given time, unless it is larger than the memory.
-    pub fn keep_until(&mut self, key: KeyId, version: u64, bytes: u64, expires: Time) {
+    pub fn insert_until(&mut self, key: KeyId, version: u64, bytes: u64, expires: Time) {
         self.drop_copy(key);
         if bytes > self.memory {
             return;
@@ -116,25 +116,25 @@
         for (evict, evicted) in [(Evict::Lru, 2), (Evict::Fifo, 1)] {
             let mut store = Store::new(30, evict, NEVER_EXPIRES);
             for key in 1..=3 {
-                store.keep(key, 1, 10, Time(key.into()));
+                store.insert(key, 1, 10, Time(key.into()));
             }
             assert!(store.find(1, 1, Time(9)));
-            store.keep(4, 1, 10, Time(10));
+            store.insert(4, 1, 10, Time(10));
             assert_eq!(store.len(), 3);
             assert!(!store.find(evicted, 1, Time(11)), "{evict:?}");
         }
         let mut store = Store::new(30, Evict::Lru, NEVER_EXPIRES);
-        store.keep(1, 1, 31, Time(0));
+        store.insert(1, 1, 31, Time(0));
         assert!(store.is_empty(), "a copy larger than the memory evicts nothing");
     }
 
     #[test]
     fn a_copy_is_valid_until_it_expires_or_the_version_changes() {
         let mut store = Store::new(100, Evict::Lru, Span(10));
-        store.keep(1, 1, 10, Time(0));
+        store.insert(1, 1, 10, Time(0));
         assert!(store.find(1, 1, Time(9)));
         assert!(!store.find(1, 1, Time(10)) && store.is_empty());
-        store.keep(1, 1, 10, Time(20));
+        store.insert(1, 1, 10, Time(20));
         assert!(!store.find(1, 2, Time(21)), "the key has a newer version");
     }
 }
--- a/crates/simulation/tests/cache_box.rs
+++ b/crates/simulation/tests/cache_box.rs
@@ -41,18 +41,18 @@
 }
 
 /// A box with a planner, at a time that the test sets.
-struct TestBox {
+struct TestHarness {
     cache: CacheBox,
     planner: Planner,
     now: Time,
     out: Vec<BoxOut>,
 }
 
-impl TestBox {
+impl TestHarness {
     fn new(spec: BoxSpec) -> Self {
         let day = Scenario::default().draw(1).expect("the defaults make a scenario");
         let planner = Planner::new(day.planner, Chance::new(1, "planner"));
-        TestBox {
+        TestHarness {
             cache: CacheBox::new(spec, Chance::new(1, "box")),
             planner,
             now: Time::ZERO,
@@ -111,146 +111,153 @@
 
 #[test]
 fn hits_are_served_in_order_and_a_full_queue_rejects() {
-    let mut test = TestBox::new(spec());
-    test.cache.fill(1, 100, Time(u64::MAX));
+    let mut harness = TestHarness::new(spec());
+    harness.cache.fill(1, 100, Time(u64::MAX));
     for token in 1..=2 {
-        assert_eq!(test.read(token, 1, 10), []);
+        assert_eq!(harness.read(token, 1, 10), []);
     }
-    assert_eq!(test.read(3, 1, 10), [BoxOut::Answer(3, BoxAnswer::Busy)]);
-    assert_eq!(test.run_until(100), [(10, served(1, CacheNote::Hit, 0)), (20, served(2, CacheNote::Hit, 0))]);
-    assert_eq!(test.cache.held(), 0);
+    assert_eq!(harness.read(3, 1, 10), [BoxOut::Answer(3, BoxAnswer::Busy)]);
+    assert_eq!(
+        harness.run_until(100),
+        [(10, served(1, CacheNote::Hit, 0)), (20, served(2, CacheNote::Hit, 0))]
+    );
+    assert_eq!(harness.cache.held(), 0);
 }
 
 #[test]
 fn two_slowdowns_multiply_and_end_separately() {
-    let mut test = TestBox::new(spec());
-    test.cache.fill(1, 100, Time(u64::MAX));
-    test.cache.slow_by(test.now, 2.0);
-    test.cache.slow_by(test.now, 3.0);
-    test.read(1, 1, 10);
-    assert_eq!(test.run_until(60), [(60, served(1, CacheNote::Hit, 0))]);
-    test.cache.slow_by(test.now, 1.0 / 2.0);
-    test.read(2, 1, 10);
-    assert_eq!(test.run_until(100), [(90, served(2, CacheNote::Hit, 0))]);
+    let mut harness = TestHarness::new(spec());
+    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.slow_by(harness.now, 2.0);
+    harness.cache.slow_by(harness.now, 3.0);
+    harness.read(1, 1, 10);
+    assert_eq!(harness.run_until(60), [(60, served(1, CacheNote::Hit, 0))]);
+    harness.cache.slow_by(harness.now, 1.0 / 2.0);
+    harness.read(2, 1, 10);
+    assert_eq!(harness.run_until(100), [(90, served(2, CacheNote::Hit, 0))]);
 }
 
 #[test]
 fn requests_in_service_share_the_cores() {
-    let mut test = TestBox::new(BoxSpec { slots: 2, ..spec() });
-    test.cache.fill(1, 100, Time(u64::MAX));
-    test.read(1, 1, 10);
-    test.read(2, 1, 30);
+    let mut harness = TestHarness::new(BoxSpec { slots: 2, ..spec() });
+    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.read(1, 1, 10);
+    harness.read(2, 1, 30);
     // Both run at half speed until the first ends; then the second gets the whole core.
-    assert_eq!(test.run_until(100), [(20, served(1, CacheNote::Hit, 0)), (40, served(2, CacheNote::Hit, 0))]);
+    assert_eq!(
+        harness.run_until(100),
+        [(20, served(1, CacheNote::Hit, 0)), (40, served(2, CacheNote::Hit, 0))]
+    );
 }
 
 #[test]
 fn misses_of_a_key_share_a_fetch_and_the_copy_is_cached() {
-    let mut test = TestBox::new(BoxSpec { slots: 4, waiting: 4, ..spec() });
-    let ask = planner_call(&test.read(1, 1, 10));
-    assert_eq!(test.read(2, 1, 10), [], "the fetch is in flight");
-    test.run_until(50);
-    test.fetched(ask.id, Some(0));
-    let answers = test.run_until(100);
+    let mut harness = TestHarness::new(BoxSpec { slots: 4, waiting: 4, ..spec() });
+    let ask = planner_call(&harness.read(1, 1, 10));
+    assert_eq!(harness.read(2, 1, 10), [], "the fetch is in flight");
+    harness.run_until(50);
+    harness.fetched(ask.id, Some(0));
+    let answers = harness.run_until(100);
     assert!(answers.contains(&(70, served(1, CacheNote::Miss, 0))), "{answers:?}");
     assert!(answers.contains(&(70, served(2, CacheNote::MissFetching, 0))), "{answers:?}");
-    test.read(3, 1, 10);
-    assert_eq!(test.run_until(200), [(110, served(3, CacheNote::Hit, 0))]);
+    harness.read(3, 1, 10);
+    assert_eq!(harness.run_until(200), [(110, served(3, CacheNote::Hit, 0))]);
 }
 
 #[test]
 fn a_write_during_a_fetch_leaves_no_stale_copy() {
-    let mut test = TestBox::new(spec());
-    let ask = planner_call(&test.read(1, 1, 10));
+    let mut harness = TestHarness::new(spec());
+    let ask = planner_call(&harness.read(1, 1, 10));
     // The planner replied with version 0; before the reply arrives, a write through another box is carried out.
-    test.planner.change(1);
-    test.fetched(ask.id, Some(0));
+    harness.planner.change(1);
+    harness.fetched(ask.id, Some(0));
     assert_eq!(
-        test.run_until(50),
+        harness.run_until(50),
         [(10, served(1, CacheNote::Miss, 0))],
         "a request from before the write may get the old version"
     );
-    assert_eq!(test.cache.kept(), 0, "no copy for requests after the write");
-    assert_eq!(planner_call(&test.read(2, 1, 10)).key, 1);
+    assert_eq!(harness.cache.kept(), 0, "no copy for requests after the write");
+    assert_eq!(planner_call(&harness.read(2, 1, 10)).key, 1);
 }
 
 #[test]
 fn a_write_goes_to_the_planner_and_drops_the_copy() {
-    let mut test = TestBox::new(spec());
-    test.cache.fill(1, 100, Time(u64::MAX));
-    test.job(1, 1, 10, true);
-    let outputs = test.run_until(10);
+    let mut harness = TestHarness::new(spec());
+    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.job(1, 1, 10, true);
+    let outputs = harness.run_until(10);
     let ask = planner_call(&outputs.into_iter().map(|(_, out)| out).collect::<Vec<_>>());
     assert_eq!(ask.write, Some(Some(1)));
-    test.planner.change(1);
-    assert_eq!(test.fetched(ask.id, Some(1)), [served(1, CacheNote::Hit, 1)]);
-    assert_eq!(test.cache.kept(), 0);
+    harness.planner.change(1);
+    assert_eq!(harness.fetched(ask.id, Some(1)), [served(1, CacheNote::Hit, 1)]);
+    assert_eq!(harness.cache.kept(), 0);
 }
 
 #[test]
 fn a_fetch_that_times_out_fails_its_waiters_and_is_cached_when_it_completes() {
-    let mut test = TestBox::new(spec());
-    let ask = planner_call(&test.read(1, 1, 10));
-    assert_eq!(test.run_until(500), [(500, BoxOut::Answer(1, BoxAnswer::Failed))]);
-    test.fetched(ask.id, Some(0));
-    test.read(2, 1, 10);
-    assert_eq!(test.run_until(600), [(510, served(2, CacheNote::Hit, 0))]);
+    let mut harness = TestHarness::new(spec());
+    let ask = planner_call(&harness.read(1, 1, 10));
+    assert_eq!(harness.run_until(500), [(500, BoxOut::Answer(1, BoxAnswer::Failed))]);
+    harness.fetched(ask.id, Some(0));
+    harness.read(2, 1, 10);
+    assert_eq!(harness.run_until(600), [(510, served(2, CacheNote::Hit, 0))]);
 }
 
 #[test]
 fn fetches_in_flight_are_bounded_and_failed_ones_retried_as_configured() {
-    let mut test = TestBox::new(BoxSpec { slots: 4, waiting: 4, fetch_retries: 1, ..spec() });
-    let ask = planner_call(&test.read(1, 1, 10));
-    test.read(2, 2, 10);
-    assert_eq!(test.read(3, 3, 10), [BoxOut::Answer(3, BoxAnswer::Busy)], "both fetch places are taken");
-    assert_eq!(planner_call(&test.fetched(ask.id, None)).id, ask.id);
-    assert_eq!(test.fetched(ask.id, None), [BoxOut::Answer(1, BoxAnswer::Failed)]);
-    assert_eq!(planner_call(&test.read(4, 3, 10)).key, 3, "the fetch place is free again");
+    let mut harness = TestHarness::new(BoxSpec { slots: 4, waiting: 4, fetch_retries: 1, ..spec() });
+    let ask = planner_call(&harness.read(1, 1, 10));
+    harness.read(2, 2, 10);
+    assert_eq!(harness.read(3, 3, 10), [BoxOut::Answer(3, BoxAnswer::Busy)], "both fetch places are taken");
+    assert_eq!(planner_call(&harness.fetched(ask.id, None)).id, ask.id);
+    assert_eq!(harness.fetched(ask.id, None), [BoxOut::Answer(1, BoxAnswer::Failed)]);
+    assert_eq!(planner_call(&harness.read(4, 3, 10)).key, 3, "the fetch place is free again");
 }
 
 #[test]
 fn cancelled_requests_that_wait_are_dropped_and_running_ones_go_on() {
-    let mut test = TestBox::new(spec());
-    test.cache.fill(1, 100, Time(u64::MAX));
-    test.read(1, 1, 10);
-    test.read(2, 1, 10);
+    let mut harness = TestHarness::new(spec());
+    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.read(1, 1, 10);
+    harness.read(2, 1, 10);
     for token in 1..=2 {
-        test.cache.cancel(test.now, token, &test.planner, &mut test.out);
+        harness.cache.cancel(harness.now, token, &harness.planner, &mut harness.out);
     }
-    assert_eq!(test.run_until(100), [(10, served(1, CacheNote::Hit, 0))]);
+    assert_eq!(harness.run_until(100), [(10, served(1, CacheNote::Hit, 0))]);
 }
 
 #[test]
 fn a_restarted_box_is_cold_and_empty_and_falls_over_when_overloaded() {
-    let mut test = TestBox::new(BoxSpec { waiting: 10_000, ..spec() });
-    test.cache.fill(1, 100, Time(u64::MAX));
-    test.now = Time(1000 * US_PER_MS);
-    test.cache.start(test.now);
-    assert_eq!((test.cache.kept(), test.cache.warmth(test.now)), (0, 0.25));
+    let mut harness = TestHarness::new(BoxSpec { waiting: 10_000, ..spec() });
+    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.now = Time(1000 * US_PER_MS);
+    harness.cache.start(harness.now);
+    assert_eq!((harness.cache.kept(), harness.cache.warmth(harness.now)), (0, 0.25));
     // Allowed are 3 x 0.25 cores x 3 s, or N = 22.5 requests of 0.1 s. As N is under 30, the limit is
     // N + 3 √N + 3 = 39.73 requests within 3 s, whether an incident slows the box or not. Rejected work counts as well.
-    test.cache.slow_by(test.now, 4.0);
+    harness.cache.slow_by(harness.now, 4.0);
     for token in 0..39 {
-        assert!(!test.read(token, token as u32, 100).contains(&BoxOut::Fell), "{token}");
+        assert!(!harness.read(token, token as u32, 100).contains(&BoxOut::Fell), "{token}");
     }
-    assert!(!test.read(39, 39, 72).contains(&BoxOut::Fell));
-    assert!(test.read(40, 40, 2).contains(&BoxOut::Fell));
-    assert!(test.cache.has_fallen() && !test.cache.is_up());
-    let mut warm_box = TestBox::new(BoxSpec { waiting: 10_000, ..spec() });
+    assert!(!harness.read(39, 39, 72).contains(&BoxOut::Fell));
+    assert!(harness.read(40, 40, 2).contains(&BoxOut::Fell));
+    assert!(harness.cache.has_fallen() && !harness.cache.is_up());
+    let mut warm_box = TestHarness::new(BoxSpec { waiting: 10_000, ..spec() });
     let fell = (0..1000).any(|token| warm_box.read(token, 1, 100).contains(&BoxOut::Fell));
     assert!(!fell, "a warm box does not fall over");
 }
 
 #[test]
 fn connections_are_bounded_cost_work_and_are_released() {
-    let mut test = TestBox::new(BoxSpec { connections: 2, connection_work: Span::from_millis(4), ..spec() });
-    test.cache.fill(1, 100, Time(u64::MAX));
+    let mut harness =
+        TestHarness::new(BoxSpec { connections: 2, connection_work: Span::from_millis(4), ..spec() });
+    harness.cache.fill(1, 100, Time(u64::MAX));
     let mut out = Vec::new();
-    assert!(test.cache.connect(test.now, &mut out) && test.cache.connect(test.now, &mut out));
-    assert!(!test.cache.connect(test.now, &mut out));
-    test.read(1, 1, 10);
+    assert!(harness.cache.connect(harness.now, &mut out) && harness.cache.connect(harness.now, &mut out));
+    assert!(!harness.cache.connect(harness.now, &mut out));
+    harness.read(1, 1, 10);
     // 18 ms of work on one core; the two connections, of 4 ms each, end first.
-    assert_eq!(test.run_until(100), [(18, served(1, CacheNote::Hit, 0))]);
-    test.cache.disconnect(test.now);
-    assert!(test.cache.connect(test.now, &mut out));
+    assert_eq!(harness.run_until(100), [(18, served(1, CacheNote::Hit, 0))]);
+    harness.cache.disconnect(harness.now);
+    assert!(harness.cache.connect(harness.now, &mut out));
 }
