--- a/crates/simulation/src/cache_box/fetches.rs
+++ b/crates/simulation/src/cache_box/fetches.rs
@@ -20,7 +20,7 @@
             self.fetches_in_flight += 1;
         }
         self.fetch_order.push_back((now, id));
-        out.push(BoxOut::Ask { ask: Ask { id, key, write }, cold: self.warmth(now) < 1.0 });
+        out.push(BoxOut::Ask { ask: Ask { id, key, write }, cold: self.slow_start_factor(now) < 1.0 });
         id
     }
 
@@ -72,7 +72,7 @@
 
     /// Retries a failed fetch; false for a write and when the retries are used up.
     pub(super) fn retry_fetch(&mut self, now: Time, id: u64, out: &mut Vec<BoxOut>) -> bool {
-        let cold = self.warmth(now) < 1.0;
+        let cold = self.slow_start_factor(now) < 1.0;
         let Some(fetch) = self.fetches.get_mut(&id) else { return false };
         if fetch.write.is_some() || fetch.retries >= self.spec.fetch_retries {
             return false;
--- a/crates/simulation/src/cache_box/overload.rs
+++ b/crates/simulation/src/cache_box/overload.rs
@@ -7,7 +7,7 @@
     /// The limit depends only on the time since the start, because the settings do not know of incidents that slow
     /// the box.
     pub(super) fn record_offered_work(&mut self, now: Time, work: f64, out: &mut Vec<BoxOut>) {
-        if self.spec.fall_multiple <= 0.0 || self.warmth(now) >= 1.0 {
+        if self.spec.fall_multiple <= 0.0 || self.slow_start_factor(now) >= 1.0 {
             self.offered_work.clear();
             self.offered_work_sum = 0.0;
             return;
--- a/crates/simulation/src/cache_box/speed.rs
+++ b/crates/simulation/src/cache_box/speed.rs
@@ -12,7 +12,7 @@
     }
 
     /// Slow-start factor: share of the capacity that is available now, by time or by work as `warm_by` says.
-    pub fn warmth(&self, now: Time) -> f64 {
+    pub fn slow_start_factor(&self, now: Time) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let time_progress = now.since(started).as_secs() / self.spec.ramp.as_secs().max(1e-6);
         let share = match self.spec.warm_by {
@@ -27,7 +27,7 @@
 
     /// Work per second that the box can do now, in seconds of a standard core.
     pub fn present_capacity(&self, now: Time) -> f64 {
-        self.spec.capacity() * self.warmth(now) / self.slowness
+        self.spec.capacity() * self.slow_start_factor(now) / self.slowness
     }
 
     /// Work that each request in service attains per microsecond.
@@ -38,7 +38,7 @@
         let efficiency = (1.0 - self.spec.table_tax * table_usage.min(1.0))
             / (1.0 + self.spec.crowd_loss * excess_per_core);
         let share = (self.spec.cores / self.serving.len().max(1) as f64).min(1.0);
-        self.spec.speed * share * efficiency * self.warmth(now) / self.slowness
+        self.spec.speed * share * efficiency * self.slow_start_factor(now) / self.slowness
     }
 
     /// Advances the attained work to now, and makes a load report if one is due. The speed at the last event is used
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -70,7 +70,7 @@
         if !self.planner.is_down() {
             self.callers.insert(id, (by, life, ask.id));
         }
-        self.planner.ask(now, Ask { id, ..ask }, &mut self.notifications);
+        self.planner.call(now, Ask { id, ..ask }, &mut self.notifications);
         self.forward_notifications(now, out);
     }
 
@@ -109,7 +109,7 @@
                 PlannerNotification::Resumed => out.push(OriginOut::Record(Event::PlannerResumed)),
             }
         }
-        if let Some(wake) = self.planner.wakes().map(|at| at.max(now + Span(1))) {
+        if let Some(wake) = self.planner.next_wake().map(|at| at.max(now + Span(1))) {
             if self.scheduled_wake.is_none_or(|scheduled| wake < scheduled || scheduled <= now) {
                 self.scheduled_wake = Some(wake);
                 out.push(OriginOut::WakeAt(wake));
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -187,7 +187,7 @@
     }
 
     /// Handles a call; it is lost while the planner is down, and fails at once if the queue is too long.
-    pub fn ask(&mut self, now: Time, ask: Ask, notifications: &mut Vec<PlannerNotification>) {
+    pub fn call(&mut self, now: Time, ask: Ask, notifications: &mut Vec<PlannerNotification>) {
         let work = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
         self.record_load(now, work, notifications);
         if self.is_down() {
@@ -245,7 +245,7 @@
     }
 
     /// Time at which the planner next needs a call of `wake`, if any.
-    pub fn wakes(&self) -> Option<Time> {
+    pub fn next_wake(&self) -> Option<Time> {
         self.down_until.or_else(|| self.completions.peek().map(|Reverse((at, _))| *at))
     }
 
@@ -325,7 +325,7 @@
 
     fn run(planner: &mut Planner, until: Time) -> Vec<(Time, PlannerNotification)> {
         let mut all = Vec::new();
-        while let Some(at) = planner.wakes().filter(|at| *at <= until) {
+        while let Some(at) = planner.next_wake().filter(|at| *at <= until) {
             let mut notifications = Vec::new();
             planner.wake(at, &mut notifications);
             all.extend(notifications.into_iter().map(|notification| (at, notification)));
@@ -337,7 +337,7 @@
     fn places_bound_the_concurrent_calls() {
         let (mut planner, mut notifications) = (planner(spec()), Vec::new());
         for id in 0..4 {
-            planner.ask(Time(0), read(id), &mut notifications);
+            planner.call(Time(0), read(id), &mut notifications);
         }
         assert!(notifications.is_empty());
         let ends: Vec<u64> = run(&mut planner, Time(1_000_000)).iter().map(|(at, _)| at.0).collect();
@@ -348,16 +348,16 @@
     fn a_repeat_of_a_keyed_write_within_the_window_changes_nothing() {
         let (mut planner, mut notifications) = (planner(spec()), Vec::new());
         let write = |id| Ask { id, key: 7, write: Some(Some(5)) };
-        planner.ask(Time(0), write(1), &mut notifications);
+        planner.call(Time(0), write(1), &mut notifications);
         run(&mut planner, Time(250_000));
-        planner.ask(Time(250_000), write(2), &mut notifications);
+        planner.call(Time(250_000), write(2), &mut notifications);
         let second = run(&mut planner, Time(600_000));
         assert!(
             matches!(second[..], [(_, PlannerNotification::Done { wrote: false, version: Some(1), .. })]),
             "{second:?}"
         );
         // The window counts from the time of the write; after it, the same idempotency key is a new write.
-        planner.ask(Time(1_500_000), write(3), &mut notifications);
+        planner.call(Time(1_500_000), write(3), &mut notifications);
         let third = run(&mut planner, Time(2_000_000));
         assert!(
             matches!(third[..], [(_, PlannerNotification::Done { wrote: true, version: Some(2), .. })]),
@@ -371,16 +371,16 @@
         let (mut planner, mut notifications) = (planner(spec()), Vec::new());
         // The limit is 2.5 x 20 calls/s x 3 s = 150 calls: the 151st within the window stops the planner.
         for id in 0..150 {
-            planner.ask(Time(id * 1000), read(id), &mut notifications);
+            planner.call(Time(id * 1000), read(id), &mut notifications);
         }
         assert!(!planner.is_down());
-        planner.ask(Time(150_000), read(150), &mut notifications);
+        planner.call(Time(150_000), read(150), &mut notifications);
         assert!(planner.is_down() && notifications.contains(&PlannerNotification::Stopped));
         let later = run(&mut planner, Time(10_000_000));
         assert_eq!(later, [(Time(5_150_000), PlannerNotification::Resumed)]);
         for start_us in [20_000_000, 40_000_000] {
             for id in 0..151 {
-                planner.ask(Time(start_us + id), read(id), &mut notifications);
+                planner.call(Time(start_us + id), read(id), &mut notifications);
             }
             run(&mut planner, Time(start_us + 10_000_000));
         }
@@ -398,7 +398,7 @@
         let (mut planner, mut notifications) =
             (planner(PlannerSpec { fall_multiple: 0.0, ..spec() }), Vec::new());
         for id in 0..40 {
-            planner.ask(Time(0), read(id), &mut notifications);
+            planner.call(Time(0), read(id), &mut notifications);
         }
         // 2 calls are in progress and 21 wait; the wait for a further call would be over 1 s.
         assert_eq!(notifications.len(), 40 - 23);
@@ -410,14 +410,14 @@
     #[test]
     fn after_two_overlapping_silences_it_answers_when_both_have_ended() {
         let (mut planner, mut notifications) = (planner(spec()), Vec::new());
-        planner.ask(Time(0), read(1), &mut notifications);
+        planner.call(Time(0), read(1), &mut notifications);
         planner.silence(Time(1), true, &mut notifications);
         planner.silence(Time(2), true, &mut notifications);
         planner.silence(Time(3), false, &mut notifications);
-        planner.ask(Time(4), read(2), &mut notifications);
+        planner.call(Time(4), read(2), &mut notifications);
         assert_eq!((planner.is_down(), &notifications[..]), (true, &[PlannerNotification::Stopped][..]));
         planner.silence(Time(5), false, &mut notifications);
-        planner.ask(Time(6), read(3), &mut notifications);
+        planner.call(Time(6), read(3), &mut notifications);
         let done = run(&mut planner, Time(1_000_000));
         assert!(
             matches!(done[..], [(_, PlannerNotification::Done { id: 3, .. })]),
--- a/crates/simulation/tests/cache_box.rs
+++ b/crates/simulation/tests/cache_box.rs
@@ -232,7 +232,7 @@
     harness.cache.fill(1, 100, Time(u64::MAX));
     harness.now = Time(1000 * US_PER_MS);
     harness.cache.start(harness.now);
-    assert_eq!((harness.cache.kept(), harness.cache.warmth(harness.now)), (0, 0.25));
+    assert_eq!((harness.cache.kept(), harness.cache.slow_start_factor(harness.now)), (0, 0.25));
     // Allowed are 3 x 0.25 cores x 3 s, or N = 22.5 requests of 0.1 s. As N is under 30, the limit is
     // N + 3 √N + 3 = 39.73 requests within 3 s, whether an incident slows the box or not. Rejected work counts as well.
     harness.cache.slow_by(harness.now, 4.0);
