--- a/crates/emulator/src/footprint.rs
+++ b/crates/emulator/src/footprint.rs
@@ -1,47 +1,47 @@
-//! What the processes of nodes need of their machine, as the kernel and the emulated discovery see it.
+//! Resource use of node processes, read from `/proc` and from the emulated service discovery.
 
 use std::time::Duration;
 
 use rustix::process::Pid;
 use serde::Serialize;
 
-/// Ticks a second in which the kernel tells processor time; fixed in its interface to user space.
+/// Clock ticks per second in `/proc/PID/stat` (`USER_HZ`), which is fixed in the kernel's interface to user space.
 const TICKS_PER_SECOND: u64 = 100;
-/// Places of the user and the system time in `/proc/PID/stat`, counted from the state, behind the name in brackets.
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
+/// Field indices of user and system time in `/proc/PID/stat`, counted from the state field after the bracketed name.
+const USER_TIME_FIELD: usize = 11;
+const SYSTEM_TIME_FIELD: usize = 12;
 
-/// What one node has needed, over all of its processes.
+/// Resource use of one node, over all of its processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Footprint {
-    /// Most descriptors that were open at once, of those times at which they were counted.
+    /// Largest sampled number of open file descriptors.
     pub descriptors: u64,
-    /// Most memory that a process has had resident, in KiB.
+    /// Peak resident memory of any of its processes, in KiB.
     pub peak_memory_kib: u64,
-    /// Processor time, in milliseconds.
+    /// CPU time of all its processes, in milliseconds.
     pub cpu_ms: u64,
-    /// Bytes of lists and of their changes that discovery has sent.
+    /// Bytes of endpoint lists and list changes that discovery has sent to the node.
     pub list_bytes: u64,
 }
 
-/// A node whose process is looked at now and then.
+/// A node whose current process is sampled from time to time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ObservedNode {
     footprint: Footprint,
     process: Option<Pid>,
-    /// Processor time of the processes before this one, in milliseconds.
+    /// CPU time of the earlier processes, in milliseconds.
     earlier_cpu_ms: u64,
 }
 
 impl ObservedNode {
-    /// A new process of the node runs from here on.
-    pub fn starts(&mut self, process: Pid) {
+    /// Sets the node's current process after a start.
+    pub fn process_started(&mut self, process: Pid) {
         self.earlier_cpu_ms = self.footprint.cpu_ms;
         self.process = Some(process);
     }
 
-    /// Looks at the process. One that has ended leaves what was seen last.
-    pub fn look(&mut self) {
+    /// Samples the current process. After it has ended, the last sample stands.
+    pub fn sample(&mut self) {
         let Some(process) = self.process.map(Pid::as_raw_nonzero) else { return };
         let file = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).ok();
         let open = std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, |all| all.count() as u64);
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Discovery has sent it so much of the list.
-    pub fn receives_list(&mut self, bytes: usize) {
+    /// Counts bytes of the endpoint list that discovery has sent.
+    pub fn count_list_bytes(&mut self, bytes: usize) {
         self.footprint.list_bytes += bytes as u64;
     }
 
@@ -64,17 +64,17 @@
     }
 }
 
-/// Peak of the resident memory in a text of `/proc/PID/status`.
+/// Parses the peak resident memory (`VmHWM`) from `/proc/PID/status`.
 fn peak_memory_kib(status: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
     line.trim().strip_suffix("kB")?.trim().parse().ok()
 }
 
-/// User and system time in a text of `/proc/PID/stat`.
+/// Parses the sum of user and system time from `/proc/PID/stat`.
 fn cpu_time(stat: &str) -> Option<Duration> {
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
     let ticks = |field: usize| fields.get(field)?.parse::<u64>().ok();
-    let ticks = ticks(USER_TIME)? + ticks(SYSTEM_TIME)?;
+    let ticks = ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?;
     Some(Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND))
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! Runs days of the model, and hands their verdicts back.
+//! Runs simulation scenarios, in virtual time or against real nodes on loopback sockets, and returns their verdicts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/emulator/src/sockets/agent.rs
+++ b/crates/emulator/src/sockets/agent.rs
@@ -1,4 +1,4 @@
-//! Discovery's agent on a node's machine, over HTTP: one list, to be polled or watched.
+//! Fake service discovery agent over HTTP: one endpoint list, to be polled or watched by long polls.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -14,37 +14,38 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use super::loopback::PAUSE;
+use super::loopback::RETRY_DELAY;
 
-/// Longest wait that a watch may ask for.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Upper limit of the `wait` parameter of a long poll.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// What an agent knows.
+/// State of a service discovery agent.
 pub trait Agent: Clone + 'static {
-    /// How many reasons there are to say nothing; with any, the agent is silent.
+    /// Number of faults that keep the agent from answering; it answers only while this is 0.
     fn silence(&self) -> watch::Receiver<u32>;
-    /// The revision that the agent has.
+    /// Revision of the list that the agent holds.
     fn revision(&self) -> watch::Receiver<u64>;
-    /// It is asked, for the whole list or for what came after a revision.
+    /// Called for each request: for the complete list, or for the changes after a revision.
     fn asked(&self, after: Option<u64>);
-    /// The call is over and its node has had no answer: it has given the call up, or has ended.
+    /// Called when the node has abandoned a call or has ended before the call was answered.
     fn given_up(&self) {}
-    /// Discovery's form of the whole list, or of what came after a revision. It is sent at once and counts as told.
+    /// Body with the complete list, or with the changes after a revision. It is sent at once, so the node counts as
+    /// notified.
     fn tell(&self, after: Option<u64>) -> String;
 }
 
-/// Answers calls until it is dropped.
+/// Answers calls until the future is dropped.
 pub async fn serve(agent: impl Agent, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let agent = agent.clone();
         let service = service_fn(move |request| answer(agent.clone(), request));
         let connection =
             http1::Builder::new().timer(TokioTimer::new()).serve_connection(TokioIo::new(stream), service);
-        // A node that goes away in the middle of a call is no fault of the agent's.
+        // The result is ignored: a node may close the connection during a call.
         tokio::task::spawn_local(async move { drop(connection.await) });
     }
 }
@@ -56,28 +57,28 @@
         Ok(response)
     };
     if request.uri().path() != "/discovery/hosts" {
-        return respond(StatusCode::NOT_FOUND, "no such thing here".into());
+        return respond(StatusCode::NOT_FOUND, "unknown path".into());
     }
     let query = request.uri().query().unwrap_or("");
-    let figure = |name: &str| {
+    let parameter = |name: &str| {
         let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
         value.map(str::parse::<u64>).transpose()
     };
-    let (Ok(index), Ok(wait)) = (figure("index"), figure("wait")) else {
+    let (Ok(index), Ok(wait)) = (parameter("index"), parameter("wait")) else {
         return respond(StatusCode::BAD_REQUEST, "index and wait: whole numbers expected".into());
     };
     agent.asked(index);
-    // Whoever hangs up ends this call wherever it waits.
-    let mut call = Call { agent: &agent, answered: false };
-    // While discovery is down its agent says nothing.
+    // If the node closes the connection, hyper drops this future at whichever await it has reached.
+    let mut call = PendingCall { agent: &agent, answered: false };
+    // While discovery is down, the agent does not answer.
     let mut silence = agent.silence();
     if silence.wait_for(|reasons| *reasons == 0).await.is_err() {
         return std::future::pending().await;
     }
     if let Some(index) = index {
         let mut revision = agent.revision();
-        let wait = Duration::from_millis(wait.unwrap_or(0)).min(LONGEST);
-        // Either something newer is there or the time is up.
+        let wait = Duration::from_millis(wait.unwrap_or(0)).min(MAX_WAIT);
+        // Ends when a newer revision is there or the wait is over.
         let _ = timeout(wait, revision.wait_for(|revision| *revision > index)).await;
         if silence.wait_for(|reasons| *reasons == 0).await.is_err() {
             return std::future::pending().await;
@@ -87,13 +88,13 @@
     respond(StatusCode::OK, agent.tell(index))
 }
 
-/// A call that is out; one that is dropped before its answer was given up.
-struct Call<'a, A: Agent> {
+/// A call in progress; one that is dropped before its answer counts as abandoned.
+struct PendingCall<'a, A: Agent> {
     agent: &'a A,
     answered: bool,
 }
 
-impl<A: Agent> Drop for Call<'_, A> {
+impl<A: Agent> Drop for PendingCall<'_, A> {
     fn drop(&mut self) {
         if !self.answered {
             self.agent.given_up();
--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -1,4 +1,4 @@
-//! A box's machine on loopback: its listening socket, and the connections to it.
+//! Fake box on loopback: its listener and its connections.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,188 +13,208 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::loopback::{self, PAUSE};
-use super::stage::{Mode, Shared};
+use super::environment::{MachineMode, SharedEnvironment};
+use super::loopback::{self, RETRY_DELAY};
 
-/// What lies between the nodes of a depot and a box: the box's machine, and the network on the way.
-struct Way {
-    at: BoxId,
-    mode: watch::Receiver<Mode>,
-    /// How many incidents part the two.
+/// State of a box's machine and of the network between it and the nodes of one depot.
+struct BoxPath {
+    box_id: BoxId,
+    mode: watch::Receiver<MachineMode>,
+    /// Number of incidents that currently partition the depot from the box.
     link: watch::Receiver<u32>,
 }
 
-impl Way {
-    fn new(stage: &Shared, at: BoxId, from: usize) -> Self {
-        let stage = stage.borrow();
-        Way { at, mode: stage.mode(at), link: stage.link(from, at) }
+impl BoxPath {
+    fn new(environment: &SharedEnvironment, box_id: BoxId, depot: usize) -> Self {
+        let environment = environment.borrow();
+        BoxPath { box_id, mode: environment.mode(box_id), link: environment.link(depot, box_id) }
     }
 
-    fn is_parted(&self) -> bool {
+    fn is_partitioned(&self) -> bool {
         *self.link.borrow() > 0
     }
 
-    /// How the box's machine looks from the depot.
-    fn seen(&mut self) -> Mode {
+    /// Mode of the box as observed from the depot: silent while the two are partitioned.
+    fn observed_mode(&mut self) -> MachineMode {
         let mode = *self.mode.borrow_and_update();
-        let parted = *self.link.borrow_and_update() > 0;
-        if parted {
-            Mode::Silent
+        let partitioned = *self.link.borrow_and_update() > 0;
+        if partitioned {
+            MachineMode::Silent
         } else {
             mode
         }
     }
 
-    /// Waits until either may have changed; false once the day is over.
+    /// Waits until the mode or the link may have changed; false once the run is over.
     async fn changed(&mut self) -> bool {
         tokio::select! {
-            turned = self.mode.changed() => turned.is_ok(),
-            turned = self.link.changed() => turned.is_ok(),
+            result = self.mode.changed() => result.is_ok(),
+            result = self.link.changed() => result.is_ok(),
         }
     }
 }
 
-/// Plays a box's machine towards the nodes of a depot until the day is over.
-pub(super) async fn run(stage: Shared, at: BoxId, from: usize) {
-    let address = stage.borrow().addresses[at][from];
-    let mut way = Way::new(&stage, at, from);
+/// Acts as a box towards the nodes of one depot until the run is over.
+pub(super) async fn run(environment: SharedEnvironment, box_id: BoxId, depot: usize) {
+    let address = environment.borrow().addresses[box_id][depot];
+    let mut path = BoxPath::new(&environment, box_id, depot);
     loop {
-        let goes_on = match way.seen() {
-            Mode::Open(life) => tokio::select! {
-                goes_on = way.changed() => goes_on,
-                () = serve(&stage, at, from, life, address) => unreachable!("serves until its mode turns"),
+        let is_running = match path.observed_mode() {
+            MachineMode::Open(incarnation) => tokio::select! {
+                is_running = path.changed() => is_running,
+                () = serve(&environment, box_id, depot, incarnation, address) => unreachable!("the listener serves until the mode changes"),
             },
-            Mode::Silent => tokio::select! {
-                goes_on = way.changed() => goes_on,
-                () = loopback::swallow(address) => unreachable!("swallows until its mode turns"),
+            MachineMode::Silent => tokio::select! {
+                is_running = path.changed() => is_running,
+                () = loopback::swallow(address) => unreachable!("connections are dropped until the mode changes"),
             },
-            Mode::Down => way.changed().await,
+            MachineMode::Down => path.changed().await,
         };
-        if !goes_on {
+        if !is_running {
             return;
         }
     }
 }
 
-/// Accepts for ever, for one life of the process.
-async fn serve(stage: &Shared, at: BoxId, from: usize, life: u32, address: SocketAddr) {
+/// Accepts connections for one incarnation of the process; never returns.
+async fn serve(
+    environment: &SharedEnvironment,
+    box_id: BoxId,
+    depot: usize,
+    incarnation: u32,
+    address: SocketAddr,
+) {
     let listener = loopback::listen(address).await;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let way = Way::new(stage, at, from);
-                tokio::task::spawn_local(connection(stage.clone(), life, stream, way));
+                let path = BoxPath::new(environment, box_id, depot);
+                tokio::task::spawn_local(connection(environment.clone(), incarnation, stream, path));
             }
-            Err(_) => sleep(PAUSE).await,
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// An answer that is owed on a connection, in its turn.
-struct Owed {
+/// An answer to a command on a connection, in pipeline order.
+struct PendingAnswer {
     reply: oneshot::Receiver<Vec<u8>>,
-    /// It has come, and goes out then.
-    ready: Option<(Vec<u8>, Instant)>,
+    /// The answer, once it is there, and the time at which it is sent.
+    due: Option<(Vec<u8>, Instant)>,
+    /// Token of the attempt; `None` for answers that need no work.
     token: Option<u64>,
+    /// Emulated round-trip time.
     delay: Duration,
 }
 
-impl Owed {
-    /// Waits until it may go out; false if nothing will come. Nothing is lost when the future is dropped.
-    async fn ready(&mut self) -> bool {
-        if self.ready.is_none() {
+impl PendingAnswer {
+    /// Waits until the answer may be sent; false if none will come. Cancel-safe: dropping the future loses no answer.
+    async fn wait_until_due(&mut self) -> bool {
+        if self.due.is_none() {
             let Ok(text) = (&mut self.reply).await else { return false };
-            self.ready = Some((text, Instant::now() + self.delay));
+            self.due = Some((text, Instant::now() + self.delay));
         }
-        if let Some((_, at)) = &self.ready {
-            sleep_until(*at).await;
+        if let Some((_, send_time)) = &self.due {
+            sleep_until(*send_time).await;
         }
         true
     }
 }
 
-/// Reads commands and answers them in their order, until either side ends or the process's life does.
-async fn connection(stage: Shared, life: u32, mut stream: TcpStream, mut way: Way) {
-    let at = way.at;
-    let idle_close = Duration::from_micros(stage.borrow().day.boxes[at].idle_close.0);
-    if way.seen() != Mode::Open(life) || !stage.borrow_mut().connected(at) {
+/// Reads commands and answers them in order, until either side closes or the incarnation of the process ends.
+async fn connection(
+    environment: SharedEnvironment,
+    incarnation: u32,
+    mut stream: TcpStream,
+    mut path: BoxPath,
+) {
+    let box_id = path.box_id;
+    let idle_close = Duration::from_micros(environment.borrow().day.boxes[box_id].idle_close.0);
+    if path.observed_mode() != MachineMode::Open(incarnation) || !environment.borrow_mut().connected(box_id) {
         return loopback::reset(&stream);
     }
     let _ = stream.set_nodelay(true);
-    let (mut input, mut owed, mut used) = (BytesMut::new(), VecDeque::<Owed>::new(), Instant::now());
-    // One whose machine is silent stays open and says nothing until the process has started anew; one whose depots are
-    // parted, until they are no more.
+    let (mut input, mut pending, mut last_used) =
+        (BytesMut::new(), VecDeque::<PendingAnswer>::new(), Instant::now());
+    // A connection stays open without answers while the machine is silent, until the process has restarted, or while
+    // the depots are partitioned, until the partition heals.
     let mut silent = false;
-    let ended_by_life = loop {
+    let process_ended = loop {
         while let Some(call) = cache_server::next_call(&mut input) {
-            if let Some(next) = take(&stage, &way, call, silent) {
-                owed.push_back(next);
+            if let Some(next) = handle_call(&environment, &path, call, silent) {
+                pending.push_back(next);
             }
         }
-        let idle = owed.is_empty() && !silent;
+        let idle = pending.is_empty() && !silent;
         let next = async {
-            match owed.front_mut() {
-                Some(first) => first.ready().await,
+            match pending.front_mut() {
+                Some(first) => first.wait_until_due().await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             read = stream.read_buf(&mut input) => match read {
-                Ok(n) if n > 0 => used = Instant::now(),
+                Ok(n) if n > 0 => last_used = Instant::now(),
                 _ => break false,
             },
-            came = next, if !silent => {
-                let text = owed.pop_front().and_then(|first| first.ready).map(|(text, _)| text);
-                match text.filter(|_| came) {
-                    Some(text) if stream.write_all(&text).await.is_ok() => used = Instant::now(),
+            available = next, if !silent => {
+                let text = pending.pop_front().and_then(|first| first.due).map(|(text, _)| text);
+                match text.filter(|_| available) {
+                    Some(text) if stream.write_all(&text).await.is_ok() => last_used = Instant::now(),
                     _ => break false,
                 }
             }
-            goes_on = way.changed() => match (goes_on, way.seen()) {
-                (true, Mode::Silent) => silent = true,
-                (true, Mode::Open(now)) if now == life => silent = false,
+            is_running = path.changed() => match (is_running, path.observed_mode()) {
+                (true, MachineMode::Silent) => silent = true,
+                (true, MachineMode::Open(current)) if current == incarnation => silent = false,
                 _ => break true,
             },
-            () = sleep_until(used + idle_close), if idle => break false,
+            () = sleep_until(last_used + idle_close), if idle => break false,
         }
     };
-    for token in owed.iter().filter_map(|o| o.token) {
-        stage.borrow_mut().hung_up(token);
+    for token in pending.iter().filter_map(|answer| answer.token) {
+        environment.borrow_mut().cancel_attempt(token);
     }
-    stage.borrow_mut().disconnected(at, life);
-    if ended_by_life {
+    environment.borrow_mut().disconnected(box_id, incarnation);
+    if process_ended {
         loopback::reset(&stream);
     }
 }
 
-fn take(stage: &Shared, way: &Way, call: Call, silent: bool) -> Option<Owed> {
-    let at = way.at;
-    let at_once = |text: Vec<u8>| {
-        let (tell, reply) = oneshot::channel();
-        let _ = tell.send(text);
-        Owed { reply, ready: None, token: None, delay: Duration::ZERO }
+/// Handles one command of a connection; `None` for health checks and load requests while the machine is silent.
+fn handle_call(
+    environment: &SharedEnvironment,
+    path: &BoxPath,
+    call: Call,
+    silent: bool,
+) -> Option<PendingAnswer> {
+    let box_id = path.box_id;
+    let immediate = |text: Vec<u8>| {
+        let (sender, reply) = oneshot::channel();
+        let _ = sender.send(text);
+        PendingAnswer { reply, due: None, token: None, delay: Duration::ZERO }
     };
     match call {
         Call::Command(command) => {
-            let (tell, reply) = oneshot::channel();
+            let (sender, reply) = oneshot::channel();
             let taken: Option<(u64, NodeId)> =
-                stage.borrow_mut().command(at, !way.is_parted(), &command, tell);
+                environment.borrow_mut().handle_command(box_id, !path.is_partitioned(), &command, sender);
             let Some((token, node)) = taken else {
-                return Some(at_once(b"CLIENT_ERROR unknown id\r\n".to_vec()));
+                return Some(immediate(b"CLIENT_ERROR unknown id\r\n".to_vec()));
             };
-            let delay = stage.borrow_mut().round_trip(node, at);
-            Some(Owed { reply, ready: None, token: Some(token), delay })
+            let delay = environment.borrow_mut().round_trip(node, box_id);
+            Some(PendingAnswer { reply, due: None, token: Some(token), delay })
         }
         _ if silent => None,
         Call::Ready => {
-            stage.borrow_mut().probed(at);
-            Some(at_once(b"MN\r\n".to_vec()))
+            environment.borrow_mut().health_checked(box_id);
+            Some(immediate(b"MN\r\n".to_vec()))
         }
         Call::Load => {
-            stage.borrow_mut().probed(at);
-            let load = stage.borrow_mut().load(at);
-            Some(at_once(cache_server::load(&load)))
+            environment.borrow_mut().health_checked(box_id);
+            let load = environment.borrow_mut().load(box_id);
+            Some(immediate(cache_server::load(&load)))
         }
-        Call::Bad { answer, .. } => Some(at_once(answer.as_bytes().to_vec())),
+        Call::Bad { answer, .. } => Some(immediate(answer.as_bytes().to_vec())),
     }
 }
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! What a node's agent tells it of the day's list.
+//! Discovery agent of each node, which serves the scenario's endpoint list.
 
 use std::rc::Rc;
 
@@ -9,74 +9,75 @@
 use tokio::sync::watch;
 
 use super::agent::{self, Agent};
-use super::stage::{Shared, Stage};
+use super::environment::{Environment, SharedEnvironment};
 
+/// Discovery agent on one node's machine.
 #[derive(Clone)]
-struct DayAgent {
-    stage: Shared,
+struct NodeAgent {
+    environment: SharedEnvironment,
     node: NodeId,
 }
 
-impl Agent for DayAgent {
+impl Agent for NodeAgent {
     fn silence(&self) -> watch::Receiver<u32> {
-        self.stage.borrow().list_silent.subscribe()
+        self.environment.borrow().list_silent.subscribe()
     }
 
     fn revision(&self) -> watch::Receiver<u64> {
-        self.stage.borrow().agents[self.node].changed.subscribe()
+        self.environment.borrow().agents[self.node].changed.subscribe()
     }
 
     fn asked(&self, _after: Option<u64>) {}
 
     fn given_up(&self) {
-        // At the day's end all calls are dropped at once, whoever holds the stage then.
-        if let Ok(mut stage) = self.stage.try_borrow_mut() {
-            stage.call_failed(self.node);
+        // At the end of the run all calls are dropped at once, possibly while the environment is borrowed.
+        if let Ok(mut environment) = self.environment.try_borrow_mut() {
+            environment.call_failed(self.node);
         }
     }
 
     fn tell(&self, after: Option<u64>) -> String {
-        let mut stage = self.stage.borrow_mut();
-        stage.call_answered(self.node);
-        let list = &stage.agents[self.node].list;
-        let news = after.map_or_else(|| list.whole(), |after| list.since(after));
-        let body = form(&stage, self.node, &news).to_string();
-        stage.told(self.node, &news.listings);
-        stage.observed[self.node].receives_list(body.len());
+        let mut environment = self.environment.borrow_mut();
+        environment.call_answered(self.node);
+        let list = &environment.agents[self.node].list;
+        let update = after.map_or_else(|| list.whole(), |after| list.since(after));
+        let body = list_json(&environment, self.node, &update).to_string();
+        environment.record_notified(self.node, &update.listings);
+        environment.observed[self.node].count_list_bytes(body.len());
         body
     }
 }
 
-/// Serves a node's agent until the day is over.
-pub(super) async fn run(stage: Shared, node: NodeId, listener: TcpListener) {
-    agent::serve(DayAgent { stage, node }, listener).await;
+/// Serves a node's agent until the run is over.
+pub(super) async fn run(environment: SharedEnvironment, node: NodeId, listener: TcpListener) {
+    agent::serve(NodeAgent { environment, node }, listener).await;
 }
 
-/// Discovery's form of a list, with the boxes as they are reached from a node's depot.
-pub(super) fn form(stage: &Stage, node: NodeId, news: &News) -> Value {
-    let depot = stage.day.nodes[node];
+/// Encodes a list as discovery does, with the addresses at which the boxes are reached from the node's depot.
+pub(super) fn list_json(environment: &Environment, node: NodeId, update: &News) -> Value {
+    let depot = environment.day.nodes[node];
     let member = |l: &Listing| {
-        let spec = &stage.day.boxes[l.cache_box];
+        let spec = &environment.day.boxes[l.cache_box];
         let phase = match l.phase {
             Phase::Ready => "ready",
             Phase::Draining => "draining",
             Phase::Gone => "gone",
         };
         json!({
-            "id": spec.id, "host_port": stage.addresses[l.cache_box][depot].to_string(),
-            "locality": stage.day.depots[spec.depot], "flavor": spec.kind, "cell": spec.cell,
-            "phase": phase, "size": spec.size, "up_since_ms": stage.unix_ms(l.started),
+            "id": spec.id, "host_port": environment.addresses[l.cache_box][depot].to_string(),
+            "locality": environment.day.depots[spec.depot], "flavor": spec.kind, "cell": spec.cell,
+            "phase": phase, "size": spec.size, "up_since_ms": environment.unix_ms(l.started),
         })
     };
-    let members: Vec<Value> = news.listings.iter().map(member).collect();
-    json!({"revision": news.revision, "complete": news.complete, "members": members})
+    let members: Vec<Value> = update.listings.iter().map(member).collect();
+    json!({"revision": update.revision, "complete": update.complete, "members": members})
 }
 
-/// What a node holds at its start: the list as its agent has it.
-pub(super) fn known(stage: &Rc<std::cell::RefCell<Stage>>, node: NodeId) -> Value {
-    let mut stage = stage.borrow_mut();
-    let news = stage.agents[node].list.whole();
-    let form = form(&stage, node, &news);
-    stage.told(node, &news.listings);
-    form
+/// The list that a node is started with: the agent's current one. The node counts as notified of it.
+pub(super) fn initial_list(environment: &Rc<std::cell::RefCell<Environment>>, node: NodeId) -> Value {
+    let mut environment = environment.borrow_mut();
+    let update = environment.agents[node].list.whole();
+    let list_json = list_json(&environment, node, &update);
+    environment.record_notified(node, &update.listings);
+    list_json
 }
--- a/crates/emulator/src/sockets/stage/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -1,36 +1,36 @@
-//! The list as agents and nodes are told it, lives of nodes, and what clients do next.
+//! Propagation of the endpoint list to agents and nodes, process states of nodes, and the clients' next steps.
 
 use super::*;
 
-impl Stage {
-    pub(super) fn known(&mut self, listing: Listing) {
-        let place = &self.places[listing.cache_box];
-        let (up, silent) = (place.cache.is_up(), place.silent > 0);
-        let overtaken = match listing.phase {
+impl Environment {
+    pub(super) fn apply_list_change(&mut self, listing: Listing) {
+        let box_state = &self.box_states[listing.cache_box];
+        let (up, silent) = (box_state.cache.is_up(), box_state.silent > 0);
+        let is_outdated = match listing.phase {
             Phase::Gone => up,
             Phase::Ready | Phase::Draining => !up && !silent,
         };
-        if !overtaken && self.list.set(listing).is_some() {
-            self.spread_news();
+        if !is_outdated && self.list.set(listing).is_some() {
+            self.schedule_agent_updates();
         }
     }
 
-    pub(super) fn spread_news(&mut self) {
+    pub(super) fn schedule_agent_updates(&mut self) {
         for node in 0..self.agents.len() {
-            let late = Span::from_secs(self.chance.between(0.0, self.day.list.spread.as_secs()));
+            let spread = Span::from_secs(self.chance.between(0.0, self.day.list.spread.as_secs()));
             let delay = self.faults.list_delay(self.day.nodes[node]);
             let until = (!delay.is_zero()).then(|| self.list.revision());
-            self.after(late + delay, Due::Tells(node, until));
+            self.schedule_in(spread + delay, ScheduledEvent::AgentUpdated(node, until));
         }
     }
 
-    pub(super) fn send_agent(&mut self, node: NodeId, until: Option<u64>) {
+    pub(super) fn update_agent(&mut self, node: NodeId, until: Option<u64>) {
         let list = match until {
             Some(until) => self.list.until(until),
             None => self.list.clone(),
         };
         if *self.list_silent.borrow() == 0 && list.revision() > self.agents[node].list.revision() {
-            // It counts as told whether or not the node has a call that it could answer.
+            // The node counts as informed whether or not it has a call open that the agent could answer.
             let missed = list.since(self.agents[node].list.revision()).listings;
             let alive = self.nodes_alive[node];
             for l in missed.into_iter().filter(|_| alive) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A node that runs has given up a call.
+    /// Records that a running node has abandoned a call.
     pub fn call_failed(&mut self, node: NodeId) {
         if self.nodes_alive[node] {
             self.agents[node].failed = true;
@@ -50,38 +50,39 @@
         }
     }
 
-    /// A call is answered: the first since one has failed opens the watch anew.
+    /// Records an answered call: the first one after a failed call reopens the watch.
     pub fn call_answered(&mut self, node: NodeId) {
         if std::mem::take(&mut self.agents[node].failed) {
             self.record(Event::WatchOpened { node });
         }
     }
-    /// A node is told these entries.
-    pub fn told(&mut self, node: NodeId, listings: &[Listing]) {
+
+    /// Records that a node has been notified of these entries.
+    pub fn record_notified(&mut self, node: NodeId, listings: &[Listing]) {
         for l in listings {
             self.record(Event::Told { node, of: l.cache_box, phase: l.phase, started: l.started });
         }
     }
 
-    /// Its process runs: what it takes from here on it owes an answer.
+    /// Records that a node's process runs; from here on it must answer every request that it takes.
     pub fn node_started(&mut self, node: NodeId) {
         self.record(Event::NodeUp { node });
         self.nodes_alive[node] = true;
     }
 
-    /// Its process takes nothing any more.
+    /// Marks a node whose process takes no further requests.
     pub fn node_ends(&mut self, node: NodeId) {
         self.nodes_up[node] = false;
         self.nodes_alive[node] = false;
         self.agents[node].failed = false;
     }
 
-    /// All that its process had answered has been read.
+    /// Records the end of a node's process, after all of its answers have been read.
     pub fn node_down(&mut self, node: NodeId, planned: bool) {
         self.record(Event::NodeDown { node, planned });
     }
 
-    /// Carries out what clients do next, and says which tries are due when.
+    /// Carries out the clients' next steps and returns the time and request of each try that is due.
     pub fn client_steps(&mut self, steps: Vec<Step>) -> VecDeque<(Time, u64)> {
         let mut tries = VecDeque::new();
         for step in steps {
--- a/crates/emulator/src/sockets/error.rs
+++ b/crates/emulator/src/sockets/error.rs
@@ -1,4 +1,4 @@
-//! Why a day on sockets was not played.
+//! Errors of scenario runs on sockets.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,22 +7,22 @@
 use hallpin_simulation::scenario::Wrong;
 use hallpin_simulation::world::WorldError;
 
-/// Why a day on sockets was not played to its end.
+/// Reason why a scenario run on sockets failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketsError {
-    /// The scenario makes no sense.
+    /// The scenario is invalid.
     #[error("scenario: {0}")]
     Scenario(#[from] Wrong),
-    /// The world cannot be built from it.
+    /// The simulated world cannot be built from the scenario.
     #[error("scenario: {0}")]
     World(#[from] WorldError),
-    /// A file cannot be written.
+    /// A file could not be written.
     #[error("{path}: {error}", path = .0.display(), error = .1)]
     File(PathBuf, #[source] io::Error),
-    /// A node could not be started, or ended by itself.
+    /// A node could not be started or ended unexpectedly.
     #[error("node {0}: {1}")]
     Node(NodeId, String),
-    /// No socket could be had.
+    /// A socket could not be created.
     #[error("sockets: {0}")]
     Sockets(#[from] io::Error),
 }
--- a/crates/emulator/src/sockets/loopback.rs
+++ b/crates/emulator/src/sockets/loopback.rs
@@ -1,4 +1,4 @@
-//! Sockets of the loopback net: ports that are held by nobody, doors that are open or that swallow, and resets.
+//! Loopback sockets: free ports, listeners that accept, listeners that drop connections, and connection resets.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,42 +7,43 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Room for connections that have not been accepted yet.
+/// Length of the accept queue.
 const BACKLOG: u32 = 1024;
-/// How long to wait before listening again where that failed.
-pub(super) const PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a failed bind or accept is repeated.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Free TCP ports at this address of the loopback net, which should be held by nothing else of the machine.
+/// Finds free TCP ports at this loopback address, which no other program of the machine should use.
 ///
 /// # Errors
-/// Where no socket can be had.
+/// If a socket cannot be bound.
 pub fn reserve(ip: Ipv4Addr, count: usize) -> io::Result<Vec<SocketAddr>> {
-    // All are held until the last is had, so that none is given twice.
+    // All sockets stay open until the last is bound, so that no port is returned twice.
     let listeners: Vec<_> =
         (0..count).map(|_| std::net::TcpListener::bind((ip, 0))).collect::<Result<_, _>>()?;
     listeners.iter().map(std::net::TcpListener::local_addr).collect()
 }
 
-/// Listens there, as soon as whoever did so before is gone.
+/// Listens at this address, and repeats the bind while an earlier listener still holds it.
 pub async fn listen(address: SocketAddr) -> TcpListener {
     listen_with(address, BACKLOG).await
 }
 
-/// Lets no connection come up there, for ever: a queue of one that is full, so that the kernel drops what comes.
+/// Lets no connection to this address be established, and never returns: the accept queue has one place and is full, so
+/// that the kernel drops further attempts.
 pub async fn swallow(address: SocketAddr) {
     let listener = listen_with(address, 0).await;
     let mut fillers = Vec::new();
-    // The first fills the queue; one that does not come up shows that it is full.
-    while let Ok(Ok(filler)) = timeout(PAUSE, TcpStream::connect(address)).await {
+    // The first connection fills the queue; one that is not established in time shows that it is full.
+    while let Ok(Ok(filler)) = timeout(RETRY_DELAY, TcpStream::connect(address)).await {
         fillers.push(filler);
     }
     std::future::pending::<()>().await;
     drop((listener, fillers));
 }
 
-/// Makes the end of a connection one as of a process that dies.
+/// Makes the close of a connection send a reset, as when a process dies (`SO_LINGER` of zero).
 pub fn reset(stream: &TcpStream) {
-    // One that is gone already needs none.
+    // The error is ignored: the connection may be gone already.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -56,8 +57,8 @@
     loop {
         match bind() {
             Ok(listener) => return listener,
-            // The one before it may not be gone yet.
-            Err(_) => sleep(PAUSE).await,
+            // An earlier listener may still hold the address.
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -1,18 +1,18 @@
-//! Days on loopback sockets: stand-ins for boxes, planner, list and clients, and real nodes between them.
+//! Scenario runs on loopback sockets: fake boxes, planner, endpoint list and clients around real node processes.
 //!
-//! The stand-ins move the events of the model's own parts by the clock, on one thread, and tell the same trace to the
-//! same referee as in virtual time. What happens inside a node is seen from outside: a send when its command has come
-//! whole to a box, a final answer when its client has read it.
+//! The fakes drive the simulation's own components by the real clock, on one thread, and record the same trace for the
+//! same invariant checker as in virtual time. Events inside a node are observed from outside: a send when a box has
+//! received the complete command, a final answer when the client has read it.
 
 pub mod agent;
 mod box_server;
-mod crowd;
+mod clients;
 mod discovery;
+mod environment;
 mod error;
 pub mod loopback;
 mod node;
 pub mod process;
-mod stage;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -40,34 +40,34 @@
 use crate::footprint::ObservedNode;
 use crate::trace_file::TraceFile;
 use crate::virtual_time::Played;
+use environment::{Environment, SharedEnvironment};
 pub use error::SocketsError;
 use node::NodeSpec;
 use process::Program;
-use stage::{Shared, Stage};
 
-/// On sockets every time limit of the rules is this much longer.
-const LENIENCE: Span = Span::from_millis(50);
-/// Beyond the last deadline the day goes on for so long.
-const TAIL: Span = Span::from_millis(1000);
+/// Leeway on sockets: every time limit of the invariants is this much longer than in virtual time.
+const RULE_LEEWAY: Span = Span::from_millis(50);
+/// Time for which a run continues after the last deadline.
+const RUN_TAIL: Span = Span::from_millis(1000);
 
-/// How a day on sockets is played.
+/// Options of a scenario run on sockets.
 pub struct SocketsOptions<'a> {
-    /// The node's program, and what stands before `--config FILE`.
+    /// The node's executable, and its arguments before `--config FILE`.
     pub program: (PathBuf, Vec<String>),
-    /// Where configurations and logs of the nodes go.
+    /// Folder for the nodes' configurations and logs.
     pub folder: &'a Path,
-    /// Where the trace goes, if it is wanted.
+    /// Path of the trace file, if one is written.
     pub trace: Option<&'a Path>,
-    /// Told now and then how far the day has come.
+    /// Called about every 200 ms with the current time of the run.
     pub progress: &'a dyn Fn(Time),
-    /// Ends the day early, with what has happened so far.
+    /// Ends the run early when true; the result covers the events until then.
     pub stop: tokio::sync::watch::Receiver<bool>,
 }
 
-/// Plays one day on loopback sockets. All that it starts has ended when it returns.
+/// Runs the scenario once on loopback sockets. All processes that it starts have ended when it returns.
 ///
 /// # Errors
-/// Where the scenario makes no sense, or a node cannot be started.
+/// If the scenario is invalid, a file or socket cannot be created, or a node cannot be started or ends unexpectedly.
 pub fn play_on_sockets(
     scenario: &Scenario,
     seed: u64,
@@ -76,73 +76,76 @@
     let day = scenario.draw(seed)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
-    let header = Header::new(scenario, seed, LENIENCE);
+    let header = Header::new(scenario, seed, RULE_LEEWAY);
     let played = local.block_on(&runtime, play(Rc::new(day), &header, options));
-    // Tasks hold the nodes' processes, which end with them.
+    // The tasks own the node processes, which are killed when the tasks are dropped.
     drop(local);
     played
 }
 
 async fn play(day: Rc<Day>, header: &Header, options: SocketsOptions<'_>) -> Result<Played, SocketsError> {
-    let nothing = |_: Time, _: &Event| {};
-    let parts = World::new(&day, &policy::module, nothing)?.into_parts();
-    let judged = lenient(&day, header.leeway);
-    let stage = Stage::new(day.clone(), parts, Referee::new(&judged), addresses(&day)?);
-    let stage: Shared = Rc::new(RefCell::new(stage));
+    let ignore = |_: Time, _: &Event| {};
+    let parts = World::new(&day, &policy::module, ignore)?.into_parts();
+    let lenient_day = lenient(&day, header.leeway);
+    let environment =
+        Environment::new(day.clone(), parts, Referee::new(&lenient_day), allocate_addresses(&day)?);
+    let environment: SharedEnvironment = Rc::new(RefCell::new(environment));
     if let Some(path) = options.trace {
         let file = TraceFile::create(path, header).map_err(|error| SocketsError::File(path.into(), error))?;
-        stage.borrow_mut().trace = Some(file);
+        environment.borrow_mut().trace = Some(file);
     }
-    for at in 0..day.boxes.len() {
+    for box_id in 0..day.boxes.len() {
         for depot in 0..day.depots.len() {
-            tokio::task::spawn_local(box_server::run(stage.clone(), at, depot));
+            tokio::task::spawn_local(box_server::run(environment.clone(), box_id, depot));
         }
     }
-    tokio::task::spawn_local(pump(stage.clone()));
-    let mut running = Running::new();
-    let played = run_day(&stage, &options, &mut running).await;
+    tokio::task::spawn_local(run_events(environment.clone()));
+    let mut running = NodeTasks::new();
+    let played = run_scenario(&environment, &options, &mut running).await;
     running.shutdown().await;
-    process::reap(&stage.borrow().node_processes);
+    process::reap(&environment.borrow().node_processes);
     let took = played?;
-    let mut stage = stage.borrow_mut();
-    stage.record(Event::DayOver);
-    if let (Some(file), Some(path)) = (stage.trace.take(), options.trace) {
+    let mut environment = environment.borrow_mut();
+    environment.record(Event::DayOver);
+    if let (Some(file), Some(path)) = (environment.trace.take(), options.trace) {
         file.finish().map_err(|error| SocketsError::File(path.into(), error))?;
     }
-    let referee = std::mem::replace(&mut stage.referee, Referee::new(&judged));
+    let referee = std::mem::replace(&mut environment.referee, Referee::new(&lenient_day));
     Ok(Played {
         policy: Kind::Module,
         seed: day.seed,
         verdict: referee.verdict(),
-        events: stage.events,
+        events: environment.events,
         tally: Tally::default(),
-        footprints: stage.observed.iter().map(ObservedNode::footprint).collect(),
+        footprints: environment.observed.iter().map(ObservedNode::footprint).collect(),
         sizes: Vec::new(),
         took,
     })
 }
 
-/// Starts the nodes and lets the day pass, to its end or until it is told to stop; says how long that took.
-async fn run_day(
-    stage: &Shared,
+/// Starts the nodes and waits until the run is over or stopped; returns its wall-clock duration.
+async fn run_scenario(
+    environment: &SharedEnvironment,
     options: &SocketsOptions<'_>,
-    running: &mut Running,
+    running: &mut NodeTasks,
 ) -> Result<Duration, SocketsError> {
-    let nodes = start_nodes(stage, options, running).await?;
-    stage.borrow_mut().begin();
+    let nodes = start_nodes(environment, options, running).await?;
+    environment.borrow_mut().begin();
     let pools = Rc::new((0..nodes.len()).map(|_| RefCell::default()).collect());
     let began = std::time::Instant::now();
-    tokio::task::spawn_local(crowd::run(stage.clone(), Rc::new(nodes), pools));
+    tokio::task::spawn_local(clients::run(environment.clone(), Rc::new(nodes), pools));
     let mut stop = options.stop.clone();
     let end = {
-        let day = &stage.borrow().day;
-        Time::ZERO + day.length + day.longest_deadline() + TAIL
+        let day = &environment.borrow().day;
+        Time::ZERO + day.length + day.longest_deadline() + RUN_TAIL
     };
     loop {
-        let (now, tick) =
-            (stage.borrow().now(), stage.borrow().instant(stage.borrow().now() + Span::from_millis(200)));
+        let (now, tick) = (
+            environment.borrow().now(),
+            environment.borrow().instant(environment.borrow().now() + Span::from_millis(200)),
+        );
         (options.progress)(now);
-        stage.borrow_mut().observed.iter_mut().for_each(ObservedNode::look);
+        environment.borrow_mut().observed.iter_mut().for_each(ObservedNode::sample);
         if now >= end {
             break;
         }
@@ -157,9 +160,9 @@
     Ok(began.elapsed())
 }
 
-/// For each box a socket address for the nodes of each depot, so that depots can be parted. Boxes with the same
-/// address of the day share theirs, so that one can leave and another take its place.
-fn addresses(day: &Day) -> io::Result<Vec<Vec<SocketAddr>>> {
+/// Allocates for each box one socket address per depot, so that depots can be partitioned. Boxes with the same address
+/// in the scenario share their addresses, so that one box can replace another.
+fn allocate_addresses(day: &Day) -> io::Result<Vec<Vec<SocketAddr>>> {
     let mut by_number: BTreeMap<u32, Vec<SocketAddr>> = BTreeMap::new();
     let mut all = Vec::new();
     for spec in &day.boxes {
@@ -177,14 +180,16 @@
     Ok(all)
 }
 
-type Running = tokio::task::JoinSet<Result<(), SocketsError>>;
+/// Tasks that run the nodes' processes.
+type NodeTasks = tokio::task::JoinSet<Result<(), SocketsError>>;
 
+/// Starts an agent and a node process for each node and waits until all nodes are ready; returns their addresses.
 async fn start_nodes(
-    stage: &Shared,
+    environment: &SharedEnvironment,
     options: &SocketsOptions<'_>,
-    running: &mut Running,
+    running: &mut NodeTasks,
 ) -> Result<Vec<SocketAddr>, SocketsError> {
-    let count = stage.borrow().day.nodes.len();
+    let count = environment.borrow().day.nodes.len();
     let (mut addresses, mut ups) = (Vec::new(), Vec::new());
     for node in 0..count {
         let agent = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
@@ -196,17 +201,17 @@
             listen: loopback::reserve(Ipv4Addr::new(127, 78, high, low), 1)?[0],
             discovery: agent.local_addr()?,
         };
-        tokio::task::spawn_local(discovery::run(stage.clone(), node, agent));
+        tokio::task::spawn_local(discovery::run(environment.clone(), node, agent));
         addresses.push(spec.listen);
         let (up, is_up) = oneshot::channel();
-        running.spawn_local(spec.run(stage.clone(), up));
+        running.spawn_local(spec.run(environment.clone(), up));
         ups.push(is_up);
     }
     for up in ups {
-        // A node that cannot be started drops its end and says why.
+        // A node that cannot be started drops the sender; its task returns the reason.
         if up.await.is_err() {
-            let why = running.join_next().await;
-            return Err(match why {
+            let reason = running.join_next().await;
+            return Err(match reason {
                 Some(Ok(Err(error))) => error,
                 _ => SocketsError::Node(0, "ended at its start".into()),
             });
@@ -215,22 +220,22 @@
     Ok(addresses)
 }
 
-/// Plays what is due, when it is.
-async fn pump(stage: Shared) {
-    let stirred = stage.borrow().stirred.clone();
+/// Processes scheduled events when they are due.
+async fn run_events(environment: SharedEnvironment) {
+    let earlier_event_scheduled = environment.borrow().earlier_event_scheduled.clone();
     loop {
-        stage.borrow_mut().play_due();
-        let next = stage.borrow().next_due();
-        let until = next.map(|at| stage.borrow().instant(at));
-        let due = async {
+        environment.borrow_mut().process_due_events();
+        let next = environment.borrow().next_event_time();
+        let until = next.map(|at| environment.borrow().instant(at));
+        let wait = async {
             match until {
                 Some(at) => sleep_until(at).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = due => {}
-            () = stirred.notified() => {}
+            () = wait => {}
+            () = earlier_event_scheduled.notified() => {}
         }
     }
 }
--- a/crates/emulator/src/sockets/node.rs
+++ b/crates/emulator/src/sockets/node.rs
@@ -1,4 +1,4 @@
-//! Real nodes as processes: started, killed, told to stop, and started again.
+//! Runs real nodes as processes: start, kill, graceful stop and restart as the scenario orders.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,22 +13,22 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::discovery;
+use super::environment::{NodeOrder, SharedEnvironment};
 use super::process::{is_ready, Program, Running};
-use super::stage::{NodeOrder, Shared};
 use super::SocketsError;
 
-/// A node that is not ready by then will not be.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Between two questions whether it is.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
-/// What a node that was told to stop is given beyond its longest deadline.
-const LEAVE: Duration = Duration::from_millis(700);
-/// Twice this passes between the end of a process and the word of it.
-const READ_WITHIN: Duration = Duration::from_millis(5);
-/// After a planned stop the node is started again this much later.
-const BACK_AFTER: Duration = Duration::from_millis(500);
+/// Time after its start within which a node must be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between two readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for a graceful stop beyond the longest request deadline.
+const STOP_GRACE: Duration = Duration::from_millis(700);
+/// Half of the delay between the end of a process and the event that records it.
+const HALF_READ_DELAY: Duration = Duration::from_millis(5);
+/// Delay before the start that follows a planned stop.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// How a node is started and where it is.
+/// How a node is started and its addresses.
 #[derive(Clone, Debug)]
 pub(super) struct NodeSpec {
     pub node: NodeId,
@@ -39,10 +39,10 @@
 }
 
 impl NodeSpec {
-    /// Starts the process. It ends with the pipe, so that it does not outlive this one however that ends.
-    fn start(&self, stage: &Shared, starts: u32) -> Result<Running, SocketsError> {
-        let day = stage.borrow().day.clone();
-        let known = discovery::known(stage, self.node);
+    /// Writes the configuration and starts the process. `starts` counts earlier starts and goes into the seed.
+    fn start(&self, environment: &SharedEnvironment, starts: u32) -> Result<Running, SocketsError> {
+        let day = environment.borrow().day.clone();
+        let known = discovery::initial_list(environment, self.node);
         let config = json!({
             "name": format!("n{}", self.node), "listen": self.listen, "discovery": self.discovery,
             "seed": format!("{:016x}", day.seed.wrapping_mul(0x9e37).wrapping_add((self.node as u64) << 8 | u64::from(starts))),
@@ -50,52 +50,56 @@
             "known": known, "settings": day.settings(self.node),
         });
         let path = self.folder.join(format!("node-{}.json", self.node));
-        let file = |error| SocketsError::File(path.clone(), error);
-        std::fs::write(&path, config.to_string()).map_err(file)?;
+        let file_error = |error| SocketsError::File(path.clone(), error);
+        std::fs::write(&path, config.to_string()).map_err(file_error)?;
         let log = self.folder.join(format!("node-{}.log", self.node));
         let running = self.program.start(&path, &log, []);
         let running = running.map_err(|error| SocketsError::Node(self.node, error.to_string()))?;
-        let mut stage = stage.borrow_mut();
-        stage.node_processes.push(running.pid);
-        stage.observed[self.node].starts(running.pid);
+        let mut environment = environment.borrow_mut();
+        environment.node_processes.push(running.pid);
+        environment.observed[self.node].process_started(running.pid);
         Ok(running)
     }
 
-    /// Waits until the node wants clients.
-    async fn ready(&self, child: &mut Child) -> Result<(), SocketsError> {
-        let asked = async {
+    /// Waits until the node accepts clients; an error if its process ends first or the time is up.
+    async fn wait_until_ready(&self, child: &mut Child) -> Result<(), SocketsError> {
+        let became_ready = async {
             loop {
                 if matches!(is_ready(self.listen).await, Ok(true)) {
                     return;
                 }
-                sleep(ASK_AGAIN).await;
+                sleep(READY_POLL_INTERVAL).await;
             }
         };
         let log = self.folder.join(format!("node-{}.log", self.node));
-        let wrong =
+        let node_error =
             |what: String| SocketsError::Node(self.node, format!("{what}; its log is {}", log.display()));
         tokio::select! {
-            ready = timeout(READY_WITHIN, asked) => ready.map_err(|_| wrong("not ready in time".into())),
-            ended = child.wait() => Err(wrong(match ended {
+            ready = timeout(READY_TIMEOUT, became_ready) => ready.map_err(|_| node_error("not ready in time".into())),
+            ended = child.wait() => Err(node_error(match ended {
                 Ok(status) => format!("ended at its start, {status}"),
                 Err(error) => error.to_string(),
             })),
         }
     }
 
-    /// Keeps the node as the day wants it, and says by `up` when it first is.
-    pub async fn run(self, stage: Shared, up: tokio::sync::oneshot::Sender<()>) -> Result<(), SocketsError> {
-        let mut orders: watch::Receiver<NodeOrder> = stage.borrow().node_orders[self.node].subscribe();
+    /// Runs the node and follows the scenario's orders; sends to `up` when it is ready for the first time.
+    pub async fn run(
+        self,
+        environment: SharedEnvironment,
+        up: tokio::sync::oneshot::Sender<()>,
+    ) -> Result<(), SocketsError> {
+        let mut orders: watch::Receiver<NodeOrder> = environment.borrow().node_orders[self.node].subscribe();
         let (mut starts, mut up) = (0, Some(up));
-        let deadline = stage.borrow().day.longest_deadline();
+        let deadline = environment.borrow().day.longest_deadline();
         loop {
-            let mut running = self.start(&stage, starts)?;
+            let mut running = self.start(&environment, starts)?;
             starts += 1;
-            stage.borrow_mut().node_started(self.node);
-            self.ready(&mut running.child).await?;
-            stage.borrow_mut().record(Event::NodeReady { node: self.node });
-            stage.borrow_mut().nodes_up[self.node] = true;
-            // Nobody waits where the day has not begun for another reason.
+            environment.borrow_mut().node_started(self.node);
+            self.wait_until_ready(&mut running.child).await?;
+            environment.borrow_mut().record(Event::NodeReady { node: self.node });
+            environment.borrow_mut().nodes_up[self.node] = true;
+            // The receiver is gone if the run was aborted before it began.
             let _ = up.take().map(|up| up.send(()));
             let order = tokio::select! {
                 order = orders.wait_for(|order| *order != NodeOrder::Run) => match order {
@@ -104,26 +108,26 @@
                 },
                 ended = running.child.wait() => {
                     let status = ended.map_or_else(|e| e.to_string(), |s| s.to_string());
-                    return Err(SocketsError::Node(self.node, format!("ended though nobody told it to, {status}")));
+                    return Err(SocketsError::Node(self.node, format!("ended without an order to stop, {status}")));
                 }
             };
             if order == NodeOrder::Kill {
                 let killed = running.child.start_kill();
-                stage.borrow_mut().node_ends(self.node);
+                environment.borrow_mut().node_ends(self.node);
                 let ended = async { killed.and(running.child.wait().await.map(drop)) };
                 ended.await.map_err(|error| SocketsError::Node(self.node, error.to_string()))?;
-                last_answers().await;
-                // What it had taken and not answered by now is gone with it.
-                stage.borrow_mut().node_down(self.node, false);
+                wait_for_last_answers().await;
+                // Requests that the process had taken and not answered by now are lost.
+                environment.borrow_mut().node_down(self.node, false);
                 if orders.wait_for(|order| *order != NodeOrder::Kill).await.is_err() {
                     return Ok(());
                 }
                 continue;
             }
-            stage.borrow_mut().nodes_up[self.node] = false;
+            environment.borrow_mut().nodes_up[self.node] = false;
             running.signal(Signal::TERM);
-            let notice = Duration::from_micros(deadline.0).max(Duration::from_secs(3)) + LEAVE;
-            let until = Instant::now() + notice;
+            let stop_timeout = Duration::from_micros(deadline.0).max(Duration::from_secs(3)) + STOP_GRACE;
+            let until = Instant::now() + stop_timeout;
             if tokio::time::timeout_at(until, running.child.wait()).await.is_err() {
                 running
                     .child
@@ -131,19 +135,20 @@
                     .await
                     .map_err(|error| SocketsError::Node(self.node, error.to_string()))?;
             }
-            stage.borrow_mut().node_ends(self.node);
-            last_answers().await;
-            stage.borrow_mut().node_down(self.node, true);
-            sleep(BACK_AFTER).await;
-            stage.borrow().node_orders[self.node].send_replace(NodeOrder::Run);
+            environment.borrow_mut().node_ends(self.node);
+            wait_for_last_answers().await;
+            environment.borrow_mut().node_down(self.node, true);
+            sleep(RESTART_DELAY).await;
+            environment.borrow().node_orders[self.node].send_replace(NodeOrder::Run);
             orders.borrow_and_update();
         }
     }
 }
 
-/// Lets clients read what a process wrote before it ended. All of it lies in their sockets: the first sleep ends with a
-/// look at these that wakes them, and by the end of the second, behind them in the queue, they have run.
-async fn last_answers() {
-    sleep(READ_WITHIN).await;
-    sleep(READ_WITHIN).await;
+/// Lets the clients read what a process wrote before it ended. All of it is in their socket buffers: when the first
+/// sleep ends, the runtime has polled the sockets and woken the client tasks; they are queued before this task, so they
+/// have run when the second sleep ends.
+async fn wait_for_last_answers() {
+    sleep(HALF_READ_DELAY).await;
+    sleep(HALF_READ_DELAY).await;
 }
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -1,4 +1,4 @@
-//! Days in virtual time: as fast as the machine goes, and alike on each.
+//! Scenario runs in virtual time: faster than real time, and with the same result on every machine.
 
 use std::io;
 use std::num::NonZeroUsize;
@@ -20,52 +20,53 @@
 use crate::footprint::Footprint;
 use crate::trace_file::TraceFile;
 
-/// Why a day was not played.
+/// Reason why a scenario run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    /// The scenario makes no sense.
+    /// The scenario is invalid.
     #[error("scenario: {0}")]
     Scenario(#[from] Wrong),
-    /// The world cannot be built from it.
+    /// The simulated world cannot be built from the scenario.
     #[error("scenario: {0}")]
     World(#[from] WorldError),
-    /// The trace could not be written.
+    /// The trace file could not be written.
     #[error("trace: {0}")]
     Trace(#[from] io::Error),
 }
 
-/// A day that was played.
+/// Result of one scenario run.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Played {
-    /// Which policy decided.
-    #[serde(serialize_with = "name")]
+    /// The policy that made the decisions.
+    #[serde(serialize_with = "serialize_policy_name")]
     pub policy: Kind,
-    /// The day's seed.
+    /// Seed that the run was drawn from.
     pub seed: u64,
-    /// What it came to.
+    /// Verdict of the invariant checker.
     pub verdict: Verdict,
-    /// Events that it took.
+    /// Number of events that were processed.
     pub events: u64,
-    /// The most that the policy of any node held, each 10 s; nothing where nobody looked.
+    /// Largest table sizes of any node's policy in each 10 s; empty if sizes were not sampled.
     pub sizes: Vec<(Time, Sizes)>,
-    /// What was counted beside; nothing where nobody counted.
+    /// Counters of the communication between nodes; zero if it was not counted.
     pub tally: Tally,
-    /// What each node's processes have needed; none where nodes are no processes.
+    /// Resource use of each node; empty if the nodes are not processes.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub footprints: Vec<Footprint>,
-    /// Time that it took, which is no part of the result.
+    /// Wall-clock duration of the run; not serialised, as it is not part of the result.
     #[serde(skip)]
     pub took: Duration,
 }
 
-fn name<S: serde::Serializer>(kind: &Kind, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_policy_name<S: serde::Serializer>(kind: &Kind, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(kind.name())
 }
 
-/// Plays one day, with these parts of the plane at its nodes where the decision module decides, and writes its trace where that is wanted.
+/// Runs the scenario once and writes a trace if a path is given. `plane` selects the parts of the communication between
+/// nodes; it is off for every policy but the decision module.
 ///
 /// # Errors
-/// Where the scenario makes no sense, or the trace could not be written whole.
+/// If the scenario is invalid or the trace could not be written completely.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -108,11 +109,11 @@
     })
 }
 
-/// Plays all these seeds under all these policies, on as many threads as the machine has cores, and tells of each day
-/// that has ended. The result is in the order of policies and seeds, whatever the threads do.
+/// Runs the scenario for each policy and seed, on one thread per core, and calls `ended` after each run. The results
+/// are ordered by policy and then seed, independently of thread scheduling.
 ///
 /// # Errors
-/// The first that any day met.
+/// The first error in the order of the results.
 pub fn play_all(
     scenario: &Scenario,
     seeds: &[u64],
@@ -120,17 +121,17 @@
     plane: Switch,
     ended: &(dyn Fn() + Sync),
 ) -> Result<Vec<Played>, PlayError> {
-    let days: Vec<(Kind, u64)> = policies.iter().flat_map(|p| seeds.iter().map(|s| (*p, *s))).collect();
-    let threads = std::thread::available_parallelism().map_or(1, NonZeroUsize::get).min(days.len());
+    let runs: Vec<(Kind, u64)> = policies.iter().flat_map(|p| seeds.iter().map(|s| (*p, *s))).collect();
+    let threads = std::thread::available_parallelism().map_or(1, NonZeroUsize::get).min(runs.len());
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while let Some(&(policy, seed)) = days.get(next.fetch_add(1, Ordering::Relaxed)) {
+                while let Some(&(policy, seed)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let played = play(scenario, seed, policy, plane, None);
                     ended();
-                    // A thread that has panicked ends the scope with that panic.
+                    // A poisoned lock is ignored: the scope propagates the panic of the thread that held it.
                     if let Ok(mut results) = results.lock() {
                         results.push(((policy, seed), played));
                     }
@@ -139,6 +140,6 @@
         }
     });
     let mut results = results.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
-    results.sort_by_key(|(day, _)| days.iter().position(|d| d == day));
+    results.sort_by_key(|(run, _)| runs.iter().position(|r| r == run));
     results.into_iter().map(|(_, played)| played).collect()
 }
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -1,5 +1,5 @@
-//! The checker over histories: drawn days of the real decision module in virtual time, one recorded from the real node
-//! on loopback, and for each rule one that is the same but for one record and must be rejected for that rule alone.
+//! The invariant checker on recorded histories: runs of the real decision module in virtual time, one run recorded from
+//! the real node on loopback, and for each rule a history with one changed record that must violate this rule alone.
 
 use hallpin_baselines::Kind;
 use hallpin_emulator::play;
@@ -9,11 +9,12 @@
 use hallpin_simulation::scenario::Scenario;
 use serde_json::{json, Value};
 
-/// A box is replaced, one drains, some go silent, a node dies, requests turn dear, and clients leave early.
-const TROUBLE: &str = include_str!("trouble.toml");
+/// One box is drained and replaced, some go silent, a node dies and one restarts, the planner is slow, some requests
+/// become expensive, and clients abandon requests.
+const FAULTS: &str = include_str!("trouble.toml");
 
-/// More requests than the boxes can do, of which one after the other drains.
-const CROWD: &str = r#"version = 1
+/// More requests than the boxes can serve, while two boxes drain.
+const OVERLOAD: &str = r#"version = 1
 length = "6s"
 [nodes]
 count = 2
@@ -27,7 +28,7 @@
 boxes = 2
 "#;
 
-/// What the module's day of this seed leaves behind, line by line.
+/// Trace lines of a run of the decision module with this seed.
 fn history(scenario: &str, seed: u64) -> Vec<String> {
     let scenario = Scenario::parse(scenario).expect("a scenario");
     let folder = tempfile::tempdir().expect("a folder");
@@ -36,21 +37,21 @@
     std::fs::read_to_string(path).expect("a trace").lines().map(String::from).collect()
 }
 
-fn judged(lines: &[String]) -> Result<Verdict, HistoryError> {
+fn check(lines: &[String]) -> Result<Verdict, HistoryError> {
     judge((lines.join("\n") + "\n").as_bytes())
 }
 
-/// The rules that a history breaks.
-fn broken(lines: &[String]) -> Vec<Rule> {
-    judged(lines).expect("a whole history").breaches.into_keys().collect()
+/// Rules that a history violates.
+fn violated_rules(lines: &[String]) -> Vec<Rule> {
+    check(lines).expect("a whole history").breaches.into_keys().collect()
 }
 
 #[test]
-fn drawn_days_of_the_module_keep_every_rule() {
-    for (name, scenario, seeds) in [("trouble", TROUBLE, 1..=16), ("crowd", CROWD, 1..=4)] {
+fn runs_of_the_module_violate_no_rule() {
+    for (name, scenario, seeds) in [("faults", FAULTS, 1..=16), ("overload", OVERLOAD, 1..=4)] {
         for seed in seeds {
             let lines = history(scenario, seed);
-            let verdict = judged(&lines).unwrap_or_else(|error| panic!("{name}, seed {seed}, line {error}"));
+            let verdict = check(&lines).unwrap_or_else(|error| panic!("{name}, seed {seed}, line {error}"));
             assert!(verdict.is_clean(), "{name}, seed {seed}: {:?}", verdict.told);
             assert!(verdict.whole.requests > 1000 && verdict.attempts > 1000, "{name}, seed {seed}");
             assert!(lines.iter().any(|line| line.contains("\"abandoned\"")), "{name}, seed {seed}");
@@ -63,18 +64,18 @@
 }
 
 #[test]
-fn a_day_of_the_real_node_on_loopback_keeps_every_rule() {
-    let verdict = judged(&real_node()).unwrap_or_else(|error| panic!("line {error}"));
+fn a_recorded_run_of_the_real_node_violates_no_rule() {
+    let verdict = check(&real_node()).unwrap_or_else(|error| panic!("line {error}"));
     assert!(verdict.is_clean(), "{:?}", verdict.told);
     assert!(verdict.classes.iter().all(|class| class.completed > 0), "of each class");
-    assert!(verdict.classes.iter().map(|class| class.rejected).sum::<u64>() > 0, "and refusals");
+    assert!(verdict.classes.iter().map(|class| class.rejected).sum::<u64>() > 0, "and rejections");
 }
 
 fn value(line: &str) -> Value {
     serde_json::from_str(line).expect("JSON")
 }
 
-/// The first line of an event with which this holds.
+/// Index of the first line with this event for which the predicate holds.
 fn find(lines: &[String], event: &str, holds: impl Fn(&Value) -> bool) -> usize {
     let is = |line: &String| Some(value(line)).is_some_and(|v| v["event"] == event && holds(&v));
     lines.iter().position(is).unwrap_or_else(|| panic!("no {event} like that"))
@@ -94,7 +95,7 @@
     lines
 }
 
-/// With this record behind the line, at its time.
+/// Inserts a record after the line at `at`, with the same time.
 fn with(lines: &[String], at: usize, mut record: Value) -> Vec<String> {
     let mut lines = lines.to_vec();
     record["at"] = value(&lines[at])["at"].clone();
@@ -102,8 +103,8 @@
     lines
 }
 
-/// Where a node is told for the last time that a box is ready, to which it sends long after that.
-fn last_word(lines: &[String]) -> usize {
+/// Index of the last notification of a node about a box, as ready, to which the node still sends over 1.1 s later.
+fn last_notification(lines: &[String]) -> usize {
     let records: Vec<Value> = lines.iter().map(|line| value(line)).collect();
     let of =
         |told: &Value, v: &Value| v["event"] == "told" && v["node"] == told["node"] && v["of"] == told["of"];
@@ -119,8 +120,8 @@
     (0..records.len()).find(|at| is(*at)).expect("a box that is used long after it was told of")
 }
 
-/// Where work reaches a box that is new and cold, from a node that was told so.
-fn informed(lines: &[String]) -> usize {
+/// Index of a request that reaches a new, cold box from a node that was notified of its start.
+fn informed_request(lines: &[String]) -> usize {
     let records: Vec<Value> = lines.iter().map(|line| value(line)).collect();
     let first = |of: &Value| records.iter().find(|v| v["event"] == "box-up" && v["of"] == *of);
     let new = |of: &Value| first(of).is_some_and(|up| up["cold"] == true);
@@ -135,19 +136,19 @@
     (0..records.len()).find(|at| is(*at)).expect("a new box that is used")
 }
 
-/// One record is changed, taken out or put in, and the checker names the rule that this breaks and no other.
+/// One record is changed, removed or inserted, and the checker reports exactly the rule that this violates.
 #[test]
-fn one_record_that_breaks_a_rule_is_told_as_that_rule_alone() {
-    for (name, good) in [("real node", real_node()), ("seed 1", history(TROUBLE, 1))] {
-        assert_eq!(broken(&good), [], "{name}");
+fn one_changed_record_is_reported_as_the_rule_that_it_violates_alone() {
+    for (name, good) in [("real node", real_node()), ("seed 1", history(FAULTS, 1))] {
+        assert_eq!(violated_rules(&good), [], "{name}");
         let any = |_: &Value| true;
-        // No final answer, and two.
+        // No final answer, and two final answers.
         let answer = find(&good, "answered", any);
-        assert_eq!(broken(&without(&good, answer)), [Rule::Lost], "{name}: none");
+        assert_eq!(violated_rules(&without(&good, answer)), [Rule::Lost], "{name}: none");
         let id = value(&good[answer])["id"].clone();
         let second = json!({"event": "answered", "id": id, "how": "failed", "version": null});
-        assert_eq!(broken(&with(&good, answer, second)), [Rule::Lost], "{name}: two");
-        // A write that goes out once more after the time in which its repeats are dropped; and a third copy at once.
+        assert_eq!(violated_rules(&with(&good, answer, second)), [Rule::Lost], "{name}: two");
+        // A write may be sent twice within its deduplication window, but not a third time.
         let written = find(&good, "asked", |v| v["class"] == 1);
         let ask = value(&good[written])["ask"].clone();
         let id = value(&good[find(&good, "taken", |v| v["ask"] == ask)])["id"].clone();
@@ -159,29 +160,29 @@
             copy["attempt"] = attempt.into();
             copies = with(&copies, sent + attempt as usize - 1, copy);
             let expected: &[Rule] = if attempt == 2 { &[Rule::Repeated] } else { &[] };
-            assert_eq!(broken(&copies), expected, "{name}: {attempt} copies");
+            assert_eq!(violated_rules(&copies), expected, "{name}: {attempt} copies");
         }
         assert!(answer > sent);
-        // A box that a node is told of as draining when it is told of it as ready.
-        let told = last_word(&good);
+        // The last notification about a box that the node uses later says draining in place of ready.
+        let told = last_notification(&good);
         let drains = changed(&good, told, |v| v["phase"] = "draining".into());
-        assert_eq!(broken(&drains), [Rule::Drain], "{name}");
-        // A box falls while all that it was sent came from nodes that knew that it was cold.
-        let reached = informed(&good);
+        assert_eq!(violated_rules(&drains), [Rule::Drain], "{name}");
+        // A box is overloaded and falls right after a request from a node that was notified that the box is cold.
+        let reached = informed_request(&good);
         let of = value(&good[reached])["to"].clone();
         let falls = with(&good, reached, json!({"event": "box-fell", "of": of}));
-        assert_eq!(broken(&falls), [Rule::Cold], "{name}");
-        // A refusal without advice.
-        let refusal = find(&good, "answered", |v| v["how"] == "rejected");
-        let mute = changed(&good, refusal, |v| v["advice"] = Value::Null);
-        assert_eq!(broken(&mute), [Rule::Waited], "{name}");
+        assert_eq!(violated_rules(&falls), [Rule::Cold], "{name}");
+        // A rejection without retry advice.
+        let rejection = find(&good, "answered", |v| v["how"] == "rejected");
+        let without_advice = changed(&good, rejection, |v| v["advice"] = Value::Null);
+        assert_eq!(violated_rules(&without_advice), [Rule::Waited], "{name}");
     }
 }
 
 #[test]
-fn what_is_no_whole_history_is_an_error_with_its_line_and_never_a_pass() {
+fn an_incomplete_or_invalid_history_is_an_error_with_its_line() {
     let good = real_node();
-    let error = |lines: &[String]| judged(lines).err().map(|error| (error.line, error.what));
+    let error = |lines: &[String]| check(lines).err().map(|error| (error.line, error.what));
     let head = &good[..1];
     let over = good[good.len() - 1].clone();
     let (end, sent) = (good.len(), find(&good, "sent", |_| true));
