--- a/crates/baselines/src/boxes.rs
+++ b/crates/baselines/src/boxes.rs
@@ -1,50 +1,56 @@
-//! The boxes as a textbook policy knows them: the list, its own requests in flight, and which it leaves alone.
+//! State of the boxes at one node: the endpoint list, the node's requests in flight, and ejections.
 
 use hallpin_balancer::{EndpointEntry, EndpointUpdate, RequestId, Seconds, ServerId, ServerState};
 use hallpin_simulation::policy::{Sight, TrueBox, TruePlanner};
 use rustc_hash::FxHashMap;
 
-/// Failures in a row after which a box is left alone, and for how long.
-const FAILURES: u32 = 3;
-const ALONE: Seconds = 5.0;
+/// Consecutive failures after which a box is ejected.
+const EJECTION_FAILURES: u32 = 3;
+/// Duration of an ejection.
+const EJECTION_TIME: Seconds = 5.0;
 
+/// State of one box.
 #[derive(Default)]
-struct Listed {
+struct BoxEntry {
     entry: EndpointEntry,
-    /// Its number in the world, where that can be seen.
-    true_at: Option<usize>,
+    /// Index in the simulated world, if the policy can see that.
+    true_index: Option<usize>,
+    /// Requests of this node in flight.
     in_flight: u32,
+    /// Consecutive failures.
     failures: u32,
-    alone_until: Seconds,
+    /// End of the latest ejection.
+    ejected_until: Seconds,
 }
 
-/// All boxes that were ever listed; a box keeps its number.
+/// All boxes that were ever listed. A box keeps its number, the index into `all`.
 #[derive(Default)]
 pub(crate) struct Boxes {
-    all: Vec<Listed>,
+    all: Vec<BoxEntry>,
     numbers: FxHashMap<ServerId, usize>,
-    /// Those to pick from, in the order of their ids.
+    /// Numbers of the boxes that are ready, ordered by id.
     ready: Vec<usize>,
+    /// Requests of this node in flight at all boxes.
     in_flight: u32,
 }
 
 impl Boxes {
-    /// Takes news of the list; false where they tell nothing.
-    pub(crate) fn listed(&mut self, news: EndpointUpdate, world: &dyn Sight) -> bool {
-        let (whole, entries) = match news {
+    /// Applies an update of the endpoint list; returns false if the update is a failure without a list.
+    pub(crate) fn apply_update(&mut self, update: EndpointUpdate, world: &dyn Sight) -> bool {
+        let (is_full, entries) = match update {
             EndpointUpdate::Failed => return false,
             EndpointUpdate::Cached(entries) | EndpointUpdate::Full(entries) => (true, entries),
             EndpointUpdate::Delta(entries) => (false, entries),
         };
-        if whole {
-            self.all.iter_mut().for_each(|l| l.entry.state = ServerState::Gone);
+        if is_full {
+            self.all.iter_mut().for_each(|known| known.entry.state = ServerState::Gone);
         }
         for entry in entries {
             let next = self.all.len();
             let number = *self.numbers.entry(entry.server.clone()).or_insert(next);
             if number == next {
-                let true_at = world.find(&entry.server);
-                self.all.push(Listed { true_at, ..Listed::default() });
+                let true_index = world.find(&entry.server);
+                self.all.push(BoxEntry { true_index, ..BoxEntry::default() });
             }
             self.all[number].entry = entry;
         }
@@ -57,36 +63,36 @@
         &self.all[number].entry.server
     }
 
-    pub(crate) fn sent(&mut self, number: usize) {
+    pub(crate) fn attempt_sent(&mut self, number: usize) {
         self.all[number].in_flight += 1;
         self.in_flight += 1;
     }
 
-    /// A request has left a box, or nobody waits for it any more.
-    pub(crate) fn left(&mut self, number: usize) {
+    /// Counts an attempt that has ended or that nobody waits for any more.
+    pub(crate) fn attempt_ended(&mut self, number: usize) {
         self.all[number].in_flight -= 1;
         self.in_flight -= 1;
     }
 
-    pub(crate) fn answered(&mut self, number: usize) {
+    pub(crate) fn attempt_succeeded(&mut self, number: usize) {
         self.all[number].failures = 0;
     }
 
-    pub(crate) fn failed(&mut self, number: usize, now: Seconds) {
-        let listed = &mut self.all[number];
-        listed.failures += 1;
-        if listed.failures >= FAILURES {
-            (listed.failures, listed.alone_until) = (0, now + ALONE);
+    pub(crate) fn attempt_failed(&mut self, number: usize, now: Seconds) {
+        let entry = &mut self.all[number];
+        entry.failures += 1;
+        if entry.failures >= EJECTION_FAILURES {
+            (entry.failures, entry.ejected_until) = (0, now + EJECTION_TIME);
         }
     }
 
-    /// Those that a request may pick from, which has tried some.
+    /// The boxes as seen by a request that has already been sent to `tried`.
     pub(crate) fn view<'a>(&'a self, now: Seconds, tried: &'a [usize], world: &'a dyn Sight) -> View<'a> {
         View { boxes: self, now, tried, world }
     }
 }
 
-/// The boxes as one request finds them. Indices are into the ready ones as last listed, in the order of their ids.
+/// The boxes as seen by one request. An index refers to the ready boxes of the last list, ordered by id.
 #[derive(Clone, Copy)]
 pub struct View<'a> {
     boxes: &'a Boxes,
@@ -96,81 +102,81 @@
 }
 
 impl View<'_> {
-    /// How many there are.
+    /// Number of ready boxes.
     pub fn len(&self) -> usize {
         self.boxes.ready.len()
     }
 
-    /// There is none.
+    /// Returns true if no box is ready.
     pub fn is_empty(&self) -> bool {
         self.boxes.ready.is_empty()
     }
 
-    fn listed(&self, index: usize) -> &Listed {
+    fn entry(&self, index: usize) -> &BoxEntry {
         &self.boxes.all[self.boxes.ready[index]]
     }
 
-    /// The number by which all lists know it.
+    /// Number of the box, which is the same for all lists.
     pub(crate) fn number(&self, index: usize) -> usize {
         self.boxes.ready[index]
     }
 
-    /// Its id.
+    /// Id of the box.
     pub fn id(&self, index: usize) -> &ServerId {
-        &self.listed(index).entry.server
+        &self.entry(index).entry.server
     }
 
-    /// Its listed size.
+    /// Weight of the box in the list.
     pub fn weight(&self, index: usize) -> f64 {
-        self.listed(index).entry.weight
+        self.entry(index).entry.weight
     }
 
-    /// Requests of this node that it has.
+    /// Requests of this node in flight at the box.
     pub fn in_flight(&self, index: usize) -> u32 {
-        self.listed(index).in_flight
+        self.entry(index).in_flight
     }
 
-    /// Requests of this node that all boxes have.
+    /// Requests of this node in flight at all boxes.
     pub fn all_in_flight(&self) -> u32 {
         self.boxes.in_flight
     }
 
-    /// It may be sent this request: it is not being left alone and has not been tried.
+    /// Returns true if the box may be sent this request: it is not ejected and has not been tried.
     pub fn is_open(&self, index: usize) -> bool {
-        self.now >= self.listed(index).alone_until && !self.tried.contains(&self.number(index))
+        self.now >= self.entry(index).ejected_until && !self.tried.contains(&self.number(index))
     }
 
-    /// As it truly is.
-    pub fn truth(&self, index: usize) -> Option<TrueBox> {
-        self.listed(index).true_at.map(|at| self.world.look(at))
+    /// Actual current state of the box in the simulation.
+    pub fn true_state(&self, index: usize) -> Option<TrueBox> {
+        self.entry(index).true_index.map(|at| self.world.look(at))
     }
 
-    /// The time.
+    /// Current time.
     pub(crate) fn now(&self) -> Seconds {
         self.now
     }
 
-    /// The world, for a policy that looks at it for itself.
+    /// The simulated world.
     pub(crate) fn world(&self) -> &dyn Sight {
         self.world
     }
 
-    /// Its number in the world.
-    pub(crate) fn true_number(&self, index: usize) -> Option<usize> {
-        self.listed(index).true_at
+    /// Index of the box in the simulated world.
+    pub(crate) fn true_index(&self, index: usize) -> Option<usize> {
+        self.entry(index).true_index
     }
 
-    /// It truly keeps a good copy of what the request asks for.
-    pub fn keeps(&self, index: usize, request: RequestId) -> bool {
-        self.listed(index).true_at.is_some_and(|at| self.world.keeps(at, request))
+    /// Returns true if the box actually holds a valid copy of the request's key.
+    pub fn has_copy(&self, index: usize, request: RequestId) -> bool {
+        self.entry(index).true_index.is_some_and(|at| self.world.keeps(at, request))
     }
 
-    /// Sent there, the request would truly join a call to the planner that is out.
-    pub fn fetches(&self, index: usize, request: RequestId) -> bool {
-        self.listed(index).true_at.is_some_and(|at| self.world.fetches(at, request))
+    /// Returns true if the request would join a call to the planner that the box has in progress.
+    pub fn is_fetching(&self, index: usize, request: RequestId) -> bool {
+        self.entry(index).true_index.is_some_and(|at| self.world.fetches(at, request))
     }
 
-    /// The planner as it truly is.
+    /// Actual current state of the planner.
     pub fn planner(&self) -> TruePlanner {
         self.world.planner()
     }
--- a/crates/baselines/src/late.rs
+++ b/crates/baselines/src/late.rs
@@ -1,5 +1,5 @@
-//! A policy that sees boxes and planner as they truly were some time ago: what is within reach of nodes that hear of
-//! everything, but not at once.
+//! A policy that sees the actual state of boxes and planner with a delay: the bound for nodes with complete but delayed
+//! information.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,144 +10,167 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::boxes::View;
-use crate::pick::{Choice, Pick, Rendezvous, Wanted};
+use crate::pick::{Choice, Pick, Rendezvous, RoutingRequest};
 
-/// Looks at the world are this far apart, at least.
-const STEP: Seconds = 0.05;
+/// Minimum interval between two snapshots of the world.
+const SNAPSHOT_INTERVAL: Seconds = 0.05;
 
-/// The world at one moment.
-struct Look {
+/// State of the world at one time.
+struct Snapshot {
+    /// Time at which it was taken.
     at: Seconds,
     boxes: Vec<TrueBox>,
     planner: TruePlanner,
 }
 
-/// What the nodes of a day have seen from each depot, the oldest first, and how late they know it.
+/// Snapshots taken by a run's nodes in each depot, the oldest first, and the delay with which they are used.
 #[derive(Clone)]
-pub(crate) struct Past {
+pub(crate) struct SnapshotHistory {
     delay: Seconds,
-    depots: Arc<Mutex<BTreeMap<usize, VecDeque<Look>>>>,
+    depots: Arc<Mutex<BTreeMap<usize, VecDeque<Snapshot>>>>,
 }
 
-impl Past {
+impl SnapshotHistory {
     pub(crate) fn new(delay: Seconds) -> Self {
-        Past { delay, depots: Arc::default() }
+        SnapshotHistory { delay, depots: Arc::default() }
     }
 
-    /// Looks at the world, and does this with the last look that is old enough; the first of all where none is.
-    fn with<T>(&self, now: Seconds, world: &dyn Sight, then: impl FnOnce(&Look) -> T) -> T {
+    /// Takes a snapshot if one is due and passes the latest one that is at least `delay` old to `then`, or the oldest
+    /// if none is that old.
+    fn with_snapshot<T>(&self, now: Seconds, world: &dyn Sight, then: impl FnOnce(&Snapshot) -> T) -> T {
         let mut depots = self.depots.lock().unwrap_or_else(PoisonError::into_inner);
-        let looks = depots.entry(world.depot()).or_default();
-        // The warm-up has a clock of its own, which ran before the day's began.
-        if looks.back().is_some_and(|last| last.at > now) {
-            looks.clear();
+        let snapshots = depots.entry(world.depot()).or_default();
+        // The warm-up has its own clock, which ran before the clock of the run started.
+        if snapshots.back().is_some_and(|last| last.at > now) {
+            snapshots.clear();
         }
-        if looks.back().is_none_or(|last| now - last.at >= STEP) {
+        if snapshots.back().is_none_or(|last| now - last.at >= SNAPSHOT_INTERVAL) {
             let boxes = (0..world.boxes()).map(|n| world.look(n)).collect();
-            looks.push_back(Look { at: now, boxes, planner: world.planner() });
+            snapshots.push_back(Snapshot { at: now, boxes, planner: world.planner() });
         }
-        while looks.get(1).is_some_and(|second| now - second.at >= self.delay) {
-            looks.pop_front();
+        while snapshots.get(1).is_some_and(|second| now - second.at >= self.delay) {
+            snapshots.pop_front();
         }
-        then(&looks[0])
+        then(&snapshots[0])
     }
 }
 
-/// Sends a read to a box that keeps its key or fetches it already, and what nobody keeps to the first of its
-/// places that ran and had room when it was last seen, by rendezvous hashing. It asks no more of the planner than that
-/// was seen to bear. What boxes keep changes slowly and is seen as it is; how busy they and the planner are, as it was.
+/// Sends a read to a box that has cached or is fetching its key, and any other request to the first owner of the key,
+/// by rendezvous hashing, that was up and had capacity in the snapshot. It sends the planner no more calls than the
+/// snapshot allows. Cache contents change slowly and are seen without delay; the load of boxes and planner is seen
+/// delayed.
 pub struct LateSeeing {
-    homes: Rendezvous,
-    past: Past,
+    owners: Rendezvous,
+    history: SnapshotHistory,
 }
 
 impl LateSeeing {
-    /// Between two looks at a world in which there is no room.
-    const LOOK: Seconds = 0.02;
-    /// Places of a key that are tried: beyond these its copies would be scattered.
-    const PLACES: usize = 3;
-    /// Share of its time for which a request waits for room.
-    const PATIENT: f64 = 0.2;
-    /// Requests for each slot up to which a box that keeps the key is sent one more, to wait there.
-    const CROWDED: f64 = 1.5;
-    /// Calls for each that the planner can work on at once; beyond, as many of those that would be one more are held
-    /// back as makes up for it.
-    const PLANNER_LOAD: f64 = 1.5;
-
-    pub(crate) fn new(past: Past) -> Self {
-        LateSeeing { homes: Rendezvous::default(), past }
+    /// Time after which a request that found no capacity is routed again.
+    const RETRY_INTERVAL: Seconds = 0.02;
+    /// Number of owners of a key that are tried; more would scatter its copies.
+    const MAX_OWNERS: usize = 3;
+    /// Share of its total time for which a request waits for capacity.
+    const WAIT_SHARE: f64 = 0.2;
+    /// Requests per slot below which a box that has the key cached is sent one more, which may queue there.
+    const MAX_REQUESTS_PER_SLOT: f64 = 1.5;
+    /// Planner load, in calls per call that it can process at once, above which further calls are held back at random,
+    /// in proportion to the excess.
+    const MAX_PLANNER_LOAD: f64 = 1.5;
+
+    pub(crate) fn new(history: SnapshotHistory) -> Self {
+        LateSeeing { owners: Rendezvous::default(), history }
     }
 
-    /// Requests for each slot of a box, as it was seen and with this node's own; `None` where it did not run.
-    fn load(boxes: View, look: &Look, index: usize) -> Option<f64> {
-        let seen = boxes.true_number(index).and_then(|n| look.boxes.get(n)).filter(|s| s.up)?;
-        let held = (seen.wanted as f64).max(f64::from(boxes.in_flight(index)));
-        Some(held / seen.present_slots.max(1.0))
+    /// Requests per slot of a box: the larger of the snapshot's count and this node's own requests in flight. `None` if
+    /// the box was not up.
+    fn load(boxes: View, snapshot: &Snapshot, index: usize) -> Option<f64> {
+        let seen = boxes.true_index(index).and_then(|n| snapshot.boxes.get(n)).filter(|s| s.up)?;
+        let requests = (seen.wanted as f64).max(f64::from(boxes.in_flight(index)));
+        Some(requests / seen.present_slots.max(1.0))
     }
 
-    /// One of these boxes by chance, the likelier the more room it had. Danger: the idlest one of a second ago is where
-    /// all nodes send for that second.
-    fn by_room(
+    /// Picks one of these boxes at random, weighted by its spare capacity. Not simply the least loaded one, since all
+    /// nodes would send to the box that was idlest a second ago for that whole second (herding).
+    fn pick_by_capacity(
         boxes: View,
-        look: &Look,
-        of: impl Iterator<Item = usize>,
-        most: f64,
+        snapshot: &Snapshot,
+        indices: impl Iterator<Item = usize>,
+        limit: f64,
         random: &mut Pcg64Mcg,
     ) -> Option<usize> {
-        let room = |i: usize| Self::load(boxes, look, i).map(|load| (i, most - load));
-        let near: Vec<(usize, f64)> = of.filter_map(room).filter(|(_, room)| *room > 0.0).collect();
-        let mut left = random.random::<f64>() * near.iter().map(|(_, room)| room).sum::<f64>();
-        let chosen = near.iter().find(|(_, room)| {
-            left -= room;
-            left < 0.0
+        let capacity = |i: usize| Self::load(boxes, snapshot, i).map(|load| (i, limit - load));
+        let candidates: Vec<(usize, f64)> =
+            indices.filter_map(capacity).filter(|(_, capacity)| *capacity > 0.0).collect();
+        let mut remaining =
+            random.random::<f64>() * candidates.iter().map(|(_, capacity)| capacity).sum::<f64>();
+        let chosen = candidates.iter().find(|(_, capacity)| {
+            remaining -= capacity;
+            remaining < 0.0
         });
-        chosen.or(near.last()).map(|(i, _)| *i)
+        chosen.or(candidates.last()).map(|(i, _)| *i)
     }
 
-    /// Where one more copy is made: at a place of the key, or anywhere where the boxes that keep it are crowded.
-    fn copy(
+    /// Box that makes another copy of a key: one of the key's owners, or any box if those that have the key are
+    /// crowded.
+    fn pick_copy_box(
         &self,
-        wanted: Wanted,
+        request: RoutingRequest,
         boxes: View,
-        look: &Look,
-        is_kept: bool,
+        snapshot: &Snapshot,
+        has_copy: bool,
         random: &mut Pcg64Mcg,
     ) -> Option<usize> {
-        if is_kept {
-            return Self::by_room(boxes, look, (0..boxes.len()).filter(|i| boxes.is_open(*i)), 1.0, random);
+        if has_copy {
+            return Self::pick_by_capacity(
+                boxes,
+                snapshot,
+                (0..boxes.len()).filter(|i| boxes.is_open(*i)),
+                1.0,
+                random,
+            );
         }
-        let runs = |i| boxes.is_open(i) && Self::load(boxes, look, i).is_some();
-        let places = self.homes.first(Self::PLACES, wanted.key, boxes, runs);
-        places.into_iter().find(|i| Self::load(boxes, look, *i).is_some_and(|load| load < 1.0))
+        let is_up = |i| boxes.is_open(i) && Self::load(boxes, snapshot, i).is_some();
+        let owners = self.owners.best_of(Self::MAX_OWNERS, request.key, boxes, is_up);
+        owners.into_iter().find(|i| Self::load(boxes, snapshot, *i).is_some_and(|load| load < 1.0))
     }
 }
 
 impl Pick for LateSeeing {
-    fn listed(&mut self, boxes: View) {
-        self.homes.listed(boxes);
+    fn list_changed(&mut self, boxes: View) {
+        self.owners.list_changed(boxes);
     }
 
-    fn pick(&mut self, wanted: Wanted, boxes: View, random: &mut Pcg64Mcg) -> Choice {
-        self.past.with(boxes.now(), boxes.world(), |look| {
-            let near = |i: &usize| boxes.keeps(*i, wanted.id) || boxes.fetches(*i, wanted.id);
-            let near: Vec<usize> = match wanted.write {
+    fn pick(&mut self, request: RoutingRequest, boxes: View, random: &mut Pcg64Mcg) -> Choice {
+        self.history.with_snapshot(boxes.now(), boxes.world(), |snapshot| {
+            let has_or_fetches =
+                |i: &usize| boxes.has_copy(*i, request.id) || boxes.is_fetching(*i, request.id);
+            let holders: Vec<usize> = match request.write {
                 true => Vec::new(),
-                false => (0..boxes.len()).filter(|i| boxes.is_open(*i)).filter(near).collect(),
+                false => (0..boxes.len()).filter(|i| boxes.is_open(*i)).filter(has_or_fetches).collect(),
             };
-            let kept = Self::by_room(boxes, look, near.iter().copied(), Self::CROWDED, random);
-            if let Some(index) = kept {
+            let holder = Self::pick_by_capacity(
+                boxes,
+                snapshot,
+                holders.iter().copied(),
+                Self::MAX_REQUESTS_PER_SLOT,
+                random,
+            );
+            if let Some(index) = holder {
                 return Choice::Send(index);
             }
-            let planner = look.planner;
+            let planner = snapshot.planner;
             if !planner.up {
-                return Choice::Refuse;
+                return Choice::Reject;
             }
-            let bears = random.random::<f64>() * planner.load < Self::PLANNER_LOAD;
-            let patient = wanted.age < (wanted.age + wanted.left) * Self::PATIENT;
-            match self.copy(wanted, boxes, look, !near.is_empty(), random).filter(|_| bears) {
+            let planner_admits = random.random::<f64>() * planner.load < Self::MAX_PLANNER_LOAD;
+            let may_wait = request.age < (request.age + request.time_left) * Self::WAIT_SHARE;
+            match self
+                .pick_copy_box(request, boxes, snapshot, !holders.is_empty(), random)
+                .filter(|_| planner_admits)
+            {
                 Some(index) => Choice::Send(index),
-                None if patient => Choice::Wait(Self::LOOK),
-                None => Choice::Refuse,
+                None if may_wait => Choice::Wait(Self::RETRY_INTERVAL),
+                None => Choice::Reject,
             }
         })
     }
@@ -159,10 +182,10 @@
 
     use super::*;
 
-    /// A world of one box, up or not.
-    struct One(bool);
+    /// A world of one box that is up or down.
+    struct OneBoxWorld(bool);
 
-    impl Sight for One {
+    impl Sight for OneBoxWorld {
         fn boxes(&self) -> usize {
             1
         }
@@ -193,15 +216,16 @@
     }
 
     #[test]
-    fn the_world_is_seen_as_it_was_the_delay_ago_and_a_new_day_begins_anew() {
-        let past = Past::new(1.0);
-        let up = |now, is_up| past.with(now, &One(is_up), |look| look.boxes[0].up);
+    fn the_snapshot_is_as_old_as_the_delay_and_a_new_run_starts_afresh() {
+        let history = SnapshotHistory::new(1.0);
+        let up =
+            |now, is_up| history.with_snapshot(now, &OneBoxWorld(is_up), |snapshot| snapshot.boxes[0].up);
         assert!(up(5.0, true));
-        assert!(up(5.5, false), "the first look stands until one is old enough");
+        assert!(up(5.5, false), "the first snapshot is used until one is old enough");
         assert!(up(6.4, false));
         assert!(!up(6.6, true), "5.5 s is over 1 s ago");
         assert!(up(7.7, false), "as it was at 6.6 s");
-        assert!(up(0.0, true), "the clock went back: another day");
+        assert!(up(0.0, true), "the clock went back: another run");
         assert!(up(0.5, false));
     }
 }
--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -1,10 +1,9 @@
-//! Textbook policies to compare the decision module with, behind the same interface.
+//! Textbook load-balancing policies behind the interface of the decision module, for comparison with it.
 //!
-//! All share one life of a request ([`Textbook`]): an attempt at the box that the policy picks, others at the boxes it
-//! picks next while the class allows a repeat, and a box left alone for a while after three failures in a row. They
-//! differ in how they pick ([`Pick`]). None of them knows of cold boxes, of quotas or of a planner under strain; the
-//! omniscient one sees the boxes as they are and the late-seeing one as they were,
-//! which no real node can.
+//! All share one request lifecycle ([`Textbook`]): an attempt at the box that the policy picks, further attempts at the
+//! next picks while the class allows a repeat, and ejection of a box for a while after three failures in a row. They
+//! differ in how they pick ([`Pick`]). They have no notion of cold boxes, quotas or an overloaded planner. The
+//! omniscient policy sees the current state of all boxes and the late-seeing one a past state, which no real node can.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -19,43 +18,43 @@
 
 pub use boxes::View;
 pub use late::LateSeeing;
-use late::Past;
-use pick::Shared;
-pub use pick::{BoundedLoad, LeastOfTwo, Maglev, Omniscient, Pick, Random, Rendezvous, Wanted};
+use late::SnapshotHistory;
+use pick::SharedTables;
+pub use pick::{BoundedLoad, LeastOfTwo, Maglev, Omniscient, Pick, Random, Rendezvous, RoutingRequest};
 pub use textbook::Textbook;
 
-/// Makes a node's policy from its settings and seed; an error where the settings make no sense.
-pub type Starter = dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError>;
+/// Creates a node's policy from its settings and seed; an error if the settings are invalid.
+pub type PolicyFactory = dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError>;
 
-/// Which policy decides.
+/// A policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// The decision module.
     Module,
-    /// Any box.
+    /// A random box.
     Random,
-    /// The one with fewer requests of this node in flight, of two drawn.
+    /// Of two random boxes, the one with fewer requests of this node in flight (power of two choices).
     LeastOfTwo,
-    /// Highest random weight of key and box.
+    /// Rendezvous hashing (highest random weight).
     Rendezvous,
-    /// Consistent hashing with bounded loads, overflow to the next on the ring.
+    /// Consistent hashing with bounded loads; overflow goes to the next box on the ring.
     BoundedLoad,
-    /// Google's lookup table.
+    /// Maglev's lookup table.
     Maglev,
-    /// Sees the boxes as they are.
+    /// Sees the current state of all boxes.
     Omniscient,
-    /// Sees them as they were so many milliseconds ago.
+    /// Sees the state of all boxes as it was some time ago.
     LateSeeing {
-        /// How long ago.
+        /// Age of the state that it sees, in milliseconds.
         delay_ms: u32,
     },
 }
 
-/// How late the late-seeing policy sees where nothing else is said.
+/// Default delay of the late-seeing policy, in milliseconds.
 pub const LATE_MS: u32 = 200;
 
 impl Kind {
-    /// All of them, the decision module first.
+    /// All policies, the decision module first.
     pub const ALL: [Kind; 8] = [
         Kind::Module,
         Kind::Random,
@@ -67,7 +66,7 @@
         Kind::LateSeeing { delay_ms: LATE_MS },
     ];
 
-    /// Its name on a command line.
+    /// Name of the policy on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Module => "module",
@@ -81,9 +80,9 @@
         }
     }
 
-    /// What starts the nodes of a day with this policy; tables that are equal at all nodes are shared among them.
-    pub fn starter(self) -> Box<Starter> {
-        fn textbook<P: Pick + 'static>(pick: impl Fn() -> P + 'static) -> Box<Starter> {
+    /// Returns the factory for the policies of a run's nodes. Tables that are equal at several nodes are shared.
+    pub fn factory(self) -> Box<PolicyFactory> {
+        fn textbook<P: Pick + 'static>(pick: impl Fn() -> P + 'static) -> Box<PolicyFactory> {
             Box::new(move |settings, seed| Ok(Box::new(Textbook::new(pick(), settings, seed)?)))
         }
         match self {
@@ -92,17 +91,17 @@
             Kind::LeastOfTwo => textbook(|| LeastOfTwo),
             Kind::Rendezvous => textbook(Rendezvous::default),
             Kind::BoundedLoad => {
-                let shared = Shared::default();
+                let shared = SharedTables::default();
                 textbook(move || BoundedLoad::new(shared.clone()))
             }
             Kind::Maglev => {
-                let shared = Shared::default();
+                let shared = SharedTables::default();
                 textbook(move || Maglev::new(shared.clone()))
             }
             Kind::Omniscient => textbook(Omniscient::default),
             Kind::LateSeeing { delay_ms } => {
-                let past = Past::new(f64::from(delay_ms) / 1e3);
-                textbook(move || LateSeeing::new(past.clone()))
+                let history = SnapshotHistory::new(f64::from(delay_ms) / 1e3);
+                textbook(move || LateSeeing::new(history.clone()))
             }
         }
     }
--- a/crates/baselines/src/pick.rs
+++ b/crates/baselines/src/pick.rs
@@ -1,4 +1,4 @@
-//! How each textbook policy picks a box.
+//! Box selection of the textbook policies.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,168 +10,174 @@
 
 use crate::boxes::View;
 
-/// What is to be placed.
+/// A request to be routed.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
-    /// The request.
+pub struct RoutingRequest {
+    /// Id of the request.
     pub id: RequestId,
-    /// Its key.
+    /// Key of the request.
     pub key: Key,
-    /// It changes the key at the planner.
+    /// Whether it changes the key at the planner.
     pub write: bool,
-    /// Time that is left for it.
-    pub left: Seconds,
-    /// Time since it came.
+    /// Time until its deadline.
+    pub time_left: Seconds,
+    /// Time since its arrival.
     pub age: Seconds,
 }
 
-/// What becomes of a request next.
+/// Next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
-    /// It goes to the box of this index.
+    /// Send it to the box with this index in the view.
     Send(usize),
-    /// It is looked at again after so many seconds.
+    /// Route it again after this time.
     Wait(Seconds),
-    /// It is refused.
-    Refuse,
+    /// Reject it.
+    Reject,
 }
 
 impl Choice {
-    /// Refuses where there is no box.
-    fn of(index: Option<usize>) -> Self {
-        index.map_or(Choice::Refuse, Choice::Send)
+    /// Sends to this box, or rejects if there is none.
+    fn from_index(index: Option<usize>) -> Self {
+        index.map_or(Choice::Reject, Choice::Send)
     }
 }
 
-/// Picks boxes.
+/// Selects the box of a request.
 pub trait Pick: Send {
-    /// The list has changed.
-    fn listed(&mut self, _boxes: View) {}
+    /// Called when the endpoint list has changed.
+    fn list_changed(&mut self, _boxes: View) {}
 
-    /// Where a request goes.
-    fn pick(&mut self, wanted: Wanted, boxes: View, random: &mut Pcg64Mcg) -> Choice;
+    /// Decides the next step of a request.
+    fn pick(&mut self, request: RoutingRequest, boxes: View, random: &mut Pcg64Mcg) -> Choice;
 
-    /// Share of the time left after which an attempt is given up for another one.
-    fn patience(&self) -> f64 {
+    /// Timeout of an attempt, as a share of the time left; the rest is for another attempt.
+    fn attempt_time_share(&self) -> f64 {
         0.5
     }
 }
 
-/// Tables by the hash of the list that they were built from, the newest first.
+/// Tables with the hash of the list that each was built from, the newest first.
 type Tables<T> = VecDeque<(u64, Arc<T>)>;
 
-/// Tables that nodes with the same list share: they are built once a list, not once a node.
-pub(crate) struct Shared<T>(Arc<Mutex<Tables<T>>>);
+/// Tables shared by the nodes that hold the same list, so that each is built once per list and not once per node.
+pub(crate) struct SharedTables<T>(Arc<Mutex<Tables<T>>>);
 
-impl<T> Clone for Shared<T> {
+impl<T> Clone for SharedTables<T> {
     fn clone(&self) -> Self {
-        Shared(Arc::clone(&self.0))
+        SharedTables(Arc::clone(&self.0))
     }
 }
 
-impl<T> Default for Shared<T> {
+impl<T> Default for SharedTables<T> {
     fn default() -> Self {
-        Shared(Arc::default())
+        SharedTables(Arc::default())
     }
 }
 
-impl<T> Shared<T> {
-    /// Lists that nodes may hold at once, as news reach them at unlike times.
-    const KEPT: usize = 8;
+impl<T> SharedTables<T> {
+    /// Number of lists that nodes may hold at once, since updates reach them at different times.
+    const MAX_TABLES: usize = 8;
 
-    fn of(&self, boxes: View, build: impl FnOnce() -> T) -> Arc<T> {
+    /// Returns the table for the boxes' current list and builds it if no node has done so.
+    fn get_or_build(&self, boxes: View, build: impl FnOnce() -> T) -> Arc<T> {
         let mut list = Vec::new();
         for i in 0..boxes.len() {
             list.extend_from_slice(&boxes.id(i).0.len().to_le_bytes());
             list.extend_from_slice(boxes.id(i).0.as_bytes());
             list.extend_from_slice(&boxes.weight(i).to_le_bytes());
         }
-        let list = XxHash3_64::oneshot(&list);
-        let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, table)) = kept.iter().find(|(of, _)| *of == list) {
+        let list_hash = XxHash3_64::oneshot(&list);
+        let mut tables = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((_, table)) = tables.iter().find(|(of, _)| *of == list_hash) {
             return Arc::clone(table);
         }
         let table = Arc::new(build());
-        kept.push_front((list, Arc::clone(&table)));
-        kept.truncate(Self::KEPT);
+        tables.push_front((list_hash, Arc::clone(&table)));
+        tables.truncate(Self::MAX_TABLES);
         table
     }
 }
 
+/// Hash of a box id and a number.
 fn hash(id: &ServerId, number: u64) -> u64 {
     XxHash3_64::oneshot(&[id.0.as_bytes(), &number.to_le_bytes()].concat())
 }
 
-/// Of two numbers, as bytes.
+/// Hash of two numbers, in little-endian bytes.
 fn hash_pair(a: u64, b: u64) -> u64 {
     XxHash3_64::oneshot(&(u128::from(b) << 64 | u128::from(a)).to_le_bytes())
 }
 
-/// Any open box: by trial while most are open, or else from a list of them.
+/// A random open box: by rejection sampling, which is fast while most boxes are open, or else from a list of the open
+/// ones.
 fn any_open(boxes: View, random: &mut Pcg64Mcg) -> Option<usize> {
-    const TRIALS: usize = 8;
+    const MAX_TRIALS: usize = 8;
     if boxes.is_empty() {
         return None;
     }
-    let mut trials = (0..TRIALS).map(|_| random.random_range(0..boxes.len()));
+    let mut trials = (0..MAX_TRIALS).map(|_| random.random_range(0..boxes.len()));
     trials.find(|i| boxes.is_open(*i)).or_else(|| {
         let open: Vec<usize> = (0..boxes.len()).filter(|i| boxes.is_open(*i)).collect();
         (!open.is_empty()).then(|| open[random.random_range(0..open.len())])
     })
 }
 
-/// Any box.
+/// A random box.
 pub struct Random;
 
 impl Pick for Random {
-    fn pick(&mut self, _: Wanted, boxes: View, random: &mut Pcg64Mcg) -> Choice {
-        Choice::of(any_open(boxes, random))
+    fn pick(&mut self, _: RoutingRequest, boxes: View, random: &mut Pcg64Mcg) -> Choice {
+        Choice::from_index(any_open(boxes, random))
     }
 }
 
-/// The one with fewer in flight, by size, of two drawn (Mitzenmacher).
+/// Of two random boxes, the one with fewer requests in flight per weight (power of two choices, Mitzenmacher).
 pub struct LeastOfTwo;
 
 impl Pick for LeastOfTwo {
-    fn pick(&mut self, _: Wanted, boxes: View, random: &mut Pcg64Mcg) -> Choice {
+    fn pick(&mut self, _: RoutingRequest, boxes: View, random: &mut Pcg64Mcg) -> Choice {
         let load = |i: usize| f64::from(boxes.in_flight(i) + 1) / boxes.weight(i).max(1e-9);
         let drawn = any_open(boxes, random).zip(any_open(boxes, random));
-        Choice::of(drawn.map(|(a, b)| if load(b) < load(a) { b } else { a }))
+        Choice::from_index(drawn.map(|(a, b)| if load(b) < load(a) { b } else { a }))
     }
 }
 
 /// Rendezvous hashing with weights (Thaler and Ravishankar; the logarithmic method).
 #[derive(Default)]
 pub struct Rendezvous {
+    /// Hashes of the box ids, by index in the view.
     ids: Vec<u64>,
 }
 
 impl Rendezvous {
+    /// Score of a box for a key by the logarithmic method; the box with the highest score owns the key.
     fn score(&self, key: Key, boxes: View, index: usize) -> f64 {
         let unit = (hash_pair(self.ids[index], key.0) >> 11) as f64 / (1u64 << 53) as f64;
         -boxes.weight(index) / unit.max(f64::MIN_POSITIVE).ln()
     }
 
-    fn best(&self, key: Key, boxes: View, fit: impl Fn(usize) -> bool) -> Option<usize> {
-        let fit = (0..boxes.len()).filter(|i| fit(*i)).map(|i| (i, self.score(key, boxes, i)));
-        fit.max_by(|a, b| a.1.total_cmp(&b.1)).map(|(i, _)| i)
+    /// Eligible box with the highest score for a key.
+    fn best(&self, key: Key, boxes: View, is_eligible: impl Fn(usize) -> bool) -> Option<usize> {
+        let scored = (0..boxes.len()).filter(|i| is_eligible(*i)).map(|i| (i, self.score(key, boxes, i)));
+        scored.max_by(|a, b| a.1.total_cmp(&b.1)).map(|(i, _)| i)
     }
 
-    /// The first places of a key, the best first.
-    pub(crate) fn first(
+    /// The `count` best eligible boxes of a key, the best first.
+    pub(crate) fn best_of(
         &self,
-        many: usize,
+        count: usize,
         key: Key,
         boxes: View,
-        fit: impl Fn(usize) -> bool,
+        is_eligible: impl Fn(usize) -> bool,
     ) -> Vec<usize> {
-        let mut best: Vec<(f64, usize)> = Vec::with_capacity(many + 1);
-        for index in (0..boxes.len()).filter(|i| fit(*i)) {
+        let mut best: Vec<(f64, usize)> = Vec::with_capacity(count + 1);
+        for index in (0..boxes.len()).filter(|i| is_eligible(*i)) {
             let score = self.score(key, boxes, index);
-            let place = best.partition_point(|(other, _)| *other >= score);
-            if place < many {
-                best.insert(place, (score, index));
-                best.truncate(many);
+            let position = best.partition_point(|(other, _)| *other >= score);
+            if position < count {
+                best.insert(position, (score, index));
+                best.truncate(count);
             }
         }
         best.into_iter().map(|(_, index)| index).collect()
@@ -179,42 +185,46 @@
 }
 
 impl Pick for Rendezvous {
-    fn listed(&mut self, boxes: View) {
+    fn list_changed(&mut self, boxes: View) {
         self.ids = (0..boxes.len()).map(|i| hash(boxes.id(i), 0)).collect();
     }
 
-    fn pick(&mut self, wanted: Wanted, boxes: View, _: &mut Pcg64Mcg) -> Choice {
-        Choice::of(self.best(wanted.key, boxes, |i| boxes.is_open(i)))
+    fn pick(&mut self, request: RoutingRequest, boxes: View, _: &mut Pcg64Mcg) -> Choice {
+        Choice::from_index(self.best(request.key, boxes, |i| boxes.is_open(i)))
     }
 }
 
-/// Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam): overflow goes to the next on the ring.
+/// Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam): overflow goes to the next box on the
+/// ring.
 #[derive(Default)]
 pub struct BoundedLoad {
-    shared: Shared<Ring>,
+    shared: SharedTables<Ring>,
     ring: Arc<Ring>,
 }
 
 #[derive(Default)]
 pub(crate) struct Ring {
+    /// Hash and box index of each point, in ascending order.
     points: Vec<(u64, usize)>,
+    /// Sum of all weights.
     weights: f64,
 }
 
 impl BoundedLoad {
-    /// Points of a box of mean size.
-    const POINTS: f64 = 128.0;
-    /// What a box may have beyond its part of all that is in flight.
-    const BOUND: f64 = 1.25;
+    /// Ring points of a box of mean weight.
+    const MEAN_POINTS: f64 = 128.0;
+    /// Bound on a box's requests in flight, relative to its share by weight.
+    const LOAD_BOUND: f64 = 1.25;
 
-    pub(crate) fn new(shared: Shared<Ring>) -> Self {
+    pub(crate) fn new(shared: SharedTables<Ring>) -> Self {
         BoundedLoad { shared, ring: Arc::default() }
     }
 
     fn build(boxes: View) -> Ring {
         let weights: f64 = (0..boxes.len()).map(|i| boxes.weight(i)).sum();
         let mean = weights / boxes.len().max(1) as f64;
-        let points = |i: usize| (Self::POINTS * boxes.weight(i) / mean.max(1e-9)).round().max(1.0) as u64;
+        let points =
+            |i: usize| (Self::MEAN_POINTS * boxes.weight(i) / mean.max(1e-9)).round().max(1.0) as u64;
         let all = (0..boxes.len()).flat_map(|i| (0..points(i)).map(move |n| (hash(boxes.id(i), n), i)));
         let mut points: Vec<(u64, usize)> = all.collect();
         points.sort_unstable();
@@ -223,14 +233,14 @@
 }
 
 impl Pick for BoundedLoad {
-    fn listed(&mut self, boxes: View) {
-        self.ring = self.shared.of(boxes, || Self::build(boxes));
+    fn list_changed(&mut self, boxes: View) {
+        self.ring = self.shared.get_or_build(boxes, || Self::build(boxes));
     }
 
-    fn pick(&mut self, wanted: Wanted, boxes: View, _: &mut Pcg64Mcg) -> Choice {
+    fn pick(&mut self, request: RoutingRequest, boxes: View, _: &mut Pcg64Mcg) -> Choice {
         let Ring { points, weights } = &*self.ring;
         let all = f64::from(boxes.all_in_flight()) + 1.0;
-        let at = XxHash3_64::oneshot(&wanted.key.0.to_le_bytes());
+        let at = XxHash3_64::oneshot(&request.key.0.to_le_bytes());
         let first = points.partition_point(|(hash, _)| *hash < at);
         let mut fallback = None;
         for (_, i) in points[first..].iter().chain(&points[..first]) {
@@ -238,27 +248,29 @@
                 continue;
             }
             fallback.get_or_insert(*i);
-            let bound = (Self::BOUND * all * boxes.weight(*i) / weights.max(1e-9)).ceil();
+            let bound = (Self::LOAD_BOUND * all * boxes.weight(*i) / weights.max(1e-9)).ceil();
             if f64::from(boxes.in_flight(*i)) + 1.0 <= bound {
                 return Choice::Send(*i);
             }
         }
-        Choice::of(fallback)
+        Choice::from_index(fallback)
     }
 }
 
-/// Maglev's lookup table (Eisenbud and others), a size for a thousand boxes.
+/// Maglev's lookup table (Eisenbud and others), sized for up to a thousand boxes.
 #[derive(Default)]
 pub struct Maglev {
-    shared: Shared<Vec<u32>>,
+    shared: SharedTables<Vec<u32>>,
+    /// Box index by slot.
     table: Arc<Vec<u32>>,
 }
 
 impl Maglev {
-    /// A prime, over a hundred times the boxes of a small fleet and over fifty times those of a large one.
+    /// Size of the table: a prime, over 100 times the number of boxes of a small fleet and over 50 times that of a
+    /// large one.
     const SLOTS: u64 = 65_537;
 
-    pub(crate) fn new(shared: Shared<Vec<u32>>) -> Self {
+    pub(crate) fn new(shared: SharedTables<Vec<u32>>) -> Self {
         Maglev { shared, table: Arc::default() }
     }
 
@@ -274,7 +286,7 @@
         let mut filled = 0;
         while filled < slots && !boxes.is_empty() {
             for (i, (offset, skip)) in steps.iter().enumerate() {
-                // A lighter box sits rounds out.
+                // A box of lower weight skips rounds in proportion.
                 credit[i] += boxes.weight(i) / heaviest;
                 if credit[i] < 1.0 || filled == slots {
                     continue;
@@ -296,114 +308,123 @@
 }
 
 impl Pick for Maglev {
-    fn listed(&mut self, boxes: View) {
-        self.table = self.shared.of(boxes, || Self::build(boxes));
+    fn list_changed(&mut self, boxes: View) {
+        self.table = self.shared.get_or_build(boxes, || Self::build(boxes));
     }
 
-    fn pick(&mut self, wanted: Wanted, boxes: View, _: &mut Pcg64Mcg) -> Choice {
-        // A box that is not open passes to the owner of the key's next hash.
-        Choice::of((0..64u64).find_map(|n| {
-            let slot = hash_pair(wanted.key.0, n) % Self::SLOTS;
+    fn pick(&mut self, request: RoutingRequest, boxes: View, _: &mut Pcg64Mcg) -> Choice {
+        // If the owner is not open, the owner of the key's next hash is taken.
+        Choice::from_index((0..64u64).find_map(|n| {
+            let slot = hash_pair(request.key.0, n) % Self::SLOTS;
             let owner = self.table.get(slot as usize).map(|i| *i as usize);
             owner.filter(|i| *i < boxes.len() && boxes.is_open(*i))
         }))
     }
 }
 
-/// Sends to a box that keeps a good copy and has a slot free, the freest of them, or to one that fetches the key
-/// already. Where those that keep it are busy it waits a little for one; then, and for what nobody keeps, it asks the
-/// key's home among the boxes that run, by rendezvous hashing, so that copies are not scattered and fetches are joined.
-/// It asks no more of the planner than that can work on, and nothing of a box that has no slot free.
+/// Sends a read to the box with the largest share of free slots among those with a valid copy, or to one that is
+/// fetching the key already. If all boxes with a copy are busy, the request waits a short time for one of them. After
+/// that, and for keys without a copy, it sends to the key's owner among the running boxes, by rendezvous hashing, so
+/// that copies are not scattered and fetches are joined. It sends the planner no more calls than it can process, and no
+/// request to a box without a free slot.
 ///
-/// It knows what is, not what will come: of two policies that both see everything, another may still do better.
+/// It sees the present but not the future, so another policy that sees everything may still do better.
 #[derive(Default)]
 pub struct Omniscient {
-    homes: Rendezvous,
+    owners: Rendezvous,
 }
 
 impl Omniscient {
-    /// Between two looks at the world.
-    const LOOK: Seconds = 0.004;
-    /// A box that is merely busy is waited for so long before another one makes a second copy,
-    const SECOND_COPY: Seconds = 0.060;
-    /// and that only while the planner has so little to do.
-    const SPARE: f64 = 0.5;
-    /// Share of the time left in which the planner must be able to answer.
-    const IN_TIME: f64 = 0.8;
-    /// Share of its time for which a request waits for the planner; what does not get in by then makes room.
-    const PATIENT: f64 = 0.3;
-    /// Share of a box's slots that calls to the planner leave to requests whose key is kept.
-    const FOR_COPIES: f64 = 0.3;
-    /// Calls that the planner may have for each that it can work on at once.
-    const PLANNER_LOAD: f64 = 1.0;
-
-    /// What share of the box's slots is free now, if it runs and one of them is.
-    fn free(boxes: View, index: usize) -> Option<f64> {
-        let truth = boxes.truth(index).filter(|t| t.up && boxes.is_open(index))?;
-        let free = truth.present_slots - truth.wanted as f64;
-        // A box that is so slow that it has less than one slot still serves one at a time.
-        (free > 0.0).then(|| free / truth.slots)
+    /// Time after which a waiting request is routed again.
+    const RETRY_INTERVAL: Seconds = 0.004;
+    /// Age of a request from which another box may make a second copy instead of waiting for a busy box that has one.
+    const SECOND_COPY_AGE: Seconds = 0.060;
+    /// Planner load below which a second copy is made.
+    const SPARE_PLANNER_LOAD: f64 = 0.5;
+    /// Share of the time left within which the planner must be able to answer.
+    const PLANNER_TIME_SHARE: f64 = 0.8;
+    /// Share of its total time for which a request waits for the planner; after that it is rejected to make room.
+    const WAIT_SHARE: f64 = 0.3;
+    /// Share of a box's slots that is reserved for requests whose key is cached, against calls to the planner.
+    const RESERVED_SLOT_SHARE: f64 = 0.3;
+    /// Maximum number of planner calls, relative to the number that it can process at once.
+    const MAX_PLANNER_LOAD: f64 = 1.0;
+
+    /// Share of the box's slots that are free, if the box is up and has a free slot.
+    fn free_share(boxes: View, index: usize) -> Option<f64> {
+        let state = boxes.true_state(index).filter(|t| t.up && boxes.is_open(index))?;
+        let free = state.present_slots - state.wanted as f64;
+        // A box so slow that it has less than one slot still serves one request at a time.
+        (free > 0.0).then(|| free / state.slots)
     }
 
-    /// A read goes where its key is kept and a slot is free, or else waits for that where it is kept at all.
-    fn kept(wanted: Wanted, boxes: View, free: &[Option<f64>]) -> Option<Choice> {
-        let keeps = |i: &usize| boxes.keeps(*i, wanted.id);
-        let with = (0..boxes.len()).filter_map(|i| free[i].map(|f| (i, f))).filter(|(i, _)| keeps(i));
-        if let Some((i, _)) = with.max_by(|a, b| a.1.total_cmp(&b.1)) {
+    /// Routes a read to a box with a copy and a free slot, or makes it wait if only busy boxes have a copy. `None` if
+    /// no box has a copy or a second copy may be made.
+    fn route_to_copy(request: RoutingRequest, boxes: View, free_shares: &[Option<f64>]) -> Option<Choice> {
+        let has_copy = |i: &usize| boxes.has_copy(*i, request.id);
+        let with_copy =
+            (0..boxes.len()).filter_map(|i| free_shares[i].map(|f| (i, f))).filter(|(i, _)| has_copy(i));
+        if let Some((i, _)) = with_copy.max_by(|a, b| a.1.total_cmp(&b.1)) {
             return Some(Choice::Send(i));
         }
-        let busy = |i: &usize| free[*i].is_none() && Self::up(boxes, *i) && keeps(i);
-        let spare = wanted.age >= Self::SECOND_COPY && boxes.planner().load < Self::SPARE;
-        let wait = !spare && (0..boxes.len()).any(|i| busy(&i));
-        wait.then_some(Choice::Wait(Self::LOOK))
+        let busy = |i: &usize| free_shares[*i].is_none() && Self::is_up(boxes, *i) && has_copy(i);
+        let may_copy =
+            request.age >= Self::SECOND_COPY_AGE && boxes.planner().load < Self::SPARE_PLANNER_LOAD;
+        let wait = !may_copy && (0..boxes.len()).any(|i| busy(&i));
+        wait.then_some(Choice::Wait(Self::RETRY_INTERVAL))
     }
 
-    fn up(boxes: View, index: usize) -> bool {
-        boxes.is_open(index) && boxes.truth(index).is_some_and(|t| t.up)
+    /// Returns true if the box is up and open to the request.
+    fn is_up(boxes: View, index: usize) -> bool {
+        boxes.is_open(index) && boxes.true_state(index).is_some_and(|t| t.up)
     }
 }
 
 impl Pick for Omniscient {
-    fn listed(&mut self, boxes: View) {
-        self.homes.listed(boxes);
+    fn list_changed(&mut self, boxes: View) {
+        self.owners.list_changed(boxes);
     }
 
-    fn pick(&mut self, wanted: Wanted, boxes: View, _: &mut Pcg64Mcg) -> Choice {
-        let free: Vec<Option<f64>> = (0..boxes.len()).map(|i| Self::free(boxes, i)).collect();
-        if let Some(choice) = Some(wanted).filter(|w| !w.write).and_then(|w| Self::kept(w, boxes, &free)) {
+    fn pick(&mut self, request: RoutingRequest, boxes: View, _: &mut Pcg64Mcg) -> Choice {
+        let free_shares: Vec<Option<f64>> = (0..boxes.len()).map(|i| Self::free_share(boxes, i)).collect();
+        if let Some(choice) =
+            Some(request).filter(|w| !w.write).and_then(|w| Self::route_to_copy(w, boxes, &free_shares))
+        {
             return choice;
         }
         let planner = boxes.planner();
-        if !planner.up || planner.answers_in > wanted.left * Self::IN_TIME {
-            return Choice::Refuse;
+        if !planner.up || planner.answers_in > request.time_left * Self::PLANNER_TIME_SHARE {
+            return Choice::Reject;
         }
-        if !wanted.write {
-            if let Some(i) = (0..boxes.len()).find(|i| free[*i].is_some() && boxes.fetches(*i, wanted.id)) {
+        if !request.write {
+            if let Some(i) =
+                (0..boxes.len()).find(|i| free_shares[*i].is_some() && boxes.is_fetching(*i, request.id))
+            {
                 return Choice::Send(i);
             }
         }
-        if planner.load > Self::PLANNER_LOAD {
-            let early = wanted.age < (wanted.age + wanted.left) * Self::PATIENT;
-            return if early { Choice::Wait(Self::LOOK) } else { Choice::Refuse };
+        if planner.load > Self::MAX_PLANNER_LOAD {
+            let may_wait = request.age < (request.age + request.time_left) * Self::WAIT_SHARE;
+            return if may_wait { Choice::Wait(Self::RETRY_INTERVAL) } else { Choice::Reject };
         }
-        let fit = |i: usize| {
-            let room = free[i].is_some_and(|f| f > Self::FOR_COPIES);
-            room && (wanted.write || boxes.truth(i).is_some_and(|t| t.may_fetch))
+        let is_eligible = |i: usize| {
+            let has_free_slots = free_shares[i].is_some_and(|f| f > Self::RESERVED_SLOT_SHARE);
+            has_free_slots && (request.write || boxes.true_state(i).is_some_and(|t| t.may_fetch))
         };
-        match self.homes.best(wanted.key, boxes, |i| Self::up(boxes, i)) {
-            None => Choice::Refuse,
-            Some(home) if fit(home) => Choice::Send(home),
-            Some(_) if wanted.age < Self::SECOND_COPY || planner.load > Self::SPARE => {
-                Choice::Wait(Self::LOOK)
+        match self.owners.best(request.key, boxes, |i| Self::is_up(boxes, i)) {
+            None => Choice::Reject,
+            Some(owner) if is_eligible(owner) => Choice::Send(owner),
+            Some(_) if request.age < Self::SECOND_COPY_AGE || planner.load > Self::SPARE_PLANNER_LOAD => {
+                Choice::Wait(Self::RETRY_INTERVAL)
             }
-            Some(_) => match self.homes.best(wanted.key, boxes, fit) {
+            Some(_) => match self.owners.best(request.key, boxes, is_eligible) {
                 Some(other) => Choice::Send(other),
-                None => Choice::Wait(Self::LOOK),
+                None => Choice::Wait(Self::RETRY_INTERVAL),
             },
         }
     }
 
-    fn patience(&self) -> f64 {
+    fn attempt_time_share(&self) -> f64 {
         0.9
     }
 }
--- a/crates/baselines/src/textbook/tests.rs
+++ b/crates/baselines/src/textbook/tests.rs
@@ -1,4 +1,4 @@
-//! What every textbook policy does, whatever it picks by.
+//! Behaviour that all textbook policies share.
 
 use hallpin_balancer::{EndpointEntry, EndpointUpdate, ServerId, ServerState};
 
@@ -23,7 +23,7 @@
 }
 
 fn homes(kind: Kind, n: usize) -> Vec<ServerId> {
-    let mut policy = kind.starter()(settings(), 1).unwrap();
+    let mut policy = kind.factory()(settings(), 1).unwrap();
     let mut actions = Vec::new();
     policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(n))), &Blind, &mut actions);
     let home = |key: u64| {
@@ -49,23 +49,23 @@
     (0..2000).map(home).collect()
 }
 
-/// Placing policies follow the weights, and move few keys when a box joins.
+/// Hashing policies distribute keys by weight, and move few keys when a box joins.
 #[test]
-fn placements_follow_weights_and_move_little() {
+fn key_placement_follows_weights_and_moves_few_keys() {
     for (kind, most_moved) in [(Kind::Rendezvous, 0.18), (Kind::BoundedLoad, 0.2), (Kind::Maglev, 0.25)] {
         let (before, after) = (homes(kind, 10), homes(kind, 11));
         let heavy = before.iter().filter(|s| s.0[1..].parse::<usize>().unwrap() % 2 == 1).count();
         let share = heavy as f64 / before.len() as f64;
-        assert!((0.6..0.74).contains(&share), "{kind:?}: {share} of two thirds");
+        assert!((0.6..0.74).contains(&share), "{kind:?}: {share}, 2/3 expected");
         let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count() as f64 / before.len() as f64;
-        assert!(moved < most_moved, "{kind:?}: {moved} moved, a sixteenth is due");
+        assert!(moved < most_moved, "{kind:?}: {moved} moved, 1/16 expected");
     }
 }
 
 #[test]
-fn all_keep_a_request_alive_through_a_failure_and_end_it_once() {
+fn all_policies_retry_after_failures_and_end_the_request_once() {
     for kind in [Kind::Random, Kind::LeastOfTwo, Kind::Rendezvous, Kind::BoundedLoad, Kind::Maglev] {
-        let mut policy = kind.starter()(settings(), 1).unwrap();
+        let mut policy = kind.factory()(settings(), 1).unwrap();
         let mut actions = Vec::new();
         policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(5))), &Blind, &mut actions);
         let new = NewRequest {
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -76,12 +76,12 @@
 ) -> Result<Played, PlayError> {
     let day = scenario.draw(seed)?;
     let began = Instant::now();
-    let start = policy.starter();
+    let new_policy = policy.factory();
     let plane = if policy == Kind::Module { plane } else { Switch::Off };
     let mut referee = Referee::new(&day);
     let (events, sizes, tally) = match trace {
         None => {
-            let done = World::new(&day, &*start, |at: Time, event: &Event| referee.record(at, event))?
+            let done = World::new(&day, &*new_policy, |at: Time, event: &Event| referee.record(at, event))?
                 .with_plane(plane)?
                 .run();
             (done.events, done.sizes, done.tally)
@@ -92,7 +92,8 @@
                 file.record(at, event);
                 referee.record(at, event);
             };
-            let Done { events, sizes, tally, .. } = World::new(&day, &*start, sink)?.with_plane(plane)?.run();
+            let Done { events, sizes, tally, .. } =
+                World::new(&day, &*new_policy, sink)?.with_plane(plane)?.run();
             file.finish()?;
             (events, sizes, tally)
         }
