--- a/crates/balancer/src/balance/slow_start.rs
+++ b/crates/balancer/src/balance/slow_start.rs
@@ -10,8 +10,8 @@
 
 /// Least share of its requests that a server admits while it is warming up, so that each node sends it some.
 const MIN_ADMITTED_SHARE: f64 = 1.0 / 16.0;
-/// Share of the multiple of a server's present capacity that overloads it (`Guarantees::overload_multiple`) that
-/// is used where no server is warm.
+/// Share of the multiple of a server's present capacity that overloads it (`Guarantees::overload_multiple`)
+/// that is used where no server is warm.
 const USABLE_MULTIPLE_SHARE: f64 = 0.5;
 /// Reads a second, over all nodes, that probe an ejected server that is warming up.
 const PROBES_PER_SECOND: f64 = 3.0;
