--- a/crates/node/src/plane/events.rs
+++ b/crates/node/src/plane/events.rs
@@ -11,6 +11,9 @@
 use super::runtime::PlaneRuntime;
 use crate::message::Message;
 
+/// Target of this module's log lines; operators filter by it.
+const LOG_TARGET: &str = "hallpin_node::plane::news";
+
 /// The events of this node's plane.
 type NodePlaneEvent = PlaneEvent<PlacementEvent, BudgetsEvent>;
 
@@ -18,31 +21,35 @@
     /// Acts on an event of the plane.
     pub(super) fn handle_event(&self, event: NodePlaneEvent) {
         match event {
-            PlaneEvent::Peers(PeersEvent::CutOff(true)) => warn!("cut off: no other node is heard"),
+            PlaneEvent::Peers(PeersEvent::CutOff(true)) => {
+                warn!(target: LOG_TARGET, "cut off: no other node is heard")
+            }
             PlaneEvent::Peers(PeersEvent::CutOff(false)) => {
-                info!("no longer cut off: other nodes are heard again")
+                info!(target: LOG_TARGET, "no longer cut off: other nodes are heard again")
             }
             PlaneEvent::Peers(PeersEvent::View) => self.log_view(),
             // Sent with the next gathering, as evidence may change with every datagram.
             PlaneEvent::Peers(PeersEvent::Evidence) => self.evidence_timer.trigger(),
             PlaneEvent::Placement(PlacementEvent::Switch(table)) => self.switch(&table),
             PlaneEvent::Placement(PlacementEvent::LeaseExpired) => {
-                warn!("out: the lease on the placement table is over; other nodes may switch tables without this one");
+                warn!(target: LOG_TARGET, "out: the lease on the placement table is over; other nodes may switch tables without this one");
             }
             PlaneEvent::Placement(PlacementEvent::LeaseRegained) => {
-                info!("back: the lease on the placement table was regained")
+                info!(target: LOG_TARGET, "back: the lease on the placement table was regained")
             }
             PlaneEvent::Placement(PlacementEvent::Prepared { version }) => {
-                debug!(version, "a table is prepared, not yet in force")
+                debug!(target: LOG_TARGET, version, "a table is prepared, not yet in force")
             }
             PlaneEvent::Placement(PlacementEvent::Dropped { version }) => {
-                info!(version, "a table was dropped")
+                info!(target: LOG_TARGET, version, "a table was dropped")
             }
             PlaneEvent::Budgets(BudgetsEvent::AllotmentsChanged) => self.close_all_excess(),
             PlaneEvent::Budgets(BudgetsEvent::GrantingStarted { epoch }) => {
-                info!(epoch, "grants parts of budgets")
+                info!(target: LOG_TARGET, epoch, "grants parts of budgets")
+            }
+            PlaneEvent::Budgets(BudgetsEvent::GrantingStopped) => {
+                info!(target: LOG_TARGET, "grants parts of budgets no longer")
             }
-            PlaneEvent::Budgets(BudgetsEvent::GrantingStopped) => info!("grants parts of budgets no longer"),
         }
     }
 
@@ -51,14 +58,14 @@
         let (alive, of) = (plane.view().alive().count(), plane.view().configured);
         if self.alive.replace(alive) != alive {
             if let Some(suppressed) = self.log_throttle.pass(Instant::now()) {
-                info!(alive, of, suppressed, "nodes that are there");
+                info!(target: LOG_TARGET, alive, of, suppressed, "nodes that are there");
             }
         }
     }
 
     fn switch(&self, table: &Table) {
         let (epoch, version, servers) = (table.epoch, table.version, table.entries.len());
-        info!(epoch, version, revision = table.revision, servers, "a placement table is in force");
+        info!(target: LOG_TARGET, epoch, version, revision = table.revision, servers, "a placement table is in force");
         let entry = |entry: &hallpin_placement::TableEntry| TableEntry {
             server: ServerId(entry.server.as_str().into()),
             weight: f64::from(entry.weight_milli) / 1000.0,
--- a/crates/node/src/plane/observations.rs
+++ b/crates/node/src/plane/observations.rs
@@ -9,6 +9,9 @@
 use crate::config::NodeConfigError;
 use crate::roster::Roster;
 
+/// Target of this module's log lines; operators filter by it.
+const LOG_TARGET: &str = "hallpin_node::plane::told";
+
 impl PlaneRuntime {
     /// Applies an endpoint list.
     pub fn apply_roster(&self, roster: &Roster) {
@@ -41,14 +44,14 @@
         let Some(path) = &self.contracts else { return };
         match read_contracts(path) {
             Ok(contracts) => {
-                info!(revision = contracts.revision, "contracts are in force");
+                info!(target: LOG_TARGET, revision = contracts.revision, "contracts are in force");
                 let now = self.now();
                 if let Some(budgets) = self.plane.borrow_mut().budgets() {
                     budgets.set_contracts(now, contracts);
                 }
                 self.wake.notify_one();
             }
-            Err(NodeConfigError(what)) => warn!("{what}; the old contracts stand"),
+            Err(NodeConfigError(what)) => warn!(target: LOG_TARGET, "{what}; the old contracts stand"),
         }
     }
 
--- a/crates/node/src/plane/runtime.rs
+++ b/crates/node/src/plane/runtime.rs
@@ -24,6 +24,9 @@
 use crate::log::LogThrottle;
 use crate::message::Message;
 
+/// Target of this module's log lines; operators filter by it.
+const LOG_TARGET: &str = "hallpin_node::plane::fleet";
+
 /// Interval at which this node's observations of boxes are passed to membership.
 pub(super) const GATHER_INTERVAL: Duration = Duration::from_millis(200);
 /// Shortest wait of the plane's timer, whatever deadlines its machines request.
@@ -79,9 +82,11 @@
         }
         match Socket::bind(self.listen, addresses).await {
             Ok(socket) => drop(self.socket.set(socket)),
-            Err(error) => return error!(listen = %self.listen, %error, "no plane: its address cannot be had"),
+            Err(error) => {
+                return error!(target: LOG_TARGET, listen = %self.listen, %error, "no plane: its address cannot be had")
+            }
         }
-        info!(listen = %self.listen, "the plane between nodes is on");
+        info!(target: LOG_TARGET, listen = %self.listen, "the plane between nodes is on");
         let mut pause = Duration::ZERO;
         loop {
             self.advance();
@@ -115,7 +120,7 @@
             let result = self.plane.borrow_mut().receive(now, sender, bytes);
             if let Err(why) = result {
                 if let Some(dropped) = self.refusal_log.borrow_mut().record(Instant::now()) {
-                    warn!(%why, dropped, "datagrams dropped; the last was {why}");
+                    warn!(target: LOG_TARGET, %why, dropped, "datagrams dropped; the last was {why}");
                 }
             }
         });
