--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -186,15 +186,15 @@
             Some(Owed { reply, ready: None, token: Some(token), delay })
         }
         _ if silent => None,
-        Call::Ready => {
+        Call::HealthCheck => {
             stage.borrow_mut().probed(at);
             Some(at_once(b"MN\r\n".to_vec()))
         }
-        Call::Load => {
+        Call::LoadReport => {
             stage.borrow_mut().probed(at);
             let load = stage.borrow_mut().load(at);
             Some(at_once(cache_server::load(&load)))
         }
-        Call::Bad { answer, .. } => Some(at_once(answer.as_bytes().to_vec())),
+        Call::Invalid { answer, .. } => Some(at_once(answer.as_bytes().to_vec())),
     }
 }
--- a/crates/emulator/src/sockets/crowd.rs
+++ b/crates/emulator/src/sockets/crowd.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use hallpin_protocol::client::{next_answer, Answer, Ask};
+use hallpin_protocol::client::{next_answer, Answer, ClientCommand};
 use hallpin_simulation::clients::Reply;
 use hallpin_simulation::day::Entry;
 use hallpin_simulation::keys;
@@ -151,7 +151,7 @@
     let class = &day.classes[asking.class];
     let opaque = format!("{id:x}");
     let effect = asking.effect.map(|key| format!("{key:016x}"));
-    let command = Ask {
+    let command = ClientCommand {
         key: &keys::name(asking.key),
         value: class.write.then_some(b"reported".as_slice()),
         opaque: &opaque,
@@ -159,7 +159,7 @@
         tenant: asking.tenant.map(|t| day.tenants[t].name.as_str()),
         wait: Duration::from_micros(until.since(now).0),
         work: asking.hint.map(Duration::from_secs_f64),
-        effect_key: effect.as_deref(),
+        idempotency_key: effect.as_deref(),
         retry: false,
     };
     let written = Written { text: command.to_bytes(), over: Duration::from_micros(writing.0) };
--- a/crates/emulator/src/sockets/stage/mod.rs
+++ b/crates/emulator/src/sockets/stage/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use hallpin_balancer::CacheNote;
-use hallpin_protocol::cache_server::{self, Remarks};
+use hallpin_protocol::cache_server::{self, AnswerMetadata};
 use hallpin_protocol::Command;
 use hallpin_simulation::agenda::Agenda;
 use hallpin_simulation::cache_box::{BoxAnswer, BoxOut, CacheBox, Job};
--- a/crates/fault-harness/src/fakes/client.rs
+++ b/crates/fault-harness/src/fakes/client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use hallpin_protocol::client::{next_answer, Answer, Ask};
+use hallpin_protocol::client::{next_answer, Answer, ClientCommand};
 use hallpin_simulation::time::Time;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -64,7 +64,7 @@
         recorder: &Recorder,
     ) -> Result<(ClientAnswer, Option<Self>), NodeUnreached> {
         let opaque = format!("{id:x}");
-        let text = Ask {
+        let text = ClientCommand {
             key: &request.key,
             value: request.write.then_some(b"reported".as_slice()),
             opaque: &opaque,
@@ -72,7 +72,7 @@
             tenant: Some(&request.name),
             wait: request.deadline,
             work: None,
-            effect_key: request.write.then_some(opaque.as_str()),
+            idempotency_key: request.write.then_some(opaque.as_str()),
             retry: false,
         };
         self.stream.write_all(&text.to_bytes()).await.map_err(|_| NodeUnreached)?;
--- a/crates/fault-harness/src/fakes/connection.rs
+++ b/crates/fault-harness/src/fakes/connection.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use hallpin_balancer::CacheNote;
 use hallpin_emulator::loopback;
-use hallpin_protocol::cache_server::{self, Call, Remarks};
+use hallpin_protocol::cache_server::{self, AnswerMetadata, Call};
 use hallpin_protocol::{Command, Verb};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -66,9 +66,9 @@
                         Ok(text) => (text, false),
                         Err(end) => return end,
                     },
-                    Call::Ready => (b"MN\r\n".to_vec(), false),
-                    Call::Load => (b"ERROR\r\n".to_vec(), false),
-                    Call::Bad { answer, close } => (answer.as_bytes().to_vec(), close),
+                    Call::HealthCheck => (b"MN\r\n".to_vec(), false),
+                    Call::LoadReport => (b"ERROR\r\n".to_vec(), false),
+                    Call::Invalid { answer, close } => (answer.as_bytes().to_vec(), close),
                 };
                 if stream.write_all(&text).await.is_err() || ends {
                     return ConnectionEnd::Closed;
@@ -120,14 +120,14 @@
 }
 
 fn answer(opaque: &str, how: BoxAnswer, version: u64) -> Vec<u8> {
-    let remarks = |note| Remarks { note: Some(note), load: Vec::new() };
+    let metadata = |note| AnswerMetadata { note: Some(note), load: Vec::new() };
     let value = format!("v{version}");
     match how {
-        BoxAnswer::Hit => cache_server::value(opaque, value.as_bytes(), &remarks(CacheNote::Hit)),
-        BoxAnswer::Miss => cache_server::value(opaque, value.as_bytes(), &remarks(CacheNote::Miss)),
-        BoxAnswer::Wrote => cache_server::receipt(opaque, &value, &Remarks::default()),
-        BoxAnswer::Busy => cache_server::busy(&Remarks::default()),
-        BoxAnswer::Failed | BoxAnswer::Gone => cache_server::failed(&Remarks::default()),
+        BoxAnswer::Hit => cache_server::value(opaque, value.as_bytes(), &metadata(CacheNote::Hit)),
+        BoxAnswer::Miss => cache_server::value(opaque, value.as_bytes(), &metadata(CacheNote::Miss)),
+        BoxAnswer::Wrote => cache_server::receipt(opaque, &value, &AnswerMetadata::default()),
+        BoxAnswer::Busy => cache_server::busy(&AnswerMetadata::default()),
+        BoxAnswer::Failed | BoxAnswer::Gone => cache_server::failed(&AnswerMetadata::default()),
     }
 }
 
--- a/crates/hallpin/benches/relay.rs
+++ b/crates/hallpin/benches/relay.rs
@@ -12,7 +12,7 @@
 use bytes::BytesMut;
 use hallpin_loadgen::load::fake_server::{Behavior, FakeServer};
 use hallpin_loadgen::statistics::quartiles;
-use hallpin_protocol::client::{next_answer, Answer, Ask};
+use hallpin_protocol::client::{next_answer, Answer, ClientCommand};
 use hallpin_simulation::scenario::Scenario;
 use hdrhistogram::Histogram;
 use serde_json::json;
@@ -157,7 +157,7 @@
         // The same key order for node and relay, without an obvious pattern.
         let key = format!("k{:05}", (n * 7919 + number as u64 * 104_729) % KEYS);
         let opaque = format!("{:x}", (number as u64) << 32 | n);
-        let ask = Ask {
+        let command = ClientCommand {
             key: &key,
             value: None,
             opaque: &opaque,
@@ -165,11 +165,11 @@
             tenant: None,
             wait: Duration::from_secs(1),
             work: None,
-            effect_key: None,
+            idempotency_key: None,
             retry: false,
         };
         let start = Instant::now();
-        stream.write_all(&ask.to_bytes()).await?;
+        stream.write_all(&command.to_bytes()).await?;
         let answer = loop {
             match next_answer(&mut input) {
                 Ok(Some(answer)) => break answer,
--- a/crates/loadgen/src/load/connection.rs
+++ b/crates/loadgen/src/load/connection.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use hallpin_protocol::client::{next_answer, Answer, Ask};
+use hallpin_protocol::client::{next_answer, Answer, ClientCommand};
 use hallpin_simulation::keys;
 use tokio::io::Interest;
 use tokio::net::TcpStream;
@@ -35,9 +35,9 @@
     let class = &mix.classes[pending.request_spec.class];
     let opaque = format!("{id:x}");
     // The effect key identifies the request, not the try, so that the server can deduplicate a repeated write.
-    let effect_key = class.writes.map(|_| format!("{:016x}", pending.request));
+    let idempotency_key = class.writes.map(|_| format!("{:016x}", pending.request));
     let value = class.writes.map(|bytes| vec![b'x'; bytes]);
-    let ask = Ask {
+    let command = ClientCommand {
         key: &keys::name(pending.request_spec.key),
         value: value.as_deref(),
         opaque: &opaque,
@@ -45,10 +45,10 @@
         tenant: pending.request_spec.tenant.map(|tenant| mix.tenants[tenant].name.as_str()),
         wait: pending.deadline.saturating_sub(shared.now()),
         work: None,
-        effect_key: effect_key.as_deref(),
+        idempotency_key: idempotency_key.as_deref(),
         retry: false,
     };
-    ask.to_bytes()
+    command.to_bytes()
 }
 
 /// Serves one connection slot: connects while requests are queued, reconnects after failures, and returns when the
--- a/crates/loadgen/src/load/fake_server.rs
+++ b/crates/loadgen/src/load/fake_server.rs
@@ -8,7 +8,7 @@
 
 use bytes::BytesMut;
 use hallpin_balancer::CacheNote;
-use hallpin_protocol::cache_server::{self, Call, Remarks};
+use hallpin_protocol::cache_server::{self, AnswerMetadata, Call};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
@@ -113,15 +113,15 @@
             while let Some(call) = cache_server::next_call(&mut input) {
                 let command = match call {
                     Call::Command(command) => command,
-                    Call::Ready => {
+                    Call::HealthCheck => {
                         output.extend_from_slice(b"MN\r\n");
                         continue;
                     }
-                    Call::Load => {
+                    Call::LoadReport => {
                         output.extend_from_slice(&cache_server::load(&[]));
                         continue;
                     }
-                    Call::Bad { answer, close } => {
+                    Call::Invalid { answer, close } => {
                         output.extend_from_slice(answer.as_bytes());
                         if close {
                             return stream.write_all(&output).await;
@@ -153,8 +153,8 @@
                     self.behavior, Behavior::WrongId(interval) if received % interval == interval - 1
                 );
                 let opaque = if has_wrong_id { "beef" } else { &opaque };
-                let remarks = Remarks { note: Some(CacheNote::Hit), load: Vec::new() };
-                output.extend_from_slice(&cache_server::value(opaque, VALUE, &remarks));
+                let metadata = AnswerMetadata { note: Some(CacheNote::Hit), load: Vec::new() };
+                output.extend_from_slice(&cache_server::value(opaque, VALUE, &metadata));
                 answered += 1;
             }
             let _unless_stalled = self.stall_lock.read().await;
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hallpin_balancer::RequestId;
-use hallpin_protocol::{self as protocol, Input, MAX_WHOLE};
+use hallpin_protocol::{self as protocol, Input, MAX_BUFFERED_VALUE_BYTES};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -53,18 +53,18 @@
             Input::Command(command) => {
                 let (reply, answer) = oneshot::channel();
                 let id = RequestId(frontend.take_number());
-                let weight = command.weight() + MAX_WHOLE;
+                let weight = command.weight() + MAX_BUFFERED_VALUE_BYTES;
                 frontend.budget.reserve(weight);
                 let (command, gone) = (*command, self.gone.clone());
                 // The driver ends only with the process.
                 let _ = frontend.driver.send(Message::Request { id, command, at, reply, gone });
                 PendingAnswer::Waiting { id, weight, answer }
             }
-            Input::Ready if frontend.lifecycle.state() == LifecycleState::Ready => {
+            Input::HealthCheck if frontend.lifecycle.state() == LifecycleState::Ready => {
                 PendingAnswer::Ready(protocol::READY)
             }
-            Input::Ready => PendingAnswer::Ready(protocol::NOT_READY),
-            Input::Bad { answer, close } => {
+            Input::HealthCheck => PendingAnswer::Ready(protocol::NOT_READY),
+            Input::Invalid { answer, close } => {
                 if close {
                     self.close_input(AbandonReason::FramingLost);
                 }
--- a/crates/node/src/frontend/input.rs
+++ b/crates/node/src/frontend/input.rs
@@ -5,13 +5,13 @@
 
 use bytes::buf::Limit;
 use bytes::{BufMut, Bytes, BytesMut};
-use hallpin_protocol::{self as protocol, Input, MAX_LINE, MAX_WHOLE};
+use hallpin_protocol::{self as protocol, Input, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES};
 use tokio::time::Instant;
 
 /// Input is read this far ahead, however long commands wait: the longest possible command fits.
-pub(super) const MAX_READ_AHEAD_BYTES: usize = MAX_LINE + 2 + MAX_WHOLE + 2;
+pub(super) const MAX_READ_AHEAD_BYTES: usize = MAX_LINE_BYTES + 2 + MAX_BUFFERED_VALUE_BYTES + 2;
 /// The same if no memory is left for commands.
-pub(super) const MIN_READ_AHEAD_BYTES: usize = MAX_LINE;
+pub(super) const MIN_READ_AHEAD_BYTES: usize = MAX_LINE_BYTES;
 /// Bytes per read, so that one busy client does not occupy the core.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Reads tracked separately while commands wait; bytes of later ones count as received with the last of these.
@@ -133,8 +133,8 @@
             match input {
                 Input::Command(command) => opaque_ids.push(command.opaque()),
                 // From here on no command's end can be found.
-                Input::Bad { close: true, .. } => break,
-                Input::Bad { .. } | Input::Ready => {}
+                Input::Invalid { close: true, .. } => break,
+                Input::Invalid { .. } | Input::HealthCheck => {}
             }
         }
         if !remaining.is_empty() {
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -32,7 +32,7 @@
     /// Queues the answer to the oldest command; its request ends with the last byte.
     pub(super) fn queue_answer(&mut self, answer: Answer) {
         self.last_answer_at = Some(Instant::now());
-        if protocol::turns_away(&answer.text) {
+        if protocol::is_client_error(&answer.text) {
             self.paused_until = Instant::now() + self.frontend.error_delay;
         } else {
             self.is_trusted = true;
--- a/crates/node/src/frontend/tests/accept.rs
+++ b/crates/node/src/frontend/tests/accept.rs
@@ -91,7 +91,7 @@
         upstream.update_endpoints(&Roster::from_json(list.as_bytes(), &Clock::start()).unwrap());
         let server = async {
             let (mut stream, _) = listener.accept().await.unwrap();
-            stream.read_exact(&mut [0; protocol::PROBE.len()]).await.unwrap();
+            stream.read_exact(&mut [0; protocol::HEALTH_CHECK.len()]).await.unwrap();
             stream.write_all(b"MN\r\n").await.unwrap();
             stream
         };
--- a/crates/node/src/plane/state.rs
+++ b/crates/node/src/plane/state.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use hallpin_membership::names::{Incarnation, NodeIncarnation};
-use hallpin_store::incarnation::{Past, Start};
-use hallpin_store::{Outlives, Restored, Section, Store, Stored};
+use hallpin_store::incarnation::{Start, StoredIncarnation};
+use hallpin_store::{Persistent, Restored, Section, Store, Stored};
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredTable(pub hallpin_placement::StoredPlacement);
 
-impl Outlives for StoredTable {
+impl Persistent for StoredTable {
     const SECTION: Section = Section::Table;
     const FORMAT: u16 = 1;
 }
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredView(pub Vec<NodeIncarnation>);
 
-impl Outlives for StoredView {
+impl Persistent for StoredView {
     const SECTION: Section = Section::View;
     const FORMAT: u16 = 1;
 }
@@ -70,7 +70,8 @@
         Ok((store, restored)) => continue_from(file, store, restored, write_interval),
         Err(error) => {
             warn!(%error, "no state: the node starts without its stored state and retries");
-            let start = Start::unwritten(Past::Unknown, file.unix_ms(), file.limits.clock_step_back);
+            let start =
+                Start::unwritten(StoredIncarnation::Unknown, file.unix_ms(), file.limits.max_clock_step_back);
             let state = StateWriter::new(file, start.incarnation, None, write_interval);
             restored_state(start, CachedState::default(), state)
         }
@@ -101,7 +102,7 @@
 
 /// Stores the sections that were set aside in a file of their own, and logs the reasons.
 fn report_set_aside(store: &mut Store, restored: &mut Restored) {
-    if let Err(error) = store.keep_aside(restored) {
+    if let Err(error) = store.preserve_set_aside(restored) {
         warn!(%error, "the sections set aside could not be stored yet");
     }
     for reason in &restored.set_aside {
--- a/crates/node/src/plane/state/file.rs
+++ b/crates/node/src/plane/state/file.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hallpin_membership::names::Incarnation;
-use hallpin_store::file_system::{Disk, FileSystem};
+use hallpin_store::file_system::{FileSystem, OsFileSystem};
 use hallpin_store::{Identity, Limits, Restored, Snapshot, Store, StoreError};
 use tracing::info;
 
@@ -29,7 +29,7 @@
     /// A file on the local disk; contents older than `max_age` are not used.
     pub fn new(path: &Path, identity: Identity, max_age: Duration) -> Self {
         StateFile {
-            files: Arc::new(Disk),
+            files: Arc::new(OsFileSystem),
             time: &SystemClock,
             path: path.to_owned(),
             identity,
@@ -64,7 +64,7 @@
     pub(super) fn quiet_is_over(&mut self) {
         self.quiet_is_over = true;
         if let Some(store) = &mut self.store {
-            store.quiet_is_over();
+            store.end_silence();
         }
     }
 
@@ -83,7 +83,7 @@
     /// Opens the store for a process that started without it. The stored contents are no longer used.
     fn open_late(&self) -> Result<Store, StoreError> {
         let (mut store, mut restored) = self.file.open()?;
-        store.adopt(self.incarnation, self.quiet_is_over)?;
+        store.adopt_incarnation(self.incarnation, self.quiet_is_over)?;
         report_set_aside(&mut store, &mut restored);
         info!(path = %self.file.path.display(), "the state file is open now");
         Ok(store)
--- a/crates/node/src/plane/state/tests/fakes.rs
+++ b/crates/node/src/plane/state/tests/fakes.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hallpin_store::file_system::{Disk, FileSystem, StorageBackend};
+use hallpin_store::file_system::{FileSystem, OsFileSystem, StorageBackend};
 use tokio::time::Instant;
 
 use crate::clock::source::TimeSource;
@@ -62,35 +62,35 @@
 impl FileSystem for FullDisk {
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageBackend>> {
         self.check()?;
-        Ok(Box::new(FileOnFullDisk(Disk.open(path)?, self.clone())))
+        Ok(Box::new(FileOnFullDisk(OsFileSystem.open(path)?, self.clone())))
     }
 
     fn open_lock(&self, path: &Path) -> io::Result<File> {
         self.check()?;
-        Disk.open_lock(path)
+        OsFileSystem.open_lock(path)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         self.check()?;
-        Disk.rename(from, to)
+        OsFileSystem.rename(from, to)
     }
 
     fn copy(&self, from: &Path, to: &Path) -> io::Result<()> {
         self.check()?;
-        Disk.copy(from, to)
+        OsFileSystem.copy(from, to)
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
-        Disk.remove(path)
+        OsFileSystem.remove(path)
     }
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
         self.check()?;
-        Disk.sync_folder(folder)
+        OsFileSystem.sync_folder(folder)
     }
 
     fn names(&self, folder: &Path) -> io::Result<Vec<OsString>> {
-        Disk.names(folder)
+        OsFileSystem.names(folder)
     }
 }
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -60,10 +60,10 @@
         let check = async {
             let mut connection = self.acquire(server, until, false).await?;
             let broken = |_| Status::Broken;
-            connection.stream.write_all(protocol::PROBE).await.map_err(broken)?;
+            connection.stream.write_all(protocol::HEALTH_CHECK).await.map_err(broken)?;
             let mut buf = BytesMut::new();
             let ready = loop {
-                match protocol::next_probed(&mut buf) {
+                match protocol::next_health_check_answer(&mut buf) {
                     Ok(Some(ready)) => break ready,
                     Ok(None) if connection.stream.read_buf(&mut buf).await.map_err(broken)? > 0 => {}
                     Ok(None) => return Err(Status::Broken),
--- a/crates/node/src/upstream/tests/duplicate_answers.rs
+++ b/crates/node/src/upstream/tests/duplicate_answers.rs
@@ -54,7 +54,7 @@
 /// Bytes without a line end are read no further than the longest line.
 #[tokio::test]
 async fn an_answer_that_never_ends_its_line_is_given_up() {
-    let ended = answer_second_read(&"x".repeat(hallpin_protocol::MAX_LINE + 2)).await;
+    let ended = answer_second_read(&"x".repeat(hallpin_protocol::MAX_LINE_BYTES + 2)).await;
     assert!(ended.answer.is_none() && ended.status == Status::Unknown, "{ended:?}");
 }
 
--- a/crates/protocol/src/cache_server.rs
+++ b/crates/protocol/src/cache_server.rs
@@ -13,11 +13,11 @@
     /// A read or a write.
     Command(Box<Command>),
     /// `mn`: a shallow health check.
-    Ready,
+    HealthCheck,
     /// `stats load`: a request for the load report.
-    Load,
+    LoadReport,
     /// Not a request that a cache server knows.
-    Bad {
+    Invalid {
         /// The answer line.
         answer: &'static str,
         /// The framing is lost, so the connection must be closed.
@@ -31,25 +31,25 @@
 pub fn next_call(buf: &mut BytesMut) -> Option<Call> {
     if buf.starts_with(LOAD_REQUEST) {
         buf.advance(LOAD_REQUEST.len());
-        return Some(Call::Load);
+        return Some(Call::LoadReport);
     }
     next_input(buf).map(|input| match input {
         Input::Command(command) => Call::Command(command),
-        Input::Ready => Call::Ready,
-        Input::Bad { answer, close } => Call::Bad { answer, close },
+        Input::HealthCheck => Call::HealthCheck,
+        Input::Invalid { answer, close } => Call::Invalid { answer, close },
     })
 }
 
 /// Optional flags at the end of an answer's line: the result of the cache lookup and the load report.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Remarks {
+pub struct AnswerMetadata {
     /// The result of a read's cache lookup.
     pub note: Option<CacheNote>,
     /// The load report as names and values; empty for none.
     pub load: Vec<(String, f64)>,
 }
 
-impl Remarks {
+impl AnswerMetadata {
     fn write(&self, line: &mut String) {
         line.push_str(match self.note {
             Some(CacheNote::Hit) => " h1",
@@ -66,9 +66,9 @@
 }
 
 /// Encodes a value as the answer to the read with this id.
-pub fn value(opaque: &str, value: &[u8], remarks: &Remarks) -> Vec<u8> {
+pub fn value(opaque: &str, value: &[u8], metadata: &AnswerMetadata) -> Vec<u8> {
     let mut line = format!("VA {} O{opaque}", value.len());
-    remarks.write(&mut line);
+    metadata.write(&mut line);
     let mut out = line.into_bytes();
     out.extend_from_slice(value);
     out.extend_from_slice(b"\r\n");
@@ -76,23 +76,23 @@
 }
 
 /// Encodes a receipt as the answer to the write with this id.
-pub fn receipt(opaque: &str, receipt: &str, remarks: &Remarks) -> Vec<u8> {
+pub fn receipt(opaque: &str, receipt: &str, metadata: &AnswerMetadata) -> Vec<u8> {
     let mut line = format!("HD O{opaque} c{receipt}");
-    remarks.write(&mut line);
+    metadata.write(&mut line);
     line.into_bytes()
 }
 
 /// Encodes a rejection: the command was not executed.
-pub fn busy(remarks: &Remarks) -> Vec<u8> {
+pub fn busy(metadata: &AnswerMetadata) -> Vec<u8> {
     let mut line = String::from("SERVER_ERROR busy");
-    Remarks { note: None, load: remarks.load.clone() }.write(&mut line);
+    AnswerMetadata { note: None, load: metadata.load.clone() }.write(&mut line);
     line.into_bytes()
 }
 
 /// Encodes a failure: the command may have been executed.
-pub fn failed(remarks: &Remarks) -> Vec<u8> {
+pub fn failed(metadata: &AnswerMetadata) -> Vec<u8> {
     let mut line = String::from("SERVER_ERROR failed");
-    Remarks { note: None, load: remarks.load.clone() }.write(&mut line);
+    AnswerMetadata { note: None, load: metadata.load.clone() }.write(&mut line);
     line.into_bytes()
 }
 
@@ -115,12 +115,12 @@
     #[test]
     fn a_node_decodes_what_a_cache_server_encodes() {
         let load = vec![("inflight".to_string(), 7.0), ("util".to_string(), 0.61)];
-        let remarks = Remarks { note: Some(CacheNote::MissFetching), load };
+        let metadata = AnswerMetadata { note: Some(CacheNote::MissFetching), load };
         let mut buf = BytesMut::new();
-        buf.extend_from_slice(&value("9b1f", b"he\r\nlo", &remarks));
-        buf.extend_from_slice(&receipt("9b1f", "77", &Remarks::default()));
-        buf.extend_from_slice(&busy(&remarks));
-        buf.extend_from_slice(&failed(&remarks));
+        buf.extend_from_slice(&value("9b1f", b"he\r\nlo", &metadata));
+        buf.extend_from_slice(&receipt("9b1f", "77", &AnswerMetadata::default()));
+        buf.extend_from_slice(&busy(&metadata));
+        buf.extend_from_slice(&failed(&metadata));
         let mut next = || next_reply(&mut buf).unwrap().unwrap();
         let Reply::Served { opaque, body, note } = next() else { panic!("a value") };
         assert_eq!((&opaque[..], note), (&b"9b1f"[..], Some(CacheNote::MissFetching)));
@@ -149,7 +149,12 @@
             assert!(
                 matches!(
                     got[..],
-                    [Call::Load, Call::Ready, Call::Command(_), Call::Bad { close: false, .. }]
+                    [
+                        Call::LoadReport,
+                        Call::HealthCheck,
+                        Call::Command(_),
+                        Call::Invalid { close: false, .. }
+                    ]
                 ),
                 "cut at {cut}: {got:?}"
             );
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -11,7 +11,7 @@
 /// A client's command. No string may contain a space, and class, tenant and idempotency key no comma either, because
 /// the line is split at spaces and its parameters at commas.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct ClientCommand<'a> {
     /// The key.
     pub key: &'a str,
     /// The value to write; `None` for a read.
@@ -27,15 +27,15 @@
     /// The client's estimate of the work that the command needs.
     pub work: Option<Duration>,
     /// The idempotency key of a write that is deduplicated by key.
-    pub effect_key: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     /// Whether this attempt is a retry, for clients that mark retries.
     pub retry: bool,
 }
 
-impl Ask<'_> {
+impl ClientCommand<'_> {
     /// Encodes the command.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let Ask { key, opaque, class, .. } = self;
+        let ClientCommand { key, opaque, class, .. } = self;
         let mut line = match self.value {
             Some(value) => format!("ms {key} {} O{opaque} Pc={class}", value.len()),
             None => format!("mg {key} v O{opaque} Pc={class}"),
@@ -47,7 +47,7 @@
         self.tenant.iter().for_each(|tenant| add_parameter("t", tenant));
         add_parameter("d", &self.wait.as_millis());
         self.work.iter().for_each(|work| add_parameter("h", &work.as_micros()));
-        self.effect_key.iter().for_each(|key| add_parameter("k", key));
+        self.idempotency_key.iter().for_each(|key| add_parameter("k", key));
         if self.retry {
             add_parameter("r", &1);
         }
@@ -118,7 +118,7 @@
     use super::*;
     use crate::{busy, next_input, Input, Verb, FAILED};
 
-    const READ_COMMAND: Ask = Ask {
+    const READ_COMMAND: ClientCommand = ClientCommand {
         key: "7f3a",
         value: None,
         opaque: "9b1f",
@@ -126,13 +126,18 @@
         tenant: Some("acme"),
         wait: Duration::from_millis(480),
         work: Some(Duration::from_micros(1500)),
-        effect_key: None,
+        idempotency_key: None,
         retry: true,
     };
 
     #[test]
     fn a_node_decodes_what_a_client_encodes() {
-        let write = Ask { value: Some(b"he\r\nlo"), effect_key: Some("5c0f"), retry: false, ..READ_COMMAND };
+        let write = ClientCommand {
+            value: Some(b"he\r\nlo"),
+            idempotency_key: Some("5c0f"),
+            retry: false,
+            ..READ_COMMAND
+        };
         for (sent, verb) in [(READ_COMMAND, Verb::Get), (write, Verb::Set)] {
             let mut buf = BytesMut::from(&sent.to_bytes()[..]);
             let Some(Input::Command(command)) = next_input(&mut buf) else { panic!("a command") };
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -8,7 +8,7 @@
 use hallpin_balancer::Key;
 
 use crate::line::{line_length, parse_digits};
-use crate::{MAX_KEY_BYTES, MAX_OPAQUE_BYTES, MAX_WHOLE};
+use crate::{MAX_BUFFERED_VALUE_BYTES, MAX_KEY_BYTES, MAX_OPAQUE_BYTES};
 
 /// The kind of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,9 +47,9 @@
     /// A read or a write.
     Command(Box<Command>),
     /// `mn`: asks whether the node is ready.
-    Ready,
+    HealthCheck,
     /// Not a valid command.
-    Bad {
+    Invalid {
         /// The answer line.
         answer: &'static str,
         /// The framing is lost, so the connection must be closed.
@@ -58,12 +58,14 @@
 }
 
 pub(crate) const INVALID_LINE: Input =
-    Input::Bad { answer: "CLIENT_ERROR bad command line format\r\n", close: false };
-pub(crate) const UNKNOWN_COMMAND: Input = Input::Bad { answer: "ERROR\r\n", close: false };
-pub(crate) const LINE_TOO_LONG: Input = Input::Bad { answer: "CLIENT_ERROR line too long\r\n", close: true };
+    Input::Invalid { answer: "CLIENT_ERROR bad command line format\r\n", close: false };
+pub(crate) const UNKNOWN_COMMAND: Input = Input::Invalid { answer: "ERROR\r\n", close: false };
+pub(crate) const LINE_TOO_LONG: Input =
+    Input::Invalid { answer: "CLIENT_ERROR line too long\r\n", close: true };
 pub(crate) const VALUE_TOO_LARGE: Input =
-    Input::Bad { answer: "CLIENT_ERROR value too large\r\n", close: true };
-pub(crate) const INVALID_BLOCK: Input = Input::Bad { answer: "CLIENT_ERROR bad data chunk\r\n", close: true };
+    Input::Invalid { answer: "CLIENT_ERROR value too large\r\n", close: true };
+pub(crate) const INVALID_BLOCK: Input =
+    Input::Invalid { answer: "CLIENT_ERROR bad data chunk\r\n", close: true };
 
 /// Removes the next complete command from `buf`; `None` while it is incomplete.
 pub fn next_input(buf: &mut BytesMut) -> Option<Input> {
@@ -84,7 +86,7 @@
     let words: Vec<&str> = text.split(' ').collect();
     let length = match (words[0], words.get(2)) {
         ("ms", Some(length)) => match parse_digits::<usize>(length) {
-            Some(length) if length <= MAX_WHOLE => Some(length),
+            Some(length) if length <= MAX_BUFFERED_VALUE_BYTES => Some(length),
             Some(_) => return Some(VALUE_TOO_LARGE),
             None => return Some(INVALID_BLOCK),
         },
@@ -92,7 +94,7 @@
         ("mg", _) => None,
         ("mn", None) if words.len() == 1 => {
             buf.advance(end + 1);
-            return Some(Input::Ready);
+            return Some(Input::HealthCheck);
         }
         _ => {
             buf.advance(end + 1);
@@ -121,7 +123,7 @@
     let mut words = buf[..end].strip_suffix(b"\r").unwrap_or_default().split(|&b| b == b' ');
     let verb = words.next();
     let length = words.nth(1).and_then(|word| std::str::from_utf8(word).ok()).and_then(parse_digits::<usize>);
-    let length = length.filter(|&length| verb == Some(b"ms") && length <= MAX_WHOLE);
+    let length = length.filter(|&length| verb == Some(b"ms") && length <= MAX_BUFFERED_VALUE_BYTES);
     (end + 1 + length.map_or(0, |length| length + 2)).saturating_sub(buf.len()).max(1)
 }
 
@@ -156,7 +158,7 @@
     if wants_value != (verb == Verb::Get) {
         return None;
     }
-    let (mut class, mut tenant, mut wait, mut work, mut effect_key) = (None, None, None, None, None);
+    let (mut class, mut tenant, mut wait, mut work, mut idempotency_key) = (None, None, None, None, None);
     for pair in params?.split(',') {
         let (name, value) = pair.split_once('=')?;
         let slot = match name {
@@ -164,7 +166,7 @@
             "t" => &mut tenant,
             "d" => &mut wait,
             "h" => &mut work,
-            "k" => &mut effect_key,
+            "k" => &mut idempotency_key,
             _ => continue,
         };
         // Rejected, because the cache server might use the other one of two values.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -18,17 +18,17 @@
 
 pub use command::{key_of, missing, next_input, Command, Input, Verb};
 pub use reply::{
-    busy, next_probed, next_reply, served, turns_away, Body, Malformed, Reply, FAILED, ID_IN_USE, NOT_READY,
-    PROBE, READY, TOO_SLOW, UNKNOWN_CLASS,
+    busy, is_client_error, next_health_check_answer, next_reply, served, Body, Malformed, Reply, FAILED,
+    HEALTH_CHECK, ID_IN_USE, NOT_READY, READY, TOO_SLOW, UNKNOWN_CLASS,
 };
 
 /// Maximum length of an answer's value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
 /// Maximum length of a value that is buffered completely, in bytes: the value of any command, and of an answer that is
 /// verified to its end before it is forwarded. Longer values of answers are streamed.
-pub const MAX_WHOLE: usize = 64 * 1024;
+pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
 /// Maximum length of a line without its line end, in bytes.
-pub const MAX_LINE: usize = 2048;
+pub const MAX_LINE_BYTES: usize = 2048;
 /// Maximum length of a key in bytes, as defined by the memcache protocol.
 const MAX_KEY_BYTES: usize = 250;
 /// Maximum length of an opaque id in bytes.
--- a/crates/protocol/src/line.rs
+++ b/crates/protocol/src/line.rs
@@ -2,14 +2,14 @@
 
 use std::str::FromStr;
 
-use crate::MAX_LINE;
+use crate::MAX_LINE_BYTES;
 
 /// Length of the line at the start of `buf`, without its line feed; `Ok(None)` while it is incomplete, `Err` if it is
-/// longer than [`MAX_LINE`].
+/// longer than [`MAX_LINE_BYTES`].
 pub(crate) fn line_length(buf: &[u8]) -> Result<Option<usize>, ()> {
-    match buf.iter().take(MAX_LINE + 2).position(|&b| b == b'\n') {
+    match buf.iter().take(MAX_LINE_BYTES + 2).position(|&b| b == b'\n') {
         Some(at) => Ok(Some(at)),
-        None if buf.len() >= MAX_LINE + 2 => Err(()),
+        None if buf.len() >= MAX_LINE_BYTES + 2 => Err(()),
         None => Ok(None),
     }
 }
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -8,7 +8,7 @@
 use crate::command::{Command, Verb};
 use crate::flags::{is_load_report, AnswerFlags};
 use crate::line::{line_length, parse_digits};
-use crate::{MAX_VALUE_BYTES, MAX_WHOLE};
+use crate::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 
 /// A cache server's answer.
 #[derive(Debug, PartialEq)]
@@ -43,8 +43,8 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Removes the next complete answer from `buf`, or only its line if its value is longer than [`MAX_WHOLE`]; `None`
-/// while the answer, or that line, is incomplete.
+/// Removes the next complete answer from `buf`, or only its line if its value is longer than
+/// [`MAX_BUFFERED_VALUE_BYTES`]; `None` while the answer, or that line, is incomplete.
 pub fn next_reply(buf: &mut BytesMut) -> Result<Option<Reply>, Malformed> {
     let Some(end) = line_length(buf).map_err(|()| Malformed)? else { return Ok(None) };
     let line = buf[..end].strip_suffix(b"\r").ok_or(Malformed)?;
@@ -68,7 +68,7 @@
     };
     // Checked before the value has arrived, so that an invalid answer is rejected without waiting for it.
     let flags = AnswerFlags::parse(flags)?;
-    let is_long = length.is_some_and(|length| length > MAX_WHOLE);
+    let is_long = length.is_some_and(|length| length > MAX_BUFFERED_VALUE_BYTES);
     let block_length = length.filter(|_| !is_long).map_or(0, |length| length + 2);
     if buf.len() < end + 1 + block_length {
         return Ok(None);
@@ -93,11 +93,11 @@
 }
 
 /// Asks a cache server whether it is ready: the health check that is sent if the settings allow it.
-pub const PROBE: &[u8] = b"mn\r\n";
+pub const HEALTH_CHECK: &[u8] = b"mn\r\n";
 
 /// Removes the answer to a health check from `buf` and returns whether the server is ready; `None` while it is
 /// incomplete.
-pub fn next_probed(buf: &mut BytesMut) -> Result<Option<bool>, Malformed> {
+pub fn next_health_check_answer(buf: &mut BytesMut) -> Result<Option<bool>, Malformed> {
     let Some(end) = line_length(buf).map_err(|()| Malformed)? else { return Ok(None) };
     let line = buf.split_to(end + 1);
     let line = line[..end].strip_suffix(b"\r").ok_or(Malformed)?;
@@ -168,6 +168,6 @@
 pub const NOT_READY: Bytes = Bytes::from_static(b"SERVER_ERROR not ready\r\n");
 
 /// Whether an answer says that the client's command is invalid.
-pub fn turns_away(answer: &[u8]) -> bool {
+pub fn is_client_error(answer: &[u8]) -> bool {
     answer.starts_with(b"CLIENT_ERROR") || answer.starts_with(b"ERROR")
 }
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -39,7 +39,7 @@
         let expected = [
             Input::Command(Box::new(parse_valid(GET))),
             Input::Command(Box::new(parse_valid(SET))),
-            Input::Ready,
+            Input::HealthCheck,
         ];
         assert_eq!(got, expected, "cut at {cut}");
         assert!(buf.is_empty());
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_health_check_is_answered_by_one_complete_line() {
-    let decode_health = |text: &str| next_probed(&mut BytesMut::from(text));
+    let decode_health = |text: &str| next_health_check_answer(&mut BytesMut::from(text));
     assert_eq!(decode_health("MN\r\n"), Ok(Some(true)));
     assert_eq!(decode_health("MN Linflight=7\r\n"), Ok(Some(true)));
     assert_eq!(decode_health("SERVER_ERROR not ready\r\n"), Ok(Some(false)));
@@ -116,7 +116,7 @@
     // After an invalid line with a valid length, the data block is skipped and the framing is kept.
     let mut buf = BytesMut::from(&b"ms k 4 Oa\r\nmn\r\n\r\nmn\r\n"[..]);
     assert_eq!(next_input(&mut buf), Some(INVALID_LINE));
-    assert_eq!(next_input(&mut buf), Some(Input::Ready));
+    assert_eq!(next_input(&mut buf), Some(Input::HealthCheck));
 }
 
 #[test]
@@ -132,8 +132,8 @@
         assert_eq!(decode_one(text.as_bytes()), Some(INVALID_BLOCK), "{text}");
     }
     assert_eq!(decode_one(b"ms k 65537 Oa Pc=r,d=1\r\n"), Some(VALUE_TOO_LARGE));
-    assert_eq!(decode_one(&[b'a'; MAX_LINE + 1]), None);
-    assert_eq!(decode_one(&[b'a'; MAX_LINE + 2]), Some(LINE_TOO_LONG));
+    assert_eq!(decode_one(&[b'a'; MAX_LINE_BYTES + 1]), None);
+    assert_eq!(decode_one(&[b'a'; MAX_LINE_BYTES + 2]), Some(LINE_TOO_LONG));
 }
 
 fn reply(text: &[u8]) -> Result<Option<Reply>, Malformed> {
@@ -187,7 +187,7 @@
     ] {
         assert_eq!(reply(text.as_bytes()), Err(Malformed), "{text}");
     }
-    assert_eq!(reply(&[b'V'; MAX_LINE + 2]), Err(Malformed));
+    assert_eq!(reply(&[b'V'; MAX_LINE_BYTES + 2]), Err(Malformed));
 }
 
 #[test]
--- a/crates/protocol/src/tests/corrupt_replies.rs
+++ b/crates/protocol/src/tests/corrupt_replies.rs
@@ -1,7 +1,7 @@
 //! Truncated answers followed by other answers, and random bytes: nothing is returned that was not sent in that form.
 
 use super::*;
-use crate::cache_server::{self, next_call, Remarks};
+use crate::cache_server::{self, next_call, AnswerMetadata};
 use crate::client::next_answer;
 
 /// Each answer is truncated at every byte below this one, which covers its line and some of its value, and at its last
@@ -19,29 +19,29 @@
 /// Answers of each kind to the command with this id.
 fn samples(id: &str) -> Vec<EncodedAnswer> {
     let load = vec![("inflight".to_string(), 7.0), ("util".to_string(), 0.61)];
-    let remarks = [
-        Remarks::default(),
-        Remarks { note: Some(CacheNote::Hit), load: load.clone() },
-        Remarks { note: Some(CacheNote::MissFetching), load },
+    let metadata = [
+        AnswerMetadata::default(),
+        AnswerMetadata { note: Some(CacheNote::Hit), load: load.clone() },
+        AnswerMetadata { note: Some(CacheNote::MissFetching), load },
     ];
-    let long = vec![b'x'; MAX_WHOLE + 1];
+    let long = vec![b'x'; MAX_BUFFERED_VALUE_BYTES + 1];
     let values: [&[u8]; 6] = [b"", b"h", b"hello", b"h\r\n", b"twenty bytes of text", &long];
     let mut samples = Vec::new();
-    for remarks in &remarks {
+    for metadata in &metadata {
         for value in values {
-            let text = cache_server::value(id, value, remarks);
+            let text = cache_server::value(id, value, metadata);
             let value_start = text.len() - value.len() - 2;
             let body = match value.len() {
-                length if length > MAX_WHOLE => Body::Long(length),
+                length if length > MAX_BUFFERED_VALUE_BYTES => Body::Long(length),
                 _ => Body::Value(Bytes::copy_from_slice(value)),
             };
             samples.push(EncodedAnswer { text, value_start, body: Some(body) });
         }
         let receipt = Some(Body::Receipt("77".into()));
         let lines = [
-            (cache_server::receipt(id, "77", remarks), receipt),
-            (cache_server::busy(remarks), None),
-            (cache_server::failed(remarks), None),
+            (cache_server::receipt(id, "77", metadata), receipt),
+            (cache_server::busy(metadata), None),
+            (cache_server::failed(metadata), None),
         ];
         samples.extend(lines.map(|(text, body)| EncodedAnswer { value_start: text.len(), text, body }));
     }
@@ -126,7 +126,7 @@
         assert_eq!(reply(text.as_bytes()), Err(Malformed), "{text:?}");
     }
     assert_eq!(reply(b"SERVER_ERROR busy L SERVER_ERROR busy\r\n"), Ok(Some(Reply::Failed)));
-    let decode_health = |text: &str| next_probed(&mut BytesMut::from(text));
+    let decode_health = |text: &str| next_health_check_answer(&mut BytesMut::from(text));
     assert_eq!(decode_health("MN SERVER_ERROR not ready\r\n"), Err(Malformed));
 }
 
@@ -198,14 +198,14 @@
     for _ in 0..200_000 {
         let text = random_input(&mut random);
         decode_until_end(&text, |buf| matches!(next_reply(buf), Ok(Some(_))));
-        decode_until_end(&text, |buf| matches!(next_probed(buf), Ok(Some(_))));
+        decode_until_end(&text, |buf| matches!(next_health_check_answer(buf), Ok(Some(_))));
         decode_until_end(&text, |buf| matches!(next_answer(buf), Ok(Some(_))));
         decode_until_end(&text, |buf| match next_input(buf) {
-            Some(Input::Bad { close, .. }) => !close,
+            Some(Input::Invalid { close, .. }) => !close,
             input => input.is_some(),
         });
         decode_until_end(&text, |buf| match next_call(buf) {
-            Some(cache_server::Call::Bad { close, .. }) => !close,
+            Some(cache_server::Call::Invalid { close, .. }) => !close,
             call => call.is_some(),
         });
         assert!(missing(&text) > 0);
--- a/crates/store/src/file_system.rs
+++ b/crates/store/src/file_system.rs
@@ -56,9 +56,9 @@
 
 /// The operating system's file system.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Disk;
+pub struct OsFileSystem;
 
-impl FileSystem for Disk {
+impl FileSystem for OsFileSystem {
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageBackend>> {
         let file = File::options().read(true).write(true).create(true).truncate(false).open(path)?;
         let backend = FileBackend::new(file).map_err(|error| io::Error::other(error.to_string()))?;
--- a/crates/store/src/incarnation.rs
+++ b/crates/store/src/incarnation.rs
@@ -16,7 +16,7 @@
 
 /// What is known of the incarnations that earlier processes of a node used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Past {
+pub enum StoredIncarnation {
     /// There is no stored state, or none that may be used.
     Unknown,
     /// An incarnation is stored whose process did not know its predecessor, and whose silence was not over.
@@ -36,22 +36,26 @@
 
 impl Start {
     /// An incarnation that is written to the store before the first message. It follows a settled one without silence.
-    pub fn written(past: Past, now_unix_ms: u64, step_back: Duration) -> Self {
+    pub fn written(past: StoredIncarnation, now_unix_ms: u64, step_back: Duration) -> Self {
         match past {
-            Past::Settled(before) => {
+            StoredIncarnation::Settled(before) => {
                 let follows = before.0.saturating_add(1);
                 Start { incarnation: Incarnation(follows.max(now_unix_ms)), quiet: Duration::ZERO }
             }
-            Past::Unknown | Past::Unsettled(_) => Start::unwritten(past, now_unix_ms, step_back),
+            StoredIncarnation::Unknown | StoredIncarnation::Unsettled(_) => {
+                Start::unwritten(past, now_unix_ms, step_back)
+            }
         }
     }
 
     /// An incarnation that cannot be written, or whose predecessor is unknown. A node without a store starts with this
     /// and [`Past::Unknown`].
-    pub fn unwritten(past: Past, now_unix_ms: u64, step_back: Duration) -> Self {
+    pub fn unwritten(past: StoredIncarnation, now_unix_ms: u64, step_back: Duration) -> Self {
         let least = match past {
-            Past::Unknown => 0,
-            Past::Unsettled(before) | Past::Settled(before) => before.0.saturating_add(1),
+            StoredIncarnation::Unknown => 0,
+            StoredIncarnation::Unsettled(before) | StoredIncarnation::Settled(before) => {
+                before.0.saturating_add(1)
+            }
         };
         let ahead = u64::try_from(step_back.as_millis()).unwrap_or(u64::MAX);
         let incarnation = Incarnation(now_unix_ms.saturating_add(ahead).max(least));
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Decisions are made without I/O: [`validity`] checks which parts of a state may be used, [`incarnation`] chooses the
 //! next incarnation. [`row_database`] holds rows in a database over any storage backend, and [`Store`] combines them
-//! over a folder. Leases are void after a restart, so only types that implement [`Outlives`] can be stored.
+//! over a folder. Leases are void after a restart, so only types that implement [`Persistent`] can be stored.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -27,5 +27,5 @@
 pub use names::{Identity, Limits, Section};
 pub use reason::SetAsideReason;
 pub use restored::Restored;
-pub use snapshot::{Outlives, Snapshot, Stored};
+pub use snapshot::{Persistent, Snapshot, Stored};
 pub use store::Store;
--- a/crates/store/src/lock.rs
+++ b/crates/store/src/lock.rs
@@ -35,17 +35,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::file_system::Disk;
+    use crate::file_system::OsFileSystem;
 
     #[test]
     fn dropping_releases_the_lock_while_a_copy_of_the_descriptor_is_open() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("state");
-        let lock = Lock::acquire(&Disk, &path).unwrap();
+        let lock = Lock::acquire(&OsFileSystem, &path).unwrap();
         let copy = lock.0.try_clone().unwrap();
-        assert!(matches!(Lock::acquire(&Disk, &path), Err(StoreError::InUse(_))));
+        assert!(matches!(Lock::acquire(&OsFileSystem, &path), Err(StoreError::InUse(_))));
         drop(lock);
-        Lock::acquire(&Disk, &path).unwrap();
+        Lock::acquire(&OsFileSystem, &path).unwrap();
         drop(copy);
     }
 }
--- a/crates/store/src/names.rs
+++ b/crates/store/src/names.rs
@@ -42,7 +42,7 @@
     /// The most that the wall clock is assumed to step back, over all processes of the node together. A state taken
     /// later than now by more than this is from the future. A process that does not know its predecessor is silent for
     /// twice this time.
-    pub clock_step_back: Duration,
+    pub max_clock_step_back: Duration,
     /// Maximum number of files kept after being set aside; at least 1.
     pub max_aside_files: u8,
 }
@@ -60,7 +60,7 @@
         Limits {
             max_bytes: 1 << 20,
             max_age: Duration::from_secs(600),
-            clock_step_back: Duration::from_millis(500),
+            max_clock_step_back: Duration::from_millis(500),
             max_aside_files: 3,
         }
     }
--- a/crates/store/src/restored.rs
+++ b/crates/store/src/restored.rs
@@ -5,12 +5,12 @@
 
 use crate::error::StoreError;
 use crate::frame;
-use crate::incarnation::Past;
+use crate::incarnation::StoredIncarnation;
 use crate::names::{Identity, Limits, Section};
 use crate::reason::SetAsideReason;
 use crate::row_database::Rows;
 use crate::rows::{EncodedSection, IncarnationRow, SnapshotRow, FORMAT};
-use crate::snapshot::{Outlives, Snapshot, Stored};
+use crate::snapshot::{Persistent, Snapshot, Stored};
 use crate::validity;
 
 /// The parts of a stored state that may be used.
@@ -19,7 +19,7 @@
     /// The epoch of the placement table when the state was taken; 0 if there is no state.
     pub epoch: u64,
     /// What is known of the incarnations of this node's earlier processes.
-    pub past: Past,
+    pub past: StoredIncarnation,
     /// What was set aside and why, in order; each entry is a log line.
     pub set_aside: Vec<SetAsideReason>,
     sections: BTreeMap<Section, EncodedSection>,
@@ -29,7 +29,13 @@
 
 impl Restored {
     pub(crate) fn empty(set_aside: Vec<SetAsideReason>) -> Self {
-        Restored { epoch: 0, past: Past::Unknown, set_aside, sections: BTreeMap::new(), preserved_count: 0 }
+        Restored {
+            epoch: 0,
+            past: StoredIncarnation::Unknown,
+            set_aside,
+            sections: BTreeMap::new(),
+            preserved_count: 0,
+        }
     }
 
     /// Checks the rows of a file.
@@ -47,8 +53,8 @@
             let row: IncarnationRow = frame::decode(FORMAT, bytes)?;
             validity::check_owner(row.identity, this)?;
             restored.past = match row.settled {
-                true => Past::Settled(row.incarnation),
-                false => Past::Unsettled(row.incarnation),
+                true => StoredIncarnation::Settled(row.incarnation),
+                false => StoredIncarnation::Unsettled(row.incarnation),
             };
         }
         if let Some(bytes) = &rows.snapshot {
@@ -100,7 +106,7 @@
 
     /// Removes a section and returns its value. Returns `None` if there is no such section, if it has a newer format,
     /// or if it cannot be decoded; the latter two add a reason to [`Restored::set_aside`].
-    pub fn take<T: Outlives>(&mut self) -> Option<Stored<T>> {
+    pub fn take<T: Persistent>(&mut self) -> Option<Stored<T>> {
         let encoded = self.sections.remove(&T::SECTION)?;
         let section = Some(T::SECTION);
         if encoded.format > T::FORMAT {
@@ -120,7 +126,8 @@
 
     /// Compares the state's epoch with the newest one that peers are known to hold. If the state's is older, drops all
     /// sections not taken yet, adds the reason to [`Restored::set_aside`] and returns false; the caller then drops the
-    /// values that it took, and preserves a copy by [`Store::keep_aside`](crate::Store::keep_aside) before it commits.
+    /// values that it took, and preserves a copy by [`Store::preserve_set_aside`](crate::Store::preserve_set_aside)
+    /// before it commits.
     pub fn check_epoch(&mut self, held: u64) -> bool {
         let Err(reason) = validity::check_epoch(self.epoch, held) else { return true };
         if !self.set_aside.contains(&reason) {
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -23,13 +23,13 @@
 ///
 /// A value holds durations and never a [`Moment`](hallpin_membership::names::Moment), which means nothing to the next
 /// process. An owner adds [`Stored::age`] when it takes a value back.
-pub trait Outlives: Serialize + DeserializeOwned {
+pub trait Persistent: Serialize + DeserializeOwned {
     /// The section that holds the value. A section has one owner, so no two types name the same one.
     const SECTION: Section;
     /// The owner's own format number, raised by 1 with each change of the type's shape.
     const FORMAT: u16;
 
-    /// Decodes a value of a format up to [`Outlives::FORMAT`]; `None` if it cannot be decoded. The default decodes
+    /// Decodes a value of a format up to [`Persistent::FORMAT`]; `None` if it cannot be decoded. The default decodes
     /// only the newest format; an owner that changes its type's shape decodes the older ones here.
     fn read(format: u16, bytes: &[u8]) -> Option<Self> {
         if format != Self::FORMAT {
@@ -44,14 +44,14 @@
 
 /// A value to store, or one that was stored, with its age, which grows also while no process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stored<T: Outlives> {
+pub struct Stored<T: Persistent> {
     /// The value.
     pub value: T,
     /// The value's age.
     pub age: Duration,
 }
 
-impl<T: Outlives> Stored<T> {
+impl<T: Persistent> Stored<T> {
     /// A value of age 0.
     pub fn new(value: T) -> Self {
         Stored { value, age: Duration::ZERO }
@@ -75,7 +75,7 @@
 
     /// Encodes a value into its section and replaces the previous one. Returns false, and changes nothing, if the
     /// value cannot be serialised.
-    pub fn put<T: Outlives>(&mut self, stored: &Stored<T>) -> bool {
+    pub fn put<T: Persistent>(&mut self, stored: &Stored<T>) -> bool {
         let Ok(bytes) = postcard::to_stdvec(&stored.value) else { return false };
         self.sections.insert(T::SECTION, EncodedSection { format: T::FORMAT, age: stored.age, bytes });
         true
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -11,9 +11,9 @@
 use crate::aside;
 use crate::bounded_file::BoundedFile;
 use crate::error::StoreError;
-use crate::file_system::{Disk, FileSystem};
+use crate::file_system::{FileSystem, OsFileSystem};
 use crate::frame;
-use crate::incarnation::{Past, Start};
+use crate::incarnation::{Start, StoredIncarnation};
 use crate::lock::Lock;
 use crate::names::{Identity, Limits};
 use crate::reason::SetAsideReason;
@@ -29,7 +29,7 @@
     path: PathBuf,
     identity: Identity,
     limits: Limits,
-    past: Past,
+    past: StoredIncarnation,
     current: Option<(Start, IncarnationRow)>,
     /// `None` after a failed write; the next write opens the database again.
     database: Option<RowDatabase>,
@@ -53,7 +53,7 @@
         now_unix_ms: u64,
         limits: &Limits,
     ) -> Result<(Store, Restored), StoreError> {
-        Self::open_on(Arc::new(Disk), path, identity, now_unix_ms, limits)
+        Self::open_on(Arc::new(OsFileSystem), path, identity, now_unix_ms, limits)
     }
 
     /// Opens the state on the given file system.
@@ -73,7 +73,7 @@
             path: path.to_owned(),
             identity,
             limits: *limits,
-            past: Past::Unknown,
+            past: StoredIncarnation::Unknown,
             current: None,
             database: None,
             copy_due: false,
@@ -89,7 +89,7 @@
 
     /// Chooses the incarnation of this process and writes it, before anything is sent under it. Later calls return the
     /// same. Nothing may be sent before [`Start::quiet`] has passed since the first call; then
-    /// [`Store::quiet_is_over`] is called.
+    /// [`Store::end_silence`] is called.
     ///
     /// The error says that the incarnation could not be written; the returned start is valid without it, with a longer
     /// silence.
@@ -97,7 +97,7 @@
         if let Some((start, _)) = self.current {
             return (start, Ok(()));
         }
-        let step_back = self.limits.clock_step_back;
+        let step_back = self.limits.max_clock_step_back;
         let mut start = Start::written(self.past, now_unix_ms, step_back);
         let written = self.write_incarnation(start, start.is_settled());
         if written.is_err() {
@@ -108,24 +108,28 @@
     }
 
     /// Takes over the incarnation that this process chose by [`Start::unwritten`] while the store could not be opened.
-    /// The next commit stores it. `quiet_is_over` says whether its silence is over.
+    /// The next commit stores it. `silence_is_over` says whether its silence is over.
     ///
     /// # Errors
     /// A later incarnation is stored: it must not be overwritten, so this one cannot be written.
-    pub fn adopt(&mut self, incarnation: Incarnation, quiet_is_over: bool) -> Result<(), StoreError> {
-        if let Past::Unsettled(stored) | Past::Settled(stored) = self.past {
+    pub fn adopt_incarnation(
+        &mut self,
+        incarnation: Incarnation,
+        silence_is_over: bool,
+    ) -> Result<(), StoreError> {
+        if let StoredIncarnation::Unsettled(stored) | StoredIncarnation::Settled(stored) = self.past {
             if stored >= incarnation {
                 return Err(StoreError::LaterIncarnation { stored, this: incarnation });
             }
         }
         let start = Start { incarnation, quiet: Duration::ZERO };
-        self.current = Some((start, self.incarnation_row(start, quiet_is_over)));
+        self.current = Some((start, self.incarnation_row(start, silence_is_over)));
         Ok(())
     }
 
     /// Marks this incarnation's silence as over: after the next commit, the next process may follow it without
     /// silence.
-    pub fn quiet_is_over(&mut self) {
+    pub fn end_silence(&mut self) {
         if let Some((_, row)) = &mut self.current {
             row.settled = true;
         }
@@ -160,7 +164,7 @@
     ///
     /// # Errors
     /// A file system call fails. Commits then fail too, until one of them has made the copy.
-    pub fn keep_aside(&mut self, restored: &mut Restored) -> Result<(), StoreError> {
+    pub fn preserve_set_aside(&mut self, restored: &mut Restored) -> Result<(), StoreError> {
         if restored.has_unpreserved() {
             restored.record_preserved(self.copy_aside()?);
         }
@@ -197,8 +201,9 @@
     /// commit tries again.
     fn remove_set_aside(&mut self, mut restored: Restored, now_unix_ms: u64) -> Restored {
         if restored.has_unpreserved() {
-            let removed =
-                self.keep_aside(&mut restored).and_then(|()| self.commit(&restored.as_snapshot(now_unix_ms)));
+            let removed = self
+                .preserve_set_aside(&mut restored)
+                .and_then(|()| self.commit(&restored.as_snapshot(now_unix_ms)));
             if let Err(error) = removed {
                 restored.record_not_preserved(&error);
             }
--- a/crates/store/src/validity.rs
+++ b/crates/store/src/validity.rs
@@ -20,14 +20,14 @@
 }
 
 /// The time since a snapshot was taken. It is 0 if the clock has stepped back within its limit, so an age may be too
-/// small by [`Limits::clock_step_back`], and never by more.
+/// small by [`Limits::max_clock_step_back`], and never by more.
 ///
 /// # Errors
 /// [`SetAsideReason::FromTheFuture`] if the snapshot was taken later than now by more than that limit.
 pub fn time_since(taken_unix_ms: u64, now_unix_ms: u64, limits: &Limits) -> Result<Duration, SetAsideReason> {
     let ahead = Duration::from_millis(taken_unix_ms.saturating_sub(now_unix_ms));
-    if ahead > limits.clock_step_back {
-        return Err(SetAsideReason::FromTheFuture { ahead, allowed: limits.clock_step_back });
+    if ahead > limits.max_clock_step_back {
+        return Err(SetAsideReason::FromTheFuture { ahead, allowed: limits.max_clock_step_back });
     }
     Ok(Duration::from_millis(now_unix_ms.saturating_sub(taken_unix_ms)))
 }
@@ -70,7 +70,7 @@
     const LIMITS: Limits = Limits {
         max_bytes: 1 << 20,
         max_age: Duration::from_secs(10),
-        clock_step_back: Duration::from_millis(100),
+        max_clock_step_back: Duration::from_millis(100),
         max_aside_files: 1,
     };
 
@@ -134,7 +134,7 @@
         ) {
             let now = (taken + real).saturating_sub(back);
             if let Ok(passed) = time_since(taken, now, &LIMITS) {
-                prop_assert!(passed + LIMITS.clock_step_back >= Duration::from_millis(real));
+                prop_assert!(passed + LIMITS.max_clock_step_back >= Duration::from_millis(real));
                 if let Ok(age) = check_age(Section::Limits, Duration::from_millis(age_when_taken), passed, &LIMITS) {
                     prop_assert!(age <= LIMITS.max_age);
                     prop_assert!(age >= Duration::from_millis(age_when_taken));
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 
 use hallpin_membership::names::Incarnation;
-use hallpin_store::incarnation::{Past, Start};
+use hallpin_store::incarnation::{Start, StoredIncarnation};
 use hallpin_store::{Limits, SetAsideReason, Store};
 use support::faulty::{Fault, FaultyFileSystem};
 use support::*;
 
-/// The default of [`Limits::clock_step_back`].
+/// The default of [`Limits::max_clock_step_back`].
 const STEP_BACK_MS: u64 = 500;
 const ERROR_KINDS: [ErrorKind; 3] = [ErrorKind::StorageFull, ErrorKind::Other, ErrorKind::PermissionDenied];
 /// How many calls in a row fail; with the last value the file system stays broken.
@@ -38,7 +38,7 @@
     let folder = Folder::new();
     let (mut store, _) = open(&folder);
     store.next_incarnation(NOW).1.unwrap();
-    store.quiet_is_over();
+    store.end_silence();
     store.commit(&snapshot(1)).unwrap();
     folder
 }
@@ -49,14 +49,14 @@
     let limits = Limits::default();
     let opened = Store::open_on(Arc::new(files.clone()), &folder.file(), NODE_4, now, &limits);
     let Ok((mut store, mut restored)) = opened else {
-        let start = Start::unwritten(Past::Unknown, now, limits.clock_step_back);
+        let start = Start::unwritten(StoredIncarnation::Unknown, now, limits.max_clock_step_back);
         return ProcessRun { incarnation: Some(start.incarnation), ..run };
     };
     let (start, _) = store.next_incarnation(now);
     run.incarnation = Some(start.incarnation);
     generation(&mut restored);
-    let _ = store.keep_aside(&mut restored);
-    store.quiet_is_over();
+    let _ = store.preserve_set_aside(&mut restored);
+    store.end_silence();
     for generation in FIRST_GENERATION..=LAST_GENERATION {
         run.attempted = Some(generation);
         if (0..attempts).any(|_| store.commit(&snapshot(generation)).is_ok()) {
--- a/crates/store/tests/lives.rs
+++ b/crates/store/tests/lives.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hallpin_membership::names::Incarnation;
-use hallpin_store::incarnation::{Past, Start};
+use hallpin_store::incarnation::{Start, StoredIncarnation};
 use stateright::{Checker, Model, Property};
 
 /// How far the clock may step back in the model.
@@ -38,7 +38,7 @@
     processes: u8,
     stage: Stage,
     /// The stored row.
-    stored: Past,
+    stored: StoredIncarnation,
     /// The greatest incarnation used.
     highest_used: Option<Incarnation>,
     /// Whether an incarnation was used that is not above all earlier ones.
@@ -87,7 +87,7 @@
         Duration::from_millis(MAX_STEP_BACK_MS)
     }
 
-    fn unwritten(&self, past: Past, wall: u64) -> Start {
+    fn unwritten(&self, past: StoredIncarnation, wall: u64) -> Start {
         let start = Start::unwritten(past, wall, self.step_back());
         match self.variant {
             Variant::NoSilence => Start { quiet: Duration::ZERO, ..start },
@@ -98,9 +98,9 @@
         }
     }
 
-    fn written(&self, past: Past, wall: u64) -> Start {
+    fn written(&self, past: StoredIncarnation, wall: u64) -> Start {
         match past {
-            Past::Settled(_) => Start::written(past, wall, self.step_back()),
+            StoredIncarnation::Settled(_) => Start::written(past, wall, self.step_back()),
             _ => self.unwritten(past, wall),
         }
     }
@@ -111,7 +111,7 @@
     type Action = ModelEvent;
 
     fn init_states(&self) -> Vec<Node> {
-        let (stage, stored) = (Stage::Down, Past::Unknown);
+        let (stage, stored) = (Stage::Down, StoredIncarnation::Unknown);
         vec![Node { now: 0, behind: 0, processes: 0, stage, stored, highest_used: None, is_violated: false }]
     }
 
@@ -124,7 +124,7 @@
                 .filter(|behind| *behind != node.behind)
                 .map(|behind| ModelEvent::ClockSteps { behind }),
         );
-        if node.stored != Past::Unknown && node.stage == Stage::Down {
+        if node.stored != StoredIncarnation::Unknown && node.stage == Stage::Down {
             out.push(ModelEvent::LosesFile);
         }
         match node.stage {
@@ -166,7 +166,7 @@
                 let start = if has_store {
                     self.written(node.stored, wall)
                 } else {
-                    self.unwritten(Past::Unknown, wall)
+                    self.unwritten(StoredIncarnation::Unknown, wall)
                 };
                 node.stage = Stage::Chosen { start, wall, at: node.now, to_write: has_store };
             }
@@ -174,7 +174,10 @@
                 let past = node.stored;
                 if durable {
                     let settled = start.is_settled() || self.variant == Variant::SettledAtOnce;
-                    node.stored = if settled { Past::Settled } else { Past::Unsettled }(start.incarnation);
+                    node.stored =
+                        if settled { StoredIncarnation::Settled } else { StoredIncarnation::Unsettled }(
+                            start.incarnation,
+                        );
                 }
                 let start = if acknowledged { start } else { self.unwritten(past, wall) };
                 node.stage = Stage::Chosen { start, wall, at, to_write: false };
@@ -185,11 +188,11 @@
                 node.stage = Stage::Active { start, to_settle: !start.is_settled() };
             }
             (ModelEvent::SettlesRow, Stage::Active { start, .. }) => {
-                node.stored = Past::Settled(start.incarnation);
+                node.stored = StoredIncarnation::Settled(start.incarnation);
                 node.stage = Stage::Active { start, to_settle: false };
             }
             (ModelEvent::ProcessEnds, _) => node.stage = Stage::Down,
-            (ModelEvent::LosesFile, _) => node.stored = Past::Unknown,
+            (ModelEvent::LosesFile, _) => node.stored = StoredIncarnation::Unknown,
             _ => return None,
         }
         Some(node)
--- a/crates/store/tests/state.rs
+++ b/crates/store/tests/state.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use hallpin_membership::names::{Incarnation, NodeId};
-use hallpin_store::incarnation::Past;
+use hallpin_store::incarnation::StoredIncarnation;
 use hallpin_store::{
-    Identity, Limits, Outlives, Section, SetAsideReason, Snapshot, Store, StoreError, Stored,
+    Identity, Limits, Persistent, Section, SetAsideReason, Snapshot, Store, StoreError, Stored,
 };
 use serde::{Deserialize, Serialize};
 use support::*;
@@ -17,7 +17,7 @@
 /// A state of node 4: a settled incarnation and generation 1.
 fn folder_with_state() -> Folder {
     let folder = Folder::new();
-    let limits = Limits { clock_step_back: Duration::ZERO, ..Limits::default() };
+    let limits = Limits { max_clock_step_back: Duration::ZERO, ..Limits::default() };
     let (mut store, _) = Store::open(&folder.file(), NODE_4, NOW, &limits).unwrap();
     let (start, written) = store.next_incarnation(NOW);
     written.unwrap();
@@ -35,7 +35,7 @@
     let folder = folder_with_state();
     let later = NOW + 7_000;
     let (mut store, mut restored) = Store::open(&folder.file(), NODE_4, later, &Limits::default()).unwrap();
-    assert_eq!(restored.past, Past::Settled(Incarnation(NOW)));
+    assert_eq!(restored.past, StoredIncarnation::Settled(Incarnation(NOW)));
     assert_eq!(restored.sections().collect::<Vec<_>>(), [Section::View, Section::Debts]);
     let debt = restored.take::<DebtValue>().unwrap();
     assert_eq!((&debt.value, debt.age), (&DebtValue(1), Duration::from_secs(7)));
@@ -68,7 +68,7 @@
     for (this, reason) in others {
         let folder = folder_with_state();
         let (store, mut restored) = Store::open(&folder.file(), this, NOW, &Limits::default()).unwrap();
-        assert_eq!((generation(&mut restored), restored.past), (None, Past::Unknown));
+        assert_eq!((generation(&mut restored), restored.past), (None, StoredIncarnation::Unknown));
         assert_eq!(restored.set_aside[0], reason);
         drop(store);
         // Moved back to its owner, the state is usable again.
@@ -82,7 +82,10 @@
     for (now, is_from_future) in [(NOW - 501, true), (NOW + 600_001, false)] {
         let folder = folder_with_state();
         let (store, mut restored) = Store::open(&folder.file(), NODE_4, now, &Limits::default()).unwrap();
-        assert_eq!((generation(&mut restored), restored.past), (None, Past::Settled(Incarnation(NOW))));
+        assert_eq!(
+            (generation(&mut restored), restored.past),
+            (None, StoredIncarnation::Settled(Incarnation(NOW)))
+        );
         let reason = &restored.set_aside[0];
         assert_eq!(matches!(reason, SetAsideReason::FromTheFuture { .. }), is_from_future, "{reason}");
         assert_eq!(matches!(reason, SetAsideReason::TooOld { .. }), !is_from_future, "{reason}");
@@ -101,8 +104,8 @@
     assert!(!restored.check_epoch(2));
     assert!(!restored.check_epoch(2));
     assert_eq!(restored.set_aside, [SetAsideReason::OlderEpoch { stored: 1, held: 2 }]);
-    store.keep_aside(&mut restored).unwrap();
-    store.keep_aside(&mut restored).unwrap();
+    store.preserve_set_aside(&mut restored).unwrap();
+    store.preserve_set_aside(&mut restored).unwrap();
     assert_eq!(generation(&mut restored), None);
     assert_eq!(aside_names(&folder), ["state.redb.aside-1"]);
 }
@@ -110,7 +113,7 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct NewerDebtValue(u64);
 
-impl Outlives for NewerDebtValue {
+impl Persistent for NewerDebtValue {
     const SECTION: Section = Section::Debts;
     const FORMAT: u16 = 2;
 
@@ -132,7 +135,7 @@
     assert_eq!(restored.take::<DebtValue>(), None);
     let section = Some(Section::Debts);
     assert_eq!(restored.set_aside, [SetAsideReason::NewerFormat { section, found: 2, supported: 1 }]);
-    store.keep_aside(&mut restored).unwrap();
+    store.preserve_set_aside(&mut restored).unwrap();
     assert_eq!(aside_names(&folder), ["state.redb.aside-1"]);
 }
 
--- a/crates/store/tests/support/faulty.rs
+++ b/crates/store/tests/support/faulty.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-use hallpin_store::file_system::{Disk, FileSystem, StorageBackend};
+use hallpin_store::file_system::{FileSystem, OsFileSystem, StorageBackend};
 
 /// Which calls fail, and how.
 #[derive(Clone, Copy, Debug)]
@@ -113,22 +113,22 @@
 impl FileSystem for FaultyFileSystem {
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageBackend>> {
         self.check_call()?;
-        Ok(Box::new(FaultyFile { file: Disk.open(path)?, calls: self.clone() }))
+        Ok(Box::new(FaultyFile { file: OsFileSystem.open(path)?, calls: self.clone() }))
     }
 
     fn open_lock(&self, path: &Path) -> io::Result<File> {
         self.check_call()?;
-        Disk.open_lock(path)
+        OsFileSystem.open_lock(path)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         self.check_call()?;
-        Disk.rename(from, to)
+        OsFileSystem.rename(from, to)
     }
 
     fn copy(&self, from: &Path, to: &Path) -> io::Result<()> {
         match self.count_call() {
-            Ok(()) => Disk.copy(from, to),
+            Ok(()) => OsFileSystem.copy(from, to),
             Err((bytes, error)) => {
                 let content = std::fs::read(from)?;
                 std::fs::write(to, &content[..bytes.min(content.len())])?;
@@ -139,16 +139,16 @@
 
     fn remove(&self, path: &Path) -> io::Result<()> {
         self.check_call()?;
-        Disk.remove(path)
+        OsFileSystem.remove(path)
     }
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
         self.check_call()?;
-        Disk.sync_folder(folder)
+        OsFileSystem.sync_folder(folder)
     }
 
     fn names(&self, folder: &Path) -> io::Result<Vec<OsString>> {
         self.check_call()?;
-        Disk.names(folder)
+        OsFileSystem.names(folder)
     }
 }
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use hallpin_membership::names::NodeId;
-use hallpin_store::{Identity, Outlives, Restored, Section, Snapshot, Store, Stored};
+use hallpin_store::{Identity, Persistent, Restored, Section, Snapshot, Store, Stored};
 use serde::{Deserialize, Serialize};
 
 pub const NODE_4: Identity = Identity { realm: 0xbeef, node: NodeId(4) };
@@ -18,12 +18,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DebtValue(pub u64);
 
-impl Outlives for ViewValue {
+impl Persistent for ViewValue {
     const SECTION: Section = Section::View;
     const FORMAT: u16 = 1;
 }
 
-impl Outlives for DebtValue {
+impl Persistent for DebtValue {
     const SECTION: Section = Section::Debts;
     const FORMAT: u16 = 1;
 }
--- a/crates/store/tests/torn.rs
+++ b/crates/store/tests/torn.rs
@@ -5,7 +5,7 @@
 
 use std::fs;
 
-use hallpin_store::incarnation::Past;
+use hallpin_store::incarnation::StoredIncarnation;
 use hallpin_store::{Limits, SetAsideReason, Store};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -18,7 +18,7 @@
     for process in 0..2 {
         let (mut store, _) = open(&folder);
         store.next_incarnation(NOW + process).1.unwrap();
-        store.quiet_is_over();
+        store.end_silence();
         images.push(fs::read(folder.file()).unwrap());
         for generation in 1..=3 {
             store.commit(&snapshot(process * 3 + generation)).unwrap();
@@ -31,7 +31,7 @@
 
 /// Opens a file with these bytes. Returns the generation (0 for an empty state) and the stored incarnation, or `None`
 /// if the file was set aside.
-fn open_bytes(bytes: &[u8]) -> Option<(u64, Past)> {
+fn open_bytes(bytes: &[u8]) -> Option<(u64, StoredIncarnation)> {
     let folder = Folder::new();
     fs::write(folder.file(), bytes).unwrap();
     let (mut store, mut restored) = Store::open(&folder.file(), NODE_4, NOW, &Limits::default()).unwrap();
@@ -44,7 +44,7 @@
         // The database detects the damage itself; the test must not pass because panics are caught.
         assert!(!detail.contains("panicked"), "{detail}");
         assert_eq!(fs::read(folder.file().with_extension("redb.aside-1")).unwrap().len(), bytes.len());
-        assert_eq!(restored.past, Past::Unknown);
+        assert_eq!(restored.past, StoredIncarnation::Unknown);
     }
     let found = (generation(&mut restored).unwrap_or(0), restored.past);
     if set_aside {
@@ -60,7 +60,7 @@
 }
 
 /// Whether a damaged file may give this result: nothing, the file's state, or the one before it.
-fn is_allowed(found: Option<(u64, Past)>, committed: u64) -> bool {
+fn is_allowed(found: Option<(u64, StoredIncarnation)>, committed: u64) -> bool {
     found.is_none_or(|(generation, _)| generation == committed || generation + 1 == committed)
 }
 
@@ -97,7 +97,8 @@
             let found = open_bytes(&damaged);
             assert!(is_allowed(found, committed), "seed {seed}, {committed} damaged at {at}: {found:?}");
             // An older settled incarnation must not come back: the next process would reuse this one's number.
-            let follows = found.is_none_or(|(_, found)| found == past || !matches!(found, Past::Settled(_)));
+            let follows = found
+                .is_none_or(|(_, found)| found == past || !matches!(found, StoredIncarnation::Settled(_)));
             assert!(follows, "seed {seed}, {committed} damaged at {at}: {found:?}, was {past:?}");
             opened += u32::from(found.is_some());
             set_aside += u32::from(found.is_none());
