--- a/crates/emulator/src/sockets/crowd.rs
+++ b/crates/emulator/src/sockets/crowd.rs
@@ -158,7 +158,7 @@
         class: &class.name,
         tenant: asking.tenant.map(|t| day.tenants[t].name.as_str()),
         wait: Duration::from_micros(until.since(now).0),
-        work: asking.hint.map(Duration::from_secs_f64),
+        work_hint: asking.hint.map(Duration::from_secs_f64),
         idempotency_key: effect.as_deref(),
         retry: false,
     };
--- a/crates/fault-harness/src/fakes/client.rs
+++ b/crates/fault-harness/src/fakes/client.rs
@@ -71,7 +71,7 @@
             class: if request.write { "write" } else { "read" },
             tenant: Some(&request.name),
             wait: request.deadline,
-            work: None,
+            work_hint: None,
             idempotency_key: request.write.then_some(opaque.as_str()),
             retry: false,
         };
--- a/crates/hallpin/benches/relay.rs
+++ b/crates/hallpin/benches/relay.rs
@@ -164,7 +164,7 @@
             class: "lookup",
             tenant: None,
             wait: Duration::from_secs(1),
-            work: None,
+            work_hint: None,
             idempotency_key: None,
             retry: false,
         };
--- a/crates/loadgen/src/load/connection.rs
+++ b/crates/loadgen/src/load/connection.rs
@@ -34,7 +34,7 @@
     let mix = &shared.spec.mix;
     let class = &mix.classes[pending.request_spec.class];
     let opaque = format!("{id:x}");
-    // The effect key identifies the request, not the try, so that the server can deduplicate a repeated write.
+    // The idempotency key identifies the request, not the try, so that the server can deduplicate a repeated write.
     let idempotency_key = class.writes.map(|_| format!("{:016x}", pending.request));
     let value = class.writes.map(|bytes| vec![b'x'; bytes]);
     let command = ClientCommand {
@@ -44,7 +44,7 @@
         class: &class.name,
         tenant: pending.request_spec.tenant.map(|tenant| mix.tenants[tenant].name.as_str()),
         wait: pending.deadline.saturating_sub(shared.now()),
-        work: None,
+        work_hint: None,
         idempotency_key: idempotency_key.as_deref(),
         retry: false,
     };
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -52,7 +52,7 @@
             tenant: command.tenant.as_deref().and_then(|name| self.names.tenant(name)),
             key: Some(command.key),
             write: command.verb == Verb::Set,
-            work_hint: command.work.map(|w| w.as_secs_f64()),
+            work_hint: command.work_hint.map(|w| w.as_secs_f64()),
         };
         // The balancer ends a request two quanta before its deadline; half a quantum before it the backstop fails the
         // request. A timer set in the past would be taken for a scheduling delay, so it is due now at the earliest.
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -53,7 +53,7 @@
             Input::Command(command) => {
                 let (reply, answer) = oneshot::channel();
                 let id = RequestId(frontend.take_number());
-                let weight = command.weight() + MAX_BUFFERED_VALUE_BYTES;
+                let weight = command.memory_bytes() + MAX_BUFFERED_VALUE_BYTES;
                 frontend.budget.reserve(weight);
                 let (command, gone) = (*command, self.gone.clone());
                 // The driver ends only with the process.
--- a/crates/node/src/frontend/input.rs
+++ b/crates/node/src/frontend/input.rs
@@ -145,7 +145,7 @@
 
     /// Number of bytes that certainly belong to the partial command.
     pub(super) fn missing_bytes(&self) -> usize {
-        protocol::missing(&self.bytes)
+        protocol::min_missing_bytes(&self.bytes)
     }
 
     /// Discards the input. The buffer is replaced, as it keeps the size of the largest command that it held.
--- a/crates/node/src/plane/state.rs
+++ b/crates/node/src/plane/state.rs
@@ -97,7 +97,7 @@
 }
 
 fn restored_state(start: Start, cached: CachedState, state: StateWriter) -> RestoredState {
-    RestoredState { incarnation: start.incarnation, quiet_period: start.quiet, cached, state: Some(state) }
+    RestoredState { incarnation: start.incarnation, quiet_period: start.silence, cached, state: Some(state) }
 }
 
 /// Stores the sections that were set aside in a file of their own, and logs the reasons.
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -124,7 +124,7 @@
                     return Err(Status::Unreachable);
                 }
                 // The forwarded time counts from here, however long the first byte was blocked before.
-                text = call.command.forward(call.until.saturating_duration_since(now)).into();
+                text = call.command.encode_for_server(call.until.saturating_duration_since(now)).into();
                 forwarded_at = now;
             } else if now >= forwarded_at + FORWARDED_TIME_SLACK {
                 return Err(Status::Unreachable);
@@ -210,7 +210,7 @@
                     note,
                     answer: Some(ServedAnswer { text, body }),
                 };
-                if let Body::Long(length) = body {
+                if let Body::Streamed(length) = body {
                     let body = BodyStream::new(self.clone(), server.clone(), connection, buf, length, call);
                     return served(Some(body));
                 }
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -25,7 +25,7 @@
     /// How long the client waits for the answer, from sending the command on.
     pub wait: Duration,
     /// The client's estimate of the work that the command needs.
-    pub work: Option<Duration>,
+    pub work_hint: Option<Duration>,
     /// The idempotency key of a write that is deduplicated by key.
     pub idempotency_key: Option<&'a str>,
     /// Whether this attempt is a retry, for clients that mark retries.
@@ -46,7 +46,7 @@
         };
         self.tenant.iter().for_each(|tenant| add_parameter("t", tenant));
         add_parameter("d", &self.wait.as_millis());
-        self.work.iter().for_each(|work| add_parameter("h", &work.as_micros()));
+        self.work_hint.iter().for_each(|hint| add_parameter("h", &hint.as_micros()));
         self.idempotency_key.iter().for_each(|key| add_parameter("k", key));
         if self.retry {
             add_parameter("r", &1);
@@ -125,7 +125,7 @@
         class: "read",
         tenant: Some("acme"),
         wait: Duration::from_millis(480),
-        work: Some(Duration::from_micros(1500)),
+        work_hint: Some(Duration::from_micros(1500)),
         idempotency_key: None,
         retry: true,
     };
@@ -142,7 +142,7 @@
             let mut buf = BytesMut::from(&sent.to_bytes()[..]);
             let Some(Input::Command(command)) = next_input(&mut buf) else { panic!("a command") };
             assert!(buf.is_empty());
-            assert_eq!((command.verb, command.wait, command.work), (verb, sent.wait, sent.work));
+            assert_eq!((command.verb, command.wait, command.work_hint), (verb, sent.wait, sent.work_hint));
             assert_eq!((&command.class[..], command.tenant.as_deref()), ("read", Some("acme")));
             assert_eq!(command.opaque(), "9b1f");
         }
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -33,7 +33,7 @@
     /// How long the client waits for the answer, from sending the command on.
     pub wait: Duration,
     /// The client's estimate of the work that the command needs.
-    pub work: Option<Duration>,
+    pub work_hint: Option<Duration>,
     line: Bytes,
     opaque: Range<usize>,
     /// Position of the digits of `d` in the line.
@@ -118,7 +118,7 @@
 
 /// A lower bound on the bytes still missing from the incomplete command at the start of `buf`: 1 while its line is
 /// incomplete, as the next byte may end it, and the exact number for a data block.
-pub fn missing(buf: &[u8]) -> usize {
+pub fn min_missing_bytes(buf: &[u8]) -> usize {
     let Ok(Some(end)) = line_length(buf) else { return 1 };
     let mut words = buf[..end].strip_suffix(b"\r").unwrap_or_default().split(|&b| b == b' ');
     let verb = words.next();
@@ -158,14 +158,15 @@
     if wants_value != (verb == Verb::Get) {
         return None;
     }
-    let (mut class, mut tenant, mut wait, mut work, mut idempotency_key) = (None, None, None, None, None);
+    let (mut class, mut tenant, mut wait, mut work_hint, mut idempotency_key) =
+        (None, None, None, None, None);
     for pair in params?.split(',') {
         let (name, value) = pair.split_once('=')?;
         let slot = match name {
             "c" => &mut class,
             "t" => &mut tenant,
             "d" => &mut wait,
-            "h" => &mut work,
+            "h" => &mut work_hint,
             "k" => &mut idempotency_key,
             _ => continue,
         };
@@ -176,7 +177,7 @@
     }
     let wait_text = wait?;
     let wait = parse_digits::<u32>(wait_text)?;
-    let work = match work {
+    let work_hint = match work_hint {
         Some(text) => Some(Duration::from_micros(parse_digits::<u32>(text)?.into())),
         None => None,
     };
@@ -186,7 +187,7 @@
         class: class?.into(),
         tenant: tenant.map(Into::into),
         wait: Duration::from_millis(wait.into()),
-        work,
+        work_hint,
         opaque: range_of(opaque?),
         wait_digits: range_of(wait_text),
         line: line.clone(),
@@ -209,13 +210,13 @@
     }
 
     /// Approximate size of the command in memory, in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.line.len() + self.value.len()
     }
 
     /// Encodes the command for a cache server: unchanged except for how long the answer is waited for.
-    pub fn forward(&self, wait: Duration) -> Vec<u8> {
-        let mut out = Vec::with_capacity(self.weight() + 16);
+    pub fn encode_for_server(&self, wait: Duration) -> Vec<u8> {
+        let mut out = Vec::with_capacity(self.memory_bytes() + 16);
         out.extend_from_slice(&self.line[..self.wait_digits.start]);
         out.extend_from_slice(wait.as_millis().to_string().as_bytes());
         out.extend_from_slice(&self.line[self.wait_digits.end..]);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use command::{key_of, missing, next_input, Command, Input, Verb};
+pub use command::{key_of, min_missing_bytes, next_input, Command, Input, Verb};
 pub use reply::{
     busy, is_client_error, next_health_check_answer, next_reply, served, Body, Malformed, Reply, FAILED,
     HEALTH_CHECK, ID_IN_USE, NOT_READY, READY, TOO_SLOW, UNKNOWN_CLASS,
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -34,7 +34,7 @@
     /// A complete value.
     Value(Bytes),
     /// The length of a value of which only the line was removed from the buffer.
-    Long(usize),
+    Streamed(usize),
     /// The receipt of a write.
     Receipt(Bytes),
 }
@@ -78,7 +78,7 @@
     let note = flags.note;
     buf.advance(end + 1);
     let body = match length {
-        Some(length) if is_long => Body::Long(length),
+        Some(length) if is_long => Body::Streamed(length),
         Some(length) => {
             let mut value = buf.split_to(block_length).freeze();
             if &value[length..] != b"\r\n" {
@@ -124,7 +124,7 @@
     let mut out = Vec::new();
     match (command.verb, body) {
         _ if opaque != command.opaque() => return None,
-        (Verb::Get, Body::Long(length)) => {
+        (Verb::Get, Body::Streamed(length)) => {
             out.extend_from_slice(format!("VA {length} O").as_bytes());
             out.extend_from_slice(opaque);
         }
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -49,12 +49,15 @@
 #[test]
 fn a_command_is_forwarded_unchanged_except_for_d() {
     let wait = Duration::from_micros(77_900);
-    assert_eq!(parse_valid(GET).forward(wait), GET.replace("d=480", "d=77").as_bytes());
-    assert_eq!(parse_valid(SET).forward(wait), SET.replace("d=480", "d=77").as_bytes());
-    assert_eq!(parse_valid(GET).work, Some(Duration::from_micros(1500)));
+    assert_eq!(parse_valid(GET).encode_for_server(wait), GET.replace("d=480", "d=77").as_bytes());
+    assert_eq!(parse_valid(SET).encode_for_server(wait), SET.replace("d=480", "d=77").as_bytes());
+    assert_eq!(parse_valid(GET).work_hint, Some(Duration::from_micros(1500)));
     // A parameter whose name only ends in `d`, and a key that looks like the parameter, must stay unchanged.
     let lookalike = "mg d=480 v Od=480 Pbid=480,c=read,d=480\r\n";
-    assert_eq!(parse_valid(lookalike).forward(wait), lookalike.replace("read,d=480", "read,d=77").as_bytes());
+    assert_eq!(
+        parse_valid(lookalike).encode_for_server(wait),
+        lookalike.replace("read,d=480", "read,d=77").as_bytes()
+    );
 }
 
 #[test]
@@ -194,7 +197,7 @@
 fn only_the_line_of_a_long_value_is_removed() {
     let mut buf = BytesMut::from(&b"VA 65537 O9b1f h1\r\nabc"[..]);
     let Ok(Some(Reply::Served { opaque, body, .. })) = next_reply(&mut buf) else { panic!("an answer") };
-    assert_eq!((&opaque[..], &body, &buf[..]), (&b"9b1f"[..], &Body::Long(65537), &b"abc"[..]));
+    assert_eq!((&opaque[..], &body, &buf[..]), (&b"9b1f"[..], &Body::Streamed(65537), &b"abc"[..]));
     assert_eq!(served(&parse_valid(GET), &opaque, &body).unwrap(), "VA 65537 O9b1f\r\n");
     assert_eq!(served(&parse_valid(SET), &opaque, &body), None);
     assert_eq!(served(&parse_valid(GET), b"9b1e", &body), None);
@@ -244,7 +247,7 @@
                 if let Some(input) = next_input(&mut buf) {
                     break input;
                 }
-                let (received, more) = (buf.len(), missing(&buf));
+                let (received, more) = (buf.len(), min_missing_bytes(&buf));
                 assert!((1..=text.len() - received).contains(&more), "{text:?}: {more} more than {received}");
                 buf.extend_from_slice(&text.as_bytes()[received..received + more]);
             };
--- a/crates/protocol/src/tests/corrupt_replies.rs
+++ b/crates/protocol/src/tests/corrupt_replies.rs
@@ -32,7 +32,7 @@
             let text = cache_server::value(id, value, metadata);
             let value_start = text.len() - value.len() - 2;
             let body = match value.len() {
-                length if length > MAX_BUFFERED_VALUE_BYTES => Body::Long(length),
+                length if length > MAX_BUFFERED_VALUE_BYTES => Body::Streamed(length),
                 _ => Body::Value(Bytes::copy_from_slice(value)),
             };
             samples.push(EncodedAnswer { text, value_start, body: Some(body) });
@@ -52,7 +52,7 @@
 fn decode_all(mut buf: BytesMut) -> Vec<Reply> {
     let mut replies = Vec::new();
     while let Ok(Some(reply)) = next_reply(&mut buf) {
-        let is_long = matches!(reply, Reply::Served { body: Body::Long(_), .. });
+        let is_long = matches!(reply, Reply::Served { body: Body::Streamed(_), .. });
         replies.push(reply);
         if is_long {
             break;
@@ -208,6 +208,6 @@
             Some(cache_server::Call::Invalid { close, .. }) => !close,
             call => call.is_some(),
         });
-        assert!(missing(&text) > 0);
+        assert!(min_missing_bytes(&text) > 0);
     }
 }
--- a/crates/store/src/incarnation.rs
+++ b/crates/store/src/incarnation.rs
@@ -31,7 +31,7 @@
     /// The incarnation.
     pub incarnation: Incarnation,
     /// How long nothing may be sent under this incarnation, on the monotonic clock, from its choice on.
-    pub quiet: Duration,
+    pub silence: Duration,
 }
 
 impl Start {
@@ -40,7 +40,7 @@
         match past {
             StoredIncarnation::Settled(before) => {
                 let follows = before.0.saturating_add(1);
-                Start { incarnation: Incarnation(follows.max(now_unix_ms)), quiet: Duration::ZERO }
+                Start { incarnation: Incarnation(follows.max(now_unix_ms)), silence: Duration::ZERO }
             }
             StoredIncarnation::Unknown | StoredIncarnation::Unsettled(_) => {
                 Start::unwritten(past, now_unix_ms, step_back)
@@ -59,11 +59,11 @@
         };
         let ahead = u64::try_from(step_back.as_millis()).unwrap_or(u64::MAX);
         let incarnation = Incarnation(now_unix_ms.saturating_add(ahead).max(least));
-        Start { incarnation, quiet: step_back.saturating_mul(2) }
+        Start { incarnation, silence: step_back.saturating_mul(2) }
     }
 
     /// Whether the next process may follow this incarnation without silence once this one is written.
     pub fn is_settled(&self) -> bool {
-        self.quiet.is_zero()
+        self.silence.is_zero()
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -88,7 +88,7 @@
     }
 
     /// Chooses the incarnation of this process and writes it, before anything is sent under it. Later calls return the
-    /// same. Nothing may be sent before [`Start::quiet`] has passed since the first call; then
+    /// same. Nothing may be sent before [`Start::silence`] has passed since the first call; then
     /// [`Store::end_silence`] is called.
     ///
     /// The error says that the incarnation could not be written; the returned start is valid without it, with a longer
@@ -122,7 +122,7 @@
                 return Err(StoreError::LaterIncarnation { stored, this: incarnation });
             }
         }
-        let start = Start { incarnation, quiet: Duration::ZERO };
+        let start = Start { incarnation, silence: Duration::ZERO };
         self.current = Some((start, self.incarnation_row(start, silence_is_over)));
         Ok(())
     }
--- a/crates/store/tests/lives.rs
+++ b/crates/store/tests/lives.rs
@@ -90,9 +90,9 @@
     fn unwritten(&self, past: StoredIncarnation, wall: u64) -> Start {
         let start = Start::unwritten(past, wall, self.step_back());
         match self.variant {
-            Variant::NoSilence => Start { quiet: Duration::ZERO, ..start },
+            Variant::NoSilence => Start { silence: Duration::ZERO, ..start },
             Variant::NoClockLead => {
-                Start { quiet: start.quiet, ..Start::unwritten(past, wall, Duration::ZERO) }
+                Start { silence: start.silence, ..Start::unwritten(past, wall, Duration::ZERO) }
             }
             _ => start,
         }
@@ -140,7 +140,7 @@
                         [true, false].map(|durable| ModelEvent::WritesRow { acknowledged: false, durable }),
                     );
                 }
-                let silent = node.now < at + start.quiet.as_millis() as u64;
+                let silent = node.now < at + start.silence.as_millis() as u64;
                 if !silent && (!to_write || self.variant == Variant::SendsBeforeWriting) {
                     out.push(ModelEvent::SendsMessage);
                 }
--- a/crates/store/tests/state.rs
+++ b/crates/store/tests/state.rs
@@ -21,7 +21,7 @@
     let (mut store, _) = Store::open(&folder.file(), NODE_4, NOW, &limits).unwrap();
     let (start, written) = store.next_incarnation(NOW);
     written.unwrap();
-    assert_eq!((start.incarnation, start.quiet), (Incarnation(NOW), Duration::ZERO));
+    assert_eq!((start.incarnation, start.silence), (Incarnation(NOW), Duration::ZERO));
     store.commit(&snapshot(1)).unwrap();
     folder
 }
