--- a/crates/emulator/src/sockets/stage/boxes.rs
+++ b/crates/emulator/src/sockets/stage/boxes.rs
@@ -138,7 +138,7 @@
         let load = if self.day.limits.reports { self.load(at) } else { Vec::new() };
         let (how, text) = match answer {
             BoxAnswer::Served { note, version } => {
-                let remarks = AnswerMetadata { note: Some(note), load };
+                let remarks = AnswerMetadata { cache_note: Some(note), load };
                 let text = match job.write {
                     Some(_) => cache_server::receipt(&opaque, &version.to_string(), &remarks),
                     None => {
@@ -148,8 +148,12 @@
                 };
                 (Ended::Success, text)
             }
-            BoxAnswer::Busy => (Ended::Overloaded, cache_server::busy(&AnswerMetadata { note: None, load })),
-            BoxAnswer::Failed => (Ended::Error, cache_server::failed(&AnswerMetadata { note: None, load })),
+            BoxAnswer::Busy => {
+                (Ended::Overloaded, cache_server::busy(&AnswerMetadata { cache_note: None, load }))
+            }
+            BoxAnswer::Failed => {
+                (Ended::Error, cache_server::failed(&AnswerMetadata { cache_note: None, load }))
+            }
         };
         let hit = matches!(answer, BoxAnswer::Served { note: CacheNote::Hit, .. });
         if how != Ended::Overloaded {
--- a/crates/fault-harness/src/fakes/connection.rs
+++ b/crates/fault-harness/src/fakes/connection.rs
@@ -120,7 +120,7 @@
 }
 
 fn answer(opaque: &str, how: BoxAnswer, version: u64) -> Vec<u8> {
-    let metadata = |note| AnswerMetadata { note: Some(note), load: Vec::new() };
+    let metadata = |note| AnswerMetadata { cache_note: Some(note), load: Vec::new() };
     let value = format!("v{version}");
     match how {
         BoxAnswer::Hit => cache_server::value(opaque, value.as_bytes(), &metadata(CacheNote::Hit)),
--- a/crates/loadgen/src/load/fake_server.rs
+++ b/crates/loadgen/src/load/fake_server.rs
@@ -153,7 +153,7 @@
                     self.behavior, Behavior::WrongId(interval) if received % interval == interval - 1
                 );
                 let opaque = if has_wrong_id { "beef" } else { &opaque };
-                let metadata = AnswerMetadata { note: Some(CacheNote::Hit), load: Vec::new() };
+                let metadata = AnswerMetadata { cache_note: Some(CacheNote::Hit), load: Vec::new() };
                 output.extend_from_slice(&cache_server::value(opaque, VALUE, &metadata));
                 answered += 1;
             }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -201,13 +201,13 @@
             Reply::Busy if busy_is_proof => Status::Overloaded.into(),
             Reply::Busy => UNREADABLE_ANSWER.into(),
             Reply::Failed => Status::Error.into(),
-            Reply::Served { opaque, body, note } => {
-                let Some(text) = protocol::served(&call.command, &opaque, &body) else {
+            Reply::Served { opaque, body, cache_note } => {
+                let Some(text) = protocol::client_answer(&call.command, &opaque, &body) else {
                     return UNREADABLE_ANSWER.into();
                 };
                 let served = |body| AttemptResult {
                     status: Status::Success,
-                    note,
+                    note: cache_note,
                     answer: Some(ServedAnswer { text, body }),
                 };
                 if let Body::Streamed(length) = body {
--- a/crates/protocol/src/cache_server.rs
+++ b/crates/protocol/src/cache_server.rs
@@ -44,14 +44,14 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerMetadata {
     /// The result of a read's cache lookup.
-    pub note: Option<CacheNote>,
+    pub cache_note: Option<CacheNote>,
     /// The load report as names and values; empty for none.
     pub load: Vec<(String, f64)>,
 }
 
 impl AnswerMetadata {
     fn write(&self, line: &mut String) {
-        line.push_str(match self.note {
+        line.push_str(match self.cache_note {
             Some(CacheNote::Hit) => " h1",
             Some(CacheNote::Miss) => " h0",
             Some(CacheNote::MissFetching) => " h0 Z",
@@ -85,14 +85,14 @@
 /// Encodes a rejection: the command was not executed.
 pub fn busy(metadata: &AnswerMetadata) -> Vec<u8> {
     let mut line = String::from("SERVER_ERROR busy");
-    AnswerMetadata { note: None, load: metadata.load.clone() }.write(&mut line);
+    AnswerMetadata { cache_note: None, load: metadata.load.clone() }.write(&mut line);
     line.into_bytes()
 }
 
 /// Encodes a failure: the command may have been executed.
 pub fn failed(metadata: &AnswerMetadata) -> Vec<u8> {
     let mut line = String::from("SERVER_ERROR failed");
-    AnswerMetadata { note: None, load: metadata.load.clone() }.write(&mut line);
+    AnswerMetadata { cache_note: None, load: metadata.load.clone() }.write(&mut line);
     line.into_bytes()
 }
 
@@ -115,19 +115,19 @@
     #[test]
     fn a_node_decodes_what_a_cache_server_encodes() {
         let load = vec![("inflight".to_string(), 7.0), ("util".to_string(), 0.61)];
-        let metadata = AnswerMetadata { note: Some(CacheNote::MissFetching), load };
+        let metadata = AnswerMetadata { cache_note: Some(CacheNote::MissFetching), load };
         let mut buf = BytesMut::new();
         buf.extend_from_slice(&value("9b1f", b"he\r\nlo", &metadata));
         buf.extend_from_slice(&receipt("9b1f", "77", &AnswerMetadata::default()));
         buf.extend_from_slice(&busy(&metadata));
         buf.extend_from_slice(&failed(&metadata));
         let mut next = || next_reply(&mut buf).unwrap().unwrap();
-        let Reply::Served { opaque, body, note } = next() else { panic!("a value") };
-        assert_eq!((&opaque[..], note), (&b"9b1f"[..], Some(CacheNote::MissFetching)));
+        let Reply::Served { opaque, body, cache_note } = next() else { panic!("a value") };
+        assert_eq!((&opaque[..], cache_note), (&b"9b1f"[..], Some(CacheNote::MissFetching)));
         assert_eq!(body, Body::Value("he\r\nlo".into()));
         assert_eq!(
             next(),
-            Reply::Served { opaque: "9b1f".into(), body: Body::Receipt("77".into()), note: None }
+            Reply::Served { opaque: "9b1f".into(), body: Body::Receipt("77".into()), cache_note: None }
         );
         assert_eq!((next(), next()), (Reply::Busy, Reply::Failed));
         assert!(buf.is_empty());
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -20,7 +20,7 @@
         /// The value or the receipt.
         body: Body,
         /// The result of a read's cache lookup, if the cache server reports it.
-        note: Option<CacheNote>,
+        cache_note: Option<CacheNote>,
     },
     /// The cache server rejected the command: it was not executed.
     Busy,
@@ -75,7 +75,7 @@
     }
     let opaque = Bytes::copy_from_slice(flags.opaque);
     let receipt = flags.receipt.map(Bytes::copy_from_slice);
-    let note = flags.note;
+    let cache_note = flags.note;
     buf.advance(end + 1);
     let body = match length {
         Some(length) if is_long => Body::Streamed(length),
@@ -89,7 +89,7 @@
         }
         None => Body::Receipt(receipt.ok_or(Malformed)?),
     };
-    Ok(Some(Reply::Served { opaque, body, note }))
+    Ok(Some(Reply::Served { opaque, body, cache_note }))
 }
 
 /// Asks a cache server whether it is ready: the health check that is sent if the settings allow it.
@@ -120,7 +120,7 @@
 
 /// Converts a cache server's answer to the client's; of a long value only the line. Returns `None` if it is not an
 /// answer to this command: forwarding it would give one client the answer to another.
-pub fn served(command: &Command, opaque: &[u8], body: &Body) -> Option<Bytes> {
+pub fn client_answer(command: &Command, opaque: &[u8], body: &Body) -> Option<Bytes> {
     let mut out = Vec::new();
     match (command.verb, body) {
         _ if opaque != command.opaque() => return None,
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -161,12 +161,12 @@
         let value = Reply::Served {
             opaque: opaque.clone(),
             body: Body::Value(Bytes::from_static(b"he\r\nl")),
-            note: Some(CacheNote::MissFetching),
+            cache_note: Some(CacheNote::MissFetching),
         };
         let receipt = Reply::Served {
             opaque,
             body: Body::Receipt(Bytes::from_static(b"77")),
-            note: Some(CacheNote::Hit),
+            cache_note: Some(CacheNote::Hit),
         };
         assert_eq!(got, [value, receipt, Reply::Busy, Reply::Failed], "cut at {cut}");
     }
@@ -198,9 +198,9 @@
     let mut buf = BytesMut::from(&b"VA 65537 O9b1f h1\r\nabc"[..]);
     let Ok(Some(Reply::Served { opaque, body, .. })) = next_reply(&mut buf) else { panic!("an answer") };
     assert_eq!((&opaque[..], &body, &buf[..]), (&b"9b1f"[..], &Body::Streamed(65537), &b"abc"[..]));
-    assert_eq!(served(&parse_valid(GET), &opaque, &body).unwrap(), "VA 65537 O9b1f\r\n");
-    assert_eq!(served(&parse_valid(SET), &opaque, &body), None);
-    assert_eq!(served(&parse_valid(GET), b"9b1e", &body), None);
+    assert_eq!(client_answer(&parse_valid(GET), &opaque, &body).unwrap(), "VA 65537 O9b1f\r\n");
+    assert_eq!(client_answer(&parse_valid(SET), &opaque, &body), None);
+    assert_eq!(client_answer(&parse_valid(GET), b"9b1e", &body), None);
 }
 
 /// An ambiguous line must not let a request be sent again, and a garbled load report must not invalidate an answer.
@@ -224,11 +224,11 @@
     let value = Body::Value(Bytes::from_static(b"hello"));
     let receipt = Body::Receipt(Bytes::from_static(b"77"));
     let (get, set) = (parse_valid(GET), parse_valid(SET));
-    assert_eq!(served(&get, b"9b1f", &value).unwrap(), "VA 5 O9b1f\r\nhello\r\n");
-    assert_eq!(served(&set, b"9b1f", &receipt).unwrap(), "HD O9b1f c77\r\n");
-    assert_eq!(served(&get, b"9b1e", &value), None);
-    assert_eq!(served(&get, b"9b1f", &receipt), None);
-    assert_eq!(served(&set, b"9b1f", &value), None);
+    assert_eq!(client_answer(&get, b"9b1f", &value).unwrap(), "VA 5 O9b1f\r\nhello\r\n");
+    assert_eq!(client_answer(&set, b"9b1f", &receipt).unwrap(), "HD O9b1f c77\r\n");
+    assert_eq!(client_answer(&get, b"9b1e", &value), None);
+    assert_eq!(client_answer(&get, b"9b1f", &receipt), None);
+    assert_eq!(client_answer(&set, b"9b1f", &value), None);
 }
 
 #[test]
@@ -237,7 +237,7 @@
     assert_eq!(busy(None), "SERVER_ERROR busy\r\n");
 }
 
-/// Reading as many bytes as `missing` says, repeatedly, completes a command and never reads beyond it.
+/// Reading as many bytes as `min_missing_bytes` says, repeatedly, completes a command and never reads beyond it.
 #[test]
 fn missing_never_counts_bytes_of_the_next_command() {
     for text in [GET, SET, "mn\r\n", "get k\r\n", "ms k x\r\n", "ms k 65537 Oa\r\n"] {
--- a/crates/protocol/src/tests/corrupt_replies.rs
+++ b/crates/protocol/src/tests/corrupt_replies.rs
@@ -21,8 +21,8 @@
     let load = vec![("inflight".to_string(), 7.0), ("util".to_string(), 0.61)];
     let metadata = [
         AnswerMetadata::default(),
-        AnswerMetadata { note: Some(CacheNote::Hit), load: load.clone() },
-        AnswerMetadata { note: Some(CacheNote::MissFetching), load },
+        AnswerMetadata { cache_note: Some(CacheNote::Hit), load: load.clone() },
+        AnswerMetadata { cache_note: Some(CacheNote::MissFetching), load },
     ];
     let long = vec![b'x'; MAX_BUFFERED_VALUE_BYTES + 1];
     let values: [&[u8]; 6] = [b"", b"h", b"hello", b"h\r\n", b"twenty bytes of text", &long];
