--- a/crates/fault-harness/benches/processes/run.rs
+++ b/crates/fault-harness/benches/processes/run.rs
@@ -10,7 +10,7 @@
 use hallpin_fault_harness::relay::Site;
 use hallpin_fault_harness::spec::Action;
 use hallpin_fault_harness::trace::{Event, Record, WaitTimeout};
-use hallpin_fault_harness::{Harness, Options, RigError, Spec};
+use hallpin_fault_harness::{Harness, HarnessError, Options, Spec};
 use hallpin_simulation::scenario::Unreadable;
 use hallpin_simulation::time::Time;
 use tokio::time::sleep;
@@ -24,7 +24,7 @@
 pub enum Failure {
     /// The harness did not finish.
     #[error(transparent)]
-    Harness(#[from] RigError),
+    Harness(#[from] HarnessError),
     /// An expected event did not happen in time.
     #[error(transparent)]
     Timeout(#[from] WaitTimeout),
@@ -138,7 +138,7 @@
         let report = self.harness.finish(trace).await;
         played?;
         let report = report?;
-        for violation in report.breaches.iter().take(3) {
+        for violation in report.violations.iter().take(3) {
             println!(
                 "{}: violation at {} s: {}: {}",
                 self.run,
@@ -147,9 +147,11 @@
                 violation.what
             );
         }
-        self.values.push(Value::less_is_better("rules broken, times", report.broken as f64));
-        self.values
-            .push(Value::less_is_better("the rig itself was late, s", report.counts.starved.as_secs()));
+        self.values.push(Value::less_is_better("rules broken, times", report.violation_count as f64));
+        self.values.push(Value::less_is_better(
+            "the rig itself was late, s",
+            report.counts.scheduling_delay.as_secs(),
+        ));
         Ok(self.values)
     }
 }
--- a/crates/fault-harness/src/harness/build.rs
+++ b/crates/fault-harness/src/harness/build.rs
@@ -38,7 +38,7 @@
 
 /// Why a run did not finish.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum HarnessError {
     /// A socket or a file could not be opened or used.
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// Fails if a socket, a file or a process is not available, or if a node does not become ready.
-    pub async fn start(spec: Spec, options: &Options) -> Result<Self, RigError> {
+    pub async fn start(spec: Spec, options: &Options) -> Result<Self, HarnessError> {
         let (spec, recorder, network_address) = (Rc::new(spec), Recorder::new(), loopback_network());
         raise_file_limit();
         tokio::task::spawn_local(record_scheduling_delay(recorder.clone()));
@@ -158,7 +158,7 @@
     }
 
     /// Starts a new process for each of these nodes.
-    pub(super) fn start_nodes(&self, nodes: &[usize]) -> Result<(), RigError> {
+    pub(super) fn start_nodes(&self, nodes: &[usize]) -> Result<(), HarnessError> {
         for host in nodes.iter().map(|node| &self.hosts[*node]) {
             let node = host.addresses.node;
             let known = self.discovery.initial_list(node);
--- a/crates/fault-harness/src/harness/inject.rs
+++ b/crates/fault-harness/src/harness/inject.rs
@@ -10,7 +10,7 @@
 use toml::Spanned;
 
 use super::wait::indices;
-use super::{Harness, RigError};
+use super::{Harness, HarnessError};
 use crate::process;
 use crate::relay::{Conditions, Site};
 use crate::spec::{Action, Ends};
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// Fails if a process or a file is not available.
-    pub async fn inject(&self, action: &Action) -> Result<(), RigError> {
+    pub async fn inject(&self, action: &Action) -> Result<(), HarnessError> {
         let what = serde_json::to_string(action).unwrap_or_else(|error| error.to_string());
         self.recorder.record(Event::Fault { what });
         match action {
@@ -115,7 +115,7 @@
     }
 
     /// Sends malformed datagrams to a node, from its peers' addresses and from one that belongs to no peer.
-    async fn send_malformed(&self, to: usize, rate: u32, lasts: Span) -> Result<(), RigError> {
+    async fn send_malformed(&self, to: usize, rate: u32, lasts: Span) -> Result<(), HarnessError> {
         let (mesh, nodes, listen) =
             (self.mesh.clone(), self.hosts.len(), self.hosts[to].addresses.peer_listen);
         let non_peer = UdpSocket::bind((listen.ip(), 0)).await?;
--- a/crates/fault-harness/src/harness/mod.rs
+++ b/crates/fault-harness/src/harness/mod.rs
@@ -7,6 +7,6 @@
 mod runtime;
 mod wait;
 
-pub use build::{Harness, Options, RigError};
+pub use build::{Harness, HarnessError, Options};
 pub use play::play;
 pub use runtime::block_on;
--- a/crates/fault-harness/src/harness/play.rs
+++ b/crates/fault-harness/src/harness/play.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{sleep_until, timeout, Instant};
 
-use super::{Harness, Options, RigError};
+use super::{Harness, HarnessError, Options};
 use crate::fakes::max_request_duration;
 use crate::judge::{self, Report};
 use crate::spec::Spec;
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// Fails if the harness cannot be built, or if the trigger of a fault does not happen.
-pub async fn play(spec: Spec, options: &Options, trace: Option<&Path>) -> Result<Report, RigError> {
+pub async fn play(spec: Spec, options: &Options, trace: Option<&Path>) -> Result<Report, HarnessError> {
     let harness = Harness::start(spec, options).await?;
     let played = async {
         harness.start_load();
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// Fails if a request does not finish.
-    pub async fn wait_load_end(&self) -> Result<(), RigError> {
+    pub async fn wait_load_end(&self) -> Result<(), HarnessError> {
         sleep_until(self.origins.load.get().1 + Duration::from_micros(self.spec.length.0)).await;
         self.drain_load().await
     }
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// Fails if a request does not finish.
-    pub async fn drain_load(&self) -> Result<(), RigError> {
+    pub async fn drain_load(&self) -> Result<(), HarnessError> {
         self.load.stop();
         let (mut open, bound) =
             (self.load.open_requests(), max_request_duration(&self.spec) + TRIGGER_TIMEOUT);
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// Fails if a process is left, or if the trace cannot be written or overflowed.
-    pub async fn finish(self, trace: Option<&Path>) -> Result<Report, RigError> {
+    pub async fn finish(self, trace: Option<&Path>) -> Result<Report, HarnessError> {
         self.load.stop();
         let all: Vec<usize> = (0..self.hosts.len()).collect();
         self.hosts.iter().for_each(|host| host.kill());
@@ -86,7 +86,7 @@
             .filter(|pid| is_running(*pid, &self.folder))
             .collect();
         if !remaining.is_empty() {
-            return Err(RigError::ProcessesLeft(remaining));
+            return Err(HarnessError::ProcessesLeft(remaining));
         }
         if let Some(path) = trace {
             let mut file = BufWriter::new(std::fs::File::create(path)?);
@@ -95,7 +95,7 @@
         }
         match self.recorder.dropped() {
             0 => Ok(judge::check_invariants(&self.spec, &self.recorder.records())),
-            dropped => Err(RigError::TraceOverflow(dropped)),
+            dropped => Err(HarnessError::TraceOverflow(dropped)),
         }
     }
 }
--- a/crates/fault-harness/src/harness/wait.rs
+++ b/crates/fault-harness/src/harness/wait.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-use super::{Harness, RigError};
+use super::{Harness, HarnessError};
 use crate::relay::Site;
 use crate::spec::When;
 use crate::trace::{Event, Record, WaitTimeout};
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// Names the event that did not happen within `bound`. Triggers that are points of time ignore the bound.
-    pub async fn wait_trigger(&self, when: &When, bound: Duration) -> Result<(), RigError> {
+    pub async fn wait_trigger(&self, when: &When, bound: Duration) -> Result<(), HarnessError> {
         let ((load, load_started), (fault, fault_injected)) =
             (self.origins.load.get(), self.origins.fault.get());
         match when {
@@ -79,7 +79,7 @@
         what: &str,
         count: u64,
         mut is_match: impl FnMut(&Record) -> bool,
-    ) -> Result<(), RigError> {
+    ) -> Result<(), HarnessError> {
         let mut remaining = count;
         let is_last = |record: &Record| {
             remaining -= u64::from(remaining > 0 && is_match(record));
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Fails if one does not within `bound`, or has ended by itself.
-    pub async fn wait_ready(&self, nodes: &[usize], bound: Duration) -> Result<(), RigError> {
+    pub async fn wait_ready(&self, nodes: &[usize], bound: Duration) -> Result<(), HarnessError> {
         for node in nodes {
             let generation = self.hosts[*node].next_generation() - 1;
             let is_match = |r: &Record| match r.event {
@@ -104,7 +104,7 @@
             };
             self.recorder.wait_for(0, bound, &format!("n{node} ready"), is_match).await?;
             if self.hosts[*node].ended_unexpectedly() {
-                return Err(RigError::NodeEnded { node: *node, log: self.hosts[*node].log() });
+                return Err(HarnessError::NodeEnded { node: *node, log: self.hosts[*node].log() });
             }
         }
         Ok(())
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     /// Fails if one has not within `bound`.
-    pub async fn wait_ended(&self, nodes: &[usize], bound: Duration) -> Result<(), RigError> {
+    pub async fn wait_ended(&self, nodes: &[usize], bound: Duration) -> Result<(), HarnessError> {
         let end = Instant::now() + bound;
         for node in nodes {
             let ended = timeout_at(end, self.hosts[*node].wait_ended()).await;
--- a/crates/fault-harness/src/judge/counts.rs
+++ b/crates/fault-harness/src/judge/counts.rs
@@ -22,7 +22,7 @@
 pub struct BoxCounts {
     /// Connection limit of the box.
     #[serde(rename = "whole")]
-    pub whole: u32,
+    pub connection_limit: u32,
     /// Maximum number of connections open at once.
     pub peak_open: u32,
     /// Number of accepted connections.
@@ -68,10 +68,10 @@
     pub placed: Option<(usize, u64, u64)>,
     /// Total scheduling delay of the harness, by which time limits were extended.
     #[serde(rename = "starved")]
-    pub starved: Span,
+    pub scheduling_delay: Span,
     /// Number of starts of each node.
     #[serde(rename = "lives")]
-    pub lives: Vec<u32>,
+    pub process_starts: Vec<u32>,
     /// Time from the last fault until every further second serves 98% of the share that was served before the first
     /// fault; `None` if there was no fault, no request before it, or if the last second does not.
     pub full_service: Option<Span>,
@@ -86,7 +86,7 @@
         let mut counts = Counts {
             boxes: spec.each_box().map(|_| template.clone()).collect(),
             tenants: spec.tenants.iter().map(|t| (t.name.clone(), 0, 0)).collect(),
-            lives: vec![0; usize::from(spec.nodes.count)],
+            process_starts: vec![0; usize::from(spec.nodes.count)],
             full_service: full_service(records),
             ..Counts::default()
         };
@@ -114,7 +114,7 @@
                     }
                 }
                 Event::Ended { how, .. } => *counts.tries.entry(*how).or_default() += 1,
-                Event::NodeStarted { node, .. } => counts.lives[*node] += 1,
+                Event::NodeStarted { node, .. } => counts.process_starts[*node] += 1,
                 Event::Attempt { of, connection, tenant: Some(tenant), .. } => {
                     commands.insert((*of, *connection), *tenant);
                     counts.boxes[*of].count_command(*tenant, true);
@@ -125,7 +125,7 @@
                         counts.boxes[*of].count_command(tenant, false);
                     }
                 }
-                Event::Late { by } => counts.starved = counts.starved + Span(*by),
+                Event::Late { by } => counts.scheduling_delay = counts.scheduling_delay + Span(*by),
                 event => counts.connection(event),
             }
         }
@@ -134,7 +134,7 @@
 
     fn connection(&mut self, event: &Event) {
         match event {
-            Event::BoxUp { of, whole, .. } => self.boxes[*of].whole = *whole,
+            Event::BoxUp { of, whole, .. } => self.boxes[*of].connection_limit = *whole,
             Event::Opened { of, .. } => {
                 let counts = &mut self.boxes[*of];
                 (counts.opened, counts.open) = (counts.opened + 1, counts.open + 1);
--- a/crates/fault-harness/src/judge/report.rs
+++ b/crates/fault-harness/src/judge/report.rs
@@ -16,10 +16,10 @@
     pub counts: Counts,
     /// Number of violations of rules.
     #[serde(rename = "broken")]
-    pub broken: u64,
+    pub violation_count: u64,
     /// The first violations, at most 50.
     #[serde(rename = "breaches")]
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// Results that the scenario expected and that were not reached.
     pub missing: Vec<String>,
 }
@@ -32,15 +32,15 @@
             name: spec.name.clone(),
             seed: spec.seed,
             counts,
-            broken: count,
-            breaches: reported,
+            violation_count: count,
+            violations: reported,
             missing,
         }
     }
 
     /// Whether no rule was violated and all expected results were reached.
     pub fn is_good(&self) -> bool {
-        self.broken == 0 && self.missing.is_empty()
+        self.violation_count == 0 && self.missing.is_empty()
     }
 }
 
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -14,6 +14,6 @@
 pub mod spec;
 pub mod trace;
 
-pub use harness::{block_on, play, Harness, Options, RigError};
+pub use harness::{block_on, play, Harness, HarnessError, Options};
 pub use judge::Report;
 pub use spec::Spec;
--- a/crates/hallpin/src/failure.rs
+++ b/crates/hallpin/src/failure.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use hallpin_emulator::{PlayError, SocketsError};
-use hallpin_fault_harness::{RigError, Spec};
+use hallpin_fault_harness::{HarnessError, Spec};
 use hallpin_fleet_test::play::TrialError;
 use hallpin_loadgen::chart::ChartError;
 use hallpin_loadgen::load::LoadError;
@@ -30,7 +30,7 @@
     Sockets(#[from] SocketsError),
     /// A fault scenario did not run to its end.
     #[error(transparent)]
-    FaultHarness(#[from] RigError),
+    FaultHarness(#[from] HarnessError),
     /// A fleet trial failed.
     #[error(transparent)]
     Trial(#[from] TrialError),
--- a/crates/hallpin/src/faults.rs
+++ b/crates/hallpin/src/faults.rs
@@ -54,7 +54,7 @@
     };
     println!("{}, seed {}\n", spec.name, spec.seed);
     let played = block_on(play(spec, &harness_options, options.trace.as_deref()))
-        .map_err(hallpin_fault_harness::RigError::from)?;
+        .map_err(hallpin_fault_harness::HarnessError::from)?;
     if played.is_err() {
         // Keeps the folder: the error may name a node's log in it.
         let _ = folder.keep();
@@ -70,11 +70,11 @@
 
 fn print_report(report: &Report) {
     println!("{}\n\n{}\n", box_table(&report.counts), totals_table(&report.counts));
-    for violation in &report.breaches {
+    for violation in &report.violations {
         println!("{:.6} s: {}: {}", violation.at.as_secs(), violation.rule, violation.what);
     }
     report.missing.iter().for_each(|what| println!("missing: {what}"));
-    match report.broken {
+    match report.violation_count {
         0 => println!("rules: kept"),
         broken => println!("rules: broken {broken} times"),
     }
@@ -86,11 +86,11 @@
     let head = ["box", "whole", "most open", "opened", "most used by tenant"].into_iter().chain(answers);
     table.load_preset(UTF8_HORIZONTAL_ONLY).set_header(head);
     for (index, box_counts) in counts.boxes.iter().enumerate() {
-        let BoxCounts { whole, peak_open, opened, peak_used, answers, .. } = box_counts;
+        let BoxCounts { connection_limit, peak_open, opened, peak_used, answers, .. } = box_counts;
         let peak_used: Vec<String> = peak_used.iter().map(u32::to_string).collect();
         let mut row = vec![
             format!("b{index}"),
-            whole.to_string(),
+            connection_limit.to_string(),
             peak_open.to_string(),
             opened.to_string(),
             peak_used.join(" "),
@@ -123,15 +123,15 @@
         "datagrams, lost, most of one node a second".into(),
         format!("{}, {}, {}", datagrams.sent, datagrams.lost, datagrams.peak),
     ]);
-    let incarnations: Vec<String> = counts.lives.iter().map(u32::to_string).collect();
-    table.add_row(["incarnations of each node".into(), incarnations.join(" ")]);
+    let process_starts: Vec<String> = counts.process_starts.iter().map(u32::to_string).collect();
+    table.add_row(["incarnations of each node".into(), process_starts.join(" ")]);
     if let Some((tables, misrouted, all)) = counts.placed {
         let counted = format!("{tables}, {misrouted} of {all}");
         table.add_row(["tables, first attempts to no table's owner".into(), counted]);
     }
     table.add_row([
         "scheduling delay of the harness itself".into(),
-        format!("{:.1} s", counts.starved.as_secs()),
+        format!("{:.1} s", counts.scheduling_delay.as_secs()),
     ]);
     let full = counts.full_service.map_or("-".into(), |took| format!("{:.1} s", took.as_secs()));
     table.add_row(["full service after the last fault".into(), full]);
