--- a/crates/fault-harness/src/harness/play.rs
+++ b/crates/fault-harness/src/harness/play.rs
@@ -8,7 +8,7 @@
 
 use super::{Harness, HarnessError, Options};
 use crate::fakes::max_request_duration;
-use crate::judge::{self, Report};
+use crate::invariants::{self, Report};
 use crate::spec::Spec;
 use crate::trace::{Event, Recorder, WaitTimeout};
 
@@ -94,7 +94,7 @@
             file.flush()?;
         }
         match self.recorder.dropped() {
-            0 => Ok(judge::check_invariants(&self.spec, &self.recorder.records())),
+            0 => Ok(invariants::check_invariants(&self.spec, &self.recorder.records())),
             dropped => Err(HarnessError::TraceOverflow(dropped)),
         }
     }
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -8,12 +8,12 @@
 
 pub mod fakes;
 pub mod harness;
-pub mod judge;
+pub mod invariants;
 pub mod process;
 pub mod relay;
 pub mod spec;
 pub mod trace;
 
 pub use harness::{block_on, play, Harness, HarnessError, Options};
-pub use judge::Report;
+pub use invariants::Report;
 pub use spec::Spec;
--- a/crates/hallpin/src/faults.rs
+++ b/crates/hallpin/src/faults.rs
@@ -6,7 +6,7 @@
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::Table;
 use hallpin_emulator::process::Program;
-use hallpin_fault_harness::judge::{BoxCounts, Counts};
+use hallpin_fault_harness::invariants::{BoxCounts, Counts};
 use hallpin_fault_harness::{block_on, play, Options as HarnessOptions, Report};
 
 use crate::failure::{self, Failure};
