--- a/crates/store/src/incarnation.rs
+++ b/crates/store/src/incarnation.rs
@@ -49,7 +49,7 @@
     }
 
     /// An incarnation that cannot be written, or whose predecessor is unknown. A node without a store starts with this
-    /// and [`Past::Unknown`].
+    /// and [`StoredIncarnation::Unknown`].
     pub fn unwritten(past: StoredIncarnation, now_unix_ms: u64, step_back: Duration) -> Self {
         let least = match past {
             StoredIncarnation::Unknown => 0,
