--- a/crates/emulator/src/sockets/agent.rs
+++ b/crates/emulator/src/sockets/agent.rs
@@ -57,7 +57,7 @@
         Ok(response)
     };
     if request.uri().path() != "/discovery/hosts" {
-        return respond(StatusCode::NOT_FOUND, "unknown path".into());
+        return respond(StatusCode::NOT_FOUND, "no such thing here".into());
     }
     let query = request.uri().query().unwrap_or("");
     let parameter = |name: &str| {
--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -206,15 +206,15 @@
             Some(PendingAnswer { reply, due: None, token: Some(token), delay })
         }
         _ if silent => None,
-        Call::Ready => {
+        Call::HealthCheck => {
             environment.borrow_mut().health_checked(box_id);
             Some(immediate(b"MN\r\n".to_vec()))
         }
-        Call::Load => {
+        Call::LoadReport => {
             environment.borrow_mut().health_checked(box_id);
             let load = environment.borrow_mut().load(box_id);
             Some(immediate(cache_server::load(&load)))
         }
-        Call::Bad { answer, .. } => Some(immediate(answer.as_bytes().to_vec())),
+        Call::Invalid { answer, .. } => Some(immediate(answer.as_bytes().to_vec())),
     }
 }
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use hallpin_protocol::client::{next_answer, Answer, Ask};
+use hallpin_protocol::client::{next_answer, Answer, ClientCommand};
 use hallpin_simulation::clients::Reply;
 use hallpin_simulation::day::Entry;
 use hallpin_simulation::keys;
@@ -159,15 +159,15 @@
     let class = &day.classes[request.class];
     let opaque = format!("{id:x}");
     let effect = request.effect.map(|key| format!("{key:016x}"));
-    let command = Ask {
+    let command = ClientCommand {
         key: &keys::name(request.key),
         value: class.write.then_some(b"reported".as_slice()),
         opaque: &opaque,
         class: &class.name,
         tenant: request.tenant.map(|t| day.tenants[t].name.as_str()),
         wait: Duration::from_micros(until.since(now).0),
-        work: request.hint.map(Duration::from_secs_f64),
-        effect_key: effect.as_deref(),
+        work_hint: request.hint.map(Duration::from_secs_f64),
+        idempotency_key: effect.as_deref(),
         retry: false,
     };
     let command = TimedCommand { text: command.to_bytes(), write_time: Duration::from_micros(writing.0) };
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -143,7 +143,7 @@
         let load = if self.day.limits.reports { self.load(box_id) } else { Vec::new() };
         let (how, text) = match answer {
             BoxAnswer::Served { note, version } => {
-                let remarks = Remarks { note: Some(note), load };
+                let remarks = AnswerMetadata { cache_note: Some(note), load };
                 let text = match job.write {
                     Some(_) => cache_server::receipt(&opaque, &version.to_string(), &remarks),
                     None => {
@@ -153,8 +153,12 @@
                 };
                 (Ended::Success, text)
             }
-            BoxAnswer::Busy => (Ended::Overloaded, cache_server::busy(&Remarks { note: None, load })),
-            BoxAnswer::Failed => (Ended::Error, cache_server::failed(&Remarks { note: None, load })),
+            BoxAnswer::Busy => {
+                (Ended::Overloaded, cache_server::busy(&AnswerMetadata { cache_note: None, load }))
+            }
+            BoxAnswer::Failed => {
+                (Ended::Error, cache_server::failed(&AnswerMetadata { cache_note: None, load }))
+            }
         };
         let hit = matches!(answer, BoxAnswer::Served { note: CacheNote::Hit, .. });
         if how != Ended::Overloaded {
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -60,10 +60,10 @@
         let check = async {
             let mut connection = self.acquire(server, until, false).await?;
             let broken = |_| Status::Broken;
-            connection.stream.write_all(protocol::PROBE).await.map_err(broken)?;
+            connection.stream.write_all(protocol::HEALTH_CHECK).await.map_err(broken)?;
             let mut buf = BytesMut::new();
             let ready = loop {
-                match protocol::next_probed(&mut buf) {
+                match protocol::next_health_check_answer(&mut buf) {
                     Ok(Some(ready)) => break ready,
                     Ok(None) if connection.stream.read_buf(&mut buf).await.map_err(broken)? > 0 => {}
                     Ok(None) => return Err(Status::Broken),
@@ -124,7 +124,7 @@
                     return Err(Status::Unreachable);
                 }
                 // The forwarded time counts from here, however long the first byte was blocked before.
-                text = call.command.forward(call.until.saturating_duration_since(now)).into();
+                text = call.command.encode_for_server(call.until.saturating_duration_since(now)).into();
                 forwarded_at = now;
             } else if now >= forwarded_at + FORWARDED_TIME_SLACK {
                 return Err(Status::Unreachable);
@@ -201,16 +201,16 @@
             Reply::Busy if busy_is_proof => Status::Overloaded.into(),
             Reply::Busy => UNREADABLE_ANSWER.into(),
             Reply::Failed => Status::Error.into(),
-            Reply::Served { opaque, body, note } => {
-                let Some(text) = protocol::served(&call.command, &opaque, &body) else {
+            Reply::Served { opaque, body, cache_note } => {
+                let Some(text) = protocol::client_answer(&call.command, &opaque, &body) else {
                     return UNREADABLE_ANSWER.into();
                 };
                 let served = |body| AttemptResult {
                     status: Status::Success,
-                    note,
+                    note: cache_note,
                     answer: Some(ServedAnswer { text, body }),
                 };
-                if let Body::Long(length) = body {
+                if let Body::Streamed(length) = body {
                     let body = BodyStream::new(self.clone(), server.clone(), connection, buf, length, call);
                     return served(Some(body));
                 }
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -8,7 +8,7 @@
 use hallpin_balancer::Key;
 
 use crate::line::{line_length, parse_digits};
-use crate::{MAX_KEY_BYTES, MAX_OPAQUE_BYTES, MAX_WHOLE};
+use crate::{MAX_BUFFERED_VALUE_BYTES, MAX_KEY_BYTES, MAX_OPAQUE_BYTES};
 
 /// The kind of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// How long the client waits for the answer, from sending the command on.
     pub wait: Duration,
     /// The client's estimate of the work that the command needs.
-    pub work: Option<Duration>,
+    pub work_hint: Option<Duration>,
     line: Bytes,
     opaque: Range<usize>,
     /// Position of the digits of `d` in the line.
@@ -47,9 +47,9 @@
     /// A read or a write.
     Command(Box<Command>),
     /// `mn`: asks whether the node is ready.
-    Ready,
+    HealthCheck,
     /// Not a valid command.
-    Bad {
+    Invalid {
         /// The answer line.
         answer: &'static str,
         /// The framing is lost, so the connection must be closed.
@@ -58,12 +58,14 @@
 }
 
 pub(crate) const INVALID_LINE: Input =
-    Input::Bad { answer: "CLIENT_ERROR bad command line format\r\n", close: false };
-pub(crate) const UNKNOWN_COMMAND: Input = Input::Bad { answer: "ERROR\r\n", close: false };
-pub(crate) const LINE_TOO_LONG: Input = Input::Bad { answer: "CLIENT_ERROR line too long\r\n", close: true };
+    Input::Invalid { answer: "CLIENT_ERROR bad command line format\r\n", close: false };
+pub(crate) const UNKNOWN_COMMAND: Input = Input::Invalid { answer: "ERROR\r\n", close: false };
+pub(crate) const LINE_TOO_LONG: Input =
+    Input::Invalid { answer: "CLIENT_ERROR line too long\r\n", close: true };
 pub(crate) const VALUE_TOO_LARGE: Input =
-    Input::Bad { answer: "CLIENT_ERROR value too large\r\n", close: true };
-pub(crate) const INVALID_BLOCK: Input = Input::Bad { answer: "CLIENT_ERROR bad data chunk\r\n", close: true };
+    Input::Invalid { answer: "CLIENT_ERROR value too large\r\n", close: true };
+pub(crate) const INVALID_BLOCK: Input =
+    Input::Invalid { answer: "CLIENT_ERROR bad data chunk\r\n", close: true };
 
 /// Removes the next complete command from `buf`; `None` while it is incomplete.
 pub fn next_input(buf: &mut BytesMut) -> Option<Input> {
@@ -84,7 +86,7 @@
     let words: Vec<&str> = text.split(' ').collect();
     let length = match (words[0], words.get(2)) {
         ("ms", Some(length)) => match parse_digits::<usize>(length) {
-            Some(length) if length <= MAX_WHOLE => Some(length),
+            Some(length) if length <= MAX_BUFFERED_VALUE_BYTES => Some(length),
             Some(_) => return Some(VALUE_TOO_LARGE),
             None => return Some(INVALID_BLOCK),
         },
@@ -92,7 +94,7 @@
         ("mg", _) => None,
         ("mn", None) if words.len() == 1 => {
             buf.advance(end + 1);
-            return Some(Input::Ready);
+            return Some(Input::HealthCheck);
         }
         _ => {
             buf.advance(end + 1);
@@ -116,12 +118,12 @@
 
 /// A lower bound on the bytes still missing from the incomplete command at the start of `buf`: 1 while its line is
 /// incomplete, as the next byte may end it, and the exact number for a data block.
-pub fn missing(buf: &[u8]) -> usize {
+pub fn min_missing_bytes(buf: &[u8]) -> usize {
     let Ok(Some(end)) = line_length(buf) else { return 1 };
     let mut words = buf[..end].strip_suffix(b"\r").unwrap_or_default().split(|&b| b == b' ');
     let verb = words.next();
     let length = words.nth(1).and_then(|word| std::str::from_utf8(word).ok()).and_then(parse_digits::<usize>);
-    let length = length.filter(|&length| verb == Some(b"ms") && length <= MAX_WHOLE);
+    let length = length.filter(|&length| verb == Some(b"ms") && length <= MAX_BUFFERED_VALUE_BYTES);
     (end + 1 + length.map_or(0, |length| length + 2)).saturating_sub(buf.len()).max(1)
 }
 
@@ -156,15 +158,16 @@
     if wants_value != (verb == Verb::Get) {
         return None;
     }
-    let (mut class, mut tenant, mut wait, mut work, mut effect_key) = (None, None, None, None, None);
+    let (mut class, mut tenant, mut wait, mut work_hint, mut idempotency_key) =
+        (None, None, None, None, None);
     for pair in params?.split(',') {
         let (name, value) = pair.split_once('=')?;
         let slot = match name {
             "c" => &mut class,
             "t" => &mut tenant,
             "d" => &mut wait,
-            "h" => &mut work,
-            "k" => &mut effect_key,
+            "h" => &mut work_hint,
+            "k" => &mut idempotency_key,
             _ => continue,
         };
         // Rejected, because the cache server might use the other one of two values.
@@ -174,7 +177,7 @@
     }
     let wait_text = wait?;
     let wait = parse_digits::<u32>(wait_text)?;
-    let work = match work {
+    let work_hint = match work_hint {
         Some(text) => Some(Duration::from_micros(parse_digits::<u32>(text)?.into())),
         None => None,
     };
@@ -184,7 +187,7 @@
         class: class?.into(),
         tenant: tenant.map(Into::into),
         wait: Duration::from_millis(wait.into()),
-        work,
+        work_hint,
         opaque: range_of(opaque?),
         wait_digits: range_of(wait_text),
         line: line.clone(),
@@ -207,13 +210,13 @@
     }
 
     /// Approximate size of the command in memory, in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.line.len() + self.value.len()
     }
 
     /// Encodes the command for a cache server: unchanged except for how long the answer is waited for.
-    pub fn forward(&self, wait: Duration) -> Vec<u8> {
-        let mut out = Vec::with_capacity(self.weight() + 16);
+    pub fn encode_for_server(&self, wait: Duration) -> Vec<u8> {
+        let mut out = Vec::with_capacity(self.memory_bytes() + 16);
         out.extend_from_slice(&self.line[..self.wait_digits.start]);
         out.extend_from_slice(wait.as_millis().to_string().as_bytes());
         out.extend_from_slice(&self.line[self.wait_digits.end..]);
--- a/crates/protocol/src/tests.rs
+++ b/crates/protocol/src/tests.rs
@@ -39,7 +39,7 @@
         let expected = [
             Input::Command(Box::new(parse_valid(GET))),
             Input::Command(Box::new(parse_valid(SET))),
-            Input::Ready,
+            Input::HealthCheck,
         ];
         assert_eq!(got, expected, "cut at {cut}");
         assert!(buf.is_empty());
@@ -49,17 +49,20 @@
 #[test]
 fn a_command_is_forwarded_unchanged_except_for_d() {
     let wait = Duration::from_micros(77_900);
-    assert_eq!(parse_valid(GET).forward(wait), GET.replace("d=480", "d=77").as_bytes());
-    assert_eq!(parse_valid(SET).forward(wait), SET.replace("d=480", "d=77").as_bytes());
-    assert_eq!(parse_valid(GET).work, Some(Duration::from_micros(1500)));
+    assert_eq!(parse_valid(GET).encode_for_server(wait), GET.replace("d=480", "d=77").as_bytes());
+    assert_eq!(parse_valid(SET).encode_for_server(wait), SET.replace("d=480", "d=77").as_bytes());
+    assert_eq!(parse_valid(GET).work_hint, Some(Duration::from_micros(1500)));
     // A parameter whose name only ends in `d`, and a key that looks like the parameter, must stay unchanged.
     let lookalike = "mg d=480 v Od=480 Pbid=480,c=read,d=480\r\n";
-    assert_eq!(parse_valid(lookalike).forward(wait), lookalike.replace("read,d=480", "read,d=77").as_bytes());
+    assert_eq!(
+        parse_valid(lookalike).encode_for_server(wait),
+        lookalike.replace("read,d=480", "read,d=77").as_bytes()
+    );
 }
 
 #[test]
 fn a_health_check_is_answered_by_one_complete_line() {
-    let decode_health = |text: &str| next_probed(&mut BytesMut::from(text));
+    let decode_health = |text: &str| next_health_check_answer(&mut BytesMut::from(text));
     assert_eq!(decode_health("MN\r\n"), Ok(Some(true)));
     assert_eq!(decode_health("MN Linflight=7\r\n"), Ok(Some(true)));
     assert_eq!(decode_health("SERVER_ERROR not ready\r\n"), Ok(Some(false)));
@@ -116,7 +119,7 @@
     // After an invalid line with a valid length, the data block is skipped and the framing is kept.
     let mut buf = BytesMut::from(&b"ms k 4 Oa\r\nmn\r\n\r\nmn\r\n"[..]);
     assert_eq!(next_input(&mut buf), Some(INVALID_LINE));
-    assert_eq!(next_input(&mut buf), Some(Input::Ready));
+    assert_eq!(next_input(&mut buf), Some(Input::HealthCheck));
 }
 
 #[test]
@@ -132,8 +135,8 @@
         assert_eq!(decode_one(text.as_bytes()), Some(INVALID_BLOCK), "{text}");
     }
     assert_eq!(decode_one(b"ms k 65537 Oa Pc=r,d=1\r\n"), Some(VALUE_TOO_LARGE));
-    assert_eq!(decode_one(&[b'a'; MAX_LINE + 1]), None);
-    assert_eq!(decode_one(&[b'a'; MAX_LINE + 2]), Some(LINE_TOO_LONG));
+    assert_eq!(decode_one(&[b'a'; MAX_LINE_BYTES + 1]), None);
+    assert_eq!(decode_one(&[b'a'; MAX_LINE_BYTES + 2]), Some(LINE_TOO_LONG));
 }
 
 fn reply(text: &[u8]) -> Result<Option<Reply>, Malformed> {
@@ -158,12 +161,12 @@
         let value = Reply::Served {
             opaque: opaque.clone(),
             body: Body::Value(Bytes::from_static(b"he\r\nl")),
-            note: Some(CacheNote::MissFetching),
+            cache_note: Some(CacheNote::MissFetching),
         };
         let receipt = Reply::Served {
             opaque,
             body: Body::Receipt(Bytes::from_static(b"77")),
-            note: Some(CacheNote::Hit),
+            cache_note: Some(CacheNote::Hit),
         };
         assert_eq!(got, [value, receipt, Reply::Busy, Reply::Failed], "cut at {cut}");
     }
@@ -187,17 +190,17 @@
     ] {
         assert_eq!(reply(text.as_bytes()), Err(Malformed), "{text}");
     }
-    assert_eq!(reply(&[b'V'; MAX_LINE + 2]), Err(Malformed));
+    assert_eq!(reply(&[b'V'; MAX_LINE_BYTES + 2]), Err(Malformed));
 }
 
 #[test]
 fn only_the_line_of_a_long_value_is_removed() {
     let mut buf = BytesMut::from(&b"VA 65537 O9b1f h1\r\nabc"[..]);
     let Ok(Some(Reply::Served { opaque, body, .. })) = next_reply(&mut buf) else { panic!("an answer") };
-    assert_eq!((&opaque[..], &body, &buf[..]), (&b"9b1f"[..], &Body::Long(65537), &b"abc"[..]));
-    assert_eq!(served(&parse_valid(GET), &opaque, &body).unwrap(), "VA 65537 O9b1f\r\n");
-    assert_eq!(served(&parse_valid(SET), &opaque, &body), None);
-    assert_eq!(served(&parse_valid(GET), b"9b1e", &body), None);
+    assert_eq!((&opaque[..], &body, &buf[..]), (&b"9b1f"[..], &Body::Streamed(65537), &b"abc"[..]));
+    assert_eq!(client_answer(&parse_valid(GET), &opaque, &body).unwrap(), "VA 65537 O9b1f\r\n");
+    assert_eq!(client_answer(&parse_valid(SET), &opaque, &body), None);
+    assert_eq!(client_answer(&parse_valid(GET), b"9b1e", &body), None);
 }
 
 /// An ambiguous line must not let a request be sent again, and a garbled load report must not invalidate an answer.
@@ -221,11 +224,11 @@
     let value = Body::Value(Bytes::from_static(b"hello"));
     let receipt = Body::Receipt(Bytes::from_static(b"77"));
     let (get, set) = (parse_valid(GET), parse_valid(SET));
-    assert_eq!(served(&get, b"9b1f", &value).unwrap(), "VA 5 O9b1f\r\nhello\r\n");
-    assert_eq!(served(&set, b"9b1f", &receipt).unwrap(), "HD O9b1f c77\r\n");
-    assert_eq!(served(&get, b"9b1e", &value), None);
-    assert_eq!(served(&get, b"9b1f", &receipt), None);
-    assert_eq!(served(&set, b"9b1f", &value), None);
+    assert_eq!(client_answer(&get, b"9b1f", &value).unwrap(), "VA 5 O9b1f\r\nhello\r\n");
+    assert_eq!(client_answer(&set, b"9b1f", &receipt).unwrap(), "HD O9b1f c77\r\n");
+    assert_eq!(client_answer(&get, b"9b1e", &value), None);
+    assert_eq!(client_answer(&get, b"9b1f", &receipt), None);
+    assert_eq!(client_answer(&set, b"9b1f", &value), None);
 }
 
 #[test]
@@ -234,7 +237,7 @@
     assert_eq!(busy(None), "SERVER_ERROR busy\r\n");
 }
 
-/// Reading as many bytes as `missing` says, repeatedly, completes a command and never reads beyond it.
+/// Reading as many bytes as `min_missing_bytes` says, repeatedly, completes a command and never reads beyond it.
 #[test]
 fn missing_never_counts_bytes_of_the_next_command() {
     for text in [GET, SET, "mn\r\n", "get k\r\n", "ms k x\r\n", "ms k 65537 Oa\r\n"] {
@@ -244,7 +247,7 @@
                 if let Some(input) = next_input(&mut buf) {
                     break input;
                 }
-                let (received, more) = (buf.len(), missing(&buf));
+                let (received, more) = (buf.len(), min_missing_bytes(&buf));
                 assert!((1..=text.len() - received).contains(&more), "{text:?}: {more} more than {received}");
                 buf.extend_from_slice(&text.as_bytes()[received..received + more]);
             };
