--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Environment {
+    /// Subscribes to the mode of a box's machine.
     pub fn mode(&self, box_id: BoxId) -> watch::Receiver<MachineMode> {
         self.box_states[box_id].mode.subscribe()
     }
@@ -32,6 +33,7 @@
         taken
     }
 
+    /// Registers the end of a connection, unless its incarnation of the process has ended.
     pub fn disconnected(&mut self, box_id: BoxId, incarnation: u32) {
         let now = self.now();
         if self.box_states[box_id].incarnation == incarnation && self.box_states[box_id].cache.is_up() {
@@ -40,6 +42,7 @@
         }
     }
 
+    /// Counts a health check, which costs the box work.
     pub fn health_checked(&mut self, box_id: BoxId) {
         let (now, mut outputs) = (self.now(), Vec::new());
         self.record(Event::Probed { of: box_id });
@@ -108,6 +111,7 @@
         }
     }
 
+    /// Carries out a box's outputs and schedules its next wake-up.
     pub(super) fn process_box_outputs(&mut self, box_id: BoxId, outputs: Vec<BoxOut>) {
         for out in outputs {
             match out {
@@ -134,6 +138,8 @@
         }
     }
 
+    /// Encodes a box's answer and sends it to the attempt's connection, unless a fault loses it or resets the
+    /// connection.
     pub(super) fn box_answers(&mut self, box_id: BoxId, token: u64, answer: BoxAnswer) {
         let Some(PendingAttempt { reply, id, attempt, opaque, job, .. }) =
             self.pending_attempts.remove(&token)
@@ -177,12 +183,14 @@
         let _ = reply.send(text);
     }
 
+    /// Passes a box's call to the planner on to the origin.
     pub(super) fn call_origin(&mut self, by: BoxId, ask: Ask, cold: bool) {
         let (now, incarnation, mut outputs) = (self.now(), self.box_states[by].incarnation, Vec::new());
         self.origin.ask(now, by, incarnation, ask, cold, &mut outputs);
         self.process_origin_outputs(outputs);
     }
 
+    /// Carries out the origin's outputs.
     pub(super) fn process_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
         for out in outputs {
             match out {
@@ -214,12 +222,14 @@
         self.box_states[box_id].mode.send_replace(mode);
     }
 
+    /// Stops a box's process.
     pub(super) fn stop_box(&mut self, box_id: BoxId) {
         self.box_states[box_id].cache.stop();
         self.record(Event::BoxDown { of: box_id });
         self.end_process(box_id, MachineMode::Down);
     }
 
+    /// Starts a box with a cold cache and announces it to the endpoint list.
     pub(super) fn start_box(&mut self, box_id: BoxId) {
         let now = self.now();
         self.end_process(box_id, MachineMode::Down);
@@ -236,6 +246,7 @@
         );
     }
 
+    /// Records that a box's process runs, with its capacity.
     pub(super) fn record_box_up(&mut self, of: BoxId, cold: bool) {
         let spec = &self.day.boxes[of];
         let (capacity, size, from, ramp) = (spec.capacity(), spec.size, spec.cold_from, spec.ramp);
--- a/crates/emulator/src/sockets/environment/incidents.rs
+++ b/crates/emulator/src/sockets/environment/incidents.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Environment {
+    /// Applies an incident and schedules its end, if it has a duration.
     pub(super) fn incident_begins(&mut self, index: usize) {
         let day = self.day.clone();
         let scheduled = &day.incidents[index];
@@ -50,6 +51,7 @@
         }
     }
 
+    /// Reverts an incident.
     pub(super) fn incident_ends(&mut self, index: usize) {
         self.record(Event::Ends { incident: index });
         let day = self.day.clone();
@@ -99,6 +101,7 @@
         }
     }
 
+    /// Kills a box's process and announces its end to the endpoint list; does nothing while the box is silent or down.
     pub(super) fn kill_box(&mut self, box_id: BoxId) {
         if self.box_states[box_id].silent == 0 && self.box_states[box_id].cache.is_up() {
             self.stop_box(box_id);
@@ -109,6 +112,7 @@
         }
     }
 
+    /// Starts a box again, unless it is silent, already up, or has fallen.
     pub(super) fn revive_box(&mut self, box_id: BoxId) {
         let box_state = &self.box_states[box_id];
         if box_state.silent == 0 && !box_state.cache.is_up() && !box_state.cache.has_fallen() {
@@ -128,6 +132,7 @@
         self.process_box_outputs(box_id, Vec::new());
     }
 
+    /// Silences a box's machine and announces its end to the endpoint list.
     pub(super) fn silence_box(&mut self, box_id: BoxId) {
         self.box_states[box_id].silent += 1;
         if self.box_states[box_id].silent > 1 || !self.box_states[box_id].cache.is_up() {
@@ -142,6 +147,7 @@
         );
     }
 
+    /// Ends one silencing incident of a box and starts the box again after the last one.
     pub(super) fn end_box_silence(&mut self, box_id: BoxId) {
         self.box_states[box_id].silent -= 1;
         self.revive_box(box_id);
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Environment {
+    /// Applies a change to the endpoint list, unless the box's state has changed since the change was scheduled.
     pub(super) fn apply_list_change(&mut self, listing: Listing) {
         let box_state = &self.box_states[listing.cache_box];
         let (up, silent) = (box_state.cache.is_up(), box_state.silent > 0);
@@ -15,6 +16,7 @@
         }
     }
 
+    /// Schedules the update of each node's agent after a random delay, and after the delay of faults.
     pub(super) fn schedule_agent_updates(&mut self) {
         for node in 0..self.agents.len() {
             let spread = Span::from_secs(self.chance.between(0.0, self.day.list.spread.as_secs()));
@@ -24,6 +26,8 @@
         }
     }
 
+    /// Gives an agent the list as of this revision, or the current one, unless discovery is silent or the list is not
+    /// newer.
     pub(super) fn update_agent(&mut self, node: NodeId, until: Option<u64>) {
         let list = match until {
             Some(until) => self.list.until(until),
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -166,6 +166,7 @@
         }
     }
 
+    /// Schedules an event, and wakes the event loop if it is the earliest.
     fn schedule(&mut self, at: Time, event: ScheduledEvent) {
         let first = self.next_event_time().is_none_or(|next| at < next);
         self.agenda.enter(at, event);
@@ -237,6 +238,7 @@
         }
     }
 
+    /// Schedules the next key change at the planner, as a Poisson process.
     fn schedule_key_change(&mut self) {
         if self.day.keys.changes > 0.0 {
             let wait = Span::from_secs(self.chance.exponential(1.0 / self.day.keys.changes));
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -33,7 +33,7 @@
     let scenario = Scenario::parse(scenario).expect("a scenario");
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("day.jsonl");
-    play(&scenario, seed, Kind::Module, Switch::Off, Some(&path)).expect("a day");
+    play(&scenario, seed, Kind::Module, Switch::Off, Some(&path)).expect("a completed run");
     std::fs::read_to_string(path).expect("a trace").lines().map(String::from).collect()
 }
 
@@ -43,7 +43,7 @@
 
 /// Rules that a history violates.
 fn violated_rules(lines: &[String]) -> Vec<Rule> {
-    check(lines).expect("a whole history").breaches.into_keys().collect()
+    check(lines).expect("a complete history").breaches.into_keys().collect()
 }
 
 #[test]
