--- a/crates/node/src/plane/boxes.rs
+++ b/crates/node/src/plane/boxes.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// One listed box.
+/// What this node knows of one listed box (cache server): its incarnation and table weight, and the evidence that
+/// the attempts of this node gave.
 #[derive(Debug)]
 struct BoxRecord {
     life: BoxIncarnation,
@@ -43,8 +44,11 @@
     started: Option<Seconds>,
     /// Weight in a placement table, in thousandths; `None` where the box belongs in no table.
     table_weight: Option<u32>,
+    /// Attempts that the box answered since the last [`Boxes::take_facts`].
     answered: u32,
+    /// Attempts since then that timed out or whose connection failed.
     silent: u32,
+    /// Attempts in flight now.
     in_flight: u32,
     /// Whether anything has changed since the last [`Boxes::take_facts`].
     has_changes: bool,
--- a/crates/node/src/plane/start.rs
+++ b/crates/node/src/plane/start.rs
@@ -92,15 +92,15 @@
             connections_per_box: setup.file.budgets.map(|budgets| budgets.connections_per_box),
             usage: RefCell::default(),
             next_expiry: Cell::new(None),
-            close_idle_cut: OnceCell::new(),
+            close_cut_idle_connections: OnceCell::new(),
             quiet_period,
             state: RefCell::new(state),
             messages,
             lost_datagrams: Cell::new(0),
         });
-        let shown = Rc::downgrade(&plane_runtime);
+        let weak_runtime = Rc::downgrade(&plane_runtime);
         metrics.set_extra(move |out| {
-            if let Some(plane_runtime) = shown.upgrade() {
+            if let Some(plane_runtime) = weak_runtime.upgrade() {
                 plane_runtime.write_metrics(out);
                 if let Some(state) = &*plane_runtime.state.borrow() {
                     state.write_metrics(out);
