--- a/crates/baselines/src/boxes.rs
+++ b/crates/baselines/src/boxes.rs
@@ -1,7 +1,7 @@
 //! State of the boxes at one node: the endpoint list, the node's requests in flight, and ejections.
 
 use hallpin_balancer::{EndpointEntry, EndpointUpdate, RequestId, Seconds, ServerId, ServerState};
-use hallpin_simulation::policy::{Sight, TrueBox, TruePlanner};
+use hallpin_simulation::policy::{TrueBox, TruePlanner, WorldView};
 use rustc_hash::FxHashMap;
 
 /// Consecutive failures after which a box is ejected.
@@ -36,7 +36,7 @@
 
 impl Boxes {
     /// Applies an update of the endpoint list; returns false if the update is a failure without a list.
-    pub(crate) fn apply_update(&mut self, update: EndpointUpdate, world: &dyn Sight) -> bool {
+    pub(crate) fn apply_update(&mut self, update: EndpointUpdate, world: &dyn WorldView) -> bool {
         let (is_full, entries) = match update {
             EndpointUpdate::Failed => return false,
             EndpointUpdate::Cached(entries) | EndpointUpdate::Full(entries) => (true, entries),
@@ -87,7 +87,7 @@
     }
 
     /// The boxes as seen by a request that has already been sent to `tried`.
-    pub(crate) fn view<'a>(&'a self, now: Seconds, tried: &'a [usize], world: &'a dyn Sight) -> View<'a> {
+    pub(crate) fn view<'a>(&'a self, now: Seconds, tried: &'a [usize], world: &'a dyn WorldView) -> View<'a> {
         View { boxes: self, now, tried, world }
     }
 }
@@ -98,7 +98,7 @@
     boxes: &'a Boxes,
     now: Seconds,
     tried: &'a [usize],
-    world: &'a dyn Sight,
+    world: &'a dyn WorldView,
 }
 
 impl View<'_> {
@@ -157,7 +157,7 @@
     }
 
     /// The simulated world.
-    pub(crate) fn world(&self) -> &dyn Sight {
+    pub(crate) fn world(&self) -> &dyn WorldView {
         self.world
     }
 
--- a/crates/baselines/src/late.rs
+++ b/crates/baselines/src/late.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use hallpin_balancer::Seconds;
-use hallpin_simulation::policy::{Sight, TrueBox, TruePlanner};
+use hallpin_simulation::policy::{TrueBox, TruePlanner, WorldView};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -37,7 +37,7 @@
 
     /// Takes a snapshot if one is due and passes the latest one that is at least `delay` old to `then`, or the oldest
     /// if none is that old.
-    fn with_snapshot<T>(&self, now: Seconds, world: &dyn Sight, then: impl FnOnce(&Snapshot) -> T) -> T {
+    fn with_snapshot<T>(&self, now: Seconds, world: &dyn WorldView, then: impl FnOnce(&Snapshot) -> T) -> T {
         let mut depots = self.depots.lock().unwrap_or_else(PoisonError::into_inner);
         let snapshots = depots.entry(world.depot()).or_default();
         // The warm-up has its own clock, which ran before the clock of the run started.
@@ -185,7 +185,7 @@
     /// A world of one box that is up or down.
     struct OneBoxWorld(bool);
 
-    impl Sight for OneBoxWorld {
+    impl WorldView for OneBoxWorld {
         fn boxes(&self) -> usize {
             1
         }
--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -28,7 +28,7 @@
 
 /// A policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum PolicyKind {
     /// The decision module.
     Module,
     /// A random box.
@@ -51,32 +51,32 @@
 }
 
 /// Default delay of the late-seeing policy, in milliseconds.
-pub const LATE_MS: u32 = 200;
+pub const DEFAULT_LATE_SEEING_DELAY_MS: u32 = 200;
 
-impl Kind {
+impl PolicyKind {
     /// All policies, the decision module first.
-    pub const ALL: [Kind; 8] = [
-        Kind::Module,
-        Kind::Random,
-        Kind::LeastOfTwo,
-        Kind::Rendezvous,
-        Kind::BoundedLoad,
-        Kind::Maglev,
-        Kind::Omniscient,
-        Kind::LateSeeing { delay_ms: LATE_MS },
+    pub const ALL: [PolicyKind; 8] = [
+        PolicyKind::Module,
+        PolicyKind::Random,
+        PolicyKind::LeastOfTwo,
+        PolicyKind::Rendezvous,
+        PolicyKind::BoundedLoad,
+        PolicyKind::Maglev,
+        PolicyKind::Omniscient,
+        PolicyKind::LateSeeing { delay_ms: DEFAULT_LATE_SEEING_DELAY_MS },
     ];
 
     /// Name of the policy on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Module => "module",
-            Kind::Random => "random",
-            Kind::LeastOfTwo => "least-of-two",
-            Kind::Rendezvous => "rendezvous",
-            Kind::BoundedLoad => "bounded-load",
-            Kind::Maglev => "maglev",
-            Kind::Omniscient => "omniscient",
-            Kind::LateSeeing { .. } => "late-seeing",
+            PolicyKind::Module => "module",
+            PolicyKind::Random => "random",
+            PolicyKind::LeastOfTwo => "least-of-two",
+            PolicyKind::Rendezvous => "rendezvous",
+            PolicyKind::BoundedLoad => "bounded-load",
+            PolicyKind::Maglev => "maglev",
+            PolicyKind::Omniscient => "omniscient",
+            PolicyKind::LateSeeing { .. } => "late-seeing",
         }
     }
 
@@ -86,20 +86,20 @@
             Box::new(move |settings, seed| Ok(Box::new(Textbook::new(pick(), settings, seed)?)))
         }
         match self {
-            Kind::Module => Box::new(module),
-            Kind::Random => textbook(|| Random),
-            Kind::LeastOfTwo => textbook(|| LeastOfTwo),
-            Kind::Rendezvous => textbook(Rendezvous::default),
-            Kind::BoundedLoad => {
+            PolicyKind::Module => Box::new(module),
+            PolicyKind::Random => textbook(|| Random),
+            PolicyKind::LeastOfTwo => textbook(|| LeastOfTwo),
+            PolicyKind::Rendezvous => textbook(Rendezvous::default),
+            PolicyKind::BoundedLoad => {
                 let shared = SharedTables::default();
                 textbook(move || BoundedLoad::new(shared.clone()))
             }
-            Kind::Maglev => {
+            PolicyKind::Maglev => {
                 let shared = SharedTables::default();
                 textbook(move || Maglev::new(shared.clone()))
             }
-            Kind::Omniscient => textbook(Omniscient::default),
-            Kind::LateSeeing { delay_ms } => {
+            PolicyKind::Omniscient => textbook(Omniscient::default),
+            PolicyKind::LateSeeing { delay_ms } => {
                 let history = SnapshotHistory::new(f64::from(delay_ms) / 1e3);
                 textbook(move || LateSeeing::new(history.clone()))
             }
--- a/crates/baselines/src/textbook.rs
+++ b/crates/baselines/src/textbook.rs
@@ -4,7 +4,7 @@
     Action, AttemptId, Class, Effect, Event, Key, NewRequest, Outcome, RequestId, Seconds, Settings,
     SettingsError, Status, TimerToken,
 };
-use hallpin_simulation::policy::{Policy, Sight};
+use hallpin_simulation::policy::{Policy, WorldView};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
@@ -62,7 +62,7 @@
     }
 
     /// Sends a request to the next box, makes it wait, or ends it.
-    fn route(&mut self, now: Seconds, id: RequestId, world: &dyn Sight, actions: &mut Vec<Action>) {
+    fn route(&mut self, now: Seconds, id: RequestId, world: &dyn WorldView, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(&id) else { return };
         let (Some(class), event_interval) = (self.class(state), self.settings.event_interval) else { return };
         let possibly_run = state.attempts.iter().filter(|t| t.may_have_run != Some(false)).map(|t| t.sent_at);
@@ -116,7 +116,7 @@
     }
 
     /// Registers a new request, sets the timer for its deadline and routes it.
-    fn request(&mut self, now: Seconds, new: NewRequest, world: &dyn Sight, actions: &mut Vec<Action>) {
+    fn request(&mut self, now: Seconds, new: NewRequest, world: &dyn WorldView, actions: &mut Vec<Action>) {
         let class = new.class.map_or(0, |c| c.0);
         let key = new.key.unwrap_or(Key(new.id.0));
         let deadline = now + new.time_left;
@@ -136,7 +136,7 @@
     }
 
     /// Handles the outcome of an attempt; routes the request again unless it is finished.
-    fn outcome(&mut self, now: Seconds, outcome: &Outcome, world: &dyn Sight, actions: &mut Vec<Action>) {
+    fn outcome(&mut self, now: Seconds, outcome: &Outcome, world: &dyn WorldView, actions: &mut Vec<Action>) {
         // The attempts of an ended request are no longer counted.
         let Some(number) = self.record_end(outcome.request, outcome.attempt, outcome.status) else { return };
         self.boxes.attempt_ended(number);
@@ -171,7 +171,7 @@
 }
 
 impl<P: Pick> Policy for Textbook<P> {
-    fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Seconds, event: Event, world: &dyn WorldView, actions: &mut Vec<Action>) {
         match event {
             Event::Endpoints(update) => {
                 if self.boxes.apply_update(update, world) {
--- a/crates/baselines/src/textbook/tests.rs
+++ b/crates/baselines/src/textbook/tests.rs
@@ -2,10 +2,10 @@
 
 use hallpin_balancer::{EndpointEntry, EndpointUpdate, ServerId, ServerState};
 
-use hallpin_simulation::policy::Blind;
+use hallpin_simulation::policy::EmptyWorldView;
 
 use super::*;
-use crate::Kind;
+use crate::PolicyKind;
 
 fn settings() -> Settings {
     let day = hallpin_simulation::scenario::Scenario::default().draw(1).unwrap();
@@ -22,10 +22,10 @@
     (0..n).map(entry).collect()
 }
 
-fn homes(kind: Kind, n: usize) -> Vec<ServerId> {
+fn homes(kind: PolicyKind, n: usize) -> Vec<ServerId> {
     let mut policy = kind.factory()(settings(), 1).unwrap();
     let mut actions = Vec::new();
-    policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(n))), &Blind, &mut actions);
+    policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(n))), &EmptyWorldView, &mut actions);
     let home = |key: u64| {
         let id = RequestId(key + 1);
         let new = NewRequest {
@@ -38,12 +38,12 @@
             work_hint: None,
         };
         let mut actions = Vec::new();
-        policy.handle(0.1, Event::Request(new), &Blind, &mut actions);
+        policy.handle(0.1, Event::Request(new), &EmptyWorldView, &mut actions);
         let to = actions.iter().find_map(|a| match a {
             Action::Send { server, .. } => Some(server.clone()),
             _ => None,
         });
-        policy.handle(0.1, Event::ClientLeft(id), &Blind, &mut actions);
+        policy.handle(0.1, Event::ClientLeft(id), &EmptyWorldView, &mut actions);
         to.expect("a box")
     };
     (0..2000).map(home).collect()
@@ -52,7 +52,9 @@
 /// Hashing policies distribute keys by weight, and move few keys when a box joins.
 #[test]
 fn key_placement_follows_weights_and_moves_few_keys() {
-    for (kind, most_moved) in [(Kind::Rendezvous, 0.18), (Kind::BoundedLoad, 0.2), (Kind::Maglev, 0.25)] {
+    for (kind, most_moved) in
+        [(PolicyKind::Rendezvous, 0.18), (PolicyKind::BoundedLoad, 0.2), (PolicyKind::Maglev, 0.25)]
+    {
         let (before, after) = (homes(kind, 10), homes(kind, 11));
         let heavy = before.iter().filter(|s| s.0[1..].parse::<usize>().unwrap() % 2 == 1).count();
         let share = heavy as f64 / before.len() as f64;
@@ -64,10 +66,16 @@
 
 #[test]
 fn all_policies_retry_after_failures_and_end_the_request_once() {
-    for kind in [Kind::Random, Kind::LeastOfTwo, Kind::Rendezvous, Kind::BoundedLoad, Kind::Maglev] {
+    for kind in [
+        PolicyKind::Random,
+        PolicyKind::LeastOfTwo,
+        PolicyKind::Rendezvous,
+        PolicyKind::BoundedLoad,
+        PolicyKind::Maglev,
+    ] {
         let mut policy = kind.factory()(settings(), 1).unwrap();
         let mut actions = Vec::new();
-        policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(5))), &Blind, &mut actions);
+        policy.handle(0.0, Event::Endpoints(EndpointUpdate::Full(fleet(5))), &EmptyWorldView, &mut actions);
         let new = NewRequest {
             id: RequestId(1),
             time_left: 1.0,
@@ -77,7 +85,7 @@
             write: false,
             work_hint: None,
         };
-        policy.handle(0.0, Event::Request(new), &Blind, &mut actions);
+        policy.handle(0.0, Event::Request(new), &EmptyWorldView, &mut actions);
         for attempt in 0..3 {
             let failed = Outcome {
                 request: RequestId(1),
@@ -87,7 +95,7 @@
                 finished: false,
                 cache_note: None,
             };
-            policy.handle(0.01, Event::Outcome(failed), &Blind, &mut actions);
+            policy.handle(0.01, Event::Outcome(failed), &EmptyWorldView, &mut actions);
         }
         let sends: Vec<&ServerId> = actions
             .iter()
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -12,4 +12,4 @@
 pub use sockets::{agent, loopback, process};
 pub use sockets::{play_on_sockets, SocketsError, SocketsOptions};
 pub use trace_file::TraceFile;
-pub use virtual_time::{play, play_all, PlayError, Played};
+pub use virtual_time::{play, play_all, RunError, RunResult};
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -13,7 +13,7 @@
 use hallpin_simulation::day::Entry;
 use hallpin_simulation::keys;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Event, How, TryId};
+use hallpin_simulation::trace::{Event, TryId, TryOutcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout_at, Instant};
@@ -190,10 +190,10 @@
 fn record_answer(environment: &SharedEnvironment, id: TryId, answer: Answer) -> Reply {
     let parse_version = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().parse::<u64>().ok();
     let (how, advice, version) = match &answer {
-        Answer::Value(value, _) => (How::Completed, None, parse_version(value)),
-        Answer::Receipt(receipt, _) => (How::Completed, None, parse_version(receipt)),
-        Answer::Busy(advice) => (How::Rejected, *advice, None),
-        Answer::Failed(_) => (How::Failed, None, None),
+        Answer::Value(value, _) => (TryOutcome::Completed, None, parse_version(value)),
+        Answer::Receipt(receipt, _) => (TryOutcome::Completed, None, parse_version(receipt)),
+        Answer::Busy(advice) => (TryOutcome::Rejected, *advice, None),
+        Answer::Failed(_) => (TryOutcome::Failed, None, None),
     };
     // An answer made for another request is recorded under an unused id, which the invariant checker reports as an
     // answer that no box has made.
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hallpin_simulation::day::NodeId;
-use hallpin_simulation::list::{Listing, News, Phase};
+use hallpin_simulation::list::{Listing, Phase, WatchEvent};
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -54,7 +54,7 @@
 }
 
 /// Encodes a list as discovery does, with the addresses at which the boxes are reached from the node's depot.
-pub(super) fn list_json(environment: &Environment, node: NodeId, update: &News) -> Value {
+pub(super) fn list_json(environment: &Environment, node: NodeId, update: &WatchEvent) -> Value {
     let depot = environment.day.nodes[node];
     let member = |l: &Listing| {
         let spec = &environment.day.boxes[l.cache_box];
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -100,7 +100,11 @@
     /// Cancels an attempt whose connection the node has closed before the answer.
     pub fn cancel_attempt(&mut self, token: u64) {
         let Some(pending) = self.pending_attempts.remove(&token) else { return };
-        self.record(Event::Ended { id: pending.id, attempt: pending.attempt, how: Ended::Cancelled });
+        self.record(Event::Ended {
+            id: pending.id,
+            attempt: pending.attempt,
+            how: AttemptOutcome::Cancelled,
+        });
         if self.box_states[pending.box_id].cache.is_up() {
             let (now, mut outputs) = (self.now(), Vec::new());
             self.box_states[pending.box_id].cache.cancel(now, token, self.origin.planner(), &mut outputs);
@@ -108,12 +112,12 @@
         }
     }
 
-    pub(super) fn process_box_outputs(&mut self, box_id: BoxId, outputs: Vec<BoxOut>) {
+    pub(super) fn process_box_outputs(&mut self, box_id: BoxId, outputs: Vec<BoxOutput>) {
         for out in outputs {
             match out {
-                BoxOut::Answer(token, answer) => self.box_answers(box_id, token, answer),
-                BoxOut::Ask { ask, cold } => self.call_origin(box_id, ask, cold),
-                BoxOut::Fell => {
+                BoxOutput::Answer(token, answer) => self.box_answers(box_id, token, answer),
+                BoxOutput::Ask { ask, cold } => self.call_origin(box_id, ask, cold),
+                BoxOutput::Fell => {
                     self.record(Event::BoxFell { of: box_id });
                     self.end_process(box_id, MachineMode::Down);
                     self.schedule_in(
@@ -151,25 +155,27 @@
                         cache_server::value(&opaque, value.as_bytes(), &remarks)
                     }
                 };
-                (Ended::Success, text)
+                (AttemptOutcome::Success, text)
             }
-            BoxAnswer::Busy => (Ended::Overloaded, cache_server::busy(&Remarks { note: None, load })),
-            BoxAnswer::Failed => (Ended::Error, cache_server::failed(&Remarks { note: None, load })),
+            BoxAnswer::Busy => {
+                (AttemptOutcome::Overloaded, cache_server::busy(&Remarks { note: None, load }))
+            }
+            BoxAnswer::Failed => (AttemptOutcome::Error, cache_server::failed(&Remarks { note: None, load })),
         };
         let hit = matches!(answer, BoxAnswer::Served { note: CacheNote::Hit, .. });
-        if how != Ended::Overloaded {
+        if how != AttemptOutcome::Overloaded {
             let hit = job.write.is_none().then_some(hit);
             self.record(Event::Worked { id, attempt, work: job.work, hit });
         }
         let fate = self.faults.fate(&mut self.chance);
-        if fate == Fate::Lost {
+        if fate == AnswerFate::Lost {
             // The connection stays open without an answer, until the node closes it.
             self.pending_attempts.insert(token, PendingAttempt { reply, id, attempt, box_id, opaque, job });
             return;
         }
-        let how = if fate == Fate::Reset { Ended::Broken } else { how };
+        let how = if fate == AnswerFate::Reset { AttemptOutcome::Broken } else { how };
         self.record(Event::Ended { id, attempt, how });
-        if fate == Fate::Reset {
+        if fate == AnswerFate::Reset {
             // Dropping the sender closes the connection.
             return;
         }
@@ -177,24 +183,24 @@
         let _ = reply.send(text);
     }
 
-    pub(super) fn call_origin(&mut self, by: BoxId, ask: Ask, cold: bool) {
+    pub(super) fn call_origin(&mut self, by: BoxId, ask: PlannerCall, cold: bool) {
         let (now, incarnation, mut outputs) = (self.now(), self.box_states[by].incarnation, Vec::new());
         self.origin.ask(now, by, incarnation, ask, cold, &mut outputs);
         self.process_origin_outputs(outputs);
     }
 
-    pub(super) fn process_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
+    pub(super) fn process_origin_outputs(&mut self, outputs: Vec<OriginOutput>) {
         for out in outputs {
             match out {
-                OriginOut::Record(event) => self.record(event),
-                OriginOut::Answer { to, life: incarnation, id, version } => {
+                OriginOutput::Record(event) => self.record(event),
+                OriginOutput::Answer { to, life: incarnation, id, version } => {
                     let one_way = self.day.network.same;
                     self.schedule_in(
                         one_way,
                         ScheduledEvent::PlannerAnswers { to, incarnation, id, version },
                     );
                 }
-                OriginOut::WakeAt(time) => self.schedule(time, ScheduledEvent::PlannerWakes),
+                OriginOutput::WakeAt(time) => self.schedule(time, ScheduledEvent::PlannerWakes),
             }
         }
     }
@@ -208,7 +214,7 @@
         lost.sort_unstable();
         for token in lost {
             if let Some(w) = self.pending_attempts.remove(&token) {
-                self.record(Event::Ended { id: w.id, attempt: w.attempt, how: Ended::Broken });
+                self.record(Event::Ended { id: w.id, attempt: w.attempt, how: AttemptOutcome::Broken });
             }
         }
         self.box_states[box_id].mode.send_replace(mode);
--- a/crates/emulator/src/sockets/environment/incidents.rs
+++ b/crates/emulator/src/sockets/environment/incidents.rs
@@ -9,36 +9,36 @@
         self.record(Event::Begins { incident: index, what: scheduled.incident.to_string() });
         let (now, mut outputs) = (self.now(), Vec::new());
         match &scheduled.incident {
-            Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
-            Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, *factor)),
-            Incident::Erring(boxes, share) => {
+            FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
+            FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, *factor)),
+            FaultEvent::Erring(boxes, share) => {
                 boxes.iter().for_each(|&b| self.box_states[b].cache.errs_by(*share))
             }
-            Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
-            Incident::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
-            Incident::NodeDeath(nodes) => self.order_nodes(nodes, NodeOrder::Kill),
-            Incident::NodeRestart(nodes) => self.order_nodes(nodes, NodeOrder::Restart),
-            Incident::ListOutage => self.list_silent.send_modify(|n| *n += 1),
-            Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
-            Incident::PlannerSilent => self.origin.silence(now, true, &mut outputs),
-            Incident::Partition(pairs) => self.set_partition(pairs, true),
-            Incident::Shift { depot, factor } => self.clients.shift(*depot, *factor),
-            Incident::Impatient { share, hurry } => self.clients.impatient(index, Some((*share, *hurry))),
-            Incident::Hasty(haste) => self.clients.hasty(index, Some(*haste)),
-            Incident::SlowWriters(slow) => self.clients.slow_writers(index, Some(*slow)),
-            Incident::LateList { .. }
-            | Incident::LostAnswers(_)
-            | Incident::Resets(_)
-            | Incident::LostMessages(_) => self.faults.begin(index, &scheduled.incident),
-            Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
+            FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
+            FaultEvent::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
+            FaultEvent::NodeDeath(nodes) => self.order_nodes(nodes, NodeOrder::Kill),
+            FaultEvent::NodeRestart(nodes) => self.order_nodes(nodes, NodeOrder::Restart),
+            FaultEvent::ListOutage => self.list_silent.send_modify(|n| *n += 1),
+            FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
+            FaultEvent::PlannerSilent => self.origin.silence(now, true, &mut outputs),
+            FaultEvent::Partition(pairs) => self.set_partition(pairs, true),
+            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, *factor),
+            FaultEvent::Impatient { share, hurry } => self.clients.impatient(index, Some((*share, *hurry))),
+            FaultEvent::Hasty(haste) => self.clients.hasty(index, Some(*haste)),
+            FaultEvent::SlowWriters(slow) => self.clients.slow_writers(index, Some(*slow)),
+            FaultEvent::LateList { .. }
+            | FaultEvent::LostAnswers(_)
+            | FaultEvent::Resets(_)
+            | FaultEvent::LostMessages(_) => self.faults.begin(index, &scheduled.incident),
+            FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 let started = self.box_states[b].cache.started();
                 self.schedule_in(
                     day.list.notice,
                     ScheduledEvent::ListChanged(listing(b, Phase::Draining, started)),
                 );
             }),
-            Incident::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
-            Incident::Burst { factor, share, keys } => {
+            FaultEvent::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
+            FaultEvent::Burst { factor, share, keys } => {
                 let keys = self.chance.some(*keys as usize, day.keys.count as usize);
                 let keys = keys.into_iter().map(|key| key as u32).collect();
                 self.clients.burst(index, Some((*factor, *share, keys)));
@@ -55,35 +55,35 @@
         let day = self.day.clone();
         let (now, mut outputs) = (self.now(), Vec::new());
         match &day.incidents[index].incident {
-            Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.end_box_silence(b)),
-            Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, 1.0 / factor)),
-            Incident::Erring(boxes, share) => {
+            FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.end_box_silence(b)),
+            FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, 1.0 / factor)),
+            FaultEvent::Erring(boxes, share) => {
                 boxes.iter().for_each(|&b| self.box_states[b].cache.errs_by(-share))
             }
-            Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
-            Incident::Heavy { class, .. } => self.clients.heavy(*class, None),
-            Incident::NodeDeath(nodes) => self.order_nodes(nodes, NodeOrder::Run),
-            Incident::ListOutage => {
+            FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
+            FaultEvent::Heavy { class, .. } => self.clients.heavy(*class, None),
+            FaultEvent::NodeDeath(nodes) => self.order_nodes(nodes, NodeOrder::Run),
+            FaultEvent::ListOutage => {
                 self.list_silent.send_modify(|n| *n -= 1);
                 self.schedule_agent_updates();
             }
-            Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
-            Incident::PlannerSilent => self.origin.silence(now, false, &mut outputs),
-            Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
+            FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
+            FaultEvent::PlannerSilent => self.origin.silence(now, false, &mut outputs),
+            FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 self.stop_box(b);
                 self.schedule_in(day.list.notice, ScheduledEvent::ListChanged(listing(b, Phase::Gone, None)));
             }),
-            Incident::Burst { .. } => self.clients.burst(index, None),
-            Incident::Partition(pairs) => self.set_partition(pairs, false),
-            Incident::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
-            Incident::Impatient { .. } => self.clients.impatient(index, None),
-            Incident::Hasty(_) => self.clients.hasty(index, None),
-            Incident::SlowWriters(_) => self.clients.slow_writers(index, None),
-            Incident::LateList { .. }
-            | Incident::LostAnswers(_)
-            | Incident::Resets(_)
-            | Incident::LostMessages(_) => self.faults.end(index),
-            Incident::NodeRestart(_) | Incident::Join(_) => {}
+            FaultEvent::Burst { .. } => self.clients.burst(index, None),
+            FaultEvent::Partition(pairs) => self.set_partition(pairs, false),
+            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
+            FaultEvent::Impatient { .. } => self.clients.impatient(index, None),
+            FaultEvent::Hasty(_) => self.clients.hasty(index, None),
+            FaultEvent::SlowWriters(_) => self.clients.slow_writers(index, None),
+            FaultEvent::LateList { .. }
+            | FaultEvent::LostAnswers(_)
+            | FaultEvent::Resets(_)
+            | FaultEvent::LostMessages(_) => self.faults.end(index),
+            FaultEvent::NodeRestart(_) | FaultEvent::Join(_) => {}
         }
         self.process_origin_outputs(outputs);
     }
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -83,12 +83,12 @@
     }
 
     /// Carries out the clients' next steps and returns the time and request of each try that is due.
-    pub fn client_steps(&mut self, steps: Vec<Step>) -> VecDeque<(Time, u64)> {
+    pub fn client_steps(&mut self, steps: Vec<ClientOutput>) -> VecDeque<(Time, u64)> {
         let mut tries = VecDeque::new();
         for step in steps {
             match step {
-                Step::Record(event) => self.record(event),
-                Step::TryAt(at, ask) => tries.push_back((at, ask)),
+                ClientOutput::Record(event) => self.record(event),
+                ClientOutput::TryAt(at, ask) => tries.push_back((at, ask)),
             }
         }
         tries
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -14,20 +14,20 @@
 use hallpin_balancer::CacheNote;
 use hallpin_protocol::cache_server::{self, Remarks};
 use hallpin_protocol::Command;
-use hallpin_simulation::agenda::Agenda;
-use hallpin_simulation::cache_box::{BoxAnswer, BoxOut, CacheBox, Job};
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::clients::{Clients, Step};
-use hallpin_simulation::day::{Day, Incident, NodeId};
-use hallpin_simulation::faults::{Fate, Faults};
+use hallpin_simulation::agenda::EventQueue;
+use hallpin_simulation::cache_box::{BoxAnswer, BoxOutput, CacheBox, Job};
+use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::clients::{ClientOutput, Clients};
+use hallpin_simulation::day::{FaultEvent, NodeId, RunSpec};
+use hallpin_simulation::faults::{AnswerFate, NetworkFaults};
 use hallpin_simulation::keys::Keys;
 use hallpin_simulation::list::{BoxId, List, Listing, Phase};
-use hallpin_simulation::origin::{Origin, OriginOut};
-use hallpin_simulation::planner::Ask;
-use hallpin_simulation::referee::Referee;
+use hallpin_simulation::origin::{Origin, OriginOutput};
+use hallpin_simulation::planner::PlannerCall;
+use hallpin_simulation::referee::InvariantChecker;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Ended, Event, Sink, TryId};
-use hallpin_simulation::world::Parts;
+use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryId};
+use hallpin_simulation::world::WorldParts;
 use rustc_hash::FxHashMap;
 use rustix::process::Pid;
 use tokio::sync::{oneshot, watch, Notify};
@@ -40,7 +40,7 @@
 
 /// Shared state of all fakes of a run.
 pub(super) struct Environment {
-    pub day: Rc<Day>,
+    pub day: Rc<RunSpec>,
     /// Start of the run; its clock stays at 0 until then.
     start: Option<Instant>,
     start_unix_ms: f64,
@@ -70,10 +70,10 @@
     /// Token of the latest attempt; tokens count up from 1.
     last_token: u64,
     pub tries: FxHashMap<TryId, TryState>,
-    agenda: Agenda<ScheduledEvent>,
-    faults: Faults,
-    chance: Chance,
-    pub referee: Referee,
+    agenda: EventQueue<ScheduledEvent>,
+    faults: NetworkFaults,
+    chance: RandomStream,
+    pub referee: InvariantChecker,
     pub trace: Option<TraceFile<std::io::BufWriter<std::fs::File>>>,
     /// Notified when an event is scheduled before all others.
     pub earlier_event_scheduled: Rc<Notify>,
@@ -85,7 +85,12 @@
 pub(super) type SharedEnvironment = Rc<RefCell<Environment>>;
 
 impl Environment {
-    pub fn new(day: Rc<Day>, parts: Parts, referee: Referee, addresses: Vec<Vec<SocketAddr>>) -> Self {
+    pub fn new(
+        day: Rc<RunSpec>,
+        parts: WorldParts,
+        referee: InvariantChecker,
+        addresses: Vec<Vec<SocketAddr>>,
+    ) -> Self {
         let box_state = |cache: CacheBox| {
             let mode = if cache.is_up() { MachineMode::Open(0) } else { MachineMode::Down };
             BoxState { cache, incarnation: 0, silent: 0, wakes: None, mode: watch::channel(mode).0 }
@@ -111,9 +116,9 @@
             pending_attempts: FxHashMap::default(),
             last_token: 0,
             tries: FxHashMap::default(),
-            agenda: Agenda::default(),
-            faults: Faults::default(),
-            chance: Chance::new(day.seed, "sockets"),
+            agenda: EventQueue::default(),
+            faults: NetworkFaults::default(),
+            chance: RandomStream::new(day.seed, "sockets"),
             referee,
             trace: None,
             earlier_event_scheduled: Rc::new(Notify::new()),
--- a/crates/emulator/src/sockets/error.rs
+++ b/crates/emulator/src/sockets/error.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use hallpin_simulation::day::NodeId;
-use hallpin_simulation::scenario::Wrong;
+use hallpin_simulation::scenario::InvalidField;
 use hallpin_simulation::world::WorldError;
 
 /// Reason why a scenario run on sockets failed.
@@ -12,7 +12,7 @@
 pub enum SocketsError {
     /// The scenario is invalid.
     #[error("scenario: {0}")]
-    Scenario(#[from] Wrong),
+    Scenario(#[from] InvalidField),
     /// The simulated world cannot be built from the scenario.
     #[error("scenario: {0}")]
     World(#[from] WorldError),
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -22,12 +22,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hallpin_baselines::Kind;
-use hallpin_simulation::day::Day;
+use hallpin_baselines::PolicyKind;
+use hallpin_simulation::day::RunSpec;
 use hallpin_simulation::history::{lenient, Header};
 use hallpin_simulation::plane::Tally;
 use hallpin_simulation::policy;
-use hallpin_simulation::referee::Referee;
+use hallpin_simulation::referee::InvariantChecker;
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::Event;
@@ -39,7 +39,7 @@
 
 use crate::footprint::ObservedNode;
 use crate::trace_file::TraceFile;
-use crate::virtual_time::Played;
+use crate::virtual_time::RunResult;
 use environment::{Environment, SharedEnvironment};
 pub use error::SocketsError;
 use node::NodeSpec;
@@ -72,7 +72,7 @@
     scenario: &Scenario,
     seed: u64,
     options: SocketsOptions,
-) -> Result<Played, SocketsError> {
+) -> Result<RunResult, SocketsError> {
     let day = scenario.draw(seed)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
@@ -83,12 +83,16 @@
     played
 }
 
-async fn play(day: Rc<Day>, header: &Header, options: SocketsOptions<'_>) -> Result<Played, SocketsError> {
+async fn play(
+    day: Rc<RunSpec>,
+    header: &Header,
+    options: SocketsOptions<'_>,
+) -> Result<RunResult, SocketsError> {
     let ignore = |_: Time, _: &Event| {};
     let parts = World::new(&day, &policy::module, ignore)?.into_parts();
     let lenient_day = lenient(&day, header.leeway);
     let environment =
-        Environment::new(day.clone(), parts, Referee::new(&lenient_day), allocate_addresses(&day)?);
+        Environment::new(day.clone(), parts, InvariantChecker::new(&lenient_day), allocate_addresses(&day)?);
     let environment: SharedEnvironment = Rc::new(RefCell::new(environment));
     if let Some(path) = options.trace {
         let file = TraceFile::create(path, header).map_err(|error| SocketsError::File(path.into(), error))?;
@@ -110,9 +114,9 @@
     if let (Some(file), Some(path)) = (environment.trace.take(), options.trace) {
         file.finish().map_err(|error| SocketsError::File(path.into(), error))?;
     }
-    let referee = std::mem::replace(&mut environment.referee, Referee::new(&lenient_day));
-    Ok(Played {
-        policy: Kind::Module,
+    let referee = std::mem::replace(&mut environment.referee, InvariantChecker::new(&lenient_day));
+    Ok(RunResult {
+        policy: PolicyKind::Module,
         seed: day.seed,
         verdict: referee.verdict(),
         events: environment.events,
@@ -162,7 +166,7 @@
 
 /// Allocates for each box one socket address per depot, so that depots can be partitioned. Boxes with the same address
 /// in the scenario share their addresses, so that one box can replace another.
-fn allocate_addresses(day: &Day) -> io::Result<Vec<Vec<SocketAddr>>> {
+fn allocate_addresses(day: &RunSpec) -> io::Result<Vec<Vec<SocketAddr>>> {
     let mut by_number: BTreeMap<u32, Vec<SocketAddr>> = BTreeMap::new();
     let mut all = Vec::new();
     for spec in &day.boxes {
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -8,24 +8,24 @@
 use std::time::{Duration, Instant};
 
 use hallpin_balancer::Sizes;
-use hallpin_baselines::Kind;
+use hallpin_baselines::PolicyKind;
 use hallpin_simulation::history::Header;
 use hallpin_simulation::plane::{Switch, Tally};
-use hallpin_simulation::referee::{Referee, Verdict};
-use hallpin_simulation::scenario::{Scenario, Wrong};
+use hallpin_simulation::referee::{InvariantChecker, Verdict};
+use hallpin_simulation::scenario::{InvalidField, Scenario};
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{Event, Sink};
-use hallpin_simulation::world::{Done, World, WorldError};
+use hallpin_simulation::world::{DayResult, World, WorldError};
 
 use crate::footprint::Footprint;
 use crate::trace_file::TraceFile;
 
 /// Reason why a scenario run failed.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
+pub enum RunError {
     /// The scenario is invalid.
     #[error("scenario: {0}")]
-    Scenario(#[from] Wrong),
+    Scenario(#[from] InvalidField),
     /// The simulated world cannot be built from the scenario.
     #[error("scenario: {0}")]
     World(#[from] WorldError),
@@ -36,10 +36,10 @@
 
 /// Result of one scenario run.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Played {
+pub struct RunResult {
     /// The policy that made the decisions.
     #[serde(serialize_with = "serialize_policy_name")]
-    pub policy: Kind,
+    pub policy: PolicyKind,
     /// Seed that the run was drawn from.
     pub seed: u64,
     /// Verdict of the invariant checker.
@@ -58,7 +58,7 @@
     pub took: Duration,
 }
 
-fn serialize_policy_name<S: serde::Serializer>(kind: &Kind, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_policy_name<S: serde::Serializer>(kind: &PolicyKind, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(kind.name())
 }
 
@@ -70,15 +70,15 @@
 pub fn play(
     scenario: &Scenario,
     seed: u64,
-    policy: Kind,
+    policy: PolicyKind,
     plane: Switch,
     trace: Option<&Path>,
-) -> Result<Played, PlayError> {
+) -> Result<RunResult, RunError> {
     let day = scenario.draw(seed)?;
     let began = Instant::now();
     let new_policy = policy.factory();
-    let plane = if policy == Kind::Module { plane } else { Switch::Off };
-    let mut referee = Referee::new(&day);
+    let plane = if policy == PolicyKind::Module { plane } else { Switch::Off };
+    let mut referee = InvariantChecker::new(&day);
     let (events, sizes, tally) = match trace {
         None => {
             let done = World::new(&day, &*new_policy, |at: Time, event: &Event| referee.record(at, event))?
@@ -92,13 +92,13 @@
                 file.record(at, event);
                 referee.record(at, event);
             };
-            let Done { events, sizes, tally, .. } =
+            let DayResult { events, sizes, tally, .. } =
                 World::new(&day, &*new_policy, sink)?.with_plane(plane)?.run();
             file.finish()?;
             (events, sizes, tally)
         }
     };
-    Ok(Played {
+    Ok(RunResult {
         policy,
         seed,
         verdict: referee.verdict(),
@@ -118,11 +118,11 @@
 pub fn play_all(
     scenario: &Scenario,
     seeds: &[u64],
-    policies: &[Kind],
+    policies: &[PolicyKind],
     plane: Switch,
     ended: &(dyn Fn() + Sync),
-) -> Result<Vec<Played>, PlayError> {
-    let runs: Vec<(Kind, u64)> = policies.iter().flat_map(|p| seeds.iter().map(|s| (*p, *s))).collect();
+) -> Result<Vec<RunResult>, RunError> {
+    let runs: Vec<(PolicyKind, u64)> = policies.iter().flat_map(|p| seeds.iter().map(|s| (*p, *s))).collect();
     let threads = std::thread::available_parallelism().map_or(1, NonZeroUsize::get).min(runs.len());
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -1,7 +1,7 @@
 //! The invariant checker on recorded histories: runs of the real decision module in virtual time, one run recorded from
 //! the real node on loopback, and for each rule a history with one changed record that must violate this rule alone.
 
-use hallpin_baselines::Kind;
+use hallpin_baselines::PolicyKind;
 use hallpin_emulator::play;
 use hallpin_simulation::history::{judge, HistoryError};
 use hallpin_simulation::plane::Switch;
@@ -33,7 +33,7 @@
     let scenario = Scenario::parse(scenario).expect("a scenario");
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("day.jsonl");
-    play(&scenario, seed, Kind::Module, Switch::Off, Some(&path)).expect("a day");
+    play(&scenario, seed, PolicyKind::Module, Switch::Off, Some(&path)).expect("a day");
     std::fs::read_to_string(path).expect("a trace").lines().map(String::from).collect()
 }
 
--- a/crates/fault-harness/benches/processes/run.rs
+++ b/crates/fault-harness/benches/processes/run.rs
@@ -11,7 +11,7 @@
 use hallpin_fault_harness::spec::Action;
 use hallpin_fault_harness::trace::{Event, Record, WaitTimeout};
 use hallpin_fault_harness::{Harness, Options, RigError, Spec};
-use hallpin_simulation::scenario::Unreadable;
+use hallpin_simulation::scenario::ScenarioFileError;
 use hallpin_simulation::time::Time;
 use tokio::time::sleep;
 use toml::Spanned;
@@ -33,7 +33,7 @@
     Io(#[from] io::Error),
     /// The benchmark's own scenario file is invalid.
     #[error("invalid scenario file: {0}")]
-    Scenario(#[from] Unreadable),
+    Scenario(#[from] ScenarioFileError),
 }
 
 /// The parameters of a run.
--- a/crates/fault-harness/src/fakes/discovery.rs
+++ b/crates/fault-harness/src/fakes/discovery.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hallpin_emulator::agent::Agent;
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::list::{self, Listing, News, Phase};
+use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::list::{self, Listing, Phase, WatchEvent};
 use hallpin_simulation::time::{Span, Time};
 use serde_json::{json, Value};
 use tokio::sync::watch;
@@ -24,7 +24,7 @@
     /// The revision that each node's agent has.
     agents: Vec<watch::Sender<u64>>,
     silence: watch::Sender<u32>,
-    rng: RefCell<Chance>,
+    rng: RefCell<RandomStream>,
     /// `box_addresses[node][box]` is the address at which a node reaches a box.
     box_addresses: Vec<Vec<SocketAddr>>,
     /// Unix time of the harness's start, in milliseconds.
@@ -41,7 +41,7 @@
             list: RefCell::default(),
             agents: box_addresses.iter().map(|_| watch::Sender::new(0)).collect(),
             silence: watch::Sender::new(0),
-            rng: RefCell::new(Chance::new(spec.seed, "list")),
+            rng: RefCell::new(RandomStream::new(spec.seed, "list")),
             spec,
             box_addresses,
             started_unix_ms: u64::try_from(started_unix_ms).unwrap_or(0),
@@ -96,9 +96,9 @@
         });
     }
 
-    fn notify(&self, node: usize, update: &News) -> Value {
+    fn notify(&self, node: usize, update: &WatchEvent) -> Value {
         let entries = update.listings.iter().map(|l| (l.cache_box, l.phase)).collect();
-        let News { revision, complete, .. } = *update;
+        let WatchEvent { revision, complete, .. } = *update;
         self.recorder.record(Event::Told { node, revision, complete, entries });
         let boxes: Vec<_> = self.spec.each_box().collect();
         let member = |l: &Listing| {
--- a/crates/fault-harness/src/fakes/load.rs
+++ b/crates/fault-harness/src/fakes/load.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::time::Span;
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -105,7 +105,7 @@
     }
 
     async fn issue_requests(self: Rc<Self>, at: usize, tenant: Tenant, until: Instant) {
-        let mut rng = Chance::new(self.spec.seed, &format!("tenant {}", tenant.name));
+        let mut rng = RandomStream::new(self.spec.seed, &format!("tenant {}", tenant.name));
         let mut next = Instant::now();
         loop {
             let rate = tenant.rate * self.rate_factors[at].get();
@@ -125,7 +125,7 @@
         }
     }
 
-    fn request(&self, tenant: usize, spec: &Tenant, rng: &mut Chance) -> Request {
+    fn request(&self, tenant: usize, spec: &Tenant, rng: &mut RandomStream) -> Request {
         let ask = self.next_request_id.get();
         self.next_request_id.set(ask + 1);
         let key = format!("{}-{}", spec.name, rng.below(u64::from(spec.keys)));
@@ -209,7 +209,7 @@
         until: Instant,
     ) {
         let name = format!("standing {} {node} {}", tenant.name, self.next_request_id.get());
-        let mut rng = Chance::new(self.spec.seed, &name);
+        let mut rng = RandomStream::new(self.spec.seed, &name);
         let mut accepts_connections = self.endpoints[node].accepts_connections.subscribe();
         while !self.is_over(until) {
             if accepts_connections.wait_for(|accepts| *accepts).await.is_err() {
--- a/crates/fault-harness/src/harness/inject.rs
+++ b/crates/fault-harness/src/harness/inject.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::time::Span;
 use tokio::net::UdpSocket;
@@ -119,7 +119,7 @@
         let (mesh, nodes, listen) =
             (self.mesh.clone(), self.hosts.len(), self.hosts[to].addresses.peer_listen);
         let non_peer = UdpSocket::bind((listen.ip(), 0)).await?;
-        let mut rng = Chance::new(self.spec.seed, &format!("garbage n{to}"));
+        let mut rng = RandomStream::new(self.spec.seed, &format!("garbage n{to}"));
         let end = Instant::now() + Duration::from_micros(lasts.0);
         let burst = f64::from(rate) * BURST_INTERVAL.as_secs_f64();
         tokio::task::spawn_local(async move {
@@ -144,9 +144,9 @@
 }
 
 /// Random bytes, a datagram that is too long, one of a newer version, or one that is truncated.
-fn malformed_datagram(rng: &mut Chance) -> Vec<u8> {
+fn malformed_datagram(rng: &mut RandomStream) -> Vec<u8> {
     let random_bytes =
-        |rng: &mut Chance, length: u64| (0..length).map(|_| rng.bits() as u8).collect::<Vec<u8>>();
+        |rng: &mut RandomStream, length: u64| (0..length).map(|_| rng.bits() as u8).collect::<Vec<u8>>();
     let length = rng.below(256);
     match rng.below(4) {
         0 => random_bytes(rng, length),
--- a/crates/fault-harness/src/process/config.rs
+++ b/crates/fault-harness/src/process/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a node's process, in the form in which the platform writes it.
 
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use serde_json::{json, Value};
 
 use super::NodeAddresses;
@@ -8,7 +8,7 @@
 
 /// The configuration of a node's next process, including the endpoint list that the node has at its start.
 pub fn config(spec: &Spec, addresses: &NodeAddresses, generation: u32, initial_list: Value) -> Value {
-    let seed = Chance::new(spec.seed, &format!("n{} life {generation}", addresses.node)).bits();
+    let seed = RandomStream::new(spec.seed, &format!("n{} life {generation}", addresses.node)).bits();
     json!({
         "name": format!("n{}", addresses.node), "listen": addresses.listen, "operator": addresses.operator,
         "discovery": addresses.discovery, "seed": format!("{seed:016x}"),
--- a/crates/fault-harness/src/relay/fate.rs
+++ b/crates/fault-harness/src/relay/fate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::time::Span;
 use serde::{Deserialize, Serialize};
 
@@ -43,14 +43,14 @@
 
 impl Conditions {
     /// Draws the delay of the next datagram or chunk.
-    pub fn draw_delay(&self, rng: &mut Chance) -> Duration {
+    pub fn draw_delay(&self, rng: &mut RandomStream) -> Duration {
         let jitter = rng.between(0.0, self.jitter.as_secs());
         Duration::from_micros(self.delay.0) + Duration::from_secs_f64(jitter)
     }
 
     /// Draws the fate of the next datagram and the delay of each of its copies. Every datagram takes the same number of
     /// draws, so that its fate does not depend on the conditions that applied to earlier ones.
-    pub fn draw_fate(&self, rng: &mut Chance) -> (Fate, Vec<Duration>) {
+    pub fn draw_fate(&self, rng: &mut RandomStream) -> (Fate, Vec<Duration>) {
         let [lost, doubled, held] = [self.drop, self.duplicate, self.reorder].map(|share| rng.unit() < share);
         let [first, second] = [self.draw_delay(rng), self.draw_delay(rng)];
         match (self.cut || lost, doubled, held) {
--- a/crates/fault-harness/src/relay/network.rs
+++ b/crates/fault-harness/src/relay/network.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct LinkDirection {
     conditions: watch::Receiver<Conditions>,
-    rng: Chance,
+    rng: RandomStream,
 }
 
 impl Network {
@@ -89,7 +89,7 @@
     pub fn direction(&self, from: Site, to: Site, carrier: u64) -> LinkDirection {
         let mut directions = self.directions.borrow_mut();
         let conditions = directions.entry((from, to)).or_default().subscribe();
-        LinkDirection { conditions, rng: Chance::new(self.seed, &format!("{from}>{to}#{carrier}")) }
+        LinkDirection { conditions, rng: RandomStream::new(self.seed, &format!("{from}>{to}#{carrier}")) }
     }
 
     /// Changes the conditions of a direction, and returns whether it is cut now.
--- a/crates/fault-harness/src/spec/mod.rs
+++ b/crates/fault-harness/src/spec/mod.rs
@@ -5,7 +5,7 @@
 mod faults;
 mod parts;
 
-use hallpin_simulation::scenario::Unreadable;
+use hallpin_simulation::scenario::ScenarioFileError;
 use hallpin_simulation::time::Span;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -79,12 +79,12 @@
     ///
     /// # Errors
     /// Gives the line, the column, the path of the field and what was expected there.
-    pub fn parse(text: &str) -> Result<Self, Unreadable> {
+    pub fn parse(text: &str) -> Result<Self, ScenarioFileError> {
         let at = |offset: usize, path: String, what: String| {
             let before = text.get(..offset).unwrap_or(text);
             let line = before.matches('\n').count() + 1;
             let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-            Unreadable { line, column, path, what }
+            ScenarioFileError { line, column, path, what }
         };
         let start = |error: &toml::de::Error| error.span().map_or(0, |span| span.start);
         let message = |error: &toml::de::Error| error.message().replace('\n', ", ");
--- a/crates/fault-harness/tests/relay.rs
+++ b/crates/fault-harness/tests/relay.rs
@@ -9,7 +9,7 @@
 use hallpin_emulator::loopback;
 use hallpin_fault_harness::relay::{Conditions, DatagramMesh, Fate, Network, Site, TcpLink};
 use hallpin_fault_harness::trace::{Event, Recorder};
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::time::Span;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -34,7 +34,7 @@
 fn the_fate_of_datagrams_follows_from_the_seed_alone() {
     let conditions = Conditions { drop: 0.3, duplicate: 0.2, reorder: 0.2, ..Conditions::default() };
     let draw = |seed| {
-        let mut rng = Chance::new(seed, "link");
+        let mut rng = RandomStream::new(seed, "link");
         (0..2000).map(|_| conditions.draw_fate(&mut rng)).collect::<Vec<_>>()
     };
     assert_eq!(draw(7), draw(7));
@@ -44,7 +44,7 @@
         assert!((share(fate) - expected).abs() < 0.03, "{fate:?}: {}", share(fate));
     }
     let cut = Conditions { cut: true, ..Conditions::default() };
-    assert_eq!(cut.draw_fate(&mut Chance::new(7, "link")), (Fate::Lost, vec![]));
+    assert_eq!(cut.draw_fate(&mut RandomStream::new(7, "link")), (Fate::Lost, vec![]));
 }
 
 /// The sockets of two nodes with the relay between them.
--- a/crates/fleet-test/src/day.rs
+++ b/crates/fleet-test/src/day.rs
@@ -1,7 +1,7 @@
 //! The scenarios of the trial. They are compiled into the program; their files in `scenarios/trial/` can also be run
 //! with `hallpin emulate`.
 
-use hallpin_simulation::scenario::{Scenario, Unreadable};
+use hallpin_simulation::scenario::{Scenario, ScenarioFileError};
 use hallpin_simulation::time::Span;
 use serde::Serialize;
 
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// If the scenario that was compiled in is invalid.
-    pub fn scenario(self, size: Size) -> Result<Scenario, Unreadable> {
+    pub fn scenario(self, size: Size) -> Result<Scenario, ScenarioFileError> {
         let mut scenario = Scenario::parse(self.text())?;
         if let Some(nodes) = size.nodes {
             scenario = scenario.scaled(nodes);
--- a/crates/fleet-test/src/gate/floors.rs
+++ b/crates/fleet-test/src/gate/floors.rs
@@ -102,7 +102,7 @@
 
 #[cfg(test)]
 mod tests {
-    use hallpin_simulation::referee::{Referee, Worth};
+    use hallpin_simulation::referee::{InvariantChecker, Worth};
     use hallpin_simulation::scenario::Scenario;
 
     use super::super::Finding;
@@ -115,7 +115,7 @@
     /// A run of 1,000 requests: reads, writes and a few of a third class, and two tenants.
     fn day() -> Verdict {
         let drawn = Scenario::default().draw(1).unwrap();
-        let mut verdict = Referee::new(&drawn).verdict();
+        let mut verdict = InvariantChecker::new(&drawn).verdict();
         let mut rare = verdict.classes[0].clone();
         rare.name = "rare".into();
         verdict.classes.push(rare);
--- a/crates/fleet-test/src/play.rs
+++ b/crates/fleet-test/src/play.rs
@@ -5,22 +5,22 @@
 use std::sync::Mutex;
 
 use hallpin_balancer::Sizes;
-use hallpin_baselines::Kind;
-use hallpin_emulator::{play, PlayError, Played};
+use hallpin_baselines::PolicyKind;
+use hallpin_emulator::{play, RunError, RunResult};
 use hallpin_simulation::plane::{Switch, Tally};
 use hallpin_simulation::referee::Verdict;
-use hallpin_simulation::scenario::{Scenario, Unreadable};
+use hallpin_simulation::scenario::{Scenario, ScenarioFileError};
 use serde::Serialize;
 
 use crate::day::{Day, Size};
 use crate::gate::{self, Finding, Metrics};
 
 /// The simplest policy, used as the lower reference.
-const SIMPLEST_POLICY: Kind = Kind::Random;
+const SIMPLEST_POLICY: PolicyKind = PolicyKind::Random;
 
 /// Scenarios, seeds and options of a trial.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct TrialPlan {
     /// The scenarios.
     pub days: Vec<Day>,
     /// The seeds.
@@ -45,7 +45,7 @@
         day: Day,
         /// The reason.
         #[source]
-        error: Unreadable,
+        error: ScenarioFileError,
     },
     /// A run failed.
     #[error("{} seed {seed}: {error}", day.name())]
@@ -56,7 +56,7 @@
         seed: u64,
         /// The reason.
         #[source]
-        error: PlayError,
+        error: RunError,
     },
 }
 
@@ -129,7 +129,7 @@
 struct Job {
     day: Day,
     seed: u64,
-    policy: Kind,
+    policy: PolicyKind,
     /// Index of the scenario in the plan.
     scenario: usize,
 }
@@ -140,7 +140,7 @@
 /// # Errors
 /// The first error, in the order in which the runs were queued.
 pub fn trial(
-    plan: &Plan,
+    plan: &TrialPlan,
     stop: &AtomicBool,
     ended: &(dyn Fn() + Sync),
 ) -> std::result::Result<Trial, TrialError> {
@@ -173,8 +173,8 @@
 }
 
 /// Queues the runs, the soak first, so that no long run starts last and leaves the other cores idle.
-fn jobs(plan: &Plan) -> Vec<Job> {
-    let policies = [Kind::Module, Kind::LateSeeing { delay_ms: plan.late_ms }, SIMPLEST_POLICY];
+fn jobs(plan: &TrialPlan) -> Vec<Job> {
+    let policies = [PolicyKind::Module, PolicyKind::LateSeeing { delay_ms: plan.late_ms }, SIMPLEST_POLICY];
     let mut days: Vec<(usize, Day)> = plan.days.iter().copied().enumerate().collect();
     days.sort_by_key(|(index, day)| (*day != Day::Soak, *index));
     let jobs_of_day = |(scenario, day): (usize, Day)| {
@@ -186,11 +186,11 @@
 
 /// Combines the runs of the three policies for each scenario and seed, in the plan's order.
 fn collect_results(
-    plan: &Plan,
+    plan: &TrialPlan,
     jobs: &[Job],
-    played: Vec<(usize, std::result::Result<Played, PlayError>)>,
+    played: Vec<(usize, std::result::Result<RunResult, RunError>)>,
 ) -> std::result::Result<Trial, TrialError> {
-    let mut runs: Vec<(&Job, Played)> = Vec::new();
+    let mut runs: Vec<(&Job, RunResult)> = Vec::new();
     for (index, outcome) in played {
         let job = &jobs[index];
         let (outcome, seed) = (outcome, job.seed);
@@ -200,11 +200,11 @@
     let mut results = Vec::new();
     for day in &plan.days {
         for seed in &plan.seeds {
-            let of = |is: &dyn Fn(Kind) -> bool| {
+            let of = |is: &dyn Fn(PolicyKind) -> bool| {
                 runs.iter().find(|(j, _)| j.day == *day && j.seed == *seed && is(j.policy)).map(|(_, d)| d)
             };
-            let module = of(&|kind| kind == Kind::Module);
-            let late = of(&|kind| matches!(kind, Kind::LateSeeing { .. }));
+            let module = of(&|kind| kind == PolicyKind::Module);
+            let late = of(&|kind| matches!(kind, PolicyKind::LateSeeing { .. }));
             let simplest = of(&|kind| kind == SIMPLEST_POLICY);
             if let (Some(module), Some(late), Some(simplest)) = (module, late, simplest) {
                 results.push(result(*day, *seed, module, late, simplest));
@@ -215,8 +215,8 @@
 }
 
 /// Compares the runs of the three policies for one scenario and seed.
-fn result(day: Day, seed: u64, module: &Played, late: &Played, simplest: &Played) -> Result {
-    let metrics = |played: &Played| Metrics::from_verdict(&played.verdict);
+fn result(day: Day, seed: u64, module: &RunResult, late: &RunResult, simplest: &RunResult) -> Result {
+    let metrics = |played: &RunResult| Metrics::from_verdict(&played.verdict);
     let required = gate::required_share(day, late.verdict.whole.share(), simplest.verdict.whole.share());
     let sizes = module.sizes.iter().map(|(_, s)| *s).fold(Sizes::default(), Sizes::max_of_each);
     Result {
--- a/crates/fleet-test/src/play/tests.rs
+++ b/crates/fleet-test/src/play/tests.rs
@@ -4,15 +4,15 @@
 
 use super::*;
 
-fn plan(days: &[Day]) -> Plan {
+fn plan(days: &[Day]) -> TrialPlan {
     let size = Size { nodes: Some(3), soak: Some(Span::from_millis(30_000)) };
-    Plan { days: days.to_vec(), seeds: vec![1, 2], size, late_ms: 1000, plane: Switch::Off, jobs: None }
+    TrialPlan { days: days.to_vec(), seeds: vec![1, 2], size, late_ms: 1000, plane: Switch::Off, jobs: None }
 }
 
 #[test]
 fn the_result_does_not_depend_on_the_number_of_parallel_runs() {
     let played = |jobs| {
-        let plan = Plan { jobs: NonZeroUsize::new(jobs), ..plan(&[Day::Calm, Day::Soak]) };
+        let plan = TrialPlan { jobs: NonZeroUsize::new(jobs), ..plan(&[Day::Calm, Day::Soak]) };
         trial(&plan, &AtomicBool::new(false), &|| {}).unwrap()
     };
     let (one, four) = (played(1), played(4));
@@ -25,7 +25,7 @@
 #[test]
 fn an_aborted_trial_keeps_its_results_and_does_not_pass() {
     let (stop, ends) = (AtomicBool::new(false), AtomicUsize::new(0));
-    let plan = Plan { jobs: NonZeroUsize::new(1), ..plan(&[Day::Calm]) };
+    let plan = TrialPlan { jobs: NonZeroUsize::new(1), ..plan(&[Day::Calm]) };
     let ended = || {
         if ends.fetch_add(1, Ordering::Relaxed) == 3 {
             stop.store(true, Ordering::Relaxed);
--- a/crates/hallpin/src/emulate.rs
+++ b/crates/hallpin/src/emulate.rs
@@ -5,8 +5,8 @@
 
 use clap::builder::PossibleValue;
 use clap::ValueEnum;
-use hallpin_baselines::{Kind, LATE_MS};
-use hallpin_emulator::{play, play_all, Played};
+use hallpin_baselines::{PolicyKind, DEFAULT_LATE_SEEING_DELAY_MS};
+use hallpin_emulator::{play, play_all, RunResult};
 use hallpin_loadgen::{chart, table};
 use hallpin_simulation::referee::Verdict;
 
@@ -18,21 +18,21 @@
 /// Value of `--policy`: one policy, or all of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
-    One(Kind),
+    One(PolicyKind),
     All,
 }
 
 impl ValueEnum for Policy {
     fn value_variants<'a>() -> &'a [Self] {
         const ALL: [Policy; 9] = [
-            Policy::One(Kind::Module),
-            Policy::One(Kind::Random),
-            Policy::One(Kind::LeastOfTwo),
-            Policy::One(Kind::Rendezvous),
-            Policy::One(Kind::BoundedLoad),
-            Policy::One(Kind::Maglev),
-            Policy::One(Kind::Omniscient),
-            Policy::One(Kind::LateSeeing { delay_ms: LATE_MS }),
+            Policy::One(PolicyKind::Module),
+            Policy::One(PolicyKind::Random),
+            Policy::One(PolicyKind::LeastOfTwo),
+            Policy::One(PolicyKind::Rendezvous),
+            Policy::One(PolicyKind::BoundedLoad),
+            Policy::One(PolicyKind::Maglev),
+            Policy::One(PolicyKind::Omniscient),
+            Policy::One(PolicyKind::LateSeeing { delay_ms: DEFAULT_LATE_SEEING_DELAY_MS }),
             Policy::All,
         ];
         &ALL
@@ -85,7 +85,7 @@
 pub fn run(options: &Options) -> Result<ExitCode, Failure> {
     let scenario = failure::read_scenario(&options.file)?;
     let kinds = kinds(&options.policy);
-    if options.sockets && kinds != [Kind::Module] {
+    if options.sockets && kinds != [PolicyKind::Module] {
         return Err(Failure::Usage(
             "--sockets runs real nodes, which always use the module policy: omit --policy".into(),
         ));
@@ -134,16 +134,16 @@
         let text = serde_json::to_vec_pretty(&played).map_err(|error| Failure::Json(path.clone(), error))?;
         failure::write_file(path, &text)?;
     }
-    let broke_a_rule = |p: &Played| p.policy == Kind::Module && !Verdict::is_clean(&p.verdict);
+    let broke_a_rule = |p: &RunResult| p.policy == PolicyKind::Module && !Verdict::is_clean(&p.verdict);
     Ok(ExitCode::from(u8::from(played.iter().any(broke_a_rule))))
 }
 
-fn kinds(policies: &[Policy]) -> Vec<Kind> {
+fn kinds(policies: &[Policy]) -> Vec<PolicyKind> {
     let mut kinds = Vec::new();
     for policy in policies {
         match policy {
             Policy::One(kind) => kinds.push(*kind),
-            Policy::All => kinds.extend(Kind::ALL),
+            Policy::All => kinds.extend(PolicyKind::ALL),
         }
     }
     let mut seen = std::collections::BTreeSet::new();
--- a/crates/hallpin/src/failure.rs
+++ b/crates/hallpin/src/failure.rs
@@ -2,13 +2,13 @@
 
 use std::path::{Path, PathBuf};
 
-use hallpin_emulator::{PlayError, SocketsError};
+use hallpin_emulator::{RunError, SocketsError};
 use hallpin_fault_harness::{RigError, Spec};
 use hallpin_fleet_test::play::TrialError;
 use hallpin_loadgen::chart::ChartError;
 use hallpin_loadgen::load::LoadError;
 use hallpin_simulation::history::HistoryError;
-use hallpin_simulation::scenario::{Scenario, Unreadable};
+use hallpin_simulation::scenario::{Scenario, ScenarioFileError};
 
 /// Error that ends the command with exit code 2.
 #[derive(Debug, thiserror::Error)]
@@ -18,13 +18,13 @@
     File(PathBuf, #[source] std::io::Error),
     /// A file is not a valid scenario.
     #[error("{path}:{error}", path = .0.display(), error = .1)]
-    InvalidScenario(PathBuf, #[source] Unreadable),
+    InvalidScenario(PathBuf, #[source] ScenarioFileError),
     /// A history cannot be checked.
     #[error("{path}:{error}", path = .0.display(), error = .1)]
     History(PathBuf, #[source] HistoryError),
     /// A run in virtual time failed.
     #[error(transparent)]
-    Play(#[from] PlayError),
+    Play(#[from] RunError),
     /// A run on sockets failed.
     #[error(transparent)]
     Sockets(#[from] SocketsError),
--- a/crates/hallpin/src/sockets.rs
+++ b/crates/hallpin/src/sockets.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use hallpin_emulator::{play_on_sockets, Played, SocketsOptions};
+use hallpin_emulator::{play_on_sockets, RunResult, SocketsOptions};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use tokio::sync::watch;
@@ -11,7 +11,7 @@
 use crate::terminal::{on_signal, progress_bar};
 
 /// Plays a scenario with real nodes; also returns whether a signal ended it early.
-pub fn play(scenario: &Scenario, seed: u64, trace: Option<&Path>) -> Result<(Played, bool), Failure> {
+pub fn play(scenario: &Scenario, seed: u64, trace: Option<&Path>) -> Result<(RunResult, bool), Failure> {
     let program = std::env::current_exe().map_err(|error| Failure::File("this program".into(), error))?;
     let folder = tempfile::tempdir().map_err(|error| Failure::File(std::env::temp_dir(), error))?;
     let (stop, stopped) = watch::channel(false);
--- a/crates/hallpin/src/trial.rs
+++ b/crates/hallpin/src/trial.rs
@@ -9,9 +9,9 @@
 
 use clap::builder::PossibleValue;
 use clap::ValueEnum;
-use hallpin_baselines::LATE_MS;
+use hallpin_baselines::DEFAULT_LATE_SEEING_DELAY_MS;
 use hallpin_fleet_test::day::{Day, Size};
-use hallpin_fleet_test::play::{trial, Plan, Trial};
+use hallpin_fleet_test::play::{trial, Trial, TrialPlan};
 use hallpin_fleet_test::report;
 use hallpin_loadgen::chart;
 use hallpin_simulation::time::Span;
@@ -82,9 +82,9 @@
 }
 
 impl Options {
-    fn plan(&self) -> Result<Plan, Failure> {
+    fn plan(&self) -> Result<TrialPlan, Failure> {
         let late_ms = match self.late {
-            None => LATE_MS,
+            None => DEFAULT_LATE_SEEING_DELAY_MS,
             Some(late) => u32::try_from(late.as_millis())
                 .map_err(|_| Failure::Usage(format!("--late: up to 49 days expected, got {late}")))?,
         };
@@ -100,7 +100,7 @@
             }
         };
         let seeds = (0..self.seeds.get()).map(|n| self.seed.wrapping_add(n)).collect();
-        Ok(Plan {
+        Ok(TrialPlan {
             days,
             seeds,
             size: Size { nodes: self.nodes, soak },
--- a/crates/loadgen/src/load/mix.rs
+++ b/crates/loadgen/src/load/mix.rs
@@ -1,6 +1,6 @@
 //! Random draw of each request's class, tenant and key. No I/O.
 
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::day::KeysSpec;
 use hallpin_simulation::keys::Keys;
 use hallpin_simulation::store::KeyId;
@@ -71,7 +71,7 @@
     keys: Keys,
     classes: WeightedIndex<f64>,
     tenants: Option<WeightedIndex<f64>>,
-    rng: Chance,
+    rng: RandomStream,
 }
 
 impl Mix {
@@ -93,7 +93,7 @@
         } else {
             Some(WeightedIndex::new(spec.tenants.iter().map(|t| t.share)).map_err(MixError::Tenants)?)
         };
-        let rng = Chance::new(seed, &format!("requests of worker {worker}"));
+        let rng = RandomStream::new(seed, &format!("requests of worker {worker}"));
         Ok(Mix { keys: Keys::new(spec.keys.clone(), seed)?, classes, tenants, rng })
     }
 
--- a/crates/loadgen/src/load/schedule.rs
+++ b/crates/loadgen/src/load/schedule.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hallpin_simulation::chance::Chance;
+use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::store::KeyId;
 
 /// Distribution of the gaps between requests.
@@ -116,7 +116,7 @@
     has_started: bool,
     /// Index of this worker's next recorded request.
     next: usize,
-    rng: Chance,
+    rng: RandomStream,
 }
 
 /// A request and its scheduled send time.
@@ -131,7 +131,7 @@
 impl Schedule {
     /// Creates the schedule of one of `workers` threads, which together produce the whole rate.
     pub fn new(arrivals: Arrivals, worker: usize, workers: usize, length: Duration, seed: u64) -> Self {
-        let rng = Chance::new(seed, &format!("arrivals of worker {worker}"));
+        let rng = RandomStream::new(seed, &format!("arrivals of worker {worker}"));
         let length = length.as_secs_f64();
         Schedule { arrivals, worker, workers, length, elapsed: 0.0, has_started: false, next: worker, rng }
     }
--- a/crates/loadgen/src/table.rs
+++ b/crates/loadgen/src/table.rs
@@ -2,7 +2,7 @@
 
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
-use hallpin_emulator::Played;
+use hallpin_emulator::RunResult;
 use hallpin_simulation::referee::{Rule, Verdict};
 
 use crate::statistics::quartiles;
@@ -108,7 +108,7 @@
 }
 
 /// Compares policies: median and quartiles of each metric over all seeds.
-pub fn comparison(played: &[Played]) -> String {
+pub fn comparison(played: &[RunResult]) -> String {
     let mut policies: Vec<_> = played.iter().map(|p| p.policy).collect();
     policies.dedup();
     let mut rows = new_table(&[
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -32,19 +32,19 @@
 }
 
 /// Priority queue of scheduled items.
-pub struct Agenda<D> {
+pub struct EventQueue<D> {
     queue: BinaryHeap<Reverse<Scheduled<D>>>,
     /// Number of items inserted so far.
     inserted: u64,
 }
 
-impl<D> Default for Agenda<D> {
+impl<D> Default for EventQueue<D> {
     fn default() -> Self {
-        Agenda { queue: BinaryHeap::new(), inserted: 0 }
+        EventQueue { queue: BinaryHeap::new(), inserted: 0 }
     }
 }
 
-impl<D> Agenda<D> {
+impl<D> EventQueue<D> {
     /// Schedules an item; items with the same time are taken in insertion order.
     pub fn enter(&mut self, at: Time, item: D) {
         self.inserted += 1;
@@ -69,7 +69,7 @@
 
     #[test]
     fn items_are_taken_by_time_and_then_by_insertion_order() {
-        let mut agenda = Agenda::default();
+        let mut agenda = EventQueue::default();
         for (at, item) in [(5, 'c'), (1, 'a'), (5, 'd'), (2, 'b'), (9, 'e')] {
             agenda.enter(Time(at), item);
         }
--- a/crates/simulation/src/cache_box/fetches.rs
+++ b/crates/simulation/src/cache_box/fetches.rs
@@ -9,7 +9,7 @@
         now: Time,
         key: KeyId,
         write: Option<Option<u64>>,
-        out: &mut Vec<BoxOut>,
+        out: &mut Vec<BoxOutput>,
     ) -> u64 {
         self.last_fetch_id += 1;
         let id = self.last_fetch_id;
@@ -20,7 +20,10 @@
             self.fetches_in_flight += 1;
         }
         self.fetch_order.push_back((now, id));
-        out.push(BoxOut::Ask { ask: Ask { id, key, write }, cold: self.slow_start_factor(now) < 1.0 });
+        out.push(BoxOutput::Ask {
+            ask: PlannerCall { id, key, write },
+            cold: self.slow_start_factor(now) < 1.0,
+        });
         id
     }
 
@@ -32,7 +35,7 @@
         version: Option<u64>,
         bytes: impl Fn(KeyId) -> u64,
         planner: &Planner,
-        out: &mut Vec<BoxOut>,
+        out: &mut Vec<BoxOutput>,
     ) {
         self.advance(now);
         let Some(fetch) = self.fetches.get(&id) else { return };
@@ -71,14 +74,14 @@
     }
 
     /// Retries a failed fetch; false for a write and when the retries are used up.
-    pub(super) fn retry_fetch(&mut self, now: Time, id: u64, out: &mut Vec<BoxOut>) -> bool {
+    pub(super) fn retry_fetch(&mut self, now: Time, id: u64, out: &mut Vec<BoxOutput>) -> bool {
         let cold = self.slow_start_factor(now) < 1.0;
         let Some(fetch) = self.fetches.get_mut(&id) else { return false };
         if fetch.write.is_some() || fetch.retries >= self.spec.fetch_retries {
             return false;
         }
         fetch.retries += 1;
-        out.push(BoxOut::Ask { ask: Ask { id, key: fetch.key, write: None }, cold });
+        out.push(BoxOutput::Ask { ask: PlannerCall { id, key: fetch.key, write: None }, cold });
         true
     }
 
@@ -93,7 +96,7 @@
     }
 
     /// Fails all requests that wait for a fetch.
-    pub(super) fn fail_fetch(&mut self, id: u64, fetch: Fetch, out: &mut Vec<BoxOut>) {
+    pub(super) fn fail_fetch(&mut self, id: u64, fetch: Fetch, out: &mut Vec<BoxOutput>) {
         self.release_fetch(id, &fetch);
         for index in fetch.waiters {
             if self.requests.contains(index) {
--- a/crates/simulation/src/cache_box/mod.rs
+++ b/crates/simulation/src/cache_box/mod.rs
@@ -20,8 +20,8 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-use crate::chance::Chance;
-use crate::planner::{Ask, Planner};
+use crate::chance::RandomStream;
+use crate::planner::{Planner, PlannerCall};
 use crate::store::{KeyId, Store};
 use crate::time::{Span, Time};
 use requests::{Fetch, PendingRequest, ServiceEnd, Stage};
@@ -73,13 +73,13 @@
 
 /// An output of a box, which the simulation carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum BoxOut {
+pub enum BoxOutput {
     /// An answer to the request with this token.
     Answer(u64, BoxAnswer),
     /// A call to the planner.
     Ask {
         /// The call.
-        ask: Ask,
+        ask: PlannerCall,
         /// The box was warming up when it made the call.
         cold: bool,
     },
@@ -91,7 +91,7 @@
 pub struct CacheBox {
     /// Fixed properties of the box.
     pub spec: BoxSpec,
-    rng: Chance,
+    rng: RandomStream,
     /// Whether the process runs. A box that fell over does not restart by itself.
     up: bool,
     fallen: bool,
@@ -148,7 +148,7 @@
 
 impl CacheBox {
     /// A warm box with an empty store, whose process started before the simulated time.
-    pub fn new(spec: BoxSpec, rng: Chance) -> Self {
+    pub fn new(spec: BoxSpec, rng: RandomStream) -> Self {
         let store = Store::new(spec.memory, spec.evict, spec.ttl);
         CacheBox {
             spec,
--- a/crates/simulation/src/cache_box/overload.rs
+++ b/crates/simulation/src/cache_box/overload.rs
@@ -6,7 +6,7 @@
     /// Counts work that is sent to a box while it warms up, rejected work included; above the limit the box falls over.
     /// The limit depends only on the time since the start, because the settings do not know of incidents that slow
     /// the box.
-    pub(super) fn record_offered_work(&mut self, now: Time, work: f64, out: &mut Vec<BoxOut>) {
+    pub(super) fn record_offered_work(&mut self, now: Time, work: f64, out: &mut Vec<BoxOutput>) {
         if self.spec.fall_multiple <= 0.0 || self.slow_start_factor(now) >= 1.0 {
             self.offered_work.clear();
             self.offered_work_sum = 0.0;
@@ -25,7 +25,7 @@
         if self.offered_work_sum > overload_limit(allowed, spec.mean_work.0.max(1) as f64) {
             self.stop();
             self.fallen = true;
-            out.push(BoxOut::Fell);
+            out.push(BoxOutput::Fell);
         }
     }
 }
--- a/crates/simulation/src/cache_box/service.rs
+++ b/crates/simulation/src/cache_box/service.rs
@@ -14,12 +14,12 @@
     }
 
     /// Takes a request that was received completely: queues it, or rejects it if no slot is free and the queue is full.
-    pub fn request(&mut self, now: Time, job: Job, planner: &Planner, out: &mut Vec<BoxOut>) {
+    pub fn request(&mut self, now: Time, job: Job, planner: &Planner, out: &mut Vec<BoxOutput>) {
         self.advance(now);
         let free =
             self.slots_in_use < self.spec.slots && self.fetch_done.is_empty() && self.waiting.is_empty();
         if !free && self.waiting.len() >= self.spec.waiting as usize {
-            out.push(BoxOut::Answer(job.token, BoxAnswer::Busy));
+            out.push(BoxOutput::Answer(job.token, BoxAnswer::Busy));
         } else {
             let request = PendingRequest { job, stage: Stage::Waiting, note: CacheNote::Hit, version: 0 };
             let index = self.requests.insert(request);
@@ -33,7 +33,7 @@
 
     /// Cancels a request. If the box drops cancelled requests, one that waits for its first slot is dropped; work that
     /// has begun goes on.
-    pub fn cancel(&mut self, now: Time, token: u64, planner: &Planner, out: &mut Vec<BoxOut>) {
+    pub fn cancel(&mut self, now: Time, token: u64, planner: &Planner, out: &mut Vec<BoxOutput>) {
         self.advance(now);
         if !self.spec.drops_cancelled {
             return;
@@ -46,7 +46,7 @@
     }
 
     /// Gives free slots to waiting requests; those whose fetch succeeded go first.
-    pub(super) fn fill_slots(&mut self, now: Time, planner: &Planner, out: &mut Vec<BoxOut>) {
+    pub(super) fn fill_slots(&mut self, now: Time, planner: &Planner, out: &mut Vec<BoxOutput>) {
         while self.slots_in_use < self.spec.slots {
             if let Some(index) = self.fetch_done.pop_front() {
                 self.slots_in_use += 1;
@@ -62,7 +62,7 @@
 
     /// Looks up a request that got its first slot: serves a write or a hit, and lets a miss join or start a fetch.
     /// Expired requests, and misses beyond the fetch limit, are rejected.
-    pub(super) fn dispatch(&mut self, now: Time, index: usize, planner: &Planner, out: &mut Vec<BoxOut>) {
+    pub(super) fn dispatch(&mut self, now: Time, index: usize, planner: &Planner, out: &mut Vec<BoxOutput>) {
         let job = self.requests[index].job;
         if self.spec.drops_expired && now >= job.deadline {
             return self.answer(index, BoxAnswer::Busy, out);
@@ -109,7 +109,7 @@
     }
 
     /// Answers and removes a request, and frees its slot if it has one.
-    pub(super) fn answer(&mut self, index: usize, answer: BoxAnswer, out: &mut Vec<BoxOut>) {
+    pub(super) fn answer(&mut self, index: usize, answer: BoxAnswer, out: &mut Vec<BoxOutput>) {
         let request = self.requests.remove(index);
         let has_slot = match request.stage {
             Stage::Fetching { keeps_slot } => keeps_slot,
@@ -119,7 +119,7 @@
         };
         self.slots_in_use -= u32::from(has_slot);
         self.report.completed += 1;
-        out.push(BoxOut::Answer(request.job.token, answer));
+        out.push(BoxOutput::Answer(request.job.token, answer));
     }
 
     /// Time at which the box next needs a call of `wake`, if any.
@@ -134,7 +134,7 @@
     }
 
     /// Handles everything that is due by now: finished work and timed out fetches.
-    pub fn wake(&mut self, now: Time, planner: &Planner, out: &mut Vec<BoxOut>) {
+    pub fn wake(&mut self, now: Time, planner: &Planner, out: &mut Vec<BoxOutput>) {
         if !self.up {
             return;
         }
@@ -169,7 +169,7 @@
 
     /// Ends the service of a request: it fails by the error rate, goes to the planner if it is a write, and is answered
     /// otherwise.
-    pub(super) fn finish_service(&mut self, now: Time, index: usize, out: &mut Vec<BoxOut>) {
+    pub(super) fn finish_service(&mut self, now: Time, index: usize, out: &mut Vec<BoxOutput>) {
         if self.rng.happens(self.spec.error_rate + self.extra_error_rate) {
             return self.answer(index, BoxAnswer::Failed, out);
         }
--- a/crates/simulation/src/chance.rs
+++ b/crates/simulation/src/chance.rs
@@ -10,7 +10,7 @@
 
 /// One stream of random numbers.
 #[derive(Clone, Debug)]
-pub struct Chance {
+pub struct RandomStream {
     stream: ChaCha8Rng,
     /// Second value of the last pair of normal draws, not used yet.
     spare: Option<f64>,
@@ -29,12 +29,12 @@
     Pareto,
 }
 
-impl Chance {
+impl RandomStream {
     /// Creates the stream with this name for a seed.
     pub fn new(seed: u64, name: &str) -> Self {
         let mut stream = ChaCha8Rng::seed_from_u64(seed);
         stream.set_stream(XxHash3_64::oneshot(name.as_bytes()));
-        Chance { stream, spare: None }
+        RandomStream { stream, spare: None }
     }
 
     /// A uniform number in [0, 1).
@@ -122,7 +122,7 @@
     #[test]
     fn a_stream_depends_only_on_its_name_and_seed() {
         let draw = |seed, name| -> Vec<u64> {
-            let mut rng = Chance::new(seed, name);
+            let mut rng = RandomStream::new(seed, name);
             (0..8).map(|_| rng.bits()).collect()
         };
         assert_eq!(draw(1, "a"), draw(1, "a"));
@@ -135,7 +135,7 @@
         for (spread, cv, tolerance) in
             [(Spread::Fixed, 1.0, 1e-9), (Spread::LogNormal, 0.5, 0.01), (Spread::Pareto, 0.4, 0.02)]
         {
-            let mut rng = Chance::new(7, "spread");
+            let mut rng = RandomStream::new(7, "spread");
             let draws: Vec<f64> = (0..200_000).map(|_| rng.spread(spread, 40.0, cv)).collect();
             let mean = draws.iter().sum::<f64>() / draws.len() as f64;
             let variance = draws.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / draws.len() as f64;
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -2,12 +2,12 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::chance::{Chance, Spread};
-use crate::day::{Day, Effect, Entry, Haste, NodeId, SlowWriters};
+use crate::chance::{RandomStream, Spread};
+use crate::day::{Effect, Entry, HastyClients, NodeId, RunSpec, SlowWriters};
 use crate::keys::Keys;
 use crate::store::KeyId;
 use crate::time::{Span, Time};
-use crate::trace::{AskId, Event, How, TryId};
+use crate::trace::{AskId, Event, TryId, TryOutcome};
 
 /// Delay before a hasty client retries: one pass of its own event loop.
 const HASTY_RETRY_DELAY: Span = Span(1000);
@@ -18,7 +18,7 @@
     /// The final answer of the node.
     Answer {
         /// Outcome that the answer states.
-        how: How,
+        how: TryOutcome,
         /// Retry-after advice of a rejection.
         advice: Option<Span>,
     },
@@ -32,7 +32,7 @@
 
 /// An output of the clients, which the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ClientOutput {
     /// Record this event in the trace.
     Record(Event),
     /// Start a try of this request at this time.
@@ -62,7 +62,7 @@
     /// Whether the client honours retry-after advice.
     honours_advice: bool,
     /// How the client hurries; `None` for one that is not hasty.
-    haste: Option<Haste>,
+    haste: Option<HastyClients>,
 }
 
 /// A try in flight.
@@ -89,8 +89,8 @@
     tenants: Vec<crate::day::TenantSpec>,
     spec: crate::day::ClientsSpec,
     length: Span,
-    rng: Chance,
-    attempt_rng: Chance,
+    rng: RandomStream,
+    attempt_rng: RandomStream,
     asks: FxHashMap<AskId, ClientRequest>,
     tries: FxHashMap<TryId, Try>,
     last_ask: AskId,
@@ -106,21 +106,21 @@
     /// By incident: share of tries that clients abandon, and the factor by which they shorten the backoff.
     impatient: Vec<(usize, f64, f64)>,
     /// By incident: which clients are hasty, and how.
-    hasty: Vec<(usize, Haste)>,
+    hasty: Vec<(usize, HastyClients)>,
     /// By incident: which clients write slowly, and how slowly.
     slow_writers: Vec<(usize, SlowWriters)>,
 }
 
 impl Clients {
     /// The clients of this scenario.
-    pub fn new(day: &Day) -> Self {
+    pub fn new(day: &RunSpec) -> Self {
         Clients {
             classes: day.classes.clone(),
             tenants: day.tenants.clone(),
             spec: day.clients.clone(),
             length: day.length,
-            rng: Chance::new(day.seed, "clients"),
-            attempt_rng: Chance::new(day.seed, "attempts"),
+            rng: RandomStream::new(day.seed, "clients"),
+            attempt_rng: RandomStream::new(day.seed, "attempts"),
             asks: FxHashMap::default(),
             tries: FxHashMap::default(),
             last_ask: 0,
@@ -150,12 +150,12 @@
     }
 
     /// Draws the node that one more client process connects to.
-    pub fn draw_node(&self, rng: &mut Chance) -> NodeId {
+    pub fn draw_node(&self, rng: &mut RandomStream) -> NodeId {
         weighted_index(rng, self.spec.node_shares.iter().copied())
     }
 
     /// Creates a request and starts its first try.
-    pub fn arrival(&mut self, now: Time, keys: &Keys) -> Vec<Step> {
+    pub fn arrival(&mut self, now: Time, keys: &Keys) -> Vec<ClientOutput> {
         self.last_ask += 1;
         let id = self.last_ask;
         let class = weighted_index(&mut self.rng, self.classes.iter().map(|class| class.share));
@@ -197,7 +197,10 @@
             haste,
         };
         self.asks.insert(id, request);
-        vec![Step::Record(Event::Asked { ask: id, class, tenant, key, work }), Step::TryAt(now, id)]
+        vec![
+            ClientOutput::Record(Event::Asked { ask: id, class, tenant, key, work }),
+            ClientOutput::TryAt(now, id),
+        ]
     }
 
     /// Starts a try at one of the open nodes; returns its id and the time at which the client stops waiting or abandons
@@ -244,18 +247,18 @@
     }
 
     /// Ends a try: records success, schedules a retry, or gives the request up.
-    pub fn reply(&mut self, now: Time, id: TryId, reply: Reply) -> Vec<Step> {
+    pub fn reply(&mut self, now: Time, id: TryId, reply: Reply) -> Vec<ClientOutput> {
         let Some(Try { ask, abandons, .. }) = self.tries.remove(&id) else { return Vec::new() };
-        if matches!(reply, Reply::Answer { how: How::Completed, .. }) {
+        if matches!(reply, Reply::Answer { how: TryOutcome::Completed, .. }) {
             self.asks.remove(&ask);
-            return vec![Step::Record(Event::Received { ask, id })];
+            return vec![ClientOutput::Record(Event::Received { ask, id })];
         }
         let retry_at = if abandons { None } else { self.retry_time(now, ask, reply) };
         match retry_at {
-            Some(at) => vec![Step::TryAt(at, ask)],
+            Some(at) => vec![ClientOutput::TryAt(at, ask)],
             None => {
                 self.asks.remove(&ask);
-                vec![Step::Record(Event::GaveUp { ask })]
+                vec![ClientOutput::Record(Event::GaveUp { ask })]
             }
         }
     }
@@ -269,7 +272,8 @@
         if request.tries > request.haste.map_or(self.spec.retries, |haste| haste.again) {
             return None;
         }
-        let not_executed = matches!(reply, Reply::Answer { how: How::Rejected, .. } | Reply::Unreached);
+        let not_executed =
+            matches!(reply, Reply::Answer { how: TryOutcome::Rejected, .. } | Reply::Unreached);
         let hurry: f64 = self.impatient.iter().map(|(.., hurry)| hurry).product();
         let base_backoff = self.spec.backoff * hurry.recip() * f64::from(1u32 << (request.tries - 1).min(16));
         let mut wait = base_backoff * self.rng.between(0.5, 1.5);
@@ -315,7 +319,7 @@
     }
 
     /// Begins or ends the incident with this number, in which some new requests are hasty.
-    pub fn hasty(&mut self, number: usize, begins: Option<Haste>) {
+    pub fn hasty(&mut self, number: usize, begins: Option<HastyClients>) {
         self.hasty.retain(|(n, _)| *n != number);
         self.hasty.extend(begins.map(|haste| (number, haste)));
     }
@@ -346,7 +350,7 @@
 }
 
 /// Draws an index with probability in proportion to its weight; 0 if no weight is positive.
-fn weighted_index(rng: &mut Chance, weights: impl Iterator<Item = f64> + Clone) -> usize {
+fn weighted_index(rng: &mut RandomStream, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let mut remaining = rng.unit() * weights.clone().sum::<f64>();
     let mut last = 0;
     for (index, weight) in weights.enumerate().filter(|(_, weight)| *weight > 0.0) {
@@ -373,7 +377,7 @@
 
     #[test]
     fn weighted_index_follows_the_weights_and_skips_zero_weights() {
-        let mut rng = Chance::new(1, "pick");
+        let mut rng = RandomStream::new(1, "pick");
         let mut counts = [0; 4];
         for _ in 0..10_000 {
             counts[weighted_index(&mut rng, [0.0, 1.0, 3.0, 0.0].into_iter())] += 1;
--- a/crates/simulation/src/day/incident.rs
+++ b/crates/simulation/src/day/incident.rs
@@ -7,7 +7,7 @@
 /// Clients with short timeouts and immediate retries. In a fleet short of capacity their tries make up most of the load
 /// and almost none of them is served.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Haste {
+pub struct HastyClients {
     /// Share of clients that behave this way.
     pub share: f64,
     /// Time that these clients wait for a try.
@@ -27,7 +27,7 @@
 
 /// A fault or planned operation, with its targets.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Incident {
+pub enum FaultEvent {
     /// Machines stop responding, and come back with empty stores.
     Silent(Vec<BoxId>),
     /// Machines run slower by this factor.
@@ -85,7 +85,7 @@
         hurry: f64,
     },
     /// Clients have short timeouts and retry at once.
-    Hasty(Haste),
+    Hasty(HastyClients),
     /// Clients write their commands slowly.
     SlowWriters(SlowWriters),
     /// Boxes drain, and stop when the fault event ends.
@@ -103,49 +103,53 @@
     },
 }
 
-impl std::fmt::Display for Incident {
+impl std::fmt::Display for FaultEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Incident::Silent(boxes) => write!(f, "{} boxes go silent", boxes.len()),
-            Incident::Slow(boxes, factor) => write!(f, "{} boxes are {factor:.1} times slower", boxes.len()),
-            Incident::Erring(boxes, share) => {
+            FaultEvent::Silent(boxes) => write!(f, "{} boxes go silent", boxes.len()),
+            FaultEvent::Slow(boxes, factor) => {
+                write!(f, "{} boxes are {factor:.1} times slower", boxes.len())
+            }
+            FaultEvent::Erring(boxes, share) => {
                 write!(f, "{} boxes fail {:.0} % of the requests", boxes.len(), share * 100.0)
             }
-            Incident::Kill(boxes) => write!(f, "{} boxes are killed", boxes.len()),
-            Incident::Heavy { share, factor, .. } => {
+            FaultEvent::Kill(boxes) => write!(f, "{} boxes are killed", boxes.len()),
+            FaultEvent::Heavy { share, factor, .. } => {
                 write!(f, "{:.2} % of a class cost {factor:.1} times the work", share * 100.0)
             }
-            Incident::NodeDeath(nodes) => write!(f, "{} nodes die", nodes.len()),
-            Incident::NodeRestart(nodes) => write!(f, "{} nodes restart", nodes.len()),
-            Incident::ListOutage => f.write_str("the list is silent"),
-            Incident::PlannerSlow(factor) => write!(f, "the planner is {factor:.1} times slower"),
-            Incident::PlannerSilent => f.write_str("the planner is silent"),
-            Incident::Partition(pairs) => write_partition(f, pairs),
-            Incident::LateList { depot: None, by } => write!(f, "the list is {by} late"),
-            Incident::LateList { depot: Some(depot), by } => {
+            FaultEvent::NodeDeath(nodes) => write!(f, "{} nodes die", nodes.len()),
+            FaultEvent::NodeRestart(nodes) => write!(f, "{} nodes restart", nodes.len()),
+            FaultEvent::ListOutage => f.write_str("the list is silent"),
+            FaultEvent::PlannerSlow(factor) => write!(f, "the planner is {factor:.1} times slower"),
+            FaultEvent::PlannerSilent => f.write_str("the planner is silent"),
+            FaultEvent::Partition(pairs) => write_partition(f, pairs),
+            FaultEvent::LateList { depot: None, by } => write!(f, "the list is {by} late"),
+            FaultEvent::LateList { depot: Some(depot), by } => {
                 write!(f, "depot {depot} has the list {by} late")
             }
-            Incident::LostAnswers(share) => write!(f, "{:.1} % of the answers are lost", share * 100.0),
-            Incident::Resets(share) => write!(f, "{:.1} % of the requests are reset", share * 100.0),
-            Incident::LostMessages(share) => write!(f, "{:.0} % of the messages are lost", share * 100.0),
-            Incident::Shift { depot, factor } => write!(f, "{factor:.1} times the requests at depot {depot}"),
-            Incident::Impatient { share, hurry } => {
+            FaultEvent::LostAnswers(share) => write!(f, "{:.1} % of the answers are lost", share * 100.0),
+            FaultEvent::Resets(share) => write!(f, "{:.1} % of the requests are reset", share * 100.0),
+            FaultEvent::LostMessages(share) => write!(f, "{:.0} % of the messages are lost", share * 100.0),
+            FaultEvent::Shift { depot, factor } => {
+                write!(f, "{factor:.1} times the requests at depot {depot}")
+            }
+            FaultEvent::Impatient { share, hurry } => {
                 write!(
                     f,
                     "clients leave {:.0} % of their tries, and come again {hurry:.1} times sooner",
                     share * 100.0
                 )
             }
-            Incident::Hasty(Haste { share, gives, again }) => {
+            FaultEvent::Hasty(HastyClients { share, gives, again }) => {
                 let share = share * 100.0;
                 write!(f, "{share:.0} % of the clients give a try {gives} and come again {again} times")
             }
-            Incident::SlowWriters(SlowWriters { share, up_to }) => {
+            FaultEvent::SlowWriters(SlowWriters { share, up_to }) => {
                 write!(f, "{:.0} % of the commands are written over up to {up_to}", share * 100.0)
             }
-            Incident::Drain(boxes) => write!(f, "{} boxes drain", boxes.len()),
-            Incident::Join(boxes) => write!(f, "{} boxes join", boxes.len()),
-            Incident::Burst { factor, keys, .. } => {
+            FaultEvent::Drain(boxes) => write!(f, "{} boxes drain", boxes.len()),
+            FaultEvent::Join(boxes) => write!(f, "{} boxes join", boxes.len()),
+            FaultEvent::Burst { factor, keys, .. } => {
                 write!(f, "{factor:.1} times the requests, on {keys} keys")
             }
         }
@@ -169,20 +173,20 @@
 
 /// A fault event and its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Scheduled {
+pub struct ScheduledFault {
     /// Start of the fault event.
     pub at: Time,
     /// Duration of the fault event.
     pub lasts: Span,
     /// The fault event.
-    pub incident: Incident,
+    pub incident: FaultEvent,
     /// Timing of a planned restart in which clients send until SIGKILL.
-    pub stop: Option<Stop>,
+    pub stop: Option<StopTimings>,
 }
 
 /// Timing of the platform in a planned restart, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stop {
+pub struct StopTimings {
     /// Time for which new connections keep arriving.
     pub coming: Span,
     /// Time until SIGKILL.
@@ -194,16 +198,16 @@
 /// Time from the longest deadline to SIGKILL.
 const KILL_GRACE: Span = Span::from_millis(700);
 
-impl Stop {
+impl StopTimings {
     /// Creates the timing for clients with this longest deadline, and new connections arriving for this time.
     pub fn new(longest: Span, coming: Span) -> Self {
-        Stop { coming, kill: longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
+        StopTimings { coming, kill: longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
     }
 }
 
 /// Watches of the endpoint list that fall silent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Silence {
+pub struct WatchSilence {
     /// Time at which the watches fall silent.
     pub at: Time,
     /// Nodes whose watches fall silent.
--- a/crates/simulation/src/day/mod.rs
+++ b/crates/simulation/src/day/mod.rs
@@ -10,7 +10,7 @@
 use crate::list::BoxId;
 use crate::planner::PlannerSpec;
 use crate::time::{Span, Time};
-pub use incident::{Haste, Incident, Scheduled, Silence, SlowWriters, Stop};
+pub use incident::{FaultEvent, HastyClients, ScheduledFault, SlowWriters, StopTimings, WatchSilence};
 pub use rules::{GoalSpec, LimitsSpec, PricesSpec, RulesSpec};
 
 /// Index of a node in the run.
@@ -180,7 +180,7 @@
 
 /// Parameters of one run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Day {
+pub struct RunSpec {
     /// Name of the scenario.
     pub name: String,
     /// Seed of all random numbers of the run.
@@ -218,12 +218,12 @@
     /// Weights and prices of the score.
     pub goal: GoalSpec,
     /// Scheduled fault events, in order of time.
-    pub incidents: Vec<Scheduled>,
+    pub incidents: Vec<ScheduledFault>,
     /// Times at which watches of the endpoint list fall silent.
-    pub silences: Vec<Silence>,
+    pub silences: Vec<WatchSilence>,
 }
 
-impl Day {
+impl RunSpec {
     /// Mean work of a request.
     pub fn mean_work(&self) -> Span {
         mean_work(&self.classes)
--- a/crates/simulation/src/day/settings.rs
+++ b/crates/simulation/src/day/settings.rs
@@ -2,10 +2,10 @@
 
 use serde_json::{json, Value};
 
-use super::{ClassSpec, Day, Effect, NodeId, TenantSpec};
+use super::{ClassSpec, Effect, NodeId, RunSpec, TenantSpec};
 use crate::time::Span;
 
-impl Day {
+impl RunSpec {
     /// Settings that this node receives at its start, in the platform's format.
     pub fn settings(&self, node: NodeId) -> Value {
         let effect = |effect| match effect {
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,13 +1,13 @@
 //! Network faults between machines: lost answers, reset connections, lost messages and late lists. Used for days in
 //! virtual time and for days over sockets.
 
-use crate::chance::Chance;
-use crate::day::Incident;
+use crate::chance::RandomStream;
+use crate::day::FaultEvent;
 use crate::time::Span;
 
 /// What happens to an answer on its way to its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AnswerFate {
     /// The answer arrives.
     Arrives,
     /// The answer is lost, and the connection stays open.
@@ -18,14 +18,14 @@
 
 /// The active network faults, with the index of the incident of each.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
-    active: Vec<(usize, Incident)>,
+pub struct NetworkFaults {
+    active: Vec<(usize, FaultEvent)>,
 }
 
-impl Faults {
+impl NetworkFaults {
     /// Activates the fault of an incident; incidents of other kinds are ignored.
-    pub fn begin(&mut self, index: usize, incident: &Incident) {
-        use Incident as I;
+    pub fn begin(&mut self, index: usize, incident: &FaultEvent) {
+        use FaultEvent as I;
         if matches!(incident, I::LostAnswers(_) | I::Resets(_) | I::LostMessages(_) | I::LateList { .. }) {
             self.active.push((index, incident.clone()));
         }
@@ -37,26 +37,26 @@
     }
 
     /// Draws what happens to one answer.
-    pub fn fate(&self, rng: &mut Chance) -> Fate {
+    pub fn fate(&self, rng: &mut RandomStream) -> AnswerFate {
         for (_, incident) in &self.active {
             match incident {
-                Incident::LostAnswers(share) if rng.happens(*share) => return Fate::Lost,
-                Incident::Resets(share) if rng.happens(*share) => return Fate::Reset,
+                FaultEvent::LostAnswers(share) if rng.happens(*share) => return AnswerFate::Lost,
+                FaultEvent::Resets(share) if rng.happens(*share) => return AnswerFate::Reset,
                 _ => {}
             }
         }
-        Fate::Arrives
+        AnswerFate::Arrives
     }
 
     /// Draws whether one message between nodes is lost.
-    pub fn loses_message(&self, rng: &mut Chance) -> bool {
-        self.active.iter().any(|(_, i)| matches!(i, Incident::LostMessages(share) if rng.happens(*share)))
+    pub fn loses_message(&self, rng: &mut RandomStream) -> bool {
+        self.active.iter().any(|(_, i)| matches!(i, FaultEvent::LostMessages(share) if rng.happens(*share)))
     }
 
     /// Extra delay of the list for the nodes of a depot: the longest of all active faults.
     pub fn list_delay(&self, node_depot: usize) -> Span {
-        let late = |incident: &Incident| match incident {
-            Incident::LateList { depot, by } if depot.is_none_or(|depot| depot == node_depot) => Some(*by),
+        let late = |incident: &FaultEvent| match incident {
+            FaultEvent::LateList { depot, by } if depot.is_none_or(|depot| depot == node_depot) => Some(*by),
             _ => None,
         };
         self.active.iter().filter_map(|(_, incident)| late(incident)).max().unwrap_or_default()
@@ -69,22 +69,22 @@
 
     #[test]
     fn each_fault_affects_only_its_target_and_only_while_active() {
-        let (mut faults, mut rng) = (Faults::default(), Chance::new(1, "faults"));
-        let late = |depot, ms| Incident::LateList { depot, by: Span::from_millis(ms) };
-        faults.begin(0, &Incident::Silent(vec![1]));
-        assert_eq!(faults.fate(&mut rng), Fate::Arrives);
-        faults.begin(1, &Incident::LostAnswers(1.0));
-        faults.begin(2, &Incident::LostMessages(1.0));
+        let (mut faults, mut rng) = (NetworkFaults::default(), RandomStream::new(1, "faults"));
+        let late = |depot, ms| FaultEvent::LateList { depot, by: Span::from_millis(ms) };
+        faults.begin(0, &FaultEvent::Silent(vec![1]));
+        assert_eq!(faults.fate(&mut rng), AnswerFate::Arrives);
+        faults.begin(1, &FaultEvent::LostAnswers(1.0));
+        faults.begin(2, &FaultEvent::LostMessages(1.0));
         faults.begin(3, &late(Some(2), 700));
         faults.begin(4, &late(None, 300));
-        assert_eq!(faults.fate(&mut rng), Fate::Lost);
+        assert_eq!(faults.fate(&mut rng), AnswerFate::Lost);
         assert!(faults.loses_message(&mut rng));
         assert_eq!([faults.list_delay(2), faults.list_delay(0)], [700, 300].map(Span::from_millis));
         faults.end(1);
-        faults.begin(5, &Incident::Resets(1.0));
-        assert_eq!(faults.fate(&mut rng), Fate::Reset);
+        faults.begin(5, &FaultEvent::Resets(1.0));
+        assert_eq!(faults.fate(&mut rng), AnswerFate::Reset);
         (2..=5).for_each(|index| faults.end(index));
-        assert_eq!((faults.fate(&mut rng), faults.loses_message(&mut rng)), (Fate::Arrives, false));
+        assert_eq!((faults.fate(&mut rng), faults.loses_message(&mut rng)), (AnswerFate::Arrives, false));
         assert_eq!(faults.list_delay(2), Span::ZERO);
     }
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -9,11 +9,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::day::Day;
-use crate::referee::{Referee, Verdict};
+use crate::day::RunSpec;
+use crate::referee::{InvariantChecker, Verdict};
 use crate::scenario::Scenario;
 use crate::time::{Span, Time};
-use crate::trace::{AskId, Ended, Event, Line, Sink, TryId};
+use crate::trace::{AskId, AttemptOutcome, Event, Line, Sink, TryId};
 
 /// Format version that this library writes and reads.
 const FORMAT_VERSION: u32 = 1;
@@ -50,7 +50,7 @@
 }
 
 /// Returns the run with every time limit of its rules extended by the leeway.
-pub fn lenient(day: &Day, leeway: Span) -> Day {
+pub fn lenient(day: &RunSpec, leeway: Span) -> RunSpec {
     let mut extended = day.clone();
     extended.rules.answer_grace = extended.rules.answer_grace + leeway;
     extended.rules.drain_grace = extended.rules.drain_grace + leeway;
@@ -79,7 +79,7 @@
         }
     };
     let mut validator = RecordValidator::new(&day);
-    let mut checker = Referee::new(&day);
+    let mut checker = InvariantChecker::new(&day);
     for (line, text) in lines {
         let error_here = |what: String| HistoryError { line, what };
         let text = text.map_err(|error| error_here(error.to_string()))?;
@@ -103,7 +103,7 @@
 }
 
 /// Draws the run that a history's first line describes, with the header's leeway.
-fn parse_header(text: &str) -> Result<Day, String> {
+fn parse_header(text: &str) -> Result<RunSpec, String> {
     let header: Header = serde_json::from_str(text).map_err(|error| error.to_string())?;
     if header.history != FORMAT_VERSION {
         return Err(format!("history: {FORMAT_VERSION} expected, got {}", header.history));
@@ -114,7 +114,7 @@
 
 /// Validates the records of a history: indices exist in the run, and each event follows those that it depends on.
 struct RecordValidator<'d> {
-    day: &'d Day,
+    day: &'d RunSpec,
     now: Time,
     asks: HashSet<AskId>,
     /// Number of attempts sent for each accepted try.
@@ -123,7 +123,7 @@
 }
 
 impl<'d> RecordValidator<'d> {
-    fn new(day: &'d Day) -> Self {
+    fn new(day: &'d RunSpec) -> Self {
         let (asks, tries) = (HashSet::new(), HashMap::new());
         RecordValidator { day, now: Time::ZERO, asks, tries, incidents: 0 }
     }
@@ -159,7 +159,7 @@
                 None => Err(format!("id: a try taken before expected, got {id}")),
             },
             // An attempt that was never sent may still be recorded as void.
-            Event::Ended { how: Ended::Void, .. } => Ok(()),
+            Event::Ended { how: AttemptOutcome::Void, .. } => Ok(()),
             Event::Ended { id, attempt, .. } if self.tries.get(&id).is_none_or(|sent| attempt >= *sent) => {
                 Err(format!("attempt: one sent before expected, got {attempt} of try {id}"))
             }
--- a/crates/simulation/src/keys.rs
+++ b/crates/simulation/src/keys.rs
@@ -4,7 +4,7 @@
 use rand_distr::weighted::{Error, WeightedAliasIndex};
 use rand_distr::Distribution;
 
-use crate::chance::{Chance, Spread};
+use crate::chance::{RandomStream, Spread};
 use crate::day::KeysSpec;
 use crate::store::KeyId;
 
@@ -19,7 +19,7 @@
     bytes: Vec<u32>,
     /// Hash of each key's name, as a node computes it.
     hashed: Vec<Key>,
-    rng: Chance,
+    rng: RandomStream,
     /// Swaps of ranks that are due, with a fraction carried over between seconds.
     pending_swaps: f64,
 }
@@ -35,7 +35,7 @@
     /// # Errors
     /// If the weights form no distribution, as without any keys.
     pub fn new(spec: KeysSpec, seed: u64) -> Result<Self, Error> {
-        let mut rng = Chance::new(seed, "keys");
+        let mut rng = RandomStream::new(seed, "keys");
         let weight = |rank: u32| libm::pow(f64::from(rank) + 1.0 + spec.offset, -spec.zipf);
         let by_rank = WeightedAliasIndex::new((0..spec.count).map(weight).collect())?;
         let bytes = (0..spec.count)
@@ -50,7 +50,7 @@
     }
 
     /// Draws a key by popularity.
-    pub fn draw(&self, rng: &mut Chance) -> KeyId {
+    pub fn draw(&self, rng: &mut RandomStream) -> KeyId {
         self.keys_by_rank[self.by_rank.sample(rng.source())]
     }
 
@@ -99,7 +99,7 @@
 
     #[test]
     fn popular_keys_are_drawn_more_often_and_drift_moves_them() {
-        let (mut keys, mut rng) = (Keys::new(spec(), 3).unwrap(), Chance::new(3, "t"));
+        let (mut keys, mut rng) = (Keys::new(spec(), 3).unwrap(), RandomStream::new(3, "t"));
         let first = keys.top(1)[0];
         let hits = (0..100_000).filter(|_| keys.draw(&mut rng) == first).count() as f64;
         let norm: f64 = (0..1000).map(|rank| 1.0 / (f64::from(rank) + 5.0)).sum();
--- a/crates/simulation/src/list.rs
+++ b/crates/simulation/src/list.rs
@@ -32,7 +32,7 @@
 
 /// A watch event: what discovery sends to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct WatchEvent {
     /// Revision of the list after this event.
     pub revision: u64,
     /// Whether `listings` is the complete list; otherwise it has only the entries that changed.
@@ -74,9 +74,9 @@
     }
 
     /// The complete list.
-    pub fn whole(&self) -> News {
+    pub fn whole(&self) -> WatchEvent {
         let listed = self.listings.iter().flatten().filter(|listing| listing.phase != Phase::Gone);
-        News { revision: self.revision(), complete: true, listings: listed.copied().collect() }
+        WatchEvent { revision: self.revision(), complete: true, listings: listed.copied().collect() }
     }
 
     /// The list as it was at an earlier revision.
@@ -91,13 +91,13 @@
 
     /// The changes since a revision, with each box once in its latest state. The complete list for a revision that is
     /// far behind, or ahead, as after a restart of discovery.
-    pub fn since(&self, revision: u64) -> News {
+    pub fn since(&self, revision: u64) -> WatchEvent {
         self.between(revision, self.revision())
     }
 
     /// Like [`List::since`], for the list as it was at revision `until`. Where the complete list is due, that is the
     /// current one.
-    pub fn between(&self, revision: u64, until: u64) -> News {
+    pub fn between(&self, revision: u64, until: u64) -> WatchEvent {
         let until = until.min(self.revision());
         let index = |revision| usize::try_from(revision).ok();
         let missed = index(revision).zip(index(until)).and_then(|(from, to)| self.changes.get(from..to));
@@ -105,7 +105,7 @@
         // Later changes of a box replace earlier ones.
         let latest: BTreeMap<BoxId, Listing> =
             missed.iter().map(|listing| (listing.cache_box, *listing)).collect();
-        News { revision: until, complete: false, listings: latest.into_values().collect() }
+        WatchEvent { revision: until, complete: false, listings: latest.into_values().collect() }
     }
 }
 
@@ -127,11 +127,14 @@
         list.set(entry(0, Phase::Draining));
         list.set(entry(0, Phase::Gone));
         let update = list.since(2);
-        assert_eq!(update, News { revision: 4, complete: false, listings: vec![entry(0, Phase::Gone)] });
+        assert_eq!(
+            update,
+            WatchEvent { revision: 4, complete: false, listings: vec![entry(0, Phase::Gone)] }
+        );
         assert_eq!(list.since(4).listings, []);
         assert_eq!(list.whole().listings, [entry(2, Phase::Ready)]);
         assert!(list.since(5).complete, "a node that is ahead has a different list");
-        let earlier = News { revision: 3, complete: false, listings: vec![entry(0, Phase::Draining)] };
+        let earlier = WatchEvent { revision: 3, complete: false, listings: vec![entry(0, Phase::Draining)] };
         assert_eq!(list.between(2, 3), earlier, "as the list was at revision 3");
         assert_eq!((list.until(3).revision(), list.until(3).whole().listings.len()), (3, 2));
     }
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -6,13 +6,13 @@
 use rustc_hash::FxHashMap;
 
 use crate::list::BoxId;
-use crate::planner::{Ask, Planner, PlannerNotification};
+use crate::planner::{Planner, PlannerCall, PlannerNotification};
 use crate::time::{Span, Time};
 use crate::trace::Event;
 
 /// An output of the planner, which the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum OriginOut {
+pub enum OriginOutput {
     /// An event for the trace.
     Record(Event),
     /// Deliver an answer to a box, if that is still the same incarnation.
@@ -63,19 +63,27 @@
     }
 
     /// Handles a call from a box; `cold` if the box is warming up.
-    pub fn ask(&mut self, now: Time, by: BoxId, life: u32, ask: Ask, cold: bool, out: &mut Vec<OriginOut>) {
-        out.push(OriginOut::Record(Event::PlannerAsked { by, write: ask.write.is_some(), cold }));
+    pub fn ask(
+        &mut self,
+        now: Time,
+        by: BoxId,
+        life: u32,
+        ask: PlannerCall,
+        cold: bool,
+        out: &mut Vec<OriginOutput>,
+    ) {
+        out.push(OriginOutput::Record(Event::PlannerAsked { by, write: ask.write.is_some(), cold }));
         self.last_call_id += 1;
         let id = self.last_call_id;
         if !self.planner.is_down() {
             self.callers.insert(id, (by, life, ask.id));
         }
-        self.planner.call(now, Ask { id, ..ask }, &mut self.notifications);
+        self.planner.call(now, PlannerCall { id, ..ask }, &mut self.notifications);
         self.forward_notifications(now, out);
     }
 
     /// Handles the wake-up scheduled for `at`; does nothing if it was rescheduled since.
-    pub fn wake(&mut self, now: Time, at: Time, out: &mut Vec<OriginOut>) {
+    pub fn wake(&mut self, now: Time, at: Time, out: &mut Vec<OriginOutput>) {
         if self.scheduled_wake == Some(at) {
             self.scheduled_wake = None;
             self.planner.wake(now, &mut self.notifications);
@@ -84,35 +92,35 @@
     }
 
     /// Begins or ends an incident in which the planner does not answer.
-    pub fn silence(&mut self, now: Time, silent: bool, out: &mut Vec<OriginOut>) {
+    pub fn silence(&mut self, now: Time, silent: bool, out: &mut Vec<OriginOutput>) {
         self.planner.silence(now, silent, &mut self.notifications);
         self.forward_notifications(now, out);
     }
 
     /// Turns the planner's notifications into outputs, and schedules the next wake-up.
-    fn forward_notifications(&mut self, now: Time, out: &mut Vec<OriginOut>) {
+    fn forward_notifications(&mut self, now: Time, out: &mut Vec<OriginOutput>) {
         for notification in self.notifications.drain(..) {
             match notification {
                 PlannerNotification::Done { id, key, version, wrote } => {
                     if let Some(version) = version.filter(|_| wrote) {
-                        out.push(OriginOut::Record(Event::Written { key, version }));
+                        out.push(OriginOutput::Record(Event::Written { key, version }));
                     }
                     if let Some((to, life, id)) = self.callers.remove(&id) {
-                        out.push(OriginOut::Answer { to, life, id, version });
+                        out.push(OriginOutput::Answer { to, life, id, version });
                     }
                 }
                 PlannerNotification::Stopped => {
                     self.callers.clear();
                     let overdriven = self.planner.is_overloaded();
-                    out.push(OriginOut::Record(Event::PlannerStopped { overdriven }));
+                    out.push(OriginOutput::Record(Event::PlannerStopped { overdriven }));
                 }
-                PlannerNotification::Resumed => out.push(OriginOut::Record(Event::PlannerResumed)),
+                PlannerNotification::Resumed => out.push(OriginOutput::Record(Event::PlannerResumed)),
             }
         }
         if let Some(wake) = self.planner.next_wake().map(|at| at.max(now + Span(1))) {
             if self.scheduled_wake.is_none_or(|scheduled| wake < scheduled || scheduled <= now) {
                 self.scheduled_wake = Some(wake);
-                out.push(OriginOut::WakeAt(wake));
+                out.push(OriginOutput::WakeAt(wake));
             }
         }
     }
--- a/crates/simulation/src/plane/boxes.rs
+++ b/crates/simulation/src/plane/boxes.rs
@@ -11,7 +11,7 @@
 
 /// An attempt in flight at one incarnation of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent(BoxIncarnation);
+pub struct SentAttempt(BoxIncarnation);
 
 /// A listed box with the counts of attempts at its present incarnation.
 #[derive(Debug)]
@@ -103,15 +103,15 @@
     }
 
     /// Records that an attempt is sent; `None` for a box that is not on the list.
-    pub fn sent(&mut self, server: &ServerId) -> Option<Sent> {
+    pub fn sent(&mut self, server: &ServerId) -> Option<SentAttempt> {
         let known = self.boxes.get_mut(&box_id(server))?;
         known.in_flight = known.in_flight.saturating_add(1);
         known.is_changed = true;
-        Some(Sent(known.incarnation))
+        Some(SentAttempt(known.incarnation))
     }
 
     /// Records the end of an attempt. Attempts at an earlier incarnation of the box are ignored.
-    pub fn ended(&mut self, sent: Sent, status: Status) {
+    pub fn ended(&mut self, sent: SentAttempt, status: Status) {
         let Some(known) = self.boxes.get_mut(&sent.0.id).filter(|b| b.incarnation == sent.0) else { return };
         known.in_flight = known.in_flight.saturating_sub(1);
         known.is_changed = true;
--- a/crates/simulation/src/plane/mod.rs
+++ b/crates/simulation/src/plane/mod.rs
@@ -7,9 +7,9 @@
 use hallpin_membership::ConfigError as MembershipError;
 use hallpin_placement::ConfigError as PlacementError;
 
-pub use boxes::Sent;
-pub use node::{NodePlane, Seat, Told};
-pub use tally::{Spread, Tally};
+pub use boxes::SentAttempt;
+pub use node::{NodePlane, NodePosition, PlaneNotification};
+pub use tally::{RevisionSpread, Tally};
 
 /// Which parts of the control plane are on in a scenario.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -10,7 +10,7 @@
 use hallpin_placement::{Placement, PlacementConfig, PlacementEvent, Table};
 use hallpin_quota::Budgets;
 
-use super::boxes::{Boxes, Sent};
+use super::boxes::{Boxes, SentAttempt};
 use super::{PlaneError, Switch};
 use crate::time::Time;
 
@@ -30,7 +30,7 @@
 const REALM: u32 = 1;
 
 /// An output of a plane, which the simulation carries out in order.
-pub enum Told {
+pub enum PlaneNotification {
     /// Send these bytes to the node with this number.
     Datagram(usize, Vec<u8>),
     /// Pass this update to the node's policy.
@@ -40,7 +40,7 @@
 }
 
 /// The place of a node in the fleet, and its process generation.
-pub struct Seat {
+pub struct NodePosition {
     /// Number of the node, from 0.
     pub node: usize,
     /// Number of nodes.
@@ -72,7 +72,7 @@
     /// If there are too many nodes, or membership or placement rejects its configuration.
     pub fn new(
         switch: Switch,
-        position: &Seat,
+        position: &NodePosition,
         settings: &Settings,
         seed: u64,
         started: Time,
@@ -123,12 +123,12 @@
     }
 
     /// Records that an attempt is sent; `None` for a box that is not on the list.
-    pub fn sent(&mut self, server: &ServerId) -> Option<Sent> {
+    pub fn sent(&mut self, server: &ServerId) -> Option<SentAttempt> {
         self.boxes.sent(server)
     }
 
     /// Records the outcome of an attempt.
-    pub fn ended(&mut self, sent: Sent, status: Status) {
+    pub fn ended(&mut self, sent: SentAttempt, status: Status) {
         self.boxes.ended(sent, status);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Runs everything that is due by now and returns the outputs.
-    pub fn turn(&mut self, now: Time) -> Vec<Told> {
+    pub fn turn(&mut self, now: Time) -> Vec<PlaneNotification> {
         let now = self.moment(now);
         let mut notifications = Vec::new();
         if now >= self.next_observation_at {
@@ -158,7 +158,7 @@
         for output in self.plane.take(now) {
             match output {
                 PlaneOutput::Datagram { to, bytes } => {
-                    notifications.push(Told::Datagram(usize::from(to.0), bytes))
+                    notifications.push(PlaneNotification::Datagram(usize::from(to.0), bytes))
                 }
                 PlaneOutput::Event(PlaneEvent::Placement(PlacementEvent::Switch(table))) => {
                     notifications.push(table_notification(&table))
@@ -171,7 +171,7 @@
     }
 
     /// Gives the node's own observations to its peers, and the peers' evidence to the policy when that is due.
-    fn exchange_observations(&mut self, now: Moment, notifications: &mut Vec<Told>) {
+    fn exchange_observations(&mut self, now: Moment, notifications: &mut Vec<PlaneNotification>) {
         for observation in self.boxes.take_observations() {
             self.plane.peers().observe(now, observation);
         }
@@ -183,7 +183,7 @@
             let servers: Vec<_> =
                 evidence.iter().filter_map(|box_evidence| self.boxes.evidence(box_evidence)).collect();
             if !servers.is_empty() {
-                notifications.push(Told::News(FleetUpdate::Servers(servers)));
+                notifications.push(PlaneNotification::News(FleetUpdate::Servers(servers)));
             }
         }
     }
@@ -198,11 +198,11 @@
 }
 
 /// The notification of a placement table in force.
-fn table_notification(table: &Table) -> Told {
+fn table_notification(table: &Table) -> PlaneNotification {
     let entry = |entry: &hallpin_placement::TableEntry| TableEntry {
         server: ServerId(entry.server.as_str().into()),
         weight: f64::from(entry.weight_milli) / 1000.0,
     };
     let (epoch, version, entries) = (table.epoch, table.version, table.entries.iter().map(entry).collect());
-    Told::Table(FleetUpdate::Table { epoch, version, entries }, table.revision)
+    PlaneNotification::Table(FleetUpdate::Table { epoch, version, entries }, table.revision)
 }
--- a/crates/simulation/src/plane/tally.rs
+++ b/crates/simulation/src/plane/tally.rs
@@ -13,7 +13,7 @@
 
 /// How long all nodes took to place requests by a revision of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Spread {
+pub struct RevisionSpread {
     /// Revision of the list.
     pub revision: u64,
     /// Time at which the list reached this revision.
@@ -40,7 +40,7 @@
     /// Calls that read a key which another box had read less than 10 s before.
     pub double_fetches: u64,
     /// How each revision of the list spread.
-    pub spreads: Vec<Spread>,
+    pub spreads: Vec<RevisionSpread>,
     /// The box that last read each key, and when.
     #[serde(skip)]
     fetched: FxHashMap<KeyId, (BoxId, Time)>,
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -6,7 +6,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::chance::{Chance, Spread};
+use crate::chance::{RandomStream, Spread};
 use crate::policy::TruePlanner;
 use crate::store::KeyId;
 use crate::time::{Span, Time};
@@ -47,7 +47,7 @@
 
 /// A call from a box to the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PlannerCall {
     /// Identifies the call; returned with the answer.
     pub id: u64,
     /// Key to read or write.
@@ -79,14 +79,14 @@
 /// The planner.
 pub struct Planner {
     spec: PlannerSpec,
-    rng: Chance,
+    rng: RandomStream,
     versions: FxHashMap<KeyId, u64>,
     /// Time at which a write was last carried out, by its idempotency key.
     applied_writes: FxHashMap<u64, Time>,
     /// The same writes, oldest first, to expire them.
     applied_order: VecDeque<(Time, u64)>,
-    waiting: VecDeque<Ask>,
-    in_progress: FxHashMap<u64, Ask>,
+    waiting: VecDeque<PlannerCall>,
+    in_progress: FxHashMap<u64, PlannerCall>,
     /// Completion times of the calls in progress.
     completions: BinaryHeap<Reverse<(Time, u64)>>,
     last_sequence: u64,
@@ -105,7 +105,7 @@
 
 impl Planner {
     /// A planner that just started, with every key at version 0.
-    pub fn new(spec: PlannerSpec, rng: Chance) -> Self {
+    pub fn new(spec: PlannerSpec, rng: RandomStream) -> Self {
         Planner {
             spec,
             rng,
@@ -187,7 +187,7 @@
     }
 
     /// Handles a call; it is lost while the planner is down, and fails at once if the queue is too long.
-    pub fn call(&mut self, now: Time, ask: Ask, notifications: &mut Vec<PlannerNotification>) {
+    pub fn call(&mut self, now: Time, ask: PlannerCall, notifications: &mut Vec<PlannerNotification>) {
         let work = if ask.write.is_some() { self.spec.write_times } else { 1.0 };
         self.record_load(now, work, notifications);
         if self.is_down() {
@@ -316,11 +316,11 @@
     }
 
     fn planner(spec: PlannerSpec) -> Planner {
-        Planner::new(spec, Chance::new(1, "planner"))
+        Planner::new(spec, RandomStream::new(1, "planner"))
     }
 
-    fn read(id: u64) -> Ask {
-        Ask { id, key: 7, write: None }
+    fn read(id: u64) -> PlannerCall {
+        PlannerCall { id, key: 7, write: None }
     }
 
     fn run(planner: &mut Planner, until: Time) -> Vec<(Time, PlannerNotification)> {
@@ -347,7 +347,7 @@
     #[test]
     fn a_repeat_of_a_keyed_write_within_the_window_changes_nothing() {
         let (mut planner, mut notifications) = (planner(spec()), Vec::new());
-        let write = |id| Ask { id, key: 7, write: Some(Some(5)) };
+        let write = |id| PlannerCall { id, key: 7, write: Some(Some(5)) };
         planner.call(Time(0), write(1), &mut notifications);
         run(&mut planner, Time(250_000));
         planner.call(Time(250_000), write(2), &mut notifications);
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -31,7 +31,7 @@
 }
 
 /// True state of the world, for policies that may see it. Boxes are addressed by their index in the day.
-pub trait Sight {
+pub trait WorldView {
     /// Number of boxes in the day.
     fn boxes(&self) -> usize;
 
@@ -56,9 +56,9 @@
 
 /// An empty view, for running a policy without a simulated world.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Blind;
+pub struct EmptyWorldView;
 
-impl Sight for Blind {
+impl WorldView for EmptyWorldView {
     fn boxes(&self) -> usize {
         0
     }
@@ -91,7 +91,7 @@
 /// Decision logic of one node: consumes events and returns actions, as [`Balancer`] does.
 pub trait Policy: Send {
     /// Handles one event and appends the resulting actions. Only an omniscient policy uses `world`.
-    fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>);
+    fn handle(&mut self, now: Seconds, event: Event, world: &dyn WorldView, actions: &mut Vec<Action>);
 
     /// Sizes of the policy's state, for detecting unbounded growth; all zero if the policy does not count.
     fn sizes(&self) -> Sizes {
@@ -100,7 +100,7 @@
 }
 
 impl Policy for Balancer {
-    fn handle(&mut self, now: Seconds, event: Event, _: &dyn Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Seconds, event: Event, _: &dyn WorldView, actions: &mut Vec<Action>) {
         Balancer::handle(self, now, event, actions);
     }
 
@@ -110,7 +110,7 @@
 }
 
 /// Creates the policy of a starting node from its settings and seed.
-pub type Start<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError>;
+pub type PolicyFactory<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError>;
 
 /// Creates the balancer as a policy.
 ///
--- a/crates/simulation/src/range.rs
+++ b/crates/simulation/src/range.rs
@@ -8,7 +8,7 @@
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::chance::Chance;
+use crate::chance::RandomStream;
 use crate::time::Span;
 
 /// A size in bytes, written with its unit: `64KiB`.
@@ -47,13 +47,13 @@
     const FORM: &'static str;
 
     /// Draws a value from `low` to `high`; for integer quantities, both are included.
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self;
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self;
 }
 
 impl Quantity for f64 {
     const FORM: &'static str = "a number";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         rng.between(low, high)
     }
 }
@@ -61,7 +61,7 @@
 impl Quantity for u32 {
     const FORM: &'static str = "a whole number";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         low + rng.below(u64::from(high - low) + 1) as u32
     }
 }
@@ -69,7 +69,7 @@
 impl Quantity for Span {
     const FORM: &'static str = "a duration with its unit, such as \"250ms\"";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         Span(low.0 + rng.below(high.0 - low.0 + 1))
     }
 }
@@ -77,7 +77,7 @@
 impl Quantity for Bytes {
     const FORM: &'static str = "a size with its unit, such as \"64KiB\"";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         Bytes(low.0 + rng.below(high.0 - low.0 + 1))
     }
 }
@@ -103,7 +103,7 @@
     }
 
     /// Draws a value. A single value consumes a draw too, so that replacing a range by one does not shift later draws.
-    pub fn draw(&self, rng: &mut Chance) -> T {
+    pub fn draw(&self, rng: &mut RandomStream) -> T {
         T::between(self.low, self.high, rng)
     }
 }
@@ -231,7 +231,7 @@
 
     #[test]
     fn draws_stay_in_range_and_reach_both_ends() {
-        let (mut rng, range) = (Chance::new(1, "range"), Range::of(2u32, 4));
+        let (mut rng, range) = (RandomStream::new(1, "range"), Range::of(2u32, 4));
         let draws: Vec<u32> = (0..100).map(|_| range.draw(&mut rng)).collect();
         assert!((2..=4).all(|n| draws.contains(&n)) && draws.iter().all(|n| (2..=4).contains(n)));
     }
--- a/crates/simulation/src/referee/attempt_limits.rs
+++ b/crates/simulation/src/referee/attempt_limits.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Referee {
+impl InvariantChecker {
     /// Checks a further attempt of a try. `check_target` checks the choice of its box.
     pub(super) fn check_attempt(&mut self, at: Time, id: TryId, attempt: u32, node: NodeId) {
         let (hedging_allowed, max_attempts) = (self.parameters.second_copies, self.parameters.max_attempts);
@@ -18,7 +18,7 @@
             return;
         };
         let in_flight = accepted.attempts.iter().filter(|s| s.ended.is_none()).count();
-        let mut ran = accepted.attempts.iter().filter(|s| s.ended.is_none_or(Ended::may_have_run));
+        let mut ran = accepted.attempts.iter().filter(|s| s.ended.is_none_or(AttemptOutcome::may_have_run));
         let (effect, window) = self.parameters.effects[accepted.class];
         let violation = match effect {
             _ if accepted.attempts.len() >= max_attempts as usize => Some("more often than is allowed"),
@@ -39,9 +39,9 @@
         }
     }
 
-    pub(super) fn attempt_ended(&mut self, at: Time, id: TryId, attempt: u32, how: Ended) {
-        self.verdict.turned_away += u64::from(how == Ended::Overloaded);
-        self.verdict.timed_out += u64::from(how == Ended::TimedOut);
+    pub(super) fn attempt_ended(&mut self, at: Time, id: TryId, attempt: u32, how: AttemptOutcome) {
+        self.verdict.turned_away += u64::from(how == AttemptOutcome::Overloaded);
+        self.verdict.timed_out += u64::from(how == AttemptOutcome::TimedOut);
         if let Some(accepted) = self.tries.get_mut(&id) {
             let sent = accepted.attempts.iter_mut().find(|s| s.number == attempt && s.ended.is_none());
             if let Some(sent) = sent {
--- a/crates/simulation/src/referee/cold.rs
+++ b/crates/simulation/src/referee/cold.rs
@@ -40,7 +40,7 @@
     (cold.initial_share + (1.0 - cold.initial_share) * progress).min(1.0)
 }
 
-impl Referee {
+impl InvariantChecker {
     pub(super) fn work_arrived(&mut self, at: Time, to: BoxId, node: NodeId, work: f64, read: bool) {
         if read && !self.cold_boxes.is_empty() {
             self.planner.reads.push_back(at);
--- a/crates/simulation/src/referee/departed_clients.rs
+++ b/crates/simulation/src/referee/departed_clients.rs
@@ -29,7 +29,7 @@
     }
 }
 
-impl Referee {
+impl InvariantChecker {
     /// Reports an attempt that starts too long after its client left. Returns whether the client has left and rule one
     /// doesn't apply to the attempt.
     pub(super) fn check_departed(&mut self, at: Time, id: TryId) -> bool {
--- a/crates/simulation/src/referee/drains.rs
+++ b/crates/simulation/src/referee/drains.rs
@@ -13,7 +13,7 @@
     pub started: Option<Time>,
 }
 
-impl Referee {
+impl InvariantChecker {
     /// Checks that a node sends an attempt to a box that it may use.
     pub(super) fn check_target(&mut self, at: Time, node: NodeId, to: BoxId) {
         self.verdict.attempts += 1;
--- a/crates/simulation/src/referee/final_answers.rs
+++ b/crates/simulation/src/referee/final_answers.rs
@@ -18,7 +18,7 @@
 pub(super) struct SentAttempt {
     pub number: u32,
     pub at: Time,
-    pub ended: Option<Ended>,
+    pub ended: Option<AttemptOutcome>,
 }
 
 /// A try that a node has accepted.
@@ -35,7 +35,7 @@
     pub attempts: Vec<SentAttempt>,
 }
 
-impl Referee {
+impl InvariantChecker {
     pub(super) fn try_accepted(&mut self, at: Time, id: TryId, ask: AskId, node: NodeId, until: Time) {
         let Some(request) = self.open_requests.get(&ask) else { return };
         let (class, key) = (request.class, request.key);
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn try_answered(&mut self, at: Time, id: TryId, how: How, version: Option<u64>) {
+    pub(super) fn try_answered(&mut self, at: Time, id: TryId, how: TryOutcome, version: Option<u64>) {
         let Some(accepted) = self.tries.get(&id).filter(|t| !t.finished) else {
             return self.report_violation(
                 Rule::Lost,
@@ -90,15 +90,17 @@
         };
         let (class, ask) = (accepted.class, accepted.ask);
         let (effect, _) = self.parameters.effects[class];
-        let ran = accepted.attempts.iter().any(|s| s.ended.is_none_or(Ended::may_have_run));
+        let ran = accepted.attempts.iter().any(|s| s.ended.is_none_or(AttemptOutcome::may_have_run));
         let late = at.since(accepted.accepted_at).0 * 2 > accepted.deadline.since(accepted.accepted_at).0;
         let unsent = accepted
             .attempts
             .iter()
-            .all(|s| s.ended == Some(Ended::Unreachable) || s.ended == Some(Ended::Void));
+            .all(|s| s.ended == Some(AttemptOutcome::Unreachable) || s.ended == Some(AttemptOutcome::Void));
         let stale = version.is_some_and(|version| version < accepted.min_version);
-        let (completed, rejected) = (how == How::Completed, how == How::Rejected);
-        if completed && !accepted.attempts.iter().any(|s| s.ended.is_none_or(|e| e == Ended::Success)) {
+        let (completed, rejected) = (how == TryOutcome::Completed, how == TryOutcome::Rejected);
+        if completed
+            && !accepted.attempts.iter().any(|s| s.ended.is_none_or(|e| e == AttemptOutcome::Success))
+        {
             self.report_violation(
                 Rule::Lost,
                 at,
@@ -115,18 +117,18 @@
         self.verdict.stale += u64::from(stale && completed && effect == Effect::Free);
         let class_verdict = &mut self.verdict.classes[class];
         match how {
-            How::Completed => class_verdict.completed += 1,
-            How::Rejected => class_verdict.rejected += 1,
-            How::Failed => class_verdict.failed += 1,
+            TryOutcome::Completed => class_verdict.completed += 1,
+            TryOutcome::Rejected => class_verdict.rejected += 1,
+            TryOutcome::Failed => class_verdict.failed += 1,
         }
         let second = self.second_at(at);
         second.rejected += u64::from(rejected);
-        second.failed += u64::from(how == How::Failed);
+        second.failed += u64::from(how == TryOutcome::Failed);
         let loss = match how {
-            How::Completed => Loss::Late,
+            TryOutcome::Completed => Loss::Late,
             _ if late && unsent => Loss::RefusedLate,
-            How::Rejected => Loss::Refused,
-            How::Failed => Loss::Failed,
+            TryOutcome::Rejected => Loss::Refused,
+            TryOutcome::Failed => Loss::Failed,
         };
         if let Some(request) = self.open_requests.get_mut(&ask) {
             request.last_loss = loss;
--- a/crates/simulation/src/referee/mod.rs
+++ b/crates/simulation/src/referee/mod.rs
@@ -23,11 +23,11 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::day::{Day, Effect, NodeId};
+use crate::day::{Effect, NodeId, RunSpec};
 use crate::list::{BoxId, Phase};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
-use crate::trace::{AskId, Ended, Event, How, Sink, TryId};
+use crate::trace::{AskId, AttemptOutcome, Event, Sink, TryId, TryOutcome};
 use cold::{slow_start_factor, ColdBox};
 use departed_clients::DepartedClients;
 use drains::NotifiedBox;
@@ -37,14 +37,14 @@
 use planner::PlannerLoad;
 use restarts::Restarts;
 use score::CostTotals;
-pub use verdict::{latencies, Breach, ClassVerdict, Loss, Rule, Second, Verdict, Worth};
+pub use verdict::{latencies, ClassVerdict, Loss, Rule, Second, Verdict, Violation, Worth};
 use worth::OpenRequest;
 
 /// Violations that are kept with a description; all are counted.
 const MAX_DESCRIBED_VIOLATIONS: usize = 100;
 
 /// Checks the events of a trace as they are recorded.
-pub struct Referee {
+pub struct InvariantChecker {
     parameters: RuleParameters,
     now: Time,
     open_requests: FxHashMap<AskId, OpenRequest>,
@@ -77,10 +77,10 @@
     verdict: Verdict,
 }
 
-impl Referee {
+impl InvariantChecker {
     /// Creates a checker with the rules of this scenario run.
-    pub fn new(day: &Day) -> Self {
-        Referee {
+    pub fn new(day: &RunSpec) -> Self {
+        InvariantChecker {
             parameters: RuleParameters::new(day),
             now: Time::ZERO,
             open_requests: FxHashMap::default(),
@@ -108,7 +108,7 @@
     fn report_violation(&mut self, rule: Rule, at: Time, what: String) {
         *self.verdict.breaches.entry(rule).or_default() += 1;
         if self.verdict.told.len() < MAX_DESCRIBED_VIOLATIONS {
-            self.verdict.told.push(Breach { rule, at, what });
+            self.verdict.told.push(Violation { rule, at, what });
         }
     }
 
@@ -127,7 +127,7 @@
     }
 }
 
-impl Sink for Referee {
+impl Sink for InvariantChecker {
     fn record(&mut self, at: Time, event: &Event) {
         if at < self.now {
             self.report_violation(Rule::Lost, at, "the trace goes back in time".into());
--- a/crates/simulation/src/referee/notifications.rs
+++ b/crates/simulation/src/referee/notifications.rs
@@ -114,7 +114,7 @@
     }
 }
 
-impl Referee {
+impl InvariantChecker {
     /// Applies all changes whose notification deadline has passed, arrived or not.
     pub(super) fn apply_due_notifications(&mut self, now: Time) {
         while let Some((at, node, of, EndpointState { phase, started })) =
--- a/crates/simulation/src/referee/parameters.rs
+++ b/crates/simulation/src/referee/parameters.rs
@@ -1,6 +1,6 @@
 //! Parameters of the rules, taken from the settings of a run.
 
-use crate::day::{Day, Effect, GoalSpec};
+use crate::day::{Effect, GoalSpec, RunSpec};
 use crate::time::Span;
 
 /// Parameters of the rules for one run.
@@ -34,7 +34,7 @@
 }
 
 impl RuleParameters {
-    pub fn new(day: &Day) -> Self {
+    pub fn new(day: &RunSpec) -> Self {
         RuleParameters {
             effects: day.classes.iter().map(|c| (c.effect, c.window)).collect(),
             objectives: day.classes.iter().map(|c| (c.aim, c.worth, c.late_worth)).collect(),
--- a/crates/simulation/src/referee/planner.rs
+++ b/crates/simulation/src/referee/planner.rs
@@ -14,7 +14,7 @@
     pub reads: VecDeque<Time>,
 }
 
-impl Referee {
+impl InvariantChecker {
     pub(super) fn planner_called(&mut self, at: Time, cold: bool) {
         self.verdict.planner_calls += 1;
         self.verdict.planner_cold += u64::from(cold);
--- a/crates/simulation/src/referee/prompt_answers.rs
+++ b/crates/simulation/src/referee/prompt_answers.rs
@@ -7,11 +7,12 @@
 /// Number of remembered keys beyond which idle keys are dropped once they have been idle for the longest objective.
 const MAX_IDLE_KEYS: usize = 10_000;
 
-impl Referee {
+impl InvariantChecker {
     /// Checks that a rejection or failure doesn't follow a long time without an attempt in flight for the try or, as
     /// answers may be shared, for its key at its node.
-    pub(super) fn check_prompt_answer(&mut self, at: Time, id: TryId, how: How, advice: Option<Span>) {
-        let Some(accepted) = self.tries.get(&id).filter(|t| !t.finished && how != How::Completed) else {
+    pub(super) fn check_prompt_answer(&mut self, at: Time, id: TryId, how: TryOutcome, advice: Option<Span>) {
+        let Some(accepted) = self.tries.get(&id).filter(|t| !t.finished && how != TryOutcome::Completed)
+        else {
             return;
         };
         let (in_flight, ended) =
@@ -28,7 +29,10 @@
                 format!("try {id} was given up {idle} after the last attempt in flight for it"),
             );
         }
-        if how == How::Rejected && self.parameters.sends_retry_after && advice.is_none_or(Span::is_zero) {
+        if how == TryOutcome::Rejected
+            && self.parameters.sends_retry_after
+            && advice.is_none_or(Span::is_zero)
+        {
             self.report_violation(
                 Rule::Waited,
                 at,
@@ -59,7 +63,7 @@
     #[test]
     fn idle_keys_are_remembered_within_their_bound() {
         let day = Scenario::default().draw(1).expect("the defaults make a day");
-        let mut checker = Referee::new(&day);
+        let mut checker = InvariantChecker::new(&day);
         checker.record(Time::ZERO, &Event::Told { node: 0, of: 0, phase: Phase::Ready, started: None });
         let (mut most, keys) = (0, 3 * MAX_IDLE_KEYS as u64);
         for n in 0..keys {
@@ -72,7 +76,7 @@
             checker.record(at, &Event::Taken { id: n, ask: n, node: 0, until });
             checker
                 .record(at, &Event::Sent { id: n, attempt: 0, node: 0, to: 0, crosses: false, wait: None });
-            checker.record(at, &Event::Ended { id: n, attempt: 0, how: Ended::Success });
+            checker.record(at, &Event::Ended { id: n, attempt: 0, how: AttemptOutcome::Success });
             most = most.max(checker.in_flight.len());
         }
         assert!(most <= MAX_IDLE_KEYS, "{most} keys remembered of {keys}");
--- a/crates/simulation/src/referee/restarts.rs
+++ b/crates/simulation/src/referee/restarts.rs
@@ -47,7 +47,7 @@
     }
 }
 
-impl Referee {
+impl InvariantChecker {
     /// Compares the late restarts of the run with the share that may be late.
     pub(super) fn check_restarts(&mut self, at: Time) {
         let starting: Vec<NodeId> = self.restarts.starting.keys().copied().collect();
--- a/crates/simulation/src/referee/score.rs
+++ b/crates/simulation/src/referee/score.rs
@@ -26,7 +26,7 @@
     open_changed_at: Time,
 }
 
-impl Referee {
+impl InvariantChecker {
     pub(super) fn update_connections(&mut self, at: Time, to: BoxId, change: impl Fn(u64) -> u64) {
         self.totals.open_connection_seconds +=
             self.totals.open_connections as f64 * at.since(self.totals.open_changed_at).as_secs();
--- a/crates/simulation/src/referee/verdict.rs
+++ b/crates/simulation/src/referee/verdict.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::day::{Day, Effect};
+use crate::day::{Effect, RunSpec};
 use crate::time::Time;
 
 /// The four rules, and the operators' further requirements on rejections, disconnected clients and restarts.
@@ -30,7 +30,7 @@
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// Violated rule.
     pub rule: Rule,
     /// Time of the violation, in microseconds.
@@ -146,7 +146,7 @@
     pub breaches: BTreeMap<Rule, u64>,
     /// Descriptions of the first violations, at most 100.
     #[serde(rename = "told")]
-    pub told: Vec<Breach>,
+    pub told: Vec<Violation>,
     /// Totals of all requests.
     #[serde(rename = "whole")]
     pub whole: Worth,
@@ -192,7 +192,7 @@
 
 impl Verdict {
     /// Creates the result of a run without any events.
-    pub(super) fn new(day: &Day) -> Self {
+    pub(super) fn new(day: &RunSpec) -> Self {
         let class = |c: &crate::day::ClassSpec| ClassVerdict {
             name: c.name.clone(),
             effect: c.effect,
--- a/crates/simulation/src/referee/wait_budget.rs
+++ b/crates/simulation/src/referee/wait_budget.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-impl Referee {
+impl InvariantChecker {
     /// Checks the wait time that an attempt carries to its server.
     pub(super) fn check_wait(&mut self, at: Time, id: TryId, wait: Option<Span>) {
         let Some((wait, accepted)) = wait.zip(self.tries.get(&id)) else { return };
--- a/crates/simulation/src/referee/worth.rs
+++ b/crates/simulation/src/referee/worth.rs
@@ -21,7 +21,7 @@
     pub last_loss: Loss,
 }
 
-impl Referee {
+impl InvariantChecker {
     pub(super) fn request_started(
         &mut self,
         at: Time,
--- a/crates/simulation/src/scenario/draw/boxes.rs
+++ b/crates/simulation/src/scenario/draw/boxes.rs
@@ -2,7 +2,7 @@
 
 use super::super::{BoxKind, Scenario};
 use crate::cache_box::BoxSpec;
-use crate::chance::Chance;
+use crate::chance::RandomStream;
 use crate::time::Span;
 
 impl Scenario {
@@ -11,7 +11,7 @@
         kind: &BoxKind,
         values: &KindValues,
         index: usize,
-        rng: &mut Chance,
+        rng: &mut RandomStream,
     ) -> BoxSpec {
         let cores = kind.cores.draw(rng);
         let slots = (kind.slots_per_core.draw(rng) * cores).round().max(1.0);
@@ -77,7 +77,7 @@
 }
 
 impl KindValues {
-    pub(super) fn draw(kind: &BoxKind, rng: &mut Chance) -> Self {
+    pub(super) fn draw(kind: &BoxKind, rng: &mut RandomStream) -> Self {
         KindValues {
             waiting_per_core: kind.waiting_per_core.draw(rng),
             connection_work: kind.connection_work.draw(rng),
--- a/crates/simulation/src/scenario/draw/incidents.rs
+++ b/crates/simulation/src/scenario/draw/incidents.rs
@@ -3,8 +3,8 @@
 use super::super::{s, BoxKind, ClassFile, IncidentFile, IncidentKind, Scenario};
 use super::boxes::KindValues;
 use crate::cache_box::BoxSpec;
-use crate::chance::Chance;
-use crate::day::{Haste, Incident, Scheduled, Silence, SlowWriters, Stop};
+use crate::chance::RandomStream;
+use crate::day::{FaultEvent, HastyClients, ScheduledFault, SlowWriters, StopTimings, WatchSilence};
 use crate::range::Range;
 use crate::time::{Span, Time};
 
@@ -18,8 +18,8 @@
     /// Number of boxes that run at the start; these are the first ones of `boxes`.
     pub running: usize,
     pub boxes: Vec<BoxSpec>,
-    pub incidents: Vec<Scheduled>,
-    pub silences: Vec<Silence>,
+    pub incidents: Vec<ScheduledFault>,
+    pub silences: Vec<WatchSilence>,
 }
 
 /// Draws targets from the candidates: a number of them, else a share of them, else all of them if a depot is given.
@@ -28,7 +28,7 @@
     part: Option<Range<f64>>,
     depot: Option<usize>,
     of: &[usize],
-    rng: &mut Chance,
+    rng: &mut RandomStream,
 ) -> Vec<usize> {
     let by_part = part.map(|part| (part.draw(rng) * of.len() as f64).round().max(1.0) as usize);
     let many = match (many, by_part) {
@@ -48,7 +48,7 @@
 }
 
 impl Scenario {
-    pub(super) fn draw_incident(&self, file: &IncidentFile, run: &mut DrawnRun, rng: &mut Chance) {
+    pub(super) fn draw_incident(&self, file: &IncidentFile, run: &mut DrawnRun, rng: &mut RandomStream) {
         let happens = rng.unit() < file.chance.unwrap_or(1.0);
         let at = Time::ZERO + file.at.draw(rng);
         let lasts = file.lasts.map(|lasts| lasts.draw(rng));
@@ -76,70 +76,77 @@
         // Drawn last and only if configured, so that runs without it keep their random sequence.
         let stop = file.kill.unwrap_or(false).then(|| {
             let longest = self.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-            Stop::new(longest, Range { low: NEW_CONNECTIONS_TIME.0, high: NEW_CONNECTIONS_TIME.1 }.draw(rng))
+            StopTimings::new(
+                longest,
+                Range { low: NEW_CONNECTIONS_TIME.0, high: NEW_CONNECTIONS_TIME.1 }.draw(rng),
+            )
         });
         let mut add = |at, lasts, incident| {
-            run.incidents.push(Scheduled { at, lasts, incident, stop });
+            run.incidents.push(ScheduledFault { at, lasts, incident, stop });
         };
         let split_into_groups = |targets: Vec<usize>| split_into_groups(targets, file.each, file.steps);
         match file.kind {
-            IncidentKind::Silent => add(at, duration, Incident::Silent(target_boxes)),
-            IncidentKind::Slow => add(at, duration, Incident::Slow(target_boxes, factor)),
-            IncidentKind::Erring => add(at, duration, Incident::Erring(target_boxes, share)),
+            IncidentKind::Silent => add(at, duration, FaultEvent::Silent(target_boxes)),
+            IncidentKind::Slow => add(at, duration, FaultEvent::Slow(target_boxes, factor)),
+            IncidentKind::Erring => add(at, duration, FaultEvent::Erring(target_boxes, share)),
             IncidentKind::Kill => {
                 for (after, group) in split_into_groups(target_boxes) {
-                    add(at + after, duration, Incident::Kill(group));
+                    add(at + after, duration, FaultEvent::Kill(group));
                 }
             }
             IncidentKind::Heavy => {
                 let named = |class: &ClassFile| Some(&class.name) == file.class.as_ref();
                 let class = self.classes.iter().position(named).unwrap_or(0);
-                add(at, duration, Incident::Heavy { class, share, factor });
+                add(at, duration, FaultEvent::Heavy { class, share, factor });
             }
             IncidentKind::NodeDeath => {
                 for (after, group) in split_into_groups(target_nodes) {
-                    add(at + after, duration, Incident::NodeDeath(group));
+                    add(at + after, duration, FaultEvent::NodeDeath(group));
                 }
             }
             IncidentKind::NodeRestart => {
                 for (after, group) in split_into_groups(target_nodes) {
-                    add(at + after, duration, Incident::NodeRestart(group));
+                    add(at + after, duration, FaultEvent::NodeRestart(group));
                 }
             }
             IncidentKind::SilentWatch => {
                 let waits = file.by.map(|by| by.draw(rng));
-                run.silences.push(Silence { at, nodes: target_nodes, waits });
+                run.silences.push(WatchSilence { at, nodes: target_nodes, waits });
             }
-            IncidentKind::ListOutage => add(at, duration, Incident::ListOutage),
+            IncidentKind::ListOutage => add(at, duration, FaultEvent::ListOutage),
             IncidentKind::LateList => {
                 let by = file.by.map_or(Span::ZERO, |by| by.draw(rng));
-                add(at, duration, Incident::LateList { depot, by });
+                add(at, duration, FaultEvent::LateList { depot, by });
             }
-            IncidentKind::PlannerSlow => add(at, duration, Incident::PlannerSlow(factor)),
-            IncidentKind::PlannerSilent => add(at, duration, Incident::PlannerSilent),
-            IncidentKind::LostAnswers => add(at, duration, Incident::LostAnswers(share)),
-            IncidentKind::Resets => add(at, duration, Incident::Resets(share)),
-            IncidentKind::LostMessages => add(at, duration, Incident::LostMessages(share)),
+            IncidentKind::PlannerSlow => add(at, duration, FaultEvent::PlannerSlow(factor)),
+            IncidentKind::PlannerSilent => add(at, duration, FaultEvent::PlannerSilent),
+            IncidentKind::LostAnswers => add(at, duration, FaultEvent::LostAnswers(share)),
+            IncidentKind::Resets => add(at, duration, FaultEvent::Resets(share)),
+            IncidentKind::LostMessages => add(at, duration, FaultEvent::LostMessages(share)),
             IncidentKind::Shift => {
-                add(at, duration, Incident::Shift { depot: depot.unwrap_or(0), factor });
+                add(at, duration, FaultEvent::Shift { depot: depot.unwrap_or(0), factor });
             }
-            IncidentKind::Impatient => add(at, duration, Incident::Impatient { share, hurry: factor }),
+            IncidentKind::Impatient => add(at, duration, FaultEvent::Impatient { share, hurry: factor }),
             IncidentKind::Hasty => {
                 let gives = file.by.map_or(Span::ZERO, |by| by.draw(rng));
-                add(at, duration, Incident::Hasty(Haste { share, gives, again: file.rounds.unwrap_or(8) }));
+                add(
+                    at,
+                    duration,
+                    FaultEvent::Hasty(HastyClients { share, gives, again: file.rounds.unwrap_or(8) }),
+                );
             }
             IncidentKind::SlowWriters => {
                 let up_to = file.by.map_or(Span::ZERO, |by| by.draw(rng));
-                add(at, duration, Incident::SlowWriters(SlowWriters { share, up_to }));
+                add(at, duration, FaultEvent::SlowWriters(SlowWriters { share, up_to }));
             }
             IncidentKind::Partition | IncidentKind::CutOff => {
-                add(at, duration, Incident::Partition(self.cut_links(file, depot)));
+                add(at, duration, FaultEvent::Partition(self.cut_links(file, depot)));
             }
-            IncidentKind::Drain => add(at, duration, Incident::Drain(target_boxes)),
+            IncidentKind::Drain => add(at, duration, FaultEvent::Drain(target_boxes)),
             IncidentKind::Join => {
                 let many = file.boxes.map_or(0, |many| many.draw(rng));
                 let joining = (0..many).map(|_| self.add_box(&mut run.boxes, None, rng)).collect();
-                add(at, Span::ZERO, Incident::Join(joining));
+                add(at, Span::ZERO, FaultEvent::Join(joining));
             }
             IncidentKind::Replace => {
                 let (mut targets, mut begins) = (target_boxes, at);
@@ -151,21 +158,21 @@
                         let replacing = |old: &usize| self.add_replacement(file, *old, &mut run.boxes, rng);
                         let joining: Vec<usize> = group.iter().map(replacing).collect();
                         joined.extend(&joining);
-                        add(begins + after, duration, Incident::Drain(group));
-                        add(begins + after + duration, Span::ZERO, Incident::Join(joining));
+                        add(begins + after, duration, FaultEvent::Drain(group));
+                        add(begins + after + duration, Span::ZERO, FaultEvent::Join(joining));
                     }
                     // The next round starts once the last replacement has joined.
                     (targets, begins) =
                         (joined, begins + last + duration.max(file.each.unwrap_or_default()) + Span(1));
                 }
             }
-            IncidentKind::Burst => add(at, duration, Incident::Burst { factor, share, keys }),
+            IncidentKind::Burst => add(at, duration, FaultEvent::Burst { factor, share, keys }),
         }
     }
 
     /// Returns the index of the named depot, or of a random one if no depot has this name.
-    fn draw_depot(&self, name: &str, rng: &mut Chance) -> usize {
-        let any = |rng: &mut Chance| rng.below(self.depots.len() as u64) as usize;
+    fn draw_depot(&self, name: &str, rng: &mut RandomStream) -> usize {
+        let any = |rng: &mut RandomStream| rng.below(self.depots.len() as u64) as usize;
         self.depots.iter().position(|d| d == name).unwrap_or_else(|| any(rng))
     }
 
@@ -189,7 +196,7 @@
         file: &IncidentFile,
         old: usize,
         boxes: &mut Vec<BoxSpec>,
-        rng: &mut Chance,
+        rng: &mut RandomStream,
     ) -> usize {
         let address = file.same_address.unwrap_or(false).then(|| boxes[old].address);
         let new = self.add_box(boxes, Some(old), rng);
@@ -199,7 +206,7 @@
     }
 
     /// Adds a box of the same kind as the one that it replaces, or of the first kind, and returns its index.
-    fn add_box(&self, boxes: &mut Vec<BoxSpec>, like: Option<usize>, rng: &mut Chance) -> usize {
+    fn add_box(&self, boxes: &mut Vec<BoxSpec>, like: Option<usize>, rng: &mut RandomStream) -> usize {
         let named = |kind: &&BoxKind| like.is_some_and(|old| kind.kind == boxes[old].kind);
         let kind = self.boxes.iter().find(named).unwrap_or(&self.boxes[0]);
         let kind_values = KindValues::draw(kind, rng);
--- a/crates/simulation/src/scenario/draw/mod.rs
+++ b/crates/simulation/src/scenario/draw/mod.rs
@@ -3,12 +3,12 @@
 mod boxes;
 mod incidents;
 
-use super::{ClassFile, Scenario, TenantFile, Wrong};
+use super::{ClassFile, InvalidField, Scenario, TenantFile};
 use crate::cache_box::BoxSpec;
-use crate::chance::{Chance, Spread};
+use crate::chance::{RandomStream, Spread};
 use crate::day::{
-    mean_work, ClassSpec, ClientsSpec, Day, GoalSpec, KeysSpec, ListSpec, NetworkSpec, NodeTimings,
-    PricesSpec, RulesSpec, Scheduled, TenantSpec,
+    mean_work, ClassSpec, ClientsSpec, GoalSpec, KeysSpec, ListSpec, NetworkSpec, NodeTimings, PricesSpec,
+    RulesSpec, RunSpec, ScheduledFault, TenantSpec,
 };
 use crate::planner::PlannerSpec;
 use crate::time::{Span, Time};
@@ -23,9 +23,9 @@
     ///
     /// # Errors
     /// If [`Scenario::check`] fails.
-    pub fn draw(&self, seed: u64) -> Result<Day, Wrong> {
+    pub fn draw(&self, seed: u64) -> Result<RunSpec, InvalidField> {
         self.check()?;
-        let mut rng = Chance::new(seed, "day");
+        let mut rng = RandomStream::new(seed, "day");
         let length = self.length.draw(&mut rng);
         let nodes = self.nodes.count.draw(&mut rng) as usize;
         let unlike = self.nodes.unlike.draw(&mut rng);
@@ -50,11 +50,11 @@
         };
         for (n, file) in self.incidents.iter().enumerate() {
             // Each fault event has its own random stream, so that adding one doesn't change the others.
-            let mut incident_rng = Chance::new(seed, &format!("incident {n}"));
+            let mut incident_rng = RandomStream::new(seed, &format!("incident {n}"));
             self.draw_incident(file, &mut drawn, &mut incident_rng);
         }
         let DrawnRun { mut boxes, mut incidents, mut silences, .. } = drawn;
-        incidents.sort_by_key(|i: &Scheduled| i.at);
+        incidents.sort_by_key(|i: &ScheduledFault| i.at);
         silences.sort_by_key(|s| s.at);
         let window = self.classes.iter().map(|class| class.window).max().unwrap_or_default();
         let keys = self.draw_keys(&mut rng);
@@ -68,7 +68,7 @@
         let network = self.draw_network(&mut rng);
         let classes: Vec<ClassSpec> = self.classes.iter().map(|class| draw_class(class, &mut rng)).collect();
         boxes.iter_mut().for_each(|b| b.mean_work = mean_work(&classes));
-        Ok(Day {
+        Ok(RunSpec {
             name: self.name.clone(),
             seed,
             length,
@@ -92,7 +92,7 @@
         })
     }
 
-    fn draw_planner(&self, repeat_window: Span, rng: &mut Chance) -> PlannerSpec {
+    fn draw_planner(&self, repeat_window: Span, rng: &mut RandomStream) -> PlannerSpec {
         let file = &self.planner;
         PlannerSpec {
             places: file.places.draw(rng),
@@ -109,7 +109,7 @@
         }
     }
 
-    fn draw_network(&self, rng: &mut Chance) -> NetworkSpec {
+    fn draw_network(&self, rng: &mut RandomStream) -> NetworkSpec {
         let file = &self.network;
         NetworkSpec {
             same: file.same.draw(rng),
@@ -122,7 +122,7 @@
         }
     }
 
-    fn draw_clients(&self, node_shares: Vec<f64>, rng: &mut Chance) -> ClientsSpec {
+    fn draw_clients(&self, node_shares: Vec<f64>, rng: &mut RandomStream) -> ClientsSpec {
         let file = &self.clients;
         let mut curve: Vec<(Time, f64)> = file.curve.iter().map(|p| (Time::ZERO + p.at, p.times)).collect();
         curve.sort_by_key(|(at, _)| *at);
@@ -143,7 +143,7 @@
         }
     }
 
-    fn draw_keys(&self, rng: &mut Chance) -> KeysSpec {
+    fn draw_keys(&self, rng: &mut RandomStream) -> KeysSpec {
         let file = &self.keys;
         let count = file.count.draw(rng);
         KeysSpec {
@@ -198,7 +198,7 @@
     }
 }
 
-fn draw_class(file: &ClassFile, rng: &mut Chance) -> ClassSpec {
+fn draw_class(file: &ClassFile, rng: &mut RandomStream) -> ClassSpec {
     ClassSpec {
         name: file.name.clone(),
         share: file.share.draw(rng),
@@ -215,6 +215,6 @@
     }
 }
 
-fn draw_tenant(file: &TenantFile, rng: &mut Chance) -> TenantSpec {
+fn draw_tenant(file: &TenantFile, rng: &mut RandomStream) -> TenantSpec {
     TenantSpec { name: file.name.clone(), share: file.share, quota: file.quota, usage: file.usage.draw(rng) }
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -103,7 +103,7 @@
 /// An invalid value in a scenario, with its field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {what}")]
-pub struct Wrong {
+pub struct InvalidField {
     /// Path of the field, such as `incidents[2].boxes`.
     pub path: String,
     /// The expected and the found value.
@@ -113,7 +113,7 @@
 /// A parse or validation error of a scenario file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{line}:{column}: {path}: {what}")]
-pub struct Unreadable {
+pub struct ScenarioFileError {
     /// Line, from 1.
     pub line: usize,
     /// Column, from 1, in characters.
@@ -129,12 +129,12 @@
     ///
     /// # Errors
     /// If the text is malformed or a value is invalid; the error has line, column, field and what was expected.
-    pub fn parse(text: &str) -> Result<Self, Unreadable> {
+    pub fn parse(text: &str) -> Result<Self, ScenarioFileError> {
         let at = |offset: usize, path: String, what: String| {
             let before = &text[..offset.min(text.len())];
             let line = before.matches('\n').count() + 1;
             let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-            Unreadable { line, column, path, what }
+            ScenarioFileError { line, column, path, what }
         };
         let start = |error: &toml::de::Error| error.span().map_or(0, |span| span.start);
         let message = |error: &toml::de::Error| error.message().replace('\n', ", ");
@@ -147,7 +147,7 @@
         })?;
         scenario
             .check()
-            .map_err(|Wrong { path, what }| at(crate::locate::offset(text, &path), path, what))?;
+            .map_err(|InvalidField { path, what }| at(crate::locate::offset(text, &path), path, what))?;
         Ok(scenario)
     }
 }
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::fields::check_fields;
-use super::{s, IncidentFile, IncidentKind, Scenario, Wrong};
+use super::{s, IncidentFile, IncidentKind, InvalidField, Scenario};
 use crate::day::Effect;
 
 impl Scenario {
@@ -11,8 +11,8 @@
     ///
     /// # Errors
     /// Names the first invalid field.
-    pub fn check(&self) -> Result<(), Wrong> {
-        let error = |path: &str, what: String| Err(Wrong { path: path.into(), what });
+    pub fn check(&self) -> Result<(), InvalidField> {
+        let error = |path: &str, what: String| Err(InvalidField { path: path.into(), what });
         if self.version != 1 {
             return error("version", format!("1 expected, got {}", self.version));
         }
@@ -42,12 +42,12 @@
         let mut drained = 0;
         for (n, incident) in self.incidents.iter().enumerate() {
             let what = self.check_incident(incident, &mut drained);
-            what.map_err(|(field, what)| Wrong { path: format!("incidents[{n}].{field}"), what })?;
+            what.map_err(|(field, what)| InvalidField { path: format!("incidents[{n}].{field}"), what })?;
         }
         Ok(())
     }
 
-    fn check_ranges(&self) -> Result<(), Wrong> {
+    fn check_ranges(&self) -> Result<(), InvalidField> {
         let mut shares: Vec<(String, f64, f64)> = vec![
             ("clients.try_share".into(), self.clients.try_share.low, self.clients.try_share.high),
             ("clients.honours".into(), self.clients.honours.low, self.clients.honours.high),
@@ -75,7 +75,7 @@
         }
         for (path, low, high) in shares {
             if !(low >= 0.0 && high <= 1.0) {
-                return Err(Wrong {
+                return Err(InvalidField {
                     path,
                     what: format!("shares from 0 to 1 expected, got {low} to {high}"),
                 });
@@ -83,17 +83,17 @@
         }
         for (path, value) in positive {
             if !(value > 0.0 && value.is_finite()) {
-                return Err(Wrong { path, what: format!("a number above 0 expected, got {value}") });
+                return Err(InvalidField { path, what: format!("a number above 0 expected, got {value}") });
             }
         }
         Ok(())
     }
 
-    fn check_classes(&self) -> Result<(), Wrong> {
+    fn check_classes(&self) -> Result<(), InvalidField> {
         let mut names = BTreeSet::new();
         for (n, class) in self.classes.iter().enumerate() {
             let error =
-                |field: &str, what: String| Err(Wrong { path: format!("classes[{n}].{field}"), what });
+                |field: &str, what: String| Err(InvalidField { path: format!("classes[{n}].{field}"), what });
             let is_allowed = |c: char| c.is_ascii_graphic() && c != ',' && c != '=';
             if class.name.is_empty() || !class.name.chars().all(is_allowed) {
                 return error(
@@ -115,7 +115,10 @@
             }
         }
         if self.classes.iter().map(|c| c.share.low).sum::<f64>() <= 0.0 {
-            return Err(Wrong { path: "classes[0].share".into(), what: "a share above 0 expected".into() });
+            return Err(InvalidField {
+                path: "classes[0].share".into(),
+                what: "a share above 0 expected".into(),
+            });
         }
         Ok(())
     }
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::time::Time;
-pub use ends::{Ended, How};
+pub use ends::{AttemptOutcome, TryOutcome};
 pub use event::Event;
 
 /// Identifies a client's request over all its tries.
--- a/crates/simulation/src/trace/ends.rs
+++ b/crates/simulation/src/trace/ends.rs
@@ -5,7 +5,7 @@
 /// Final answer of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum TryOutcome {
     /// Served.
     Completed,
     /// Rejected; a retry is safe.
@@ -18,7 +18,7 @@
 /// at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// Served.
     Success,
     /// The box answered with an error; the request may have run.
@@ -37,26 +37,26 @@
     Void,
 }
 
-impl From<hallpin_balancer::Status> for Ended {
+impl From<hallpin_balancer::Status> for AttemptOutcome {
     /// Converts a node's status of an attempt to the outcome in a trace.
     fn from(status: hallpin_balancer::Status) -> Self {
         use hallpin_balancer::Status;
         match status {
-            Status::Success => Ended::Success,
-            Status::Overloaded => Ended::Overloaded,
-            Status::TimedOut => Ended::TimedOut,
-            Status::Unreachable => Ended::Unreachable,
-            Status::Broken => Ended::Broken,
-            Status::Cancelled => Ended::Cancelled,
-            Status::Void | Status::Absent => Ended::Void,
-            Status::Error | Status::Unknown => Ended::Error,
+            Status::Success => AttemptOutcome::Success,
+            Status::Overloaded => AttemptOutcome::Overloaded,
+            Status::TimedOut => AttemptOutcome::TimedOut,
+            Status::Unreachable => AttemptOutcome::Unreachable,
+            Status::Broken => AttemptOutcome::Broken,
+            Status::Cancelled => AttemptOutcome::Cancelled,
+            Status::Void | Status::Absent => AttemptOutcome::Void,
+            Status::Error | Status::Unknown => AttemptOutcome::Error,
         }
     }
 }
 
-impl Ended {
+impl AttemptOutcome {
     /// False if the outcome proves that the attempt never ran.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Ended::Overloaded | Ended::Unreachable | Ended::Void)
+        !matches!(self, AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::Void)
     }
 }
--- a/crates/simulation/src/trace/event.rs
+++ b/crates/simulation/src/trace/event.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{AskId, Ended, How, TryId};
+use super::{AskId, AttemptOutcome, TryId, TryOutcome};
 use crate::day::NodeId;
 use crate::list::{BoxId, Phase};
 use crate::store::KeyId;
@@ -55,13 +55,13 @@
         id: TryId,
         attempt: u32,
         /// Outcome of the attempt.
-        how: Ended,
+        how: AttemptOutcome,
     },
     /// A node gives a try's final answer.
     Answered {
         id: TryId,
         /// Kind of the answer.
-        how: How,
+        how: TryOutcome,
         /// Version of the key that was served.
         version: Option<u64>,
         /// Retry-after time of a rejection.
--- a/crates/simulation/src/world/answers.rs
+++ b/crates/simulation/src/world/answers.rs
@@ -8,7 +8,7 @@
         &mut self,
         node: NodeId,
         id: TryId,
-        how: How,
+        how: TryOutcome,
         advice: Option<Span>,
         version: Option<u64>,
     ) -> bool {
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -49,11 +49,11 @@
             }
             Action::Reject { request, retry_after } => {
                 let advice = retry_after.filter(|_| self.day.limits.retry_after).map(Span::from_secs);
-                self.answer_client(node, request.0, How::Rejected, advice, None);
+                self.answer_client(node, request.0, TryOutcome::Rejected, advice, None);
                 self.cancel_unsent_attempts(node, request.0);
             }
             Action::Fail(request) => {
-                self.answer_client(node, request.0, How::Failed, None, None);
+                self.answer_client(node, request.0, TryOutcome::Failed, None, None);
                 self.cancel_unsent_attempts(node, request.0);
             }
             Action::SetTimer { token, after } => {
@@ -208,7 +208,7 @@
             BoxAnswer::Failed => (Status::Error, None, None),
         };
         if status == Status::Success {
-            self.answer_client(node, id, How::Completed, None, version);
+            self.answer_client(node, id, TryOutcome::Completed, None, version);
         }
         self.end_attempt(node, id, attempt, status, note);
         self.cancel_unsent_attempts(node, id);
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -48,8 +48,8 @@
         let mut outputs = std::mem::take(&mut self.outputs);
         for output in outputs.drain(..) {
             match output {
-                BoxOut::Answer(token, answer) => self.box_answers(at, token, answer),
-                BoxOut::Ask { ask, cold } => {
+                BoxOutput::Answer(token, answer) => self.box_answers(at, token, answer),
+                BoxOutput::Ask { ask, cold } => {
                     let (delay, generation) =
                         (self.jittered(self.day.network.same), self.boxes[at].generation);
                     self.schedule_after(
@@ -57,7 +57,7 @@
                         ScheduledEvent::AskAtPlanner { by: at, generation, ask, cold },
                     );
                 }
-                BoxOut::Fell => {
+                BoxOutput::Fell => {
                     self.record(Event::BoxFell { of: at });
                     self.boxes[at].generation += 1;
                     self.nodes.iter_mut().for_each(|state| state.idle_connections[at].clear());
@@ -93,9 +93,9 @@
         }
         let delay = self.network_delay(from, to);
         match self.faults.fate(&mut self.network_rng) {
-            Fate::Arrives => self.schedule_after(delay, ScheduledEvent::AnswerAtNode { token, answer }),
-            Fate::Lost => {}
-            Fate::Reset => self.schedule_after(delay, ScheduledEvent::ResetAtNode(token)),
+            AnswerFate::Arrives => self.schedule_after(delay, ScheduledEvent::AnswerAtNode { token, answer }),
+            AnswerFate::Lost => {}
+            AnswerFate::Reset => self.schedule_after(delay, ScheduledEvent::ResetAtNode(token)),
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Handles a box's call at the planner.
-    pub(super) fn ask_at_planner(&mut self, by: BoxId, generation: u32, ask: Ask, cold: bool) {
+    pub(super) fn ask_at_planner(&mut self, by: BoxId, generation: u32, ask: PlannerCall, cold: bool) {
         let mut outputs = Vec::new();
         self.planes.tally.fetch(self.now, by, ask.key, ask.write.is_some());
         self.origin.ask(self.now, by, generation, ask, cold, &mut outputs);
@@ -151,18 +151,18 @@
     }
 
     /// Records the planner's events, sends its answers and schedules its wake-ups.
-    pub(super) fn apply_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
+    pub(super) fn apply_origin_outputs(&mut self, outputs: Vec<OriginOutput>) {
         for output in outputs {
             match output {
-                OriginOut::Record(event) => self.record(event),
-                OriginOut::Answer { to, life: generation, id, version } => {
+                OriginOutput::Record(event) => self.record(event),
+                OriginOutput::Answer { to, life: generation, id, version } => {
                     let delay = self.jittered(self.day.network.same);
                     self.schedule_after(
                         delay,
                         ScheduledEvent::PlannerAnswers { to, generation, id, version },
                     );
                 }
-                OriginOut::WakeAt(at) => self.schedule_at(at, ScheduledEvent::PlannerWakes),
+                OriginOutput::WakeAt(at) => self.schedule_at(at, ScheduledEvent::PlannerWakes),
             }
         }
     }
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -125,7 +125,7 @@
     }
 
     /// Delivers a list update to a node's policy and plane, and records it.
-    pub(super) fn deliver_list_update(&mut self, node: NodeId, update: News) {
+    pub(super) fn deliver_list_update(&mut self, node: NodeId, update: WatchEvent) {
         self.nodes[node].revision = update.revision;
         let entries: Vec<EndpointEntry> = update.listings.iter().map(|l| self.entry(*l)).collect();
         if update.complete {
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -9,36 +9,38 @@
         self.record(Event::Begins { incident: at, what: scheduled.incident.to_string() });
         let mut outputs = Vec::new();
         match &scheduled.incident {
-            Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
-            Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
+            FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
+            FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, *factor);
                 self.apply_box_outputs(b);
             }),
-            Incident::Erring(boxes, share) => boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(*share)),
-            Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
-            Incident::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
-            Incident::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_ends(node, false)),
-            Incident::NodeRestart(nodes) => {
+            FaultEvent::Erring(boxes, share) => {
+                boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(*share))
+            }
+            FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
+            FaultEvent::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
+            FaultEvent::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_ends(node, false)),
+            FaultEvent::NodeRestart(nodes) => {
                 nodes.iter().for_each(|&node| self.restart_node(node, scheduled.stop))
             }
-            Incident::ListOutage => self.discovery_fails(),
-            Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
-            Incident::PlannerSilent => self.origin.silence(self.now, true, &mut outputs),
-            Incident::Partition(pairs) => self.adjust_partitions(pairs, 1),
-            Incident::Shift { depot, factor } => self.clients.shift(*depot, *factor),
-            Incident::Impatient { share, hurry } => self.clients.impatient(at, Some((*share, *hurry))),
-            Incident::Hasty(haste) => self.clients.hasty(at, Some(*haste)),
-            Incident::SlowWriters(slow) => self.clients.slow_writers(at, Some(*slow)),
-            Incident::LateList { .. }
-            | Incident::LostAnswers(_)
-            | Incident::Resets(_)
-            | Incident::LostMessages(_) => self.faults.begin(at, &scheduled.incident),
-            Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
+            FaultEvent::ListOutage => self.discovery_fails(),
+            FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
+            FaultEvent::PlannerSilent => self.origin.silence(self.now, true, &mut outputs),
+            FaultEvent::Partition(pairs) => self.adjust_partitions(pairs, 1),
+            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, *factor),
+            FaultEvent::Impatient { share, hurry } => self.clients.impatient(at, Some((*share, *hurry))),
+            FaultEvent::Hasty(haste) => self.clients.hasty(at, Some(*haste)),
+            FaultEvent::SlowWriters(slow) => self.clients.slow_writers(at, Some(*slow)),
+            FaultEvent::LateList { .. }
+            | FaultEvent::LostAnswers(_)
+            | FaultEvent::Resets(_)
+            | FaultEvent::LostMessages(_) => self.faults.begin(at, &scheduled.incident),
+            FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 let started = self.boxes[b].cache.started();
                 self.update_list_after(self.day.list.notice, listing(b, Phase::Draining, started));
             }),
-            Incident::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
-            Incident::Burst { factor, share, keys } => {
+            FaultEvent::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
+            FaultEvent::Burst { factor, share, keys } => {
                 let drawn = self.rng.some(*keys as usize, self.day.keys.count as usize);
                 let keys = drawn.into_iter().map(|key| key as KeyId).collect();
                 self.clients.burst(at, Some((*factor, *share, keys)));
@@ -55,37 +57,39 @@
         self.record(Event::Ends { incident: at });
         let mut outputs = Vec::new();
         match &self.day.incidents[at].incident {
-            Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.unsilence_box(b)),
-            Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
+            FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.unsilence_box(b)),
+            FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, 1.0 / factor);
                 self.apply_box_outputs(b);
             }),
-            Incident::Erring(boxes, share) => boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(-share)),
-            Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
-            Incident::Heavy { class, .. } => self.clients.heavy(*class, None),
-            Incident::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_starts(node)),
-            Incident::NodeRestart(_) => {}
-            Incident::ListOutage => {
+            FaultEvent::Erring(boxes, share) => {
+                boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(-share))
+            }
+            FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
+            FaultEvent::Heavy { class, .. } => self.clients.heavy(*class, None),
+            FaultEvent::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_starts(node)),
+            FaultEvent::NodeRestart(_) => {}
+            FaultEvent::ListOutage => {
                 self.discovery_recovers();
                 self.distribute_list();
             }
-            Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
-            Incident::PlannerSilent => self.origin.silence(self.now, false, &mut outputs),
-            Incident::Partition(pairs) => self.adjust_partitions(pairs, -1),
-            Incident::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
-            Incident::Impatient { .. } => self.clients.impatient(at, None),
-            Incident::Hasty(_) => self.clients.hasty(at, None),
-            Incident::SlowWriters(_) => self.clients.slow_writers(at, None),
-            Incident::LateList { .. }
-            | Incident::LostAnswers(_)
-            | Incident::Resets(_)
-            | Incident::LostMessages(_) => self.faults.end(at),
-            Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
+            FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
+            FaultEvent::PlannerSilent => self.origin.silence(self.now, false, &mut outputs),
+            FaultEvent::Partition(pairs) => self.adjust_partitions(pairs, -1),
+            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
+            FaultEvent::Impatient { .. } => self.clients.impatient(at, None),
+            FaultEvent::Hasty(_) => self.clients.hasty(at, None),
+            FaultEvent::SlowWriters(_) => self.clients.slow_writers(at, None),
+            FaultEvent::LateList { .. }
+            | FaultEvent::LostAnswers(_)
+            | FaultEvent::Resets(_)
+            | FaultEvent::LostMessages(_) => self.faults.end(at),
+            FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 self.stop_box(b);
                 self.update_list_after(self.day.list.notice, listing(b, Phase::Gone, None));
             }),
-            Incident::Join(_) => {}
-            Incident::Burst { .. } => self.clients.burst(at, None),
+            FaultEvent::Join(_) => {}
+            FaultEvent::Burst { .. } => self.clients.burst(at, None),
         }
         self.apply_origin_outputs(outputs);
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -27,24 +27,24 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
 
-use crate::agenda::Agenda;
-use crate::cache_box::{BoxAnswer, BoxOut, CacheBox, Job};
-use crate::chance::Chance;
-use crate::clients::{Clients, Reply, Step};
-use crate::day::{Day, Entry, Incident, NodeId, Stop};
-use crate::faults::{Fate, Faults};
+use crate::agenda::EventQueue;
+use crate::cache_box::{BoxAnswer, BoxOutput, CacheBox, Job};
+use crate::chance::RandomStream;
+use crate::clients::{ClientOutput, Clients, Reply};
+use crate::day::{Entry, FaultEvent, NodeId, RunSpec, StopTimings};
+use crate::faults::{AnswerFate, NetworkFaults};
 use crate::keys::Keys;
-use crate::list::{BoxId, List, Listing, News, Phase};
-use crate::origin::{Origin, OriginOut};
+use crate::list::{BoxId, List, Listing, Phase, WatchEvent};
+use crate::origin::{Origin, OriginOutput};
 use crate::plane::{PlaneError, Tally};
-use crate::planner::{Ask, Planner};
-use crate::policy::{Policy, Sight, Start, TrueBox, TruePlanner};
+use crate::planner::{Planner, PlannerCall};
+use crate::policy::{Policy, PolicyFactory, TrueBox, TruePlanner, WorldView};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
-use crate::trace::{Event, How, Sink, TryId};
+use crate::trace::{Event, Sink, TryId, TryOutcome};
 use plane::PlaneState;
 use policy_view::{PolicyView, RequestKeys};
-pub use start::Parts;
+pub use start::WorldParts;
 use state::{
     listing, node_seed, slab_index, AcceptedTry, Attempt, BoxState, InFlightAttempt, NodeState,
     ScheduledEvent,
@@ -74,13 +74,13 @@
 }
 /// State of one simulated day.
 pub struct World<'a, S: Sink> {
-    day: &'a Day,
-    start: Start<'a>,
+    day: &'a RunSpec,
+    start: PolicyFactory<'a>,
     sink: S,
     now: Time,
     /// Number of events processed.
     event_count: u64,
-    queue: Agenda<ScheduledEvent>,
+    queue: EventQueue<ScheduledEvent>,
     boxes: Vec<BoxState>,
     servers: FxHashMap<ServerId, BoxId>,
     origin: Origin,
@@ -99,18 +99,18 @@
     next_message: u64,
     /// Number of active incidents that cut each direction between two depots, indexed by `from * depots + to`.
     partition_counts: Vec<u32>,
-    faults: Faults,
+    faults: NetworkFaults,
     planes: PlaneState,
-    network_rng: Chance,
-    rng: Chance,
+    network_rng: RandomStream,
+    rng: RandomStream,
     actions: Vec<Action>,
-    outputs: Vec<BoxOut>,
+    outputs: Vec<BoxOutput>,
     /// Per-field maximum over the policies of all running nodes, sampled every 10 s.
     sizes: Vec<(Time, Sizes)>,
 }
 
 /// Result of a simulated day.
-pub struct Done<S> {
+pub struct DayResult<S> {
     /// Number of events processed.
     pub events: u64,
     /// The sink that recorded the trace.
@@ -123,11 +123,11 @@
 
 impl<'a, S: Sink> World<'a, S> {
     /// Runs the simulation to the end of the day.
-    pub fn run(mut self) -> Done<S> {
+    pub fn run(mut self) -> DayResult<S> {
         self.schedule_initial_events();
         let end = self.end_time();
         while self.step(end) {}
-        Done { events: self.event_count, sink: self.sink, sizes: self.sizes, tally: self.planes.tally }
+        DayResult { events: self.event_count, sink: self.sink, sizes: self.sizes, tally: self.planes.tally }
     }
 
     /// Time after which no event is processed.
@@ -191,7 +191,7 @@
                 self.process_events(node);
             }
             ScheduledEvent::AnswerDeadline { node, generation, id } if self.is_current(node, generation) => {
-                if self.answer_client(node, id, How::Failed, None, None) {
+                if self.answer_client(node, id, TryOutcome::Failed, None, None) {
                     self.notify_policy(node, decisions::Event::ClientLeft(RequestId(id)));
                 }
                 self.cancel_unsent_attempts(node, id);
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -1,13 +1,13 @@
 //! The plane between nodes: datagrams on the simulated network, scheduling, and counters.
 
 use super::*;
-use crate::plane::{NodePlane, Seat, Sent, Spread, Switch, Tally, Told};
+use crate::plane::{NodePlane, NodePosition, PlaneNotification, RevisionSpread, SentAttempt, Switch, Tally};
 
 /// State that the planes of all nodes share.
 pub(super) struct PlaneState {
     pub switch: Switch,
     /// Separate from the network's random stream, so that the plane does not change any other draw of a day.
-    rng: Chance,
+    rng: RandomStream,
     pub tally: Tally,
     /// When the first unanswered attempt at each box ended during its current silence.
     silent_since: FxHashMap<BoxId, Time>,
@@ -15,7 +15,7 @@
 
 impl PlaneState {
     pub fn new(seed: u64) -> Self {
-        let rng = Chance::new(seed, "plane");
+        let rng = RandomStream::new(seed, "plane");
         PlaneState { switch: Switch::Off, rng, tally: Tally::default(), silent_since: FxHashMap::default() }
     }
 }
@@ -37,7 +37,7 @@
     pub(super) fn new_plane(&self, node: NodeId) -> Result<Option<Box<NodePlane>>, WorldError> {
         let state = &self.nodes[node];
         let (nodes, depots) = (self.nodes.len(), self.day.depots.len());
-        let seat = Seat { node, nodes, depot: state.depot, depots, start: state.start_count };
+        let seat = NodePosition { node, nodes, depot: state.depot, depots, start: state.start_count };
         let seed = node_seed(self.day.seed, node, state.start_count);
         let plane = NodePlane::new(self.planes.switch, &seat, &state.settings, seed, self.now)?;
         Ok(plane.map(Box::new))
@@ -55,9 +55,11 @@
         }
         for output in outputs {
             match output {
-                Told::Datagram(to, bytes) => self.send_datagram(node, to, bytes),
-                Told::News(news) => self.nodes[node].pending_events.push_back(decisions::Event::Fleet(news)),
-                Told::Table(news, revision) => {
+                PlaneNotification::Datagram(to, bytes) => self.send_datagram(node, to, bytes),
+                PlaneNotification::News(news) => {
+                    self.nodes[node].pending_events.push_back(decisions::Event::Fleet(news))
+                }
+                PlaneNotification::Table(news, revision) => {
                     self.nodes[node].pending_events.push_back(decisions::Event::Fleet(news));
                     self.set_placement_revision(node, revision);
                 }
@@ -125,7 +127,7 @@
     }
 
     /// Reports a new attempt to the node's plane; returns the plane's record of it.
-    pub(super) fn plane_attempt_sent(&mut self, node: NodeId, server: &ServerId) -> Option<Sent> {
+    pub(super) fn plane_attempt_sent(&mut self, node: NodeId, server: &ServerId) -> Option<SentAttempt> {
         self.nodes[node].plane.as_mut().and_then(|plane| plane.sent(server))
     }
 
@@ -135,7 +137,7 @@
         node: NodeId,
         to: BoxId,
         sent_at: Time,
-        sent: Option<Sent>,
+        sent: Option<SentAttempt>,
         status: Status,
     ) {
         if let (Some(plane), Some(sent)) = (self.nodes[node].plane.as_mut(), sent) {
@@ -156,7 +158,7 @@
 
     /// Records when the list reached a revision.
     pub(super) fn record_list_revision(&mut self, revision: u64) {
-        self.planes.tally.spreads.push(Spread { revision, listed: self.now, all: None });
+        self.planes.tally.spreads.push(RevisionSpread { revision, listed: self.now, all: None });
     }
 
     /// Sets the list revision by which a node places keys.
--- a/crates/simulation/src/world/policy_view.rs
+++ b/crates/simulation/src/world/policy_view.rs
@@ -12,7 +12,7 @@
 
 /// State of the world at one time, as seen from one node.
 pub(super) struct PolicyView<'a> {
-    pub day: &'a Day,
+    pub day: &'a RunSpec,
     pub boxes: &'a [BoxState],
     pub servers: &'a FxHashMap<ServerId, BoxId>,
     pub planner: &'a Planner,
@@ -31,7 +31,7 @@
     }
 }
 
-impl Sight for PolicyView<'_> {
+impl WorldView for PolicyView<'_> {
     fn boxes(&self) -> usize {
         self.boxes.len()
     }
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -53,14 +53,14 @@
     /// Restarts a node as planned: it accepts tries for a while, answers all of them, exits and starts again. With
     /// `stop`, clients keep using open connections for as long as the node does, and it is killed if it has not exited
     /// after `stop.kill`.
-    pub(super) fn restart_node(&mut self, node: NodeId, stop: Option<Stop>) {
+    pub(super) fn restart_node(&mut self, node: NodeId, stop: Option<StopTimings>) {
         if !self.nodes[node].alive {
             return;
         }
         let (now, generation) = (self.now, self.nodes[node].generation);
         let state = &mut self.nodes[node];
         state.unavailable_since = Some(now);
-        let Some(Stop { coming, kill }) = stop else {
+        let Some(StopTimings { coming, kill }) = stop else {
             state.accepts_until = Some(now + ACCEPT_AFTER_STOP);
             let leave = self.day.longest_deadline() + LEAVE_DELAY;
             self.schedule_after(leave, ScheduledEvent::NodeLeaves { node, generation });
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -8,7 +8,7 @@
 const MAX_WARM_UP_DRAWS: f64 = 2e6;
 
 /// Components of a world at the start of its day, for callers that schedule events themselves.
-pub struct Parts {
+pub struct WorldParts {
     /// All boxes of the day; the stores of those that run are filled.
     pub boxes: Vec<CacheBox>,
     /// The planner, without any calls.
@@ -23,9 +23,9 @@
 
 impl<'a, S: Sink> World<'a, S> {
     /// Splits a world whose day has not begun into its components.
-    pub fn into_parts(self) -> Parts {
+    pub fn into_parts(self) -> WorldParts {
         let World { boxes, origin, list, clients, keys, .. } = self;
-        Parts {
+        WorldParts {
             boxes: boxes.into_iter().map(|box_state| box_state.cache).collect(),
             origin,
             list,
@@ -38,13 +38,14 @@
     ///
     /// # Errors
     /// If the day's settings or keys are invalid.
-    pub fn new(day: &'a Day, start: Start<'a>, sink: S) -> Result<Self, WorldError> {
+    pub fn new(day: &'a RunSpec, start: PolicyFactory<'a>, sink: S) -> Result<Self, WorldError> {
         let boxes: Vec<BoxState> = day
             .boxes
             .iter()
             .enumerate()
             .map(|(at, spec)| {
-                let mut cache = CacheBox::new(spec.clone(), Chance::new(day.seed, &format!("box {at}")));
+                let mut cache =
+                    CacheBox::new(spec.clone(), RandomStream::new(day.seed, &format!("box {at}")));
                 if !day.running.contains(&at) {
                     cache.stop();
                 }
@@ -82,20 +83,20 @@
         let mut world = World {
             keys: Keys::new(day.keys.clone(), day.seed)?,
             clients: Clients::new(day),
-            origin: Origin::new(Planner::new(day.planner.clone(), Chance::new(day.seed, "planner"))),
+            origin: Origin::new(Planner::new(day.planner.clone(), RandomStream::new(day.seed, "planner"))),
             list: List::default(),
             list_outages: 0,
-            network_rng: Chance::new(day.seed, "network"),
-            rng: Chance::new(day.seed, "world"),
+            network_rng: RandomStream::new(day.seed, "network"),
+            rng: RandomStream::new(day.seed, "world"),
             partition_counts: vec![0; day.depots.len() * day.depots.len()],
-            faults: Faults::default(),
+            faults: NetworkFaults::default(),
             planes: PlaneState::new(day.seed),
             sizes: Vec::new(),
             in_flight: Slab::new(),
             attempts_started: 0,
             messages: FxHashMap::default(),
             next_message: 0,
-            queue: Agenda::default(),
+            queue: EventQueue::default(),
             now: Time::ZERO,
             event_count: 0,
             actions: Vec::new(),
@@ -121,7 +122,7 @@
     pub(super) fn fill_caches(&mut self) -> Result<(), WorldError> {
         let start = |state: &NodeState| (self.start)(state.settings.clone(), self.day.seed);
         let mut policies = self.nodes.iter().map(start).collect::<Result<Vec<_>, _>>()?;
-        let mut rng = Chance::new(self.day.seed, "warm up");
+        let mut rng = RandomStream::new(self.day.seed, "warm up");
         let running: Vec<EndpointEntry> =
             self.day.running.iter().map(|&b| self.entry(listing(b, Phase::Ready, None))).collect();
         let mut actions = Vec::new();
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -1,7 +1,7 @@
 //! Scheduled events, and the state of nodes, boxes and attempts.
 
 use super::*;
-use crate::plane::{NodePlane, Sent};
+use crate::plane::{NodePlane, SentAttempt};
 
 /// Low bits of an attempt's token that hold its slab index.
 pub(super) const SLAB_INDEX_BITS: u32 = 28;
@@ -66,7 +66,7 @@
     AskAtPlanner {
         by: BoxId,
         generation: u32,
-        ask: Ask,
+        ask: PlannerCall,
         cold: bool,
     },
     /// The planner's answer reaches a box.
@@ -169,7 +169,7 @@
     pub sent_at: Time,
     pub to: BoxId,
     /// The plane's record of the attempt, if the node has a plane.
-    pub sent: Option<Sent>,
+    pub sent: Option<SentAttempt>,
     /// Token while the attempt is in flight; `None` once it has its outcome.
     pub token: Option<u64>,
 }
@@ -244,5 +244,5 @@
 
 /// The seed of a node's process, different for each start.
 pub(super) fn node_seed(seed: u64, node: NodeId, start: u32) -> u64 {
-    Chance::new(seed, &format!("node {node} start {start}")).bits()
+    RandomStream::new(seed, &format!("node {node} start {start}")).bits()
 }
--- a/crates/simulation/src/world/tries.rs
+++ b/crates/simulation/src/world/tries.rs
@@ -22,11 +22,11 @@
     }
 
     /// Carries out the next steps of clients.
-    pub(super) fn client_steps(&mut self, steps: Vec<Step>) {
+    pub(super) fn client_steps(&mut self, steps: Vec<ClientOutput>) {
         for step in steps {
             match step {
-                Step::Record(event) => self.record(event),
-                Step::TryAt(at, ask) => self.schedule_at(at, ScheduledEvent::NextTry(ask)),
+                ClientOutput::Record(event) => self.record(event),
+                ClientOutput::TryAt(at, ask) => self.schedule_at(at, ScheduledEvent::NextTry(ask)),
             }
         }
     }
