--- a/crates/simulation/tests/cache_box.rs
+++ b/crates/simulation/tests/cache_box.rs
@@ -1,9 +1,9 @@
 //! Tests of a cache box with a planner whose replies the test gives.
 
 use hallpin_balancer::CacheNote;
-use hallpin_simulation::cache_box::{BoxAnswer, BoxOut, BoxSpec, CacheBox, Job};
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::planner::{Ask, Planner};
+use hallpin_simulation::cache_box::{BoxAnswer, BoxOutput, BoxSpec, CacheBox, Job};
+use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::planner::{Planner, PlannerCall};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
 
@@ -45,22 +45,22 @@
     cache: CacheBox,
     planner: Planner,
     now: Time,
-    out: Vec<BoxOut>,
+    out: Vec<BoxOutput>,
 }
 
 impl TestHarness {
     fn new(spec: BoxSpec) -> Self {
         let day = Scenario::default().draw(1).expect("the defaults make a scenario");
-        let planner = Planner::new(day.planner, Chance::new(1, "planner"));
+        let planner = Planner::new(day.planner, RandomStream::new(1, "planner"));
         TestHarness {
-            cache: CacheBox::new(spec, Chance::new(1, "box")),
+            cache: CacheBox::new(spec, RandomStream::new(1, "box")),
             planner,
             now: Time::ZERO,
             out: Vec::new(),
         }
     }
 
-    fn job(&mut self, token: u64, key: u32, work_ms: u64, write: bool) -> Vec<BoxOut> {
+    fn job(&mut self, token: u64, key: u32, work_ms: u64, write: bool) -> Vec<BoxOutput> {
         let job = Job {
             token,
             key,
@@ -73,12 +73,12 @@
         std::mem::take(&mut self.out)
     }
 
-    fn read(&mut self, token: u64, key: u32, work_ms: u64) -> Vec<BoxOut> {
+    fn read(&mut self, token: u64, key: u32, work_ms: u64) -> Vec<BoxOutput> {
         self.job(token, key, work_ms, false)
     }
 
     /// Runs the box until this time; returns its outputs with their times in milliseconds.
-    fn run_until(&mut self, ms: u64) -> Vec<(u64, BoxOut)> {
+    fn run_until(&mut self, ms: u64) -> Vec<(u64, BoxOutput)> {
         let (end, mut all) = (Time(ms * US_PER_MS), Vec::new());
         while let Some(at) =
             self.cache.wakes(self.now).map(|at| at.max(self.now + Span(1))).filter(|at| *at <= end)
@@ -91,22 +91,22 @@
         all
     }
 
-    fn fetched(&mut self, id: u64, version: Option<u64>) -> Vec<BoxOut> {
+    fn fetched(&mut self, id: u64, version: Option<u64>) -> Vec<BoxOutput> {
         self.cache.fetched(self.now, id, version, |_| 100, &self.planner, &mut self.out);
         std::mem::take(&mut self.out)
     }
 }
 
-fn planner_call(out: &[BoxOut]) -> Ask {
-    let call = |out: &BoxOut| match out {
-        BoxOut::Ask { ask, .. } => Some(*ask),
+fn planner_call(out: &[BoxOutput]) -> PlannerCall {
+    let call = |out: &BoxOutput| match out {
+        BoxOutput::Ask { ask, .. } => Some(*ask),
         _ => None,
     };
     out.iter().find_map(call).expect("a call to the planner")
 }
 
-fn served(token: u64, note: CacheNote, version: u64) -> BoxOut {
-    BoxOut::Answer(token, BoxAnswer::Served { note, version })
+fn served(token: u64, note: CacheNote, version: u64) -> BoxOutput {
+    BoxOutput::Answer(token, BoxAnswer::Served { note, version })
 }
 
 #[test]
@@ -116,7 +116,7 @@
     for token in 1..=2 {
         assert_eq!(harness.read(token, 1, 10), []);
     }
-    assert_eq!(harness.read(3, 1, 10), [BoxOut::Answer(3, BoxAnswer::Busy)]);
+    assert_eq!(harness.read(3, 1, 10), [BoxOutput::Answer(3, BoxAnswer::Busy)]);
     assert_eq!(
         harness.run_until(100),
         [(10, served(1, CacheNote::Hit, 0)), (20, served(2, CacheNote::Hit, 0))]
@@ -197,7 +197,7 @@
 fn a_fetch_that_times_out_fails_its_waiters_and_is_cached_when_it_completes() {
     let mut harness = TestHarness::new(spec());
     let ask = planner_call(&harness.read(1, 1, 10));
-    assert_eq!(harness.run_until(500), [(500, BoxOut::Answer(1, BoxAnswer::Failed))]);
+    assert_eq!(harness.run_until(500), [(500, BoxOutput::Answer(1, BoxAnswer::Failed))]);
     harness.fetched(ask.id, Some(0));
     harness.read(2, 1, 10);
     assert_eq!(harness.run_until(600), [(510, served(2, CacheNote::Hit, 0))]);
@@ -208,9 +208,13 @@
     let mut harness = TestHarness::new(BoxSpec { slots: 4, waiting: 4, fetch_retries: 1, ..spec() });
     let ask = planner_call(&harness.read(1, 1, 10));
     harness.read(2, 2, 10);
-    assert_eq!(harness.read(3, 3, 10), [BoxOut::Answer(3, BoxAnswer::Busy)], "both fetch places are taken");
+    assert_eq!(
+        harness.read(3, 3, 10),
+        [BoxOutput::Answer(3, BoxAnswer::Busy)],
+        "both fetch places are taken"
+    );
     assert_eq!(planner_call(&harness.fetched(ask.id, None)).id, ask.id);
-    assert_eq!(harness.fetched(ask.id, None), [BoxOut::Answer(1, BoxAnswer::Failed)]);
+    assert_eq!(harness.fetched(ask.id, None), [BoxOutput::Answer(1, BoxAnswer::Failed)]);
     assert_eq!(planner_call(&harness.read(4, 3, 10)).key, 3, "the fetch place is free again");
 }
 
@@ -237,13 +241,13 @@
     // N + 3 √N + 3 = 39.73 requests within 3 s, whether an incident slows the box or not. Rejected work counts as well.
     harness.cache.slow_by(harness.now, 4.0);
     for token in 0..39 {
-        assert!(!harness.read(token, token as u32, 100).contains(&BoxOut::Fell), "{token}");
+        assert!(!harness.read(token, token as u32, 100).contains(&BoxOutput::Fell), "{token}");
     }
-    assert!(!harness.read(39, 39, 72).contains(&BoxOut::Fell));
-    assert!(harness.read(40, 40, 2).contains(&BoxOut::Fell));
+    assert!(!harness.read(39, 39, 72).contains(&BoxOutput::Fell));
+    assert!(harness.read(40, 40, 2).contains(&BoxOutput::Fell));
     assert!(harness.cache.has_fallen() && !harness.cache.is_up());
     let mut warm_box = TestHarness::new(BoxSpec { waiting: 10_000, ..spec() });
-    let fell = (0..1000).any(|token| warm_box.read(token, 1, 100).contains(&BoxOut::Fell));
+    let fell = (0..1000).any(|token| warm_box.read(token, 1, 100).contains(&BoxOutput::Fell));
     assert!(!fell, "a warm box does not fall over");
 }
 
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -4,8 +4,8 @@
 
 use hallpin_balancer::{Action, Event, FleetUpdate, Seconds};
 use hallpin_simulation::plane::{Switch, Tally};
-use hallpin_simulation::policy::{self, Policy, Sight};
-use hallpin_simulation::referee::{Referee, Verdict};
+use hallpin_simulation::policy::{self, Policy, WorldView};
+use hallpin_simulation::referee::{InvariantChecker, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use hallpin_simulation::trace::{Event as TraceEvent, Sink};
@@ -18,7 +18,7 @@
 }
 
 impl Policy for RecordingPolicy {
-    fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Seconds, event: Event, world: &dyn WorldView, actions: &mut Vec<Action>) {
         if let Event::Fleet(FleetUpdate::Servers(servers)) = &event {
             *self.silent_reports.lock().expect("a count") += servers.iter().filter(|s| s.silent > 0).count();
         }
@@ -37,7 +37,7 @@
         let inner = policy::module(settings, seed)?;
         Ok(Box::new(RecordingPolicy { inner, silent_reports: silent_reports.clone() }) as Box<dyn Policy>)
     };
-    let (mut events, mut referee) = (String::new(), Referee::new(&day));
+    let (mut events, mut referee) = (String::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &TraceEvent| {
         events += &format!("{at:?} {event:?}\n");
         referee.record(at, event);
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -9,13 +9,13 @@
     self as decisions, Action, AttemptId, Balancer, CacheNote, EndpointEntry, EndpointUpdate, Key,
     NewRequest, Outcome, RequestId, Seconds, ServerId, ServerState, Settings, Status, TimerToken,
 };
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::day::{Day, Effect};
+use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::day::{Effect, RunSpec};
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::{Referee, Rule, Verdict};
+use hallpin_simulation::referee::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Event, How, Sink};
+use hallpin_simulation::trace::{Event, Sink, TryOutcome};
 
 /// Number of boxes on the node's list; the day has twelve.
 const LISTED: usize = 8;
@@ -23,7 +23,7 @@
 const KEYS: u64 = 50;
 
 /// The default day, with one class for each effect: free, guarded and single-shot.
-fn day() -> Day {
+fn day() -> RunSpec {
     let mut day = Scenario::default().draw(1).expect("the defaults make a day");
     let read = day.classes[0].clone();
     day.classes = [("read", Effect::Free), ("keyed", Effect::Guarded), ("once", Effect::SingleShot)]
@@ -72,8 +72,8 @@
 /// they are recorded and applied.
 struct BalancerRun {
     balancer: Balancer,
-    referee: Referee,
-    rng: Chance,
+    referee: InvariantChecker,
+    rng: RandomStream,
     now: Seconds,
     open: BTreeMap<u64, OpenRequest>,
     timers: Vec<(Seconds, TimerToken)>,
@@ -82,15 +82,15 @@
 }
 
 impl BalancerRun {
-    fn new(seed: u64, day: &Day) -> Self {
+    fn new(seed: u64, day: &RunSpec) -> Self {
         let mut settings = Settings::from_json(&day.settings(0)).expect("the day's settings");
         settings.limits.health_checks = seed.is_multiple_of(2);
         let balancer = Balancer::new(settings, seed).expect("settings are valid");
         let list = (0..LISTED).map(|of| entry(of, ServerState::Ready, None)).collect();
         BalancerRun {
             balancer,
-            referee: Referee::new(day),
-            rng: Chance::new(seed, "random life"),
+            referee: InvariantChecker::new(day),
+            rng: RandomStream::new(seed, "random life"),
             now: 50.0,
             open: BTreeMap::new(),
             timers: Vec::new(),
@@ -144,11 +144,21 @@
             Action::Reject { request, retry_after } => {
                 self.mark_answered(request);
                 let advice = retry_after.map(|s| Span((s * 1e6) as u64));
-                self.record(Event::Answered { id: request.0, how: How::Rejected, version: None, advice });
+                self.record(Event::Answered {
+                    id: request.0,
+                    how: TryOutcome::Rejected,
+                    version: None,
+                    advice,
+                });
             }
             Action::Fail(request) => {
                 self.mark_answered(request);
-                self.record(Event::Answered { id: request.0, how: How::Failed, version: None, advice: None })
+                self.record(Event::Answered {
+                    id: request.0,
+                    how: TryOutcome::Failed,
+                    version: None,
+                    advice: None,
+                })
             }
             Action::SetTimer { token, after } => self.timers.push((self.now + after.max(0.001), token)),
             _ => {}
@@ -220,7 +230,12 @@
             let note = (status == Status::Success).then_some(CacheNote::Hit);
             self.record(Event::Ended { id, attempt: index as u32, how: status.into() });
             if served {
-                self.record(Event::Answered { id, how: How::Completed, version: Some(0), advice: None });
+                self.record(Event::Answered {
+                    id,
+                    how: TryOutcome::Completed,
+                    version: Some(0),
+                    advice: None,
+                });
             }
             let attempt = AttemptId(index as u32);
             let outcome = Outcome {
--- a/crates/simulation/tests/referee/departed_clients.rs
+++ b/crates/simulation/tests/referee/departed_clients.rs
@@ -4,7 +4,7 @@
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
-use hallpin_simulation::trace::{Ended, Event, How};
+use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
 use crate::events::*;
 
@@ -15,12 +15,12 @@
     let mut events =
         vec![(100, asked(id, READ)), (101, accepted(id, id, 1900)), (LEFT, Event::Abandoned { id })];
     if !first {
-        events.extend([(102, sent(id, 0, 0)), (200, ended(id, 0, Ended::Broken))]);
+        events.extend([(102, sent(id, 0, 0)), (200, ended(id, 0, AttemptOutcome::Broken))]);
     }
     let attempt = u32::from(!first);
     events.extend([
         (LEFT + after, sent(id, attempt, 1)),
-        (LEFT + after + 5, ended(id, attempt, Ended::Success)),
+        (LEFT + after + 5, ended(id, attempt, AttemptOutcome::Success)),
     ]);
     events
 }
@@ -53,8 +53,8 @@
             (101, accepted(1, 1, UNTIL)),
             (UNTIL, Event::Abandoned { id: 1 }),
             (UNTIL + after, sent(1, 0, 0)),
-            (UNTIL + after + 5, ended(1, 0, Ended::Success)),
-            (UNTIL + after + 5, answered(1, How::Completed)),
+            (UNTIL + after + 5, ended(1, 0, AttemptOutcome::Success)),
+            (UNTIL + after + 5, answered(1, TryOutcome::Completed)),
         ]
     };
     let mut day = day();
--- a/crates/simulation/tests/referee/events.rs
+++ b/crates/simulation/tests/referee/events.rs
@@ -1,11 +1,11 @@
 //! Builders of events, and helpers that run the invariant checker on them.
 
-use hallpin_simulation::day::{Day, Effect};
+use hallpin_simulation::day::{Effect, RunSpec};
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::{Referee, Rule, Verdict};
+use hallpin_simulation::referee::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Ended, Event, How, Sink};
+use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryOutcome};
 
 pub const MS: u64 = 1000;
 pub const READ: usize = 0;
@@ -13,7 +13,7 @@
 pub const ONCE: usize = 2;
 
 /// The default scenario with seed 1, and a third class whose requests must not run twice.
-pub fn day() -> Day {
+pub fn day() -> RunSpec {
     let mut day = Scenario::default().draw(1).expect("the defaults make a day");
     let mut once = day.classes[READ].clone();
     (once.name, once.effect) = ("once".into(), Effect::SingleShot);
@@ -22,8 +22,8 @@
 }
 
 /// Runs the checker on these events, with times in milliseconds, and ends the run at 70 s.
-pub fn check(day: &Day, events: &[(u64, Event)]) -> Verdict {
-    let mut checker = Referee::new(day);
+pub fn check(day: &RunSpec, events: &[(u64, Event)]) -> Verdict {
+    let mut checker = InvariantChecker::new(day);
     let mut events = events.to_vec();
     events.sort_by_key(|(at, _)| *at);
     for (at, event) in &events {
@@ -49,13 +49,13 @@
     Event::Sent { id, attempt, node: 0, to, crosses: false, wait: None }
 }
 
-pub fn ended(id: u64, attempt: u32, how: Ended) -> Event {
+pub fn ended(id: u64, attempt: u32, how: AttemptOutcome) -> Event {
     Event::Ended { id, attempt, how }
 }
 
-pub fn answered(id: u64, how: How) -> Event {
-    let advice = (how == How::Rejected).then_some(Span::from_millis(10));
-    Event::Answered { id, how, version: (how == How::Completed).then_some(0), advice }
+pub fn answered(id: u64, how: TryOutcome) -> Event {
+    let advice = (how == TryOutcome::Rejected).then_some(Span::from_millis(10));
+    Event::Answered { id, how, version: (how == TryOutcome::Completed).then_some(0), advice }
 }
 
 /// A request of this class that its first attempt serves.
@@ -66,8 +66,8 @@
         (100, asked(1, class)),
         (101, accepted(1, 1, 1100)),
         (102, sent(1, 0, 0)),
-        (150, answered(1, How::Completed)),
-        (150, ended(1, 0, Ended::Success)),
+        (150, answered(1, TryOutcome::Completed)),
+        (150, ended(1, 0, AttemptOutcome::Success)),
         (151, Event::Received { ask: 1, id: 1 }),
     ]
 }
--- a/crates/simulation/tests/referee/faults.rs
+++ b/crates/simulation/tests/referee/faults.rs
@@ -3,7 +3,7 @@
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
-use hallpin_simulation::trace::{Ended, Event, How};
+use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
 use crate::events::*;
 
@@ -17,8 +17,8 @@
         (101, accepted(2, 2, 1100)),
         (102, sent(1, 0, 0)),
         (102, sent(2, 0, 0)),
-        (140, answered(2, How::Completed)),
-        (140, ended(2, 0, Ended::Success)),
+        (140, answered(2, TryOutcome::Completed)),
+        (140, ended(2, 0, AttemptOutcome::Success)),
         (141, Event::Received { ask: 2, id: 2 }),
     ]
 }
@@ -42,12 +42,12 @@
         ("the server comes back", vec![(150, Event::BoxDown { of: 0 }), (900, cold_start)]),
         ("the server drains", notified(Phase::Draining)),
         ("the server is gone from the list", notified(Phase::Gone)),
-        ("the connection breaks", vec![(150, ended(1, 0, Ended::Broken))]),
-        ("no connection comes up", vec![(150, ended(1, 0, Ended::Unreachable))]),
-        ("the server rejects it", vec![(150, ended(1, 0, Ended::Overloaded))]),
-        ("the server fails it", vec![(150, ended(1, 0, Ended::Error))]),
-        ("the attempt times out", vec![(1000, ended(1, 0, Ended::TimedOut))]),
-        ("it was never written", vec![(150, ended(1, 0, Ended::Void))]),
+        ("the connection breaks", vec![(150, ended(1, 0, AttemptOutcome::Broken))]),
+        ("no connection comes up", vec![(150, ended(1, 0, AttemptOutcome::Unreachable))]),
+        ("the server rejects it", vec![(150, ended(1, 0, AttemptOutcome::Overloaded))]),
+        ("the server fails it", vec![(150, ended(1, 0, AttemptOutcome::Error))]),
+        ("the attempt times out", vec![(1000, ended(1, 0, AttemptOutcome::TimedOut))]),
+        ("it was never written", vec![(150, ended(1, 0, AttemptOutcome::Void))]),
         ("the origin stops", vec![(150, Event::PlannerStopped { overdriven: false })]),
         ("discovery fails", vec![(150, Event::CallFailed { node: 0 })]),
         ("a watch falls silent", vec![(150, Event::WatchSilent { node: 0, waits: None })]),
@@ -68,9 +68,9 @@
         let unanswered = with(open_request(), fault);
         assert_violates(what, Rule::Lost, unanswered.clone());
         let (mut in_time, mut late) = (unanswered.clone(), unanswered.clone());
-        in_time.push((1120, answered(1, How::Failed)));
+        in_time.push((1120, answered(1, TryOutcome::Failed)));
         assert!(!check(&day(), &in_time).breaches.contains_key(&Rule::Lost), "{what}: at the grace");
-        late.push((1121, answered(1, How::Failed)));
+        late.push((1121, answered(1, TryOutcome::Failed)));
         assert!(check(&day(), &late).breaches.contains_key(&Rule::Lost), "{what}: later");
         // The request's own client gives up, but only at its deadline.
         let waited = vec![(1100, Event::Abandoned { id: 1 }), (1101, Event::GaveUp { ask: 1 })];
--- a/crates/simulation/tests/referee/notifications.rs
+++ b/crates/simulation/tests/referee/notifications.rs
@@ -3,7 +3,7 @@
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Ended, Event, How};
+use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
 use crate::events::*;
 
@@ -14,8 +14,8 @@
         (at, asked(1, READ)),
         (at, accepted(1, 1, at + 1000)),
         (at, sent(1, 0, 0)),
-        (at + 5, answered(1, How::Completed)),
-        (at + 5, ended(1, 0, Ended::Success)),
+        (at + 5, answered(1, TryOutcome::Completed)),
+        (at + 5, ended(1, 0, AttemptOutcome::Success)),
     ]
 }
 
--- a/crates/simulation/tests/referee/planned_restarts.rs
+++ b/crates/simulation/tests/referee/planned_restarts.rs
@@ -2,7 +2,7 @@
 
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::{Loss, Rule};
-use hallpin_simulation::trace::{Ended, Event};
+use hallpin_simulation::trace::{AttemptOutcome, Event};
 
 use crate::events::*;
 
@@ -32,7 +32,7 @@
     assert_violates("later", Rule::Lost, cut_off(701, kill, false));
     assert_violates("the node ended by itself", Rule::Lost, cut_off(100, TERM + 2000, true));
     let mut answered_first = cut_off(900, kill, false);
-    answered_first.push((kill - 1, answered(1, hallpin_simulation::trace::How::Failed)));
+    answered_first.push((kill - 1, answered(1, hallpin_simulation::trace::TryOutcome::Failed)));
     assert_clean("answered by then", answered_first);
     // For the next process, the time counts from its own SIGTERM.
     let mut next = vec![(0, Event::Stopping { node: 0 }), (500, Event::NodeDown { node: 0, planned: false })];
@@ -62,6 +62,6 @@
         (140, Event::GaveUp { ask: 1 }),
     ];
     assert_violates("never forwarded", Rule::Lost, closed.clone());
-    let forwarded = vec![(102, sent(1, 0, 0)), (130, ended(1, 0, Ended::Success))];
+    let forwarded = vec![(102, sent(1, 0, 0)), (130, ended(1, 0, AttemptOutcome::Success))];
     assert_violates("forwarded and served", Rule::Lost, with(closed, forwarded));
 }
--- a/crates/simulation/tests/referee/wait_budget.rs
+++ b/crates/simulation/tests/referee/wait_budget.rs
@@ -4,7 +4,7 @@
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
-use hallpin_simulation::trace::{Ended, Event, How};
+use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
 use crate::events::*;
 
@@ -17,9 +17,13 @@
 
 /// A request with these attempts, which stay in flight until just after its answer.
 fn request(attempts: Vec<(u64, Event)>) -> Vec<(u64, Event)> {
-    let ends = (0..attempts.len() as u32).map(|attempt| (1200, ended(1, attempt, Ended::Cancelled)));
+    let ends = (0..attempts.len() as u32).map(|attempt| (1200, ended(1, attempt, AttemptOutcome::Cancelled)));
     let mut events: Vec<_> = (0..2).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
-    events.extend([(100, asked(1, READ)), (101, accepted(1, 1, UNTIL)), (1199, answered(1, How::Failed))]);
+    events.extend([
+        (100, asked(1, READ)),
+        (101, accepted(1, 1, UNTIL)),
+        (1199, answered(1, TryOutcome::Failed)),
+    ]);
     events.extend(ends);
     with(events, attempts)
 }
@@ -33,7 +37,7 @@
     assert_clean("a hedge, at the slack", hedge(1200 + 150));
     assert_violates("a hedge, over it", Rule::Lost, hedge(1200 + 151));
     assert_violates("a hedge that repeats the wait of the first attempt", Rule::Lost, hedge(1700));
-    let retry = |wait| with(hedge(wait), vec![(600, ended(1, 0, Ended::Broken))]);
+    let retry = |wait| with(hedge(wait), vec![(600, ended(1, 0, AttemptOutcome::Broken))]);
     assert_clean("a retry, at the slack", retry(1200 + 150));
     assert_violates("a retry, over it", Rule::Lost, retry(1200 + 151));
     assert_clean("without a wait", request(vec![(200, sent(1, 0, 0)), (700, sent(1, 1, 1))]));
--- a/crates/simulation/tests/terms.rs
+++ b/crates/simulation/tests/terms.rs
@@ -2,7 +2,7 @@
 //! the rules.
 
 use hallpin_simulation::policy;
-use hallpin_simulation::referee::{Referee, Rule, Verdict};
+use hallpin_simulation::referee::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use hallpin_simulation::trace::{Event, Sink};
@@ -12,7 +12,7 @@
 fn run(scenario: &str, seed: u64) -> (Vec<(Time, Event)>, Verdict) {
     let scenario = Scenario::parse(scenario).expect("a scenario");
     let day = scenario.draw(seed).expect("a day");
-    let (mut events, mut checker) = (Vec::new(), Referee::new(&day));
+    let (mut events, mut checker) = (Vec::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &Event| {
         events.push((at, event.clone()));
         checker.record(at, event);
--- a/crates/simulation/tests/trouble.rs
+++ b/crates/simulation/tests/trouble.rs
@@ -3,17 +3,17 @@
 
 use std::collections::HashSet;
 
-use hallpin_simulation::day::Day;
+use hallpin_simulation::day::RunSpec;
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::policy;
-use hallpin_simulation::referee::{Loss, Referee, Verdict};
+use hallpin_simulation::referee::{InvariantChecker, Loss, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Ended, Event, How, Sink};
+use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryOutcome};
 use hallpin_simulation::world::World;
 
 /// A day of 12 s; its incidents begin at 3 s.
-fn day(rest: &str, seed: u64) -> Day {
+fn day(rest: &str, seed: u64) -> RunSpec {
     let text = format!("version = 1\nlength = \"12s\"\n[nodes]\ncount = 8\n[clients]\nrate = 150.0\n{rest}");
     Scenario::parse(&text).expect("a scenario").draw(seed).expect("a day")
 }
@@ -22,8 +22,8 @@
     format!("[[incidents]]\nkind = \"{kind}\"\nat = \"3s\"\n{rest}\n")
 }
 
-fn run(day: &Day) -> (Vec<(Time, Event)>, Verdict) {
-    let (mut events, mut referee) = (Vec::new(), Referee::new(day));
+fn run(day: &RunSpec) -> (Vec<(Time, Event)>, Verdict) {
+    let (mut events, mut referee) = (Vec::new(), InvariantChecker::new(day));
     let sink = |at: Time, event: &Event| {
         events.push((at, event.clone()));
         referee.record(at, event);
@@ -94,7 +94,7 @@
     let drained = last + Span::from_millis(1000);
     let later = events.iter().filter(|(t, _)| *t > drained);
     assert!(later.clone().all(|(_, e)| !matches!(e, Event::Sent { .. })));
-    assert!(later.clone().any(|(_, e)| matches!(e, Event::Answered { how: How::Rejected, .. })));
+    assert!(later.clone().any(|(_, e)| matches!(e, Event::Answered { how: TryOutcome::Rejected, .. })));
 }
 
 #[test]
@@ -158,13 +158,13 @@
 
 #[test]
 fn answers_are_lost_and_connections_reset_at_the_configured_rate() {
-    for (kind, how) in [("lost-answers", Ended::TimedOut), ("resets", Ended::Broken)] {
+    for (kind, how) in [("lost-answers", AttemptOutcome::TimedOut), ("resets", AttemptOutcome::Broken)] {
         let (events, _) = run(&day(&incident(kind, "share = 1.0"), 1));
         let later = events.iter().filter(|(t, _)| *t > at(3500));
-        let ends = |wanted: Ended| {
+        let ends = |wanted: AttemptOutcome| {
             later.clone().filter(|(_, e)| matches!(e, Event::Ended { how, .. } if *how == wanted)).count()
         };
-        assert_eq!(ends(Ended::Success), 0, "{kind}");
+        assert_eq!(ends(AttemptOutcome::Success), 0, "{kind}");
         assert!(ends(how) > 50, "{kind}");
     }
 }
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -5,11 +5,11 @@
 use hallpin_balancer::{
     self as decisions, Action, AttemptId, EndpointUpdate, RequestId, ServerId, TimerToken,
 };
-use hallpin_simulation::policy::{self, Policy, Sight};
-use hallpin_simulation::referee::{Loss, Referee, Rule, Verdict};
+use hallpin_simulation::policy::{self, Policy, WorldView};
+use hallpin_simulation::referee::{InvariantChecker, Loss, Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
-use hallpin_simulation::trace::{Ended, Event, How, Line};
+use hallpin_simulation::trace::{AttemptOutcome, Event, Line, TryOutcome};
 use hallpin_simulation::world::World;
 
 fn scenario(incidents: &str) -> Scenario {
@@ -20,7 +20,7 @@
 
 fn trace(incidents: &str, seed: u64) -> (String, Verdict) {
     let day = scenario(incidents).draw(seed).expect("a day");
-    let (mut text, mut referee) = (String::new(), Referee::new(&day));
+    let (mut text, mut referee) = (String::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &Event| {
         let line = Line { at, event: event.clone() };
         text.push_str(&serde_json::to_string(&line).expect("a line"));
@@ -142,7 +142,7 @@
     let mut scenario = scenario("");
     scenario.clients.abandons = hallpin_simulation::range::Range::one(0.3);
     let day = scenario.draw(1).expect("a day");
-    let referee = World::new(&day, &policy::module, Referee::new(&day)).expect("a world").run().sink;
+    let referee = World::new(&day, &policy::module, InvariantChecker::new(&day)).expect("a world").run().sink;
     let verdict = referee.verdict();
     assert!(verdict.is_clean(), "{:?}", verdict.told);
     assert!(verdict.losses.contains_key(&Loss::NoAnswer), "{:?}", verdict.losses);
@@ -194,7 +194,7 @@
     let day = scenario.draw(4).expect("a day");
     let (mut tries, mut received, mut retries) =
         (std::collections::BTreeMap::new(), std::collections::BTreeMap::new(), 0);
-    let mut referee = Referee::new(&day);
+    let mut referee = InvariantChecker::new(&day);
     let sink = |at: Time, event: &Event| {
         match event {
             Event::Taken { ask, .. } => {
@@ -232,7 +232,7 @@
 }
 
 impl Policy for FixedTimeout {
-    fn handle(&mut self, _: f64, event: decisions::Event, _: &dyn Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, _: f64, event: decisions::Event, _: &dyn WorldView, actions: &mut Vec<Action>) {
         match event {
             decisions::Event::Endpoints(EndpointUpdate::Cached(list) | EndpointUpdate::Full(list)) => {
                 self.servers = list.into_iter().map(|entry| entry.server).collect();
@@ -264,7 +264,7 @@
         scenario("[[classes]]\nname = \"lookup\"\nwork = \"10ms\"\naim = \"500ms\"\ndeadline = \"1s\"\n")
             .draw(1)
             .expect("a day");
-    let (mut events, mut referee) = (Vec::new(), Referee::new(&day));
+    let (mut events, mut referee) = (Vec::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &Event| {
         events.push(event.clone());
         hallpin_simulation::trace::Sink::record(&mut referee, at, event);
@@ -280,7 +280,7 @@
                     None
                 }
                 Event::Ended { id, attempt: 0, how } => {
-                    (worked.remove(id) && *how == Ended::Cancelled).then_some(*id)
+                    (worked.remove(id) && *how == AttemptOutcome::Cancelled).then_some(*id)
                 }
                 _ => None,
             };
@@ -290,7 +290,7 @@
         .collect();
     assert!(worked.len() > 5, "too few answers crossed a cancel: {}", worked.len());
     for id in worked {
-        let answers: Vec<&How> = events
+        let answers: Vec<&TryOutcome> = events
             .iter()
             .filter_map(|e| match e {
                 Event::Answered { id: of, how, .. } if *of == id => Some(how),
@@ -309,7 +309,7 @@
 fn run_mixed(seed: u64) -> Verdict {
     let day = Scenario::parse(include_str!("../../../scenarios/mixed.toml")).expect("a scenario").draw(seed);
     let day = day.expect("a day");
-    let mut referee = Referee::new(&day);
+    let mut referee = InvariantChecker::new(&day);
     let sink = |at: Time, event: &Event| hallpin_simulation::trace::Sink::record(&mut referee, at, event);
     let _ = World::new(&day, &policy::module, sink).expect("a world").run();
     referee.verdict()
