--- a/crates/baselines/src/late.rs
+++ b/crates/baselines/src/late.rs
@@ -85,8 +85,8 @@
     /// the box was not up.
     fn load(boxes: View, snapshot: &Snapshot, index: usize) -> Option<f64> {
         let seen = boxes.true_index(index).and_then(|n| snapshot.boxes.get(n)).filter(|s| s.up)?;
-        let requests = (seen.wanted as f64).max(f64::from(boxes.in_flight(index)));
-        Some(requests / seen.present_slots.max(1.0))
+        let requests = (seen.demanded_slots as f64).max(f64::from(boxes.in_flight(index)));
+        Some(requests / seen.current_slots.max(1.0))
     }
 
     /// Picks one of these boxes at random, weighted by its spare capacity. Not simply the least loaded one, since all
@@ -199,7 +199,7 @@
         }
 
         fn look(&self, _: usize) -> TrueBox {
-            TrueBox { up: self.0, slots: 1.0, present_slots: 1.0, wanted: 0, may_fetch: true }
+            TrueBox { up: self.0, slots: 1.0, current_slots: 1.0, demanded_slots: 0, can_fetch: true }
         }
 
         fn keeps(&self, _: usize, _: RequestId) -> bool {
--- a/crates/baselines/src/pick.rs
+++ b/crates/baselines/src/pick.rs
@@ -353,7 +353,7 @@
     /// Share of the box's slots that are free, if the box is up and has a free slot.
     fn free_share(boxes: View, index: usize) -> Option<f64> {
         let state = boxes.true_state(index).filter(|t| t.up && boxes.is_open(index))?;
-        let free = state.present_slots - state.wanted as f64;
+        let free = state.current_slots - state.demanded_slots as f64;
         // A box so slow that it has less than one slot still serves one request at a time.
         (free > 0.0).then(|| free / state.slots)
     }
@@ -393,7 +393,7 @@
             return choice;
         }
         let planner = boxes.planner();
-        if !planner.up || planner.answers_in > request.time_left * Self::PLANNER_TIME_SHARE {
+        if !planner.up || planner.expected_wait > request.time_left * Self::PLANNER_TIME_SHARE {
             return Choice::Reject;
         }
         if !request.write {
@@ -409,7 +409,7 @@
         }
         let is_eligible = |i: usize| {
             let has_free_slots = free_shares[i].is_some_and(|f| f > Self::RESERVED_SLOT_SHARE);
-            has_free_slots && (request.write || boxes.true_state(i).is_some_and(|t| t.may_fetch))
+            has_free_slots && (request.write || boxes.true_state(i).is_some_and(|t| t.can_fetch))
         };
         match self.owners.best(request.key, boxes, |i| Self::is_up(boxes, i)) {
             None => Choice::Reject,
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -181,7 +181,7 @@
     if let Some((ask, node, until)) = environment.clients.open_try(id).map(|t| (t.ask, t.node, t.until)) {
         // Bytes that the socket of a dead process still accepted reach no node.
         if environment.nodes_alive[node] && environment.tries.get_mut(&id).is_some_and(TryState::mark_taken) {
-            environment.record(Event::Taken { id, ask, node, until });
+            environment.record(Event::TryAccepted { id, ask, node, until });
         }
     }
 }
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -118,7 +118,7 @@
                 BoxOutput::Answer(token, answer) => self.box_answers(box_id, token, answer),
                 BoxOutput::Ask { ask, cold } => self.call_origin(box_id, ask, cold),
                 BoxOutput::Fell => {
-                    self.record(Event::BoxFell { of: box_id });
+                    self.record(Event::BoxCrashed { of: box_id });
                     self.end_process(box_id, MachineMode::Down);
                     self.schedule_in(
                         self.day.list.notice,
--- a/crates/emulator/src/sockets/environment/incidents.rs
+++ b/crates/emulator/src/sockets/environment/incidents.rs
@@ -5,8 +5,8 @@
 impl Environment {
     pub(super) fn incident_begins(&mut self, index: usize) {
         let day = self.day.clone();
-        let scheduled = &day.incidents[index];
-        self.record(Event::Begins { incident: index, what: scheduled.incident.to_string() });
+        let scheduled = &day.fault_events[index];
+        self.record(Event::FaultBegins { incident: index, what: scheduled.incident.to_string() });
         let (now, mut outputs) = (self.now(), Vec::new());
         match &scheduled.incident {
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
@@ -51,10 +51,10 @@
     }
 
     pub(super) fn incident_ends(&mut self, index: usize) {
-        self.record(Event::Ends { incident: index });
+        self.record(Event::FaultEnds { incident: index });
         let day = self.day.clone();
         let (now, mut outputs) = (self.now(), Vec::new());
-        match &day.incidents[index].incident {
+        match &day.fault_events[index].incident {
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.end_box_silence(b)),
             FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, 1.0 / factor)),
             FaultEvent::Erring(boxes, share) => {
@@ -137,7 +137,7 @@
         self.record(Event::BoxDown { of: box_id });
         self.box_states[box_id].mode.send_replace(MachineMode::Silent);
         self.schedule_in(
-            self.day.list.silent_notice,
+            self.day.list.silent_detection_delay,
             ScheduledEvent::ListChanged(listing(box_id, Phase::Gone, None)),
         );
     }
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -35,7 +35,7 @@
             let alive = self.nodes_alive[node];
             for l in missed.into_iter().filter(|_| alive) {
                 let (of, phase, started) = (l.cache_box, l.phase, l.started);
-                self.record(Event::Has { node, of, phase, started, asked: false });
+                self.record(Event::ChangeAvailable { node, of, phase, started, asked: false });
             }
             self.agents[node].changed.send_replace(list.revision());
             self.agents[node].list = list;
@@ -60,7 +60,7 @@
     /// Records that a node has been notified of these entries.
     pub fn record_notified(&mut self, node: NodeId, listings: &[Listing]) {
         for l in listings {
-            self.record(Event::Told { node, of: l.cache_box, phase: l.phase, started: l.started });
+            self.record(Event::Notified { node, of: l.cache_box, phase: l.phase, started: l.started });
         }
     }
 
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -139,7 +139,7 @@
             }
         }
         let day = self.day.clone();
-        for (index, scheduled) in day.incidents.iter().enumerate() {
+        for (index, scheduled) in day.fault_events.iter().enumerate() {
             self.schedule(scheduled.at, ScheduledEvent::IncidentBegins(index));
         }
         self.schedule_in(Span::from_millis(1000), ScheduledEvent::KeysDrift);
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -110,7 +110,7 @@
     process::reap(&environment.borrow().node_processes);
     let took = played?;
     let mut environment = environment.borrow_mut();
-    environment.record(Event::DayOver);
+    environment.record(Event::RunEnded);
     if let (Some(file), Some(path)) = (environment.trace.take(), options.trace) {
         file.finish().map_err(|error| SocketsError::File(path.into(), error))?;
     }
@@ -123,7 +123,7 @@
         tally: Tally::default(),
         footprints: environment.observed.iter().map(ObservedNode::footprint).collect(),
         sizes: Vec::new(),
-        took,
+        wall_time: took,
     })
 }
 
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -55,7 +55,7 @@
     pub footprints: Vec<Footprint>,
     /// Wall-clock duration of the run; not serialised, as it is not part of the result.
     #[serde(skip)]
-    pub took: Duration,
+    pub wall_time: Duration,
 }
 
 fn serialize_policy_name<S: serde::Serializer>(kind: &PolicyKind, serializer: S) -> Result<S::Ok, S::Error> {
@@ -106,7 +106,7 @@
         sizes,
         tally,
         footprints: Vec::new(),
-        took: began.elapsed(),
+        wall_time: began.elapsed(),
     })
 }
 
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -43,7 +43,7 @@
 
 /// Rules that a history violates.
 fn violated_rules(lines: &[String]) -> Vec<Rule> {
-    check(lines).expect("a whole history").breaches.into_keys().collect()
+    check(lines).expect("a whole history").violations.into_keys().collect()
 }
 
 #[test]
@@ -52,8 +52,8 @@
         for seed in seeds {
             let lines = history(scenario, seed);
             let verdict = check(&lines).unwrap_or_else(|error| panic!("{name}, seed {seed}, line {error}"));
-            assert!(verdict.is_clean(), "{name}, seed {seed}: {:?}", verdict.told);
-            assert!(verdict.whole.requests > 1000 && verdict.attempts > 1000, "{name}, seed {seed}");
+            assert!(verdict.is_clean(), "{name}, seed {seed}: {:?}", verdict.first_violations);
+            assert!(verdict.all_requests.requests > 1000 && verdict.attempts > 1000, "{name}, seed {seed}");
             assert!(lines.iter().any(|line| line.contains("\"abandoned\"")), "{name}, seed {seed}");
         }
     }
@@ -66,7 +66,7 @@
 #[test]
 fn a_recorded_run_of_the_real_node_violates_no_rule() {
     let verdict = check(&real_node()).unwrap_or_else(|error| panic!("line {error}"));
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(verdict.classes.iter().all(|class| class.completed > 0), "of each class");
     assert!(verdict.classes.iter().map(|class| class.rejected).sum::<u64>() > 0, "and rejections");
 }
--- a/crates/fleet-test/src/gate/floors.rs
+++ b/crates/fleet-test/src/gate/floors.rs
@@ -59,7 +59,7 @@
 /// Classes with at least a twentieth of the requests or of the priority weight, or that are not idempotent, unless the
 /// late-seeing policy itself serves little of them.
 fn classes(verdict: &Verdict, late: &Verdict) -> Vec<Served> {
-    let whole = verdict.whole;
+    let whole = verdict.all_requests;
     let has_floor = |requests: u64, worth: f64, effect| {
         let is_frequent = requests as f64 >= MIN_WEIGHT_SHARE * whole.requests as f64;
         is_frequent || worth >= MIN_WEIGHT_SHARE * whole.asked || effect != Effect::Free
@@ -119,7 +119,7 @@
         let mut rare = verdict.classes[0].clone();
         rare.name = "rare".into();
         verdict.classes.push(rare);
-        verdict.whole = worth(1000, 100.0, 90.0);
+        verdict.all_requests = worth(1000, 100.0, 90.0);
         verdict.classes[0].worth = worth(931, 90.0, 85.0);
         verdict.classes[1].worth = worth(20, 6.0, 5.0);
         verdict.classes[2].worth = worth(49, 4.0, 4.0);
--- a/crates/fleet-test/src/gate/metrics.rs
+++ b/crates/fleet-test/src/gate/metrics.rs
@@ -43,27 +43,27 @@
 impl Metrics {
     /// Computes the metrics of a verdict.
     pub fn from_verdict(verdict: &Verdict) -> Self {
-        let requests = (verdict.whole.requests as f64).max(1.0);
+        let requests = (verdict.all_requests.requests as f64).max(1.0);
         let attempts = (verdict.attempts as f64).max(1.0);
         let sum = |of: &dyn Fn(&ClassVerdict) -> u64| verdict.classes.iter().map(of).sum::<u64>() as f64;
         let tries = sum(&|c| c.completed + c.rejected + c.failed);
-        let asked = verdict.whole.asked.max(f64::MIN_POSITIVE);
+        let asked = verdict.all_requests.asked.max(f64::MIN_POSITIVE);
         Metrics {
-            g: verdict.g,
-            served: verdict.whole.share(),
+            g: verdict.score,
+            served: verdict.all_requests.share(),
             worst: verdict.worst_window.0,
             classes: verdict.classes.iter().map(|c| (c.name.clone(), c.worth.share())).collect(),
             prices: verdict.prices,
             tries: tries / requests,
             attempts: verdict.attempts as f64 / requests,
             refused: sum(&|c| c.rejected) / tries.max(1.0),
-            turned_away: verdict.turned_away as f64 / attempts,
+            turned_away: verdict.overloaded_attempts as f64 / attempts,
             timed_out: verdict.timed_out as f64 / attempts,
             hits: verdict.hits,
             planner: verdict.planner_calls as f64 / requests,
             connections: verdict.connections as f64 / requests,
             losses: verdict.losses.iter().map(|(loss, worth)| (*loss, worth / asked)).collect(),
-            breaches: verdict.breaches.clone(),
+            breaches: verdict.violations.clone(),
         }
     }
 }
--- a/crates/fleet-test/src/gate/mod.rs
+++ b/crates/fleet-test/src/gate/mod.rs
@@ -98,13 +98,13 @@
     sizes: &[(Time, Sizes)],
     required: f64,
 ) -> Vec<Finding> {
-    let first_violation = |rule: Rule| verdict.told.iter().find(|breach| breach.rule == rule);
+    let first_violation = |rule: Rule| verdict.first_violations.iter().find(|breach| breach.rule == rule);
     let describe = |rule| first_violation(rule).map_or_else(String::new, |b| format!("{}: {}", b.at, b.what));
-    let broken = verdict.breaches.iter();
+    let broken = verdict.violations.iter();
     let mut findings: Vec<Finding> = broken
         .map(|(rule, times)| Finding::Rule { rule: *rule, times: *times, first: describe(*rule) })
         .collect();
-    let served = verdict.whole.share();
+    let served = verdict.all_requests.share();
     if served < required {
         findings.push(Finding::Served { served, required });
     }
--- a/crates/fleet-test/src/play.rs
+++ b/crates/fleet-test/src/play.rs
@@ -28,7 +28,7 @@
     /// Size limits of the scenarios.
     pub size: Size,
     /// Delay of the late-seeing policy, in milliseconds.
-    pub late_ms: u32,
+    pub late_seeing_delay_ms: u32,
     /// Parts of the communication between nodes that are on for the decision module.
     pub plane: Switch,
     /// Number of parallel runs; the number of cores if not given.
@@ -174,7 +174,8 @@
 
 /// Queues the runs, the soak first, so that no long run starts last and leaves the other cores idle.
 fn jobs(plan: &TrialPlan) -> Vec<Job> {
-    let policies = [PolicyKind::Module, PolicyKind::LateSeeing { delay_ms: plan.late_ms }, SIMPLEST_POLICY];
+    let policies =
+        [PolicyKind::Module, PolicyKind::LateSeeing { delay_ms: plan.late_seeing_delay_ms }, SIMPLEST_POLICY];
     let mut days: Vec<(usize, Day)> = plan.days.iter().copied().enumerate().collect();
     days.sort_by_key(|(index, day)| (*day != Day::Soak, *index));
     let jobs_of_day = |(scenario, day): (usize, Day)| {
@@ -217,7 +218,8 @@
 /// Compares the runs of the three policies for one scenario and seed.
 fn result(day: Day, seed: u64, module: &RunResult, late: &RunResult, simplest: &RunResult) -> Result {
     let metrics = |played: &RunResult| Metrics::from_verdict(&played.verdict);
-    let required = gate::required_share(day, late.verdict.whole.share(), simplest.verdict.whole.share());
+    let required =
+        gate::required_share(day, late.verdict.all_requests.share(), simplest.verdict.all_requests.share());
     let sizes = module.sizes.iter().map(|(_, s)| *s).fold(Sizes::default(), Sizes::max_of_each);
     Result {
         day,
--- a/crates/fleet-test/src/play/tests.rs
+++ b/crates/fleet-test/src/play/tests.rs
@@ -6,7 +6,14 @@
 
 fn plan(days: &[Day]) -> TrialPlan {
     let size = Size { nodes: Some(3), soak: Some(Span::from_millis(30_000)) };
-    TrialPlan { days: days.to_vec(), seeds: vec![1, 2], size, late_ms: 1000, plane: Switch::Off, jobs: None }
+    TrialPlan {
+        days: days.to_vec(),
+        seeds: vec![1, 2],
+        size,
+        late_seeing_delay_ms: 1000,
+        plane: Switch::Off,
+        jobs: None,
+    }
 }
 
 #[test]
--- a/crates/hallpin/src/check.rs
+++ b/crates/hallpin/src/check.rs
@@ -44,7 +44,7 @@
     let file = File::open(path).map_err(|error| Failure::File(path.into(), error))?;
     let verdict =
         history::judge(BufReader::new(file)).map_err(|error| Failure::History(path.into(), error))?;
-    for violation in &verdict.told {
+    for violation in &verdict.first_violations {
         println!(
             "{}: {}: {}: {}",
             path.display(),
--- a/crates/hallpin/src/emulate.rs
+++ b/crates/hallpin/src/emulate.rs
@@ -104,8 +104,8 @@
                 let title = format!("{}, seed {}, {}", scenario.name, played.seed, kind.name());
                 chart::draw_run(&played.verdict, &title, path)?;
             }
-            let speed = played.events as f64 / played.took.as_secs_f64().max(1e-9) / 1e6;
-            eprintln!("{} events in {:.2?}, {speed:.2} million a second", played.events, played.took);
+            let speed = played.events as f64 / played.wall_time.as_secs_f64().max(1e-9) / 1e6;
+            eprintln!("{} events in {:.2?}, {speed:.2} million a second", played.events, played.wall_time);
             vec![played]
         }
         (seeds, _) => {
--- a/crates/hallpin/src/trial.rs
+++ b/crates/hallpin/src/trial.rs
@@ -104,7 +104,7 @@
             days,
             seeds,
             size: Size { nodes: self.nodes, soak },
-            late_ms,
+            late_seeing_delay_ms: late_ms,
             plane: self.plane.into(),
             jobs: self.jobs,
         })
--- a/crates/hallpin/src/try_out.rs
+++ b/crates/hallpin/src/try_out.rs
@@ -69,6 +69,6 @@
     fn the_built_in_scenario_is_valid() {
         let scenario = Scenario::parse(BUILT_IN_SCENARIO).unwrap();
         let day = scenario.draw(1).unwrap();
-        assert_eq!((day.boxes.len(), day.nodes.len(), day.incidents.len()), (12, 3, 2));
+        assert_eq!((day.boxes.len(), day.nodes.len(), day.fault_events.len()), (12, 3, 2));
     }
 }
--- a/crates/loadgen/src/table.rs
+++ b/crates/loadgen/src/table.rs
@@ -52,7 +52,7 @@
             class.name.clone(),
             class.worth.requests.to_string(),
             format!("{:.3}", class.worth.share()),
-            class.in_aim.to_string(),
+            class.within_objective.to_string(),
             class.late.to_string(),
             class.unserved.to_string(),
             at(0.5),
@@ -65,23 +65,23 @@
         "{classes}\n\nserved worth {:.3}, in the worst 10 s (from {:.0} s) {worst:.3}; G {:.3} after prices of {:.3}\n\
          attempts {}, rejected {}, timed out {}; hits {:.1} %; planner calls {} (cold {}), peak {} a second, stops {}\n\
          boxes fallen {}, new connections {}, stale reads {}\n",
-        verdict.whole.share(),
+        verdict.all_requests.share(),
         since.as_secs(),
-        verdict.g,
+        verdict.score,
         verdict.prices,
         verdict.attempts,
-        verdict.turned_away,
+        verdict.overloaded_attempts,
         verdict.timed_out,
         verdict.hits * 100.0,
         verdict.planner_calls,
         verdict.planner_cold,
         verdict.planner_peak,
         verdict.planner_stops,
-        verdict.fallen,
+        verdict.crashed_boxes,
         verdict.connections,
         verdict.stale,
     );
-    let asked = verdict.whole.asked.max(1e-9);
+    let asked = verdict.all_requests.asked.max(1e-9);
     if !verdict.losses.is_empty() {
         let loss_share = |(loss, worth): (&hallpin_simulation::referee::Loss, &f64)| {
             format!("{loss:?} {:.1} %", worth * 100.0 / asked)
@@ -96,12 +96,12 @@
 /// Lists each rule as kept or broken, and describes the first five violations.
 pub fn rules_summary(verdict: &Verdict) -> String {
     let all = [Rule::Lost, Rule::Repeated, Rule::Drain, Rule::Cold, Rule::Waited, Rule::Gone, Rule::Ready];
-    let describe = |checked: &Rule| match verdict.breaches.get(checked) {
+    let describe = |checked: &Rule| match verdict.violations.get(checked) {
         None => format!("{}: kept", rule_name(*checked)),
         Some(times) => format!("{}: BROKEN {times} times", rule_name(*checked)),
     };
     let mut out = format!("rules: {}\n", all.iter().map(describe).collect::<Vec<_>>().join("; "));
-    for violation in verdict.told.iter().take(5) {
+    for violation in verdict.first_violations.iter().take(5) {
         out.push_str(&format!("  {}: {}\n", violation.at, violation.what));
     }
     out
@@ -128,7 +128,7 @@
             |metric: &dyn Fn(&Verdict) -> f64| quartiles(days.iter().map(|verdict| metric(verdict)));
         let median =
             |metric: &dyn Fn(&Verdict) -> f64| quartiles_of(metric).map_or(0.0, |quartiles| quartiles.median);
-        let Some(g) = quartiles_of(&|v| v.g) else { continue };
+        let Some(g) = quartiles_of(&|v| v.score) else { continue };
         let final_answers =
             |v: &Verdict| v.classes.iter().map(|c| c.completed + c.rejected + c.failed).sum::<u64>().max(1);
         let refused =
@@ -138,7 +138,7 @@
             days.len().to_string(),
             format!("{:.3}", g.median),
             format!("{:.3} to {:.3}", g.lower_quartile, g.upper_quartile),
-            format!("{:.3}", median(&|v| v.whole.share())),
+            format!("{:.3}", median(&|v| v.all_requests.share())),
             format!("{:.1} %", 100.0 * median(&|v| v.hits)),
             format!("{:.0}", median(&|v| v.planner_calls as f64 / v.seconds.len().max(1) as f64)),
             format!("{:.1} %", 100.0 * median(&refused)),
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -198,7 +198,7 @@
         };
         self.asks.insert(id, request);
         vec![
-            ClientOutput::Record(Event::Asked { ask: id, class, tenant, key, work }),
+            ClientOutput::Record(Event::RequestStarted { ask: id, class, tenant, key, work }),
             ClientOutput::TryAt(now, id),
         ]
     }
@@ -218,7 +218,7 @@
         request.tries += 1;
         let time_left = (request.first + class.deadline).since(now);
         let patience = class.deadline * self.spec.try_share;
-        let wait = request.haste.map_or(patience, |haste| haste.gives.min(patience)).min(time_left);
+        let wait = request.haste.map_or(patience, |haste| haste.try_timeout.min(patience)).min(time_left);
         let stay_probability: f64 = self.impatient.iter().map(|(_, share, _)| 1.0 - share).product();
         let abandons = self.rng.happens(1.0 - (1.0 - self.spec.abandons) * stay_probability);
         let until = now + wait;
@@ -269,7 +269,7 @@
     fn retry_time(&mut self, now: Time, ask: AskId, reply: Reply) -> Option<Time> {
         let request = self.asks.get(&ask)?;
         let class = &self.classes[request.class];
-        if request.tries > request.haste.map_or(self.spec.retries, |haste| haste.again) {
+        if request.tries > request.haste.map_or(self.spec.retries, |haste| haste.retries) {
             return None;
         }
         let not_executed =
@@ -280,7 +280,7 @@
         match (request.haste, reply) {
             (Some(_), _) => wait = HASTY_RETRY_DELAY,
             (None, Reply::Answer { advice: Some(advice), .. }) if request.honours_advice => {
-                wait = wait.max(advice.min(self.spec.most_advice));
+                wait = wait.max(advice.min(self.spec.max_retry_after));
             }
             _ => {}
         }
--- a/crates/simulation/src/day/incident.rs
+++ b/crates/simulation/src/day/incident.rs
@@ -11,9 +11,9 @@
     /// Share of clients that behave this way.
     pub share: f64,
     /// Time that these clients wait for a try.
-    pub gives: Span,
+    pub try_timeout: Span,
     /// Number of retries, sent at once and without regard to retry-after times.
-    pub again: u32,
+    pub retries: u32,
 }
 
 /// Clients that write commands slowly, in pieces. Their wait for the answer starts at the first byte.
@@ -140,9 +140,12 @@
                     share * 100.0
                 )
             }
-            FaultEvent::Hasty(HastyClients { share, gives, again }) => {
+            FaultEvent::Hasty(HastyClients { share, try_timeout, retries }) => {
                 let share = share * 100.0;
-                write!(f, "{share:.0} % of the clients give a try {gives} and come again {again} times")
+                write!(
+                    f,
+                    "{share:.0} % of the clients give a try {try_timeout} and come again {retries} times"
+                )
             }
             FaultEvent::SlowWriters(SlowWriters { share, up_to }) => {
                 write!(f, "{:.0} % of the commands are written over up to {up_to}", share * 100.0)
@@ -188,7 +191,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StopTimings {
     /// Time for which new connections keep arriving.
-    pub coming: Span,
+    pub new_connections_time: Span,
     /// Time until SIGKILL.
     pub kill: Span,
 }
@@ -201,7 +204,7 @@
 impl StopTimings {
     /// Creates the timing for clients with this longest deadline, and new connections arriving for this time.
     pub fn new(longest: Span, coming: Span) -> Self {
-        StopTimings { coming, kill: longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
+        StopTimings { new_connections_time: coming, kill: longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE }
     }
 }
 
--- a/crates/simulation/src/day/mod.rs
+++ b/crates/simulation/src/day/mod.rs
@@ -99,7 +99,7 @@
     /// How clients reach nodes.
     pub entry: Entry,
     /// Time after which the front detects a dead node.
-    pub front_notice: Span,
+    pub front_detection_delay: Span,
     /// Maximum number of tries after the first one.
     pub retries: u32,
     /// Share of the class's deadline after which a client gives up a try.
@@ -109,7 +109,7 @@
     /// Share of clients that honour the retry-after time of a rejection.
     pub honours: f64,
     /// Longest retry-after time that clients honour.
-    pub most_advice: Span,
+    pub max_retry_after: Span,
     /// Share of tries that clients abandon early, at a random point within their time.
     pub abandons: f64,
     /// Relative error of the work estimate that requests carry; `None` if they carry no estimate.
@@ -164,7 +164,7 @@
     /// Time until an ended or draining process is detected.
     pub notice: Span,
     /// Time until a machine that has stopped responding is detected.
-    pub silent_notice: Span,
+    pub silent_detection_delay: Span,
     /// Longest time between the first and the last node's notification of a change.
     pub spread: Span,
 }
@@ -194,7 +194,7 @@
     /// All boxes of the run, including those that join later.
     pub boxes: Vec<BoxSpec>,
     /// Behaviour of nodes at their listeners and watches.
-    pub shell: NodeTimings,
+    pub node_timings: NodeTimings,
     /// Boxes that run at the start.
     pub running: Vec<BoxId>,
     /// The planner.
@@ -218,9 +218,9 @@
     /// Weights and prices of the score.
     pub goal: GoalSpec,
     /// Scheduled fault events, in order of time.
-    pub incidents: Vec<ScheduledFault>,
+    pub fault_events: Vec<ScheduledFault>,
     /// Times at which watches of the endpoint list fall silent.
-    pub silences: Vec<WatchSilence>,
+    pub watch_silences: Vec<WatchSilence>,
 }
 
 impl RunSpec {
--- a/crates/simulation/src/day/settings.rs
+++ b/crates/simulation/src/day/settings.rs
@@ -41,7 +41,7 @@
                 "cancel": limits.cancel, "probes": limits.probes, "peers": limits.peers,
                 "parallel-tries": limits.second_copies, "retry-after": limits.retry_after,
                 "max-attempts": limits.max_attempts, "dial-timeout-s": limits.dial_timeout.as_secs(),
-                "max-retry-after-s": self.clients.most_advice.as_secs(), "idle-close-s": idle.as_secs(),
+                "max-retry-after-s": self.clients.max_retry_after.as_secs(), "idle-close-s": idle.as_secs(),
                 "multiplex": 32, "max-open": 20000, "cpu-us-per-request": 0.0, "cpu-us-per-s": 80000,
             },
             "membership-mode": "pushed", "weight-source": "nominal", "worth-by": "work", "round-s": 0.005,
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -90,7 +90,7 @@
         }
         validator.check(at, &event).map_err(error_here)?;
         checker.record(at, &event);
-        (last, over) = (line, event == Event::DayOver);
+        (last, over) = (line, event == Event::RunEnded);
     }
     let error_at_end = |what: &str| HistoryError { line: last + 1, what: what.into() };
     if !over {
@@ -135,10 +135,10 @@
         self.now = at;
         self.check_indices(event)?;
         match *event {
-            Event::Asked { ask, .. } if !self.asks.insert(ask) => {
+            Event::RequestStarted { ask, .. } if !self.asks.insert(ask) => {
                 Err(format!("ask: a new request expected, got {ask} again"))
             }
-            Event::Taken { ask, .. }
+            Event::TryAccepted { ask, .. }
             | Event::GaveUp { ask }
             | Event::Received { ask, .. }
             | Event::Dropped { ask, .. }
@@ -146,7 +146,7 @@
             {
                 Err(format!("ask: a request asked before expected, got {ask}"))
             }
-            Event::Taken { id, .. } => match self.tries.insert(id, 0) {
+            Event::TryAccepted { id, .. } => match self.tries.insert(id, 0) {
                 Some(_) => Err(format!("id: a new try expected, got {id} again")),
                 None => Ok(()),
             },
@@ -163,10 +163,10 @@
             Event::Ended { id, attempt, .. } if self.tries.get(&id).is_none_or(|sent| attempt >= *sent) => {
                 Err(format!("attempt: one sent before expected, got {attempt} of try {id}"))
             }
-            Event::Begins { incident, .. } if incident != self.incidents => {
+            Event::FaultBegins { incident, .. } if incident != self.incidents => {
                 Err(format!("incident: {} expected, got {incident}", self.incidents))
             }
-            Event::Begins { .. } => {
+            Event::FaultBegins { .. } => {
                 self.incidents += 1;
                 Ok(())
             }
@@ -183,7 +183,7 @@
         };
         let (nodes, boxes) = (day.nodes.len(), day.boxes.len());
         match *event {
-            Event::Asked { class, tenant, .. } => {
+            Event::RequestStarted { class, tenant, .. } => {
                 check_below("class", class, day.classes.len())?;
                 tenant.map_or(Ok(()), |tenant| check_below("tenant", tenant, day.tenants.len()))
             }
@@ -191,11 +191,11 @@
                 check_below("node", node, nodes)?;
                 check_below("to", to, boxes)
             }
-            Event::Told { node, of, .. } | Event::Has { node, of, .. } => {
+            Event::Notified { node, of, .. } | Event::ChangeAvailable { node, of, .. } => {
                 check_below("node", node, nodes)?;
                 check_below("of", of, boxes)
             }
-            Event::Taken { node, .. }
+            Event::TryAccepted { node, .. }
             | Event::NodeUp { node }
             | Event::NodeReady { node }
             | Event::NodeDown { node, .. }
@@ -207,11 +207,11 @@
             | Event::Reconfigured { node } => check_below("node", node, nodes),
             Event::BoxUp { of, .. }
             | Event::BoxDown { of }
-            | Event::BoxFell { of }
+            | Event::BoxCrashed { of }
             | Event::Probed { of } => check_below("of", of, boxes),
-            Event::PlannerAsked { by, .. } => check_below("by", by, boxes),
+            Event::PlannerCalled { by, .. } => check_below("by", by, boxes),
             Event::Opened { to } | Event::Closed { to } => check_below("to", to, boxes),
-            Event::Ends { incident } => check_below("incident", incident, self.incidents),
+            Event::FaultEnds { incident } => check_below("incident", incident, self.incidents),
             _ => Ok(()),
         }
     }
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -72,7 +72,7 @@
         cold: bool,
         out: &mut Vec<OriginOutput>,
     ) {
-        out.push(OriginOutput::Record(Event::PlannerAsked { by, write: ask.write.is_some(), cold }));
+        out.push(OriginOutput::Record(Event::PlannerCalled { by, write: ask.write.is_some(), cold }));
         self.last_call_id += 1;
         let id = self.last_call_id;
         if !self.planner.is_down() {
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -152,7 +152,7 @@
         let places = f64::from(self.spec.places.max(1));
         let ahead = self.waiting.len() as f64 / places;
         let load = (self.waiting.len() + self.in_progress.len()) as f64 / places;
-        TruePlanner { up: !self.is_down(), answers_in: time * (1.0 + ahead), load }
+        TruePlanner { up: !self.is_down(), expected_wait: time * (1.0 + ahead), load }
     }
 
     /// Whether the planner is down by overload.
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -12,11 +12,11 @@
     /// Requests that the box can serve concurrently when warm and not slowed down.
     pub slots: f64,
     /// Requests that the box can serve concurrently now: fewer while it is warming up or slow.
-    pub present_slots: f64,
+    pub current_slots: f64,
     /// Slots in use, plus those needed by requests that the box holds or that are in transit to it.
-    pub wanted: usize,
+    pub demanded_slots: usize,
     /// Whether the box could call the planner for one more key now.
-    pub may_fetch: bool,
+    pub can_fetch: bool,
 }
 
 /// True state of the planner.
@@ -25,7 +25,7 @@
     /// Whether the planner answers.
     pub up: bool,
     /// Estimated time until a call made now would be answered.
-    pub answers_in: Seconds,
+    pub expected_wait: Seconds,
     /// Calls waiting and in progress, divided by the number that the planner works on concurrently.
     pub load: f64,
 }
@@ -72,7 +72,7 @@
     }
 
     fn look(&self, _: usize) -> TrueBox {
-        TrueBox { up: false, slots: 0.0, present_slots: 0.0, wanted: 0, may_fetch: false }
+        TrueBox { up: false, slots: 0.0, current_slots: 0.0, demanded_slots: 0, can_fetch: false }
     }
 
     fn keeps(&self, _: usize, _: RequestId) -> bool {
--- a/crates/simulation/src/referee/attempt_limits.rs
+++ b/crates/simulation/src/referee/attempt_limits.rs
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn attempt_ended(&mut self, at: Time, id: TryId, attempt: u32, how: AttemptOutcome) {
-        self.verdict.turned_away += u64::from(how == AttemptOutcome::Overloaded);
+        self.verdict.overloaded_attempts += u64::from(how == AttemptOutcome::Overloaded);
         self.verdict.timed_out += u64::from(how == AttemptOutcome::TimedOut);
         if let Some(accepted) = self.tries.get_mut(&id) {
             let sent = accepted.attempts.iter_mut().find(|s| s.number == attempt && s.ended.is_none());
--- a/crates/simulation/src/referee/cold.rs
+++ b/crates/simulation/src/referee/cold.rs
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn box_crashed(&mut self, at: Time, of: BoxId) {
-        self.verdict.fallen += 1;
+        self.verdict.crashed_boxes += 1;
         self.check_overload(at, of);
     }
 
--- a/crates/simulation/src/referee/mod.rs
+++ b/crates/simulation/src/referee/mod.rs
@@ -106,9 +106,9 @@
     }
 
     fn report_violation(&mut self, rule: Rule, at: Time, what: String) {
-        *self.verdict.breaches.entry(rule).or_default() += 1;
-        if self.verdict.told.len() < MAX_DESCRIBED_VIOLATIONS {
-            self.verdict.told.push(Violation { rule, at, what });
+        *self.verdict.violations.entry(rule).or_default() += 1;
+        if self.verdict.first_violations.len() < MAX_DESCRIBED_VIOLATIONS {
+            self.verdict.first_violations.push(Violation { rule, at, what });
         }
     }
 
@@ -136,10 +136,10 @@
         self.expire_unanswered(at);
         self.apply_due_notifications(at);
         match *event {
-            Event::Asked { ask, class, tenant, key, work } => {
+            Event::RequestStarted { ask, class, tenant, key, work } => {
                 self.request_started(at, ask, class, tenant, key, work)
             }
-            Event::Taken { id, ask, node, until } => self.try_accepted(at, id, ask, node, until),
+            Event::TryAccepted { id, ask, node, until } => self.try_accepted(at, id, ask, node, until),
             Event::Sent { id, attempt, node, to, crosses, wait } => {
                 self.totals.depot_crossings += u64::from(crosses);
                 self.check_target(at, node, to);
@@ -154,7 +154,7 @@
             Event::Abandoned { id } => self.try_abandoned(id, at),
             Event::Received { ask, .. } => self.request_served(at, ask),
             Event::GaveUp { ask } => self.request_given_up(at, ask, None),
-            Event::Told { node, of, phase, started } => {
+            Event::Notified { node, of, phase, started } => {
                 self.totals.list_entries += 1;
                 self.notification_deadlines.change_arrived(node, of);
                 self.box_notified(at, node, of, phase, started);
@@ -185,17 +185,17 @@
                 self.cold_boxes.remove(&of);
                 self.update_connections(at, of, |_| 0);
             }
-            Event::BoxFell { of } => {
+            Event::BoxCrashed { of } => {
                 self.box_crashed(at, of);
                 self.box_sizes[of] = None;
                 self.update_connections(at, of, |_| 0);
             }
-            Event::PlannerAsked { cold, .. } => self.planner_called(at, cold),
+            Event::PlannerCalled { cold, .. } => self.planner_called(at, cold),
             Event::PlannerStopped { overdriven: true } => self.planner_stopped(at),
             Event::Written { key, version } => {
                 self.written.insert(key, version);
             }
-            Event::Has { node, of, phase, started, asked } => {
+            Event::ChangeAvailable { node, of, phase, started, asked } => {
                 self.notification_deadlines.change_available(
                     at,
                     node,
@@ -224,12 +224,12 @@
             Event::Closed { to } => self.update_connections(at, to, |open| open.saturating_sub(1)),
             Event::Probed { .. } => self.totals.probes += 1,
             Event::Message { bytes } => self.totals.message_bytes += bytes as u64,
-            Event::Begins { ref what, .. } => self.verdict.incidents.push((at, None, what.clone())),
-            Event::Ends { incident } => {
+            Event::FaultBegins { ref what, .. } => self.verdict.incidents.push((at, None, what.clone())),
+            Event::FaultEnds { incident } => {
                 let begun = self.verdict.incidents.get_mut(incident);
                 begun.into_iter().for_each(|i| i.1 = Some(at));
             }
-            Event::DayOver => {
+            Event::RunEnded => {
                 self.run_ended(at);
                 self.compute_score(at);
             }
--- a/crates/simulation/src/referee/parameters.rs
+++ b/crates/simulation/src/referee/parameters.rs
@@ -51,7 +51,7 @@
             wait_slack: day.rules.wait_slack,
             max_attempts: day.limits.max_attempts,
             second_copies: day.limits.second_copies,
-            sends_retry_after: day.limits.retry_after && !day.clients.most_advice.is_zero(),
+            sends_retry_after: day.limits.retry_after && !day.clients.max_retry_after.is_zero(),
             box_count: day.running.len().max(1),
         }
     }
--- a/crates/simulation/src/referee/prompt_answers.rs
+++ b/crates/simulation/src/referee/prompt_answers.rs
@@ -64,16 +64,16 @@
     fn idle_keys_are_remembered_within_their_bound() {
         let day = Scenario::default().draw(1).expect("the defaults make a day");
         let mut checker = InvariantChecker::new(&day);
-        checker.record(Time::ZERO, &Event::Told { node: 0, of: 0, phase: Phase::Ready, started: None });
+        checker.record(Time::ZERO, &Event::Notified { node: 0, of: 0, phase: Phase::Ready, started: None });
         let (mut most, keys) = (0, 3 * MAX_IDLE_KEYS as u64);
         for n in 0..keys {
             let at = Time(1_000 * n);
             let until = Time(at.0 + 1_000_000);
             checker.record(
                 at,
-                &Event::Asked { ask: n, class: 0, tenant: None, key: n as KeyId, work: 50_000.0 },
+                &Event::RequestStarted { ask: n, class: 0, tenant: None, key: n as KeyId, work: 50_000.0 },
             );
-            checker.record(at, &Event::Taken { id: n, ask: n, node: 0, until });
+            checker.record(at, &Event::TryAccepted { id: n, ask: n, node: 0, until });
             checker
                 .record(at, &Event::Sent { id: n, attempt: 0, node: 0, to: 0, crosses: false, wait: None });
             checker.record(at, &Event::Ended { id: n, attempt: 0, how: AttemptOutcome::Success });
--- a/crates/simulation/src/referee/score.rs
+++ b/crates/simulation/src/referee/score.rs
@@ -41,13 +41,13 @@
     pub(super) fn compute_score(&mut self, at: Time) {
         self.verdict.planner_peak = self.verdict.seconds.iter().map(|s| s.planner).max().unwrap_or(0);
         self.update_connections(at, 0, |open| open);
-        let first_tries = (self.verdict.whole.requests as f64).max(1.0);
+        let first_tries = (self.verdict.all_requests.requests as f64).max(1.0);
         let prices = &self.parameters.goal.prices;
         let mean_open = self.totals.open_connection_seconds / at.as_secs().max(1e-9);
         let waste =
             (self.totals.work_done - self.totals.useful_work).max(0.0) / self.totals.asked_work.max(1e-9);
         self.verdict.prices = prices.waste * waste
-            + prices.late_fail * self.totals.late_unserved_worth / self.verdict.whole.asked.max(1e-9)
+            + prices.late_fail * self.totals.late_unserved_worth / self.verdict.all_requests.asked.max(1e-9)
             + prices.handshake * self.verdict.connections as f64 / first_tries
             + prices.connection * mean_open / (100.0 * self.parameters.box_count as f64)
             + prices.probe * self.totals.probes as f64 / first_tries
@@ -58,10 +58,10 @@
         let class = least(&mut self.verdict.classes.iter().map(|c| c.worth.share()));
         let tenant = least(&mut self.verdict.tenants.iter().map(|(_, worth)| worth.share()));
         let goal = &self.parameters.goal;
-        let mix = goal.whole * self.verdict.whole.share()
+        let mix = goal.whole * self.verdict.all_requests.share()
             + goal.worst_window * self.verdict.worst_window.0
             + goal.worst_class * class
             + goal.worst_tenant * tenant;
-        self.verdict.g = (mix - self.verdict.prices).clamp(0.0, 1.0);
+        self.verdict.score = (mix - self.verdict.prices).clamp(0.0, 1.0);
     }
 }
--- a/crates/simulation/src/referee/verdict.rs
+++ b/crates/simulation/src/referee/verdict.rs
@@ -119,7 +119,7 @@
     pub worth: Worth,
     /// Requests served within the latency objective.
     #[serde(rename = "in_aim")]
-    pub in_aim: u64,
+    pub within_objective: u64,
     /// Requests served after the latency objective.
     pub late: u64,
     /// Requests that earned nothing.
@@ -140,16 +140,16 @@
 pub struct Verdict {
     /// Score from 0 to 1: the goal's weighted mix of served shares, less the prices.
     #[serde(rename = "g")]
-    pub g: f64,
+    pub score: f64,
     /// Number of violations of each rule.
     #[serde(rename = "breaches")]
-    pub breaches: BTreeMap<Rule, u64>,
+    pub violations: BTreeMap<Rule, u64>,
     /// Descriptions of the first violations, at most 100.
     #[serde(rename = "told")]
-    pub told: Vec<Violation>,
+    pub first_violations: Vec<Violation>,
     /// Totals of all requests.
     #[serde(rename = "whole")]
-    pub whole: Worth,
+    pub all_requests: Worth,
     /// Served share of the worst 10 s window, and the start of that window.
     pub worst_window: (f64, Time),
     /// Result of each class.
@@ -164,7 +164,7 @@
     pub attempts: u64,
     /// Attempts that boxes rejected as overloaded.
     #[serde(rename = "turned_away")]
-    pub turned_away: u64,
+    pub overloaded_attempts: u64,
     /// Attempts that timed out.
     pub timed_out: u64,
     /// Cache hits as a share of the reads that boxes worked on.
@@ -179,7 +179,7 @@
     pub planner_peak: u64,
     /// Number of boxes that crashed under overload while cold.
     #[serde(rename = "fallen")]
-    pub fallen: u64,
+    pub crashed_boxes: u64,
     /// Connections opened to boxes.
     pub connections: u64,
     /// Reads that were served a version older than one whose write had been acknowledged before.
@@ -197,7 +197,7 @@
             name: c.name.clone(),
             effect: c.effect,
             worth: Worth::default(),
-            in_aim: 0,
+            within_objective: 0,
             late: 0,
             unserved: 0,
             completed: 0,
@@ -206,24 +206,24 @@
             latency: latencies(),
         };
         Verdict {
-            g: 0.0,
-            breaches: BTreeMap::new(),
-            told: Vec::new(),
-            whole: Worth::default(),
+            score: 0.0,
+            violations: BTreeMap::new(),
+            first_violations: Vec::new(),
+            all_requests: Worth::default(),
             worst_window: (1.0, Time::ZERO),
             classes: day.classes.iter().map(class).collect(),
             tenants: day.tenants.iter().map(|t| (t.name.clone(), Worth::default())).collect(),
             losses: BTreeMap::new(),
             prices: 0.0,
             attempts: 0,
-            turned_away: 0,
+            overloaded_attempts: 0,
             timed_out: 0,
             hits: 0.0,
             planner_calls: 0,
             planner_cold: 0,
             planner_stops: 0,
             planner_peak: 0,
-            fallen: 0,
+            crashed_boxes: 0,
             connections: 0,
             stale: 0,
             seconds: Vec::new(),
@@ -233,7 +233,7 @@
 
     /// True if no rule was violated.
     pub fn is_clean(&self) -> bool {
-        self.breaches.is_empty()
+        self.violations.is_empty()
     }
 }
 
--- a/crates/simulation/src/referee/worth.rs
+++ b/crates/simulation/src/referee/worth.rs
@@ -36,7 +36,7 @@
         let share = if within { 1.0 } else { self.parameters.goal.over_share_worth };
         let worth = self.parameters.objectives[class].1 * units * share;
         self.totals.asked_work += work;
-        self.verdict.whole.add_request(worth);
+        self.verdict.all_requests.add_request(worth);
         self.verdict.classes[class].worth.add_request(worth);
         if let Some(tenant) = tenant.filter(|_| within) {
             self.tenant_worth[tenant].add_request(worth);
@@ -93,12 +93,12 @@
         // Values beyond an hour are out of range and saturate.
         class.latency.saturating_record(took.0.max(1));
         if took <= aim {
-            class.in_aim += 1;
+            class.within_objective += 1;
         } else {
             class.late += 1;
         }
         class.worth.served += earned;
-        self.verdict.whole.served += earned;
+        self.verdict.all_requests.served += earned;
         if let Some(tenant) = request.tenant.filter(|_| request.within_quota) {
             self.tenant_worth[tenant].served += earned;
         }
--- a/crates/simulation/src/scenario/draw/incidents.rs
+++ b/crates/simulation/src/scenario/draw/incidents.rs
@@ -132,7 +132,11 @@
                 add(
                     at,
                     duration,
-                    FaultEvent::Hasty(HastyClients { share, gives, again: file.rounds.unwrap_or(8) }),
+                    FaultEvent::Hasty(HastyClients {
+                        share,
+                        try_timeout: gives,
+                        retries: file.rounds.unwrap_or(8),
+                    }),
                 );
             }
             IncidentKind::SlowWriters => {
--- a/crates/simulation/src/scenario/draw/mod.rs
+++ b/crates/simulation/src/scenario/draw/mod.rs
@@ -62,7 +62,7 @@
         let list = ListSpec {
             add: self.list.add.draw(&mut rng),
             notice: self.list.notice.draw(&mut rng),
-            silent_notice: self.list.silent_notice.draw(&mut rng),
+            silent_detection_delay: self.list.silent_notice.draw(&mut rng),
             spread: self.list.spread.draw(&mut rng),
         };
         let network = self.draw_network(&mut rng);
@@ -74,7 +74,7 @@
             length,
             depots: self.depots.clone(),
             nodes: (0..nodes).map(|n| n % depots).collect(),
-            shell: NodeTimings { parting: self.nodes.parting, reopens: self.nodes.reopens },
+            node_timings: NodeTimings { parting: self.nodes.parting, reopens: self.nodes.reopens },
             planner,
             list,
             network,
@@ -87,8 +87,8 @@
             goal: self.goal(),
             running,
             boxes,
-            incidents,
-            silences,
+            fault_events: incidents,
+            watch_silences: silences,
         })
     }
 
@@ -131,12 +131,12 @@
             curve,
             node_shares,
             entry: file.entry,
-            front_notice: file.front_notice.draw(rng),
+            front_detection_delay: file.front_notice.draw(rng),
             retries: file.retries.draw(rng),
             try_share: file.try_share.draw(rng),
             backoff: file.backoff.draw(rng),
             honours: file.honours.draw(rng),
-            most_advice: file.most_advice,
+            max_retry_after: file.most_advice,
             abandons: file.abandons.draw(rng),
             hint_noise: Some(file.hint_noise.draw(rng)).filter(|_| file.hints),
             attempt_noise: file.attempt_noise.draw(rng),
--- a/crates/simulation/src/scenario/tests.rs
+++ b/crates/simulation/src/scenario/tests.rs
@@ -30,8 +30,8 @@
     let scenario = Scenario::parse(FILE).unwrap();
     let day = scenario.draw(1).unwrap();
     assert_eq!(day, scenario.draw(1).unwrap());
-    assert_ne!(day.incidents, scenario.draw(2).unwrap().incidents);
-    assert!((10_000_000..=20_000_000).contains(&day.incidents[0].at.0));
+    assert_ne!(day.fault_events, scenario.draw(2).unwrap().fault_events);
+    assert!((10_000_000..=20_000_000).contains(&day.fault_events[0].at.0));
     assert_eq!((day.boxes.len(), day.nodes.len()), (4, 3));
 }
 
--- a/crates/simulation/src/trace/event.rs
+++ b/crates/simulation/src/trace/event.rs
@@ -16,7 +16,7 @@
 pub enum Event {
     /// A client starts a request and sends its first try.
     #[serde(rename = "asked")]
-    Asked {
+    RequestStarted {
         ask: AskId,
         /// Index of the request's class.
         class: usize,
@@ -29,7 +29,7 @@
     },
     /// A node has accepted a try.
     #[serde(rename = "taken")]
-    Taken {
+    TryAccepted {
         id: TryId,
         /// The request that it belongs to.
         ask: AskId,
@@ -80,7 +80,7 @@
     GaveUp { ask: AskId },
     /// A node is notified of a box's state.
     #[serde(rename = "told")]
-    Told {
+    Notified {
         node: NodeId,
         of: BoxId,
         /// State of the box in the endpoint list.
@@ -125,10 +125,10 @@
     BoxDown { of: BoxId },
     /// A box crashed because it was overloaded while cold.
     #[serde(rename = "box-fell")]
-    BoxFell { of: BoxId },
+    BoxCrashed { of: BoxId },
     /// A box has called the planner.
     #[serde(rename = "planner-asked")]
-    PlannerAsked {
+    PlannerCalled {
         by: BoxId,
         /// Whether the call is a write.
         write: bool,
@@ -164,7 +164,7 @@
     /// it and can be reached. Recorded if the node isn't notified at the same moment. The change counts as notified in
     /// time whether or not it arrives.
     #[serde(rename = "has")]
-    Has {
+    ChangeAvailable {
         node: NodeId,
         of: BoxId,
         /// State of the box in the endpoint list.
@@ -207,7 +207,7 @@
     },
     /// A fault event of the scenario begins.
     #[serde(rename = "begins")]
-    Begins {
+    FaultBegins {
         /// Index of the fault event in the run.
         incident: usize,
         /// Description of the fault event.
@@ -215,11 +215,11 @@
     },
     /// A fault event of the scenario ends.
     #[serde(rename = "ends")]
-    Ends {
+    FaultEnds {
         /// Index of the fault event in the run.
         incident: usize,
     },
     /// Last event of a trace.
     #[serde(rename = "day-over")]
-    DayOver,
+    RunEnded,
 }
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -58,7 +58,7 @@
                     );
                 }
                 BoxOutput::Fell => {
-                    self.record(Event::BoxFell { of: at });
+                    self.record(Event::BoxCrashed { of: at });
                     self.boxes[at].generation += 1;
                     self.nodes.iter_mut().for_each(|state| state.idle_connections[at].clear());
                     self.reset_connections(at);
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -53,7 +53,7 @@
         if state.alive && state.watch_silent {
             for l in self.list.between(previous, until).listings {
                 let (of, phase, started) = (l.cache_box, l.phase, l.started);
-                self.record(Event::Has { node, of, phase, started, asked: false });
+                self.record(Event::ChangeAvailable { node, of, phase, started, asked: false });
             }
         }
         self.notify_node(node);
@@ -96,7 +96,7 @@
 
     /// Makes the list watches of some nodes silent.
     pub(super) fn watches_silent(&mut self, at: usize) {
-        let silence = &self.day.silences[at];
+        let silence = &self.day.watch_silences[at];
         for &node in &silence.nodes {
             if self.nodes[node].alive && !std::mem::replace(&mut self.nodes[node].watch_silent, true) {
                 self.record(Event::WatchSilent { node, waits: silence.waits });
@@ -108,7 +108,7 @@
     /// Schedules the reopening of a node's watch after the call timeout.
     pub(super) fn schedule_watch_reopen(&mut self, node: NodeId) {
         let generation = self.nodes[node].generation;
-        self.schedule_after(self.day.shell.reopens, ScheduledEvent::WatchOpens { node, generation });
+        self.schedule_after(self.day.node_timings.reopens, ScheduledEvent::WatchOpens { node, generation });
     }
 
     /// Reopens a node's watch after a call without an answer; the new call fails while discovery is down.
@@ -134,11 +134,11 @@
             let removed = self.nodes[node].cached_endpoints.iter().filter(|e| !listed.contains(&e.server));
             let missing: Vec<BoxId> = removed.filter_map(|e| self.servers.get(&e.server).copied()).collect();
             for of in missing {
-                self.record(Event::Told { node, of, phase: Phase::Gone, started: None });
+                self.record(Event::Notified { node, of, phase: Phase::Gone, started: None });
             }
         }
         for l in &update.listings {
-            self.record(Event::Told { node, of: l.cache_box, phase: l.phase, started: l.started });
+            self.record(Event::Notified { node, of: l.cache_box, phase: l.phase, started: l.started });
         }
         let cached = &mut self.nodes[node].cached_endpoints;
         if update.complete {
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -5,8 +5,8 @@
 impl<S: Sink> World<'_, S> {
     /// Applies an incident, and schedules its end if it has a duration.
     pub(super) fn incident_begins(&mut self, at: usize) {
-        let scheduled = &self.day.incidents[at];
-        self.record(Event::Begins { incident: at, what: scheduled.incident.to_string() });
+        let scheduled = &self.day.fault_events[at];
+        self.record(Event::FaultBegins { incident: at, what: scheduled.incident.to_string() });
         let mut outputs = Vec::new();
         match &scheduled.incident {
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
@@ -54,9 +54,9 @@
 
     /// Ends an incident: reverts its effect, or stops the boxes of a drain.
     pub(super) fn incident_ends(&mut self, at: usize) {
-        self.record(Event::Ends { incident: at });
+        self.record(Event::FaultEnds { incident: at });
         let mut outputs = Vec::new();
-        match &self.day.incidents[at].incident {
+        match &self.day.fault_events[at].incident {
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.unsilence_box(b)),
             FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, 1.0 / factor);
@@ -102,7 +102,7 @@
         }
         self.boxes[at].cache.stop();
         self.record(Event::BoxDown { of: at });
-        self.update_list_after(self.day.list.silent_notice, listing(at, Phase::Gone, None));
+        self.update_list_after(self.day.list.silent_detection_delay, listing(at, Phase::Gone, None));
     }
 
     /// Ends one silence of a box; its process restarts with an empty store once no other silence is active.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -147,7 +147,7 @@
             }
             None => {
                 self.now = end;
-                self.record(Event::DayOver);
+                self.record(Event::RunEnded);
                 false
             }
         }
--- a/crates/simulation/src/world/policy_view.rs
+++ b/crates/simulation/src/world/policy_view.rs
@@ -55,9 +55,9 @@
         TrueBox {
             up: box_state.cache.is_up() && box_state.silence_count == 0 && !partitioned,
             slots,
-            present_slots: slots * share,
-            wanted: box_state.cache.wanted_slots() + box_state.in_transit,
-            may_fetch: box_state.cache.may_fetch(),
+            current_slots: slots * share,
+            demanded_slots: box_state.cache.wanted_slots() + box_state.in_transit,
+            can_fetch: box_state.cache.may_fetch(),
         }
     }
 
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -14,7 +14,7 @@
             if let Some(&of) = self.servers.get(&entry.server) {
                 let phase = if entry.state == ServerState::Ready { Phase::Ready } else { Phase::Draining };
                 let started = entry.started.map(|s| Time::ZERO + Span::from_secs(s));
-                self.record(Event::Told { node, of, phase, started });
+                self.record(Event::Notified { node, of, phase, started });
             }
         }
         self.notify_policy(node, decisions::Event::Endpoints(EndpointUpdate::Cached(cached)));
@@ -60,14 +60,14 @@
         let (now, generation) = (self.now, self.nodes[node].generation);
         let state = &mut self.nodes[node];
         state.unavailable_since = Some(now);
-        let Some(StopTimings { coming, kill }) = stop else {
+        let Some(StopTimings { new_connections_time, kill }) = stop else {
             state.accepts_until = Some(now + ACCEPT_AFTER_STOP);
             let leave = self.day.longest_deadline() + LEAVE_DELAY;
             self.schedule_after(leave, ScheduledEvent::NodeLeaves { node, generation });
             return self.schedule_after(leave + LEAVE_DELAY, ScheduledEvent::NodeStarts(node));
         };
         (state.accepts_until, state.new_connections_until) =
-            (Some(now + self.day.shell.parting), Some(now + coming));
+            (Some(now + self.day.node_timings.parting), Some(now + new_connections_time));
         self.record(Event::Stopping { node });
         self.schedule_after(kill, ScheduledEvent::NodeKilled { node, generation });
         self.schedule_after(kill + LEAVE_DELAY, ScheduledEvent::NodeStarts(node));
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -192,10 +192,10 @@
             self.nodes[node].agent_revision = snapshot.revision;
             self.start_process(node);
         }
-        for (at, scheduled) in self.day.incidents.iter().enumerate() {
+        for (at, scheduled) in self.day.fault_events.iter().enumerate() {
             self.schedule_at(scheduled.at, ScheduledEvent::IncidentBegins(at));
         }
-        for (at, silence) in self.day.silences.iter().enumerate() {
+        for (at, silence) in self.day.watch_silences.iter().enumerate() {
             self.schedule_at(silence.at, ScheduledEvent::WatchesSilent(at));
         }
         self.schedule_at(Time::ZERO + Span(1_000_000), ScheduledEvent::EverySecond);
--- a/crates/simulation/src/world/tries.rs
+++ b/crates/simulation/src/world/tries.rs
@@ -34,7 +34,7 @@
     /// Sends the next try of a request to one of the nodes that clients can reach.
     pub(super) fn next_try(&mut self, ask: u64) {
         let (now, entry) = (self.now, self.day.clients.entry);
-        let notice = self.day.clients.front_notice;
+        let notice = self.day.clients.front_detection_delay;
         let is_open = |state: &NodeState| match state.new_connections_until {
             _ if entry == Entry::Own => true,
             // A stopping node gets new connections until that time, and tries on kept ones for as long as it accepts,
@@ -71,7 +71,7 @@
         let Some(a) = self.clients.ask(ask) else { return };
         let (class, tenant, key, work, hint) = (a.class, a.tenant, a.key, a.work, a.hint);
         let write = self.day.classes[class].write.then_some(a.effect);
-        self.record(Event::Taken { id, ask, node, until });
+        self.record(Event::TryAccepted { id, ask, node, until });
         let deadline = until.back(CLIENT_DELAY_MARGIN);
         let accepted = AcceptedTry { key, work, write, deadline, answered: false, attempts: Vec::new() };
         self.nodes[node].tries.insert(id, accepted);
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -72,7 +72,7 @@
             let (first, verdict, tally, _) = run_scenario(RESTARTS_AND_REPLACEMENTS, seed, switch);
             let (second, ..) = run_scenario(RESTARTS_AND_REPLACEMENTS, seed, switch);
             assert!(first == second, "seed {seed}, {switch:?}");
-            assert!(verdict.is_clean(), "seed {seed}, {switch:?}: {:?}", verdict.breaches);
+            assert!(verdict.is_clean(), "seed {seed}, {switch:?}: {:?}", verdict.violations);
             assert!(!tally.spreads.is_empty(), "the list changed");
             let incomplete = tally.spreads.iter().filter(|spread| spread.all.is_none()).count();
             assert_eq!(incomplete, 0, "seed {seed}, {switch:?}: {:?}", tally.spreads);
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -111,7 +111,12 @@
     fn record_list_change(&mut self, entries: &[EndpointEntry]) {
         for e in entries {
             let started = e.started.map(|s| Time((s * 1e6) as u64));
-            self.record(Event::Told { node: 0, of: box_index(&e.server), phase: phase(e.state), started });
+            self.record(Event::Notified {
+                node: 0,
+                of: box_index(&e.server),
+                phase: phase(e.state),
+                started,
+            });
         }
     }
 
@@ -179,9 +184,9 @@
         let key = self.rng.below(KEYS);
         self.open
             .insert(id, OpenRequest { until: self.now + time_left, attempts: Vec::new(), finished: false });
-        self.record(Event::Asked { ask: id, class, tenant: None, key: key as u32, work: 50_000.0 });
+        self.record(Event::RequestStarted { ask: id, class, tenant: None, key: key as u32, work: 50_000.0 });
         let until = Time(((self.now + time_left) * 1e6) as u64);
-        self.record(Event::Taken { id, ask: id, node: 0, until });
+        self.record(Event::TryAccepted { id, ask: id, node: 0, until });
         let request = NewRequest {
             id: RequestId(id),
             time_left,
@@ -313,14 +318,14 @@
     for _ in 0..2_000 {
         run.advance(0.001, &tamper);
     }
-    run.record(Event::DayOver);
+    run.record(Event::RunEnded);
     (run.referee.verdict(), run.sends)
 }
 
 /// The rules that a verdict reports as violated, with the first three violations as text.
 fn violations(verdict: &Verdict) -> (Vec<Rule>, String) {
-    let told = verdict.told.iter().take(3).map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
-    (verdict.breaches.keys().copied().collect(), told)
+    let told = verdict.first_violations.iter().take(3).map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
+    (verdict.violations.keys().copied().collect(), told)
 }
 
 #[test]
--- a/crates/simulation/tests/referee/departed_clients.rs
+++ b/crates/simulation/tests/referee/departed_clients.rs
@@ -30,7 +30,7 @@
     let listed = (0..2).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
     let events = (1..=times).fold(listed, |events, id| with(events, attempt_after_leaving(id, after, first)));
     let day = lenient(&day(), Span::from_millis(50));
-    check(&day, &events).breaches.into_iter().collect()
+    check(&day, &events).violations.into_iter().collect()
 }
 
 #[test]
@@ -61,7 +61,7 @@
     day.rules.answer_grace = Span::from_millis(500);
     for day in [day.clone(), lenient(&day, Span::from_millis(50))] {
         let violations =
-            |after| check(&day, &attempt_after_leaving(after)).breaches.into_iter().collect::<Vec<_>>();
+            |after| check(&day, &attempt_after_leaving(after)).violations.into_iter().collect::<Vec<_>>();
         assert_eq!(violations(100), []);
         assert_eq!(violations(101), [(Rule::Gone, 1)]);
     }
--- a/crates/simulation/tests/referee/events.rs
+++ b/crates/simulation/tests/referee/events.rs
@@ -29,20 +29,20 @@
     for (at, event) in &events {
         checker.record(Time(at * MS), event);
     }
-    checker.record(Time(70_000 * MS), &Event::DayOver);
+    checker.record(Time(70_000 * MS), &Event::RunEnded);
     checker.verdict()
 }
 
 pub fn box_notified(of: usize, phase: Phase, started: Option<Time>) -> Event {
-    Event::Told { node: 0, of, phase, started }
+    Event::Notified { node: 0, of, phase, started }
 }
 
 pub fn asked(ask: u64, class: usize) -> Event {
-    Event::Asked { ask, class, tenant: None, key: 7, work: 50_000.0 }
+    Event::RequestStarted { ask, class, tenant: None, key: 7, work: 50_000.0 }
 }
 
 pub fn accepted(id: u64, ask: u64, until: u64) -> Event {
-    Event::Taken { id, ask, node: 0, until: Time(until * MS) }
+    Event::TryAccepted { id, ask, node: 0, until: Time(until * MS) }
 }
 
 pub fn sent(id: u64, attempt: u32, to: usize) -> Event {
@@ -80,12 +80,17 @@
 /// Asserts that the events violate exactly this rule, once.
 pub fn assert_violates(what: &str, rule: Rule, events: Vec<(u64, Event)>) {
     let verdict = check(&day(), &events);
-    assert_eq!(verdict.breaches.into_iter().collect::<Vec<_>>(), [(rule, 1)], "{what}: {:?}", verdict.told);
+    assert_eq!(
+        verdict.violations.into_iter().collect::<Vec<_>>(),
+        [(rule, 1)],
+        "{what}: {:?}",
+        verdict.first_violations
+    );
 }
 
 /// Asserts that the events violate no rule, and returns the result.
 pub fn assert_clean(what: &str, events: Vec<(u64, Event)>) -> Verdict {
     let verdict = check(&day(), &events);
-    assert!(verdict.is_clean(), "{what}: {:?}", verdict.told);
+    assert!(verdict.is_clean(), "{what}: {:?}", verdict.first_violations);
     verdict
 }
--- a/crates/simulation/tests/referee/faults.rs
+++ b/crates/simulation/tests/referee/faults.rs
@@ -25,7 +25,7 @@
 
 /// Faults elsewhere while the request is in flight, each with its events.
 fn faults() -> Vec<(&'static str, Vec<(u64, Event)>)> {
-    let incident = |what: &str| vec![(150, Event::Begins { incident: 0, what: what.into() })];
+    let incident = |what: &str| vec![(150, Event::FaultBegins { incident: 0, what: what.into() })];
     let notified = |phase| vec![(150, box_notified(0, phase, None))];
     let cold_start = Event::BoxUp {
         of: 0,
@@ -38,7 +38,7 @@
     vec![
         ("nothing", vec![]),
         ("the server vanishes", vec![(150, Event::BoxDown { of: 0 })]),
-        ("the server falls", vec![(150, Event::BoxFell { of: 0 })]),
+        ("the server falls", vec![(150, Event::BoxCrashed { of: 0 })]),
         ("the server comes back", vec![(150, Event::BoxDown { of: 0 }), (900, cold_start)]),
         ("the server drains", notified(Phase::Draining)),
         ("the server is gone from the list", notified(Phase::Gone)),
@@ -69,9 +69,9 @@
         assert_violates(what, Rule::Lost, unanswered.clone());
         let (mut in_time, mut late) = (unanswered.clone(), unanswered.clone());
         in_time.push((1120, answered(1, TryOutcome::Failed)));
-        assert!(!check(&day(), &in_time).breaches.contains_key(&Rule::Lost), "{what}: at the grace");
+        assert!(!check(&day(), &in_time).violations.contains_key(&Rule::Lost), "{what}: at the grace");
         late.push((1121, answered(1, TryOutcome::Failed)));
-        assert!(check(&day(), &late).breaches.contains_key(&Rule::Lost), "{what}: later");
+        assert!(check(&day(), &late).violations.contains_key(&Rule::Lost), "{what}: later");
         // The request's own client gives up, but only at its deadline.
         let waited = vec![(1100, Event::Abandoned { id: 1 }), (1101, Event::GaveUp { ask: 1 })];
         assert_violates(what, Rule::Lost, with(unanswered, waited));
--- a/crates/simulation/tests/referee/notifications.rs
+++ b/crates/simulation/tests/referee/notifications.rs
@@ -20,7 +20,7 @@
 }
 
 fn available(phase: Phase, asked: bool) -> Event {
-    Event::Has { node: 0, of: 0, phase, started: None, asked }
+    Event::ChangeAvailable { node: 0, of: 0, phase, started: None, asked }
 }
 
 fn silent(waits: Option<u64>) -> Event {
@@ -88,7 +88,8 @@
     let start = Time(10_000 * MS);
     let ramp = Span::from_millis(20_000);
     let up = Event::BoxUp { of: 0, capacity: 2.0, size: 1.0, cold: true, from: 0.1, ramp };
-    let change = Event::Has { node: 0, of: 0, phase: Phase::Ready, started: Some(start), asked: false };
+    let change =
+        Event::ChangeAvailable { node: 0, of: 0, phase: Phase::Ready, started: Some(start), asked: false };
     let pushed = |at: u64| {
         let mut events = vec![(9000, silent(None)), (10_000, up.clone()), (10_100, change.clone())];
         events.extend((0..1000).map(|_| (at, Event::Reached { to: 0, node: 0, work: 50_000.0, read: true })));
--- a/crates/simulation/tests/referee/overload.rs
+++ b/crates/simulation/tests/referee/overload.rs
@@ -23,12 +23,12 @@
         let mut events = vec![(10_000, up.clone()), (10_500, box_notified(0, Phase::Ready, Some(start)))];
         events.extend((0..informed).map(|n| reach(n, 0)));
         events.extend((0..unaware).map(|n| reach(n, 1)));
-        with(events, vec![(11_500, Event::BoxFell { of: 0 })])
+        with(events, vec![(11_500, Event::BoxCrashed { of: 0 })])
     };
     assert_violates("all informed", Rule::Cold, fall(100, 0));
     assert_violates("over two thirds informed", Rule::Cold, fall(101, 50));
     let verdict = assert_clean("two thirds informed", fall(100, 50));
-    assert_eq!(verdict.fallen, 1);
+    assert_eq!(verdict.crashed_boxes, 1);
 }
 
 #[test]
@@ -46,7 +46,7 @@
         events.extend(
             (0..reads).map(|n| (10_100 + n, Event::Reached { to: 0, node: 0, work: 1.0, read: true })),
         );
-        let call = |cold| Event::PlannerAsked { by: usize::from(cold), write: false, cold };
+        let call = |cold| Event::PlannerCalled { by: usize::from(cold), write: false, cold };
         events.extend((0..cold).map(|n| (10_500 + n, call(true))));
         events.extend((0..warm).map(|n| (10_500 + n, call(false))));
         with(events, vec![(12_000, Event::PlannerStopped { overdriven: true })])
@@ -107,12 +107,12 @@
     assert!(n > 30.0, "{n}");
     let tolerated = (n + 2.0 * n.sqrt() + 2.0).floor() as usize;
     let pushed = |requests: usize| {
-        let notified = |node| Event::Told { node, of: 0, phase: Phase::Ready, started: Some(start) };
+        let notified = |node| Event::Notified { node, of: 0, phase: Phase::Ready, started: Some(start) };
         let mut events = vec![(10_000, up.clone())];
         events.extend((0..NODES).map(|node| (10_500, notified(node))));
         let reached = |n| Event::Reached { to: 0, node: n % NODES, work: mean, read: true };
         events.extend((0..requests).map(|n| (10_600, reached(n))));
-        check(&day, &events).breaches.into_iter().collect::<Vec<_>>()
+        check(&day, &events).violations.into_iter().collect::<Vec<_>>()
     };
     assert_eq!(pushed(tolerated), [], "one or two from each, at the limit");
     assert_eq!(pushed(tolerated + 1), [(Rule::Cold, 1)], "one over the limit");
@@ -136,12 +136,12 @@
         let broken = |allowed: f64, requests: usize| {
             let capacity = allowed * mean / 1e6 / (multiple * present * day.rules.fall_for.as_secs());
             let up = Event::BoxUp { of: 0, capacity, size: 1.0, cold: true, from: FROM, ramp };
-            let notified = |node| Event::Told { node, of: 0, phase: Phase::Ready, started: Some(start) };
+            let notified = |node| Event::Notified { node, of: 0, phase: Phase::Ready, started: Some(start) };
             let mut events = vec![(10_000, up)];
             events.extend((0..nodes).map(|node| (10_500, notified(node))));
             let reached = |n| Event::Reached { to: 0, node: n % nodes, work: mean, read: true };
             events.extend((0..requests).map(|n| (10_600, reached(n))));
-            check(&day, &events).breaches.into_iter().collect::<Vec<_>>()
+            check(&day, &events).violations.into_iter().collect::<Vec<_>>()
         };
         // Limits: 0.5 + 2.1 + 3, 12 + 10.4 + 3, 29.9 + 16.4 + 3, and 30.1 + 11.0 + 2.
         for (allowed, tolerated) in [(0.5, 5), (12.0, 25), (29.9, 49), (30.1, 43)] {
--- a/crates/simulation/tests/referee/planned_restarts.rs
+++ b/crates/simulation/tests/referee/planned_restarts.rs
@@ -38,7 +38,7 @@
     let mut next = vec![(0, Event::Stopping { node: 0 }), (500, Event::NodeDown { node: 0, planned: false })];
     next.push((600, Event::NodeUp { node: 0 }));
     next.extend(cut_off(700, kill, false));
-    next.retain(|(at, event)| !matches!(event, Event::Told { .. }) || *at > 0);
+    next.retain(|(at, event)| !matches!(event, Event::Notified { .. }) || *at > 0);
     next.push((700, box_notified(0, Phase::Ready, None)));
     assert_clean("by its own SIGTERM", next);
 }
@@ -53,7 +53,7 @@
     };
     assert_clean("closed unread, which is not recorded", dropping(0));
     assert_violates("the first of 400", Rule::Lost, dropping(1));
-    assert_eq!(check(&day(), &dropping(3)).breaches.get(&Rule::Lost), Some(&3), "each of them");
+    assert_eq!(check(&day(), &dropping(3)).violations.get(&Rule::Lost), Some(&3), "each of them");
     // Through a socket, a request counts as accepted when its last byte is written; here it gets no answer.
     let closed = vec![
         (0, box_notified(0, Phase::Ready, None)),
--- a/crates/simulation/tests/referee/rules.rs
+++ b/crates/simulation/tests/referee/rules.rs
@@ -11,7 +11,7 @@
 fn a_request_that_is_served_breaks_nothing_and_earns_its_worth() {
     for class in [READ, WRITE, ONCE] {
         let verdict = assert_clean("served", good(class));
-        assert_eq!((verdict.whole.share(), verdict.classes[class].in_aim), (1.0, 1));
+        assert_eq!((verdict.all_requests.share(), verdict.classes[class].within_objective), (1.0, 1));
     }
 }
 
@@ -62,7 +62,7 @@
     ];
     let verdict = check(&day(), &events);
     // Two violations: it is overdue, and then answered after it counts as lost.
-    assert_eq!(verdict.breaches.get(&Rule::Lost), Some(&2));
+    assert_eq!(verdict.violations.get(&Rule::Lost), Some(&2));
 }
 
 /// A slow writer's deadline counts from its first byte, whenever the last one was written.
@@ -82,7 +82,7 @@
             (answer, answered(1, TryOutcome::Completed)),
             (answer, ended(1, 0, AttemptOutcome::Success)),
         ];
-        check(&day, &events).breaches.get(&Rule::Lost).copied().unwrap_or(0)
+        check(&day, &events).violations.get(&Rule::Lost).copied().unwrap_or(0)
     };
     assert_eq!(broken(FIRST_BYTE + TIME + 500), 0);
     // Two violations: it is overdue, and then answered after it counts as lost.
@@ -144,7 +144,7 @@
     let mut strict = day();
     strict.limits.second_copies = false;
     assert_eq!(
-        check(&strict, &hedged(1)).breaches.get(&Rule::Repeated),
+        check(&strict, &hedged(1)).violations.get(&Rule::Repeated),
         Some(&1),
         "hedged requests are not allowed"
     );
@@ -169,9 +169,9 @@
     );
     // Another try's attempt for the same key at the same node may serve this try too.
     let other = |node| {
-        let taken = Event::Taken { id: 2, ask: 2, node, until: Time(1900 * MS) };
+        let taken = Event::TryAccepted { id: 2, ask: 2, node, until: Time(1900 * MS) };
         let sent = Event::Sent { id: 2, attempt: 0, node, to: 0, crosses: false, wait: None };
-        let notified = Event::Told { node, of: 0, phase: Phase::Ready, started: None };
+        let notified = Event::Notified { node, of: 0, phase: Phase::Ready, started: None };
         let end =
             vec![(1800, answered(2, TryOutcome::Failed)), (1800, ended(2, 0, AttemptOutcome::TimedOut))];
         with(vec![(0, notified), (99, asked(2, READ)), (99, taken), (99, sent)], end)
@@ -256,13 +256,15 @@
     let mut day = day();
     day.tenants =
         vec![hallpin_simulation::day::TenantSpec { name: "t".into(), share: 1.0, quota: 10.0, usage: 1.0 }];
-    let ask = |n: u64| (100, Event::Asked { ask: n, class: READ, tenant: Some(0), key: 1, work: 50_000.0 });
+    let ask = |n: u64| {
+        (100, Event::RequestStarted { ask: n, class: READ, tenant: Some(0), key: 1, work: 50_000.0 })
+    };
     let mut events: Vec<(u64, Event)> = (1..=20).map(ask).collect();
     events.extend((1..=20).map(|n| (200, Event::GaveUp { ask: n })));
     let verdict = check(&day, &events);
     let one = day.classes[READ].worth * 0.05;
     let want = one * (10.0 + 10.0 * day.goal.over_share_worth);
-    assert!((verdict.whole.asked - want).abs() < 1e-9, "{}", verdict.whole.asked);
+    assert!((verdict.all_requests.asked - want).abs() < 1e-9, "{}", verdict.all_requests.asked);
     assert_eq!(verdict.tenants[0].1.requests, 10);
     assert_eq!(verdict.losses.keys().collect::<Vec<_>>(), [&Loss::NodeDown]);
 }
--- a/crates/simulation/tests/referee/wait_budget.rs
+++ b/crates/simulation/tests/referee/wait_budget.rs
@@ -49,7 +49,7 @@
     let day = lenient(&day(), Span::from_millis(50));
     let violations = |wait| {
         let verdict = check(&day, &request(vec![attempt_with_wait(200, 0, wait)]));
-        verdict.breaches.into_iter().collect::<Vec<_>>()
+        verdict.violations.into_iter().collect::<Vec<_>>()
     };
     assert_eq!(violations(1700 + 200), []);
     assert_eq!(violations(1700 + 201), [(Rule::Lost, 1)]);
--- a/crates/simulation/tests/terms.rs
+++ b/crates/simulation/tests/terms.rs
@@ -53,7 +53,7 @@
 fn a_node_that_closes_connections_too_late_loses_requests_at_the_kill() {
     for seed in 1..=2 {
         let (events, valid) = run(&restarts(""), seed);
-        assert!(valid.is_clean(), "seed {seed}: {:?}", valid.told);
+        assert!(valid.is_clean(), "seed {seed}: {:?}", valid.first_violations);
         let stops: Vec<Time> = events
             .iter()
             .filter_map(|(at, e)| matches!(e, Event::Stopping { node: 0 }).then_some(*at))
@@ -61,15 +61,24 @@
         let after = |ms: u64| Time(stops[0].0 + ms * 1000);
         let taken = |from: u64, to: u64| {
             let is = |at: Time, e: &Event| {
-                matches!(e, Event::Taken { node: 0, .. }) && (after(from)..after(to)).contains(&at)
+                matches!(e, Event::TryAccepted { node: 0, .. }) && (after(from)..after(to)).contains(&at)
             };
             events.iter().filter(|(at, e)| is(*at, e)).count()
         };
         assert!(taken(400, 600) > 0, "seed {seed}: kept connections go on when no new ones come");
         assert_eq!(taken(601, 2700), 0, "seed {seed}: and are closed before the kill");
         let (_, late) = run(&restarts("parting = \"1500ms\""), seed);
-        assert_eq!(late.breaches.keys().collect::<Vec<_>>(), [&Rule::Lost], "seed {seed}: {:?}", late.told);
-        assert!(late.told.iter().all(|b| b.what.contains("was cut off")), "seed {seed}: {:?}", late.told);
+        assert_eq!(
+            late.violations.keys().collect::<Vec<_>>(),
+            [&Rule::Lost],
+            "seed {seed}: {:?}",
+            late.first_violations
+        );
+        assert!(
+            late.first_violations.iter().all(|b| b.what.contains("was cut off")),
+            "seed {seed}: {:?}",
+            late.first_violations
+        );
     }
 }
 
@@ -77,9 +86,9 @@
 fn a_node_that_closes_connections_at_once_leaves_new_ones_unanswered() {
     let (events, verdict) = run(&restarts("parting = \"0s\""), 1);
     let dropped = events.iter().filter(|(_, e)| matches!(e, Event::Dropped { .. })).count();
-    assert!(dropped > 0, "of {}", verdict.whole.requests);
-    let lost: Vec<_> = verdict.breaches.into_iter().collect();
-    assert_eq!(lost, [(Rule::Lost, dropped as u64)], "each is lost: {:?}", verdict.told);
+    assert!(dropped > 0, "of {}", verdict.all_requests.requests);
+    let lost: Vec<_> = verdict.violations.into_iter().collect();
+    assert_eq!(lost, [(Rule::Lost, dropped as u64)], "each is lost: {:?}", verdict.first_violations);
 }
 
 /// Half of the boxes drain while the watches of all nodes are silent, until the nodes reopen them.
@@ -121,11 +130,11 @@
         let (events, verdict) = run(&silences(reopens, waits), 1);
         let count = |is: &dyn Fn(&Event) -> bool| events.iter().filter(|(_, e)| is(e)).count();
         assert_eq!(count(&|e| matches!(e, Event::WatchSilent { .. })), 3);
-        let missed = count(&|e| matches!(e, Event::Has { .. }));
+        let missed = count(&|e| matches!(e, Event::ChangeAvailable { .. }));
         assert!(missed > 0 || reopens.is_empty(), "{reopens}: no change was missed");
-        let violated: Vec<&Rule> = verdict.breaches.keys().collect();
+        let violated: Vec<&Rule> = verdict.violations.keys().collect();
         let expected: &[&Rule] = if violates { &[&Rule::Drain] } else { &[] };
-        assert_eq!(violated, expected, "{reopens}, {waits}: {:?}", verdict.told);
+        assert_eq!(violated, expected, "{reopens}, {waits}: {:?}", verdict.first_violations);
     }
 }
 
@@ -147,9 +156,9 @@
         let (events, verdict) = run(&day(reopens, lasts), 1);
         let calls = events.iter().filter(|(_, e)| matches!(e, Event::CallFailed { .. })).count();
         assert_eq!(calls, failed, "{reopens}, {lasts}");
-        let violated: Vec<&Rule> = verdict.breaches.keys().collect();
+        let violated: Vec<&Rule> = verdict.violations.keys().collect();
         let expected: &[&Rule] = if violates { &[&Rule::Drain] } else { &[] };
-        assert_eq!(violated, expected, "{reopens}, {lasts}: {:?}", verdict.told);
+        assert_eq!(violated, expected, "{reopens}, {lasts}: {:?}", verdict.first_violations);
     }
 }
 
@@ -185,9 +194,9 @@
     let outage = "[[incidents]]\nkind = \"list-outage\"\nat = \"6500ms\"\nlasts = \"4s\"\n";
     for (outage, since) in [("", 8_000_000), (outage, 10_500_000)] {
         let (events, verdict) = run(&day(outage), 1);
-        assert!(verdict.is_clean(), "{:?}", verdict.told);
+        assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
         let drains =
-            |e: &Event| matches!(e, Event::Told { phase: hallpin_simulation::list::Phase::Draining, .. });
+            |e: &Event| matches!(e, Event::Notified { phase: hallpin_simulation::list::Phase::Draining, .. });
         let first = events.iter().find(|(_, e)| drains(e)).expect("a notification of the drains").0;
         assert_eq!(first, Time(since), "at once, and not up to the spread later");
         let notified = events.iter().filter(|(at, e)| drains(e) && at.0 == since).count();
--- a/crates/simulation/tests/trouble.rs
+++ b/crates/simulation/tests/trouble.rs
@@ -71,8 +71,8 @@
     ] {
         for seed in 1..=2 {
             let (_, verdict) = run(&day(&rest, seed));
-            assert!(verdict.is_clean(), "{what}, seed {seed}: {:?}", verdict.told);
-            assert!(verdict.whole.requests > 1000, "{what}, seed {seed}");
+            assert!(verdict.is_clean(), "{what}, seed {seed}: {:?}", verdict.first_violations);
+            assert!(verdict.all_requests.requests > 1000, "{what}, seed {seed}");
         }
     }
 }
@@ -80,16 +80,17 @@
 #[test]
 fn no_try_is_accepted_while_no_node_runs() {
     let (events, verdict) = run(&day(&incident("node-death", "lasts = \"1s\"\npart = 1.0"), 1));
-    let taken = |e: &&(Time, Event)| matches!(e.1, Event::Taken { .. }) && e.0 > at(3000) && e.0 < at(4000);
+    let taken =
+        |e: &&(Time, Event)| matches!(e.1, Event::TryAccepted { .. }) && e.0 > at(3000) && e.0 < at(4000);
     assert_eq!(events.iter().filter(taken).count(), 0);
     assert!(verdict.losses.contains_key(&Loss::NodeDown));
-    assert!(events.iter().any(|(t, e)| *t > at(4000) && matches!(e, Event::Taken { .. })));
+    assert!(events.iter().any(|(t, e)| *t > at(4000) && matches!(e, Event::TryAccepted { .. })));
 }
 
 #[test]
 fn without_ready_boxes_requests_are_rejected_at_once() {
     let (events, _) = run(&day(&incident("drain", "lasts = \"8s\"\npart = 1.0"), 1));
-    let told = |e: &Event| matches!(e, Event::Told { phase: Phase::Draining, .. });
+    let told = |e: &Event| matches!(e, Event::Notified { phase: Phase::Draining, .. });
     let last = events.iter().rfind(|(_, e)| told(e)).expect("told").0;
     let drained = last + Span::from_millis(1000);
     let later = events.iter().filter(|(t, _)| *t > drained);
@@ -142,7 +143,7 @@
     let (events, _) = run(&day);
     let first = |south: bool, wanted: Phase| {
         let told = |(t, e): &(Time, Event)| match e {
-            Event::Told { node, phase, .. } if *t > at(3000) && *phase == wanted => {
+            Event::Notified { node, phase, .. } if *t > at(3000) && *phase == wanted => {
                 ((day.nodes[*node] == 2) == south).then_some(*t)
             }
             _ => None,
@@ -176,7 +177,7 @@
     // First tries only: rejected clients retry.
     let mut asked = HashSet::new();
     let first = |(t, e): &(Time, Event)| match e {
-        Event::Taken { ask, node, .. } if asked.insert(*ask) => Some((*t, day.nodes[*node] == 0)),
+        Event::TryAccepted { ask, node, .. } if asked.insert(*ask) => Some((*t, day.nodes[*node] == 0)),
         _ => None,
     };
     let first: Vec<(Time, bool)> = events.iter().filter_map(first).collect();
@@ -196,14 +197,14 @@
 fn steps_affect_each_target_once_and_rounds_replace_replacements() {
     let rest = incident("node-death", "lasts = \"1s\"\npart = 1.0\neach = \"1s\"\nsteps = 4");
     let scheduled: Vec<(Time, String)> =
-        day(&rest, 1).incidents.iter().map(|i| (i.at, i.incident.to_string())).collect();
+        day(&rest, 1).fault_events.iter().map(|i| (i.at, i.incident.to_string())).collect();
     let steps: Vec<(Time, String)> =
         [3000, 4000, 5000, 6000].map(|ms| (at(ms), "2 nodes die".to_string())).to_vec();
     assert_eq!(scheduled, steps);
     let replaced = day(&incident("replace", "lasts = \"1s\"\nboxes = 2\nrounds = 3"), 1);
     assert_eq!(replaced.boxes.len(), 12 + 2 * 3);
-    assert_eq!(replaced.incidents.len(), 3 * 2, "a drain and a join for each round");
-    let drains: Vec<Time> = replaced.incidents.iter().step_by(2).map(|i| i.at).collect();
+    assert_eq!(replaced.fault_events.len(), 3 * 2, "a drain and a join for each round");
+    let drains: Vec<Time> = replaced.fault_events.iter().step_by(2).map(|i| i.at).collect();
     assert!(drains.windows(2).all(|pair| pair[1] > pair[0] + Span::from_millis(1000)), "{drains:?}");
 }
 
@@ -235,10 +236,10 @@
 fn hasty_clients_use_short_tries_and_retry_at_once() {
     let tries_of_the_busiest = |rest: &str| {
         let (events, verdict) = run(&day(rest, 1));
-        assert!(verdict.is_clean(), "{:?}", verdict.told);
+        assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
         let mut tries = std::collections::BTreeMap::<u64, Vec<Time>>::new();
         for (t, e) in &events {
-            if let Event::Taken { ask, .. } = e {
+            if let Event::TryAccepted { ask, .. } = e {
                 tries.entry(*ask).or_default().push(*t);
             }
         }
@@ -258,14 +259,16 @@
     let slow = incident("slow-writers", "share = 0.5\nby = \"400ms\"");
     for seed in 1..=3 {
         let (events, verdict) = run(&day(&slow, seed));
-        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
+        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.first_violations);
         let mut asked = std::collections::BTreeMap::<u64, Time>::new();
         let mut writing = Vec::<Span>::new();
         for (t, e) in &events {
             match e {
-                Event::Asked { ask, .. } => drop(asked.insert(*ask, *t)),
+                Event::RequestStarted { ask, .. } => drop(asked.insert(*ask, *t)),
                 // The first try of each request.
-                Event::Taken { ask, .. } => writing.extend(asked.remove(ask).map(|first| t.since(first))),
+                Event::TryAccepted { ask, .. } => {
+                    writing.extend(asked.remove(ask).map(|first| t.since(first)))
+                }
                 _ => {}
             }
         }
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -116,7 +116,7 @@
 fn the_balancer_keeps_the_rules_under_many_faults() {
     for seed in 1..=6 {
         let (_, verdict) = trace(ALL_INCIDENTS, seed);
-        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
+        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.first_violations);
         assert_eq!(verdict.stale, 0, "seed {seed}");
     }
 }
@@ -125,7 +125,7 @@
 fn a_node_crash_loses_open_requests_and_breaks_no_rule() {
     let node_death = "[[incidents]]\nkind = \"node-death\"\nat = \"5s\"\nlasts = \"5s\"\nnodes = 3\n";
     let (text, verdict) = trace(node_death, 3);
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert_eq!(text.matches("\"node-down\"").count(), 3);
     assert_eq!(text.matches("\"node-up\"").count(), 6);
     let seconds = &verdict.seconds;
@@ -144,7 +144,7 @@
     let day = scenario.draw(1).expect("a day");
     let referee = World::new(&day, &policy::module, InvariantChecker::new(&day)).expect("a world").run().sink;
     let verdict = referee.verdict();
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(verdict.losses.contains_key(&Loss::NoAnswer), "{:?}", verdict.losses);
 }
 
@@ -175,7 +175,7 @@
 boxes = 1
 "#;
     let (text, verdict) = trace(incidents, 2);
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     let at = |event: &str| -> Vec<u64> {
         let line = |line: &str| serde_json::from_str::<Line>(line).expect("a line").at.0;
         text.lines().filter(|l| l.contains(event)).map(line).collect()
@@ -197,7 +197,7 @@
     let mut referee = InvariantChecker::new(&day);
     let sink = |at: Time, event: &Event| {
         match event {
-            Event::Taken { ask, .. } => {
+            Event::TryAccepted { ask, .. } => {
                 let tries = tries.entry(*ask).or_insert(0);
                 *tries += 1;
                 retries += u32::from(*tries > 1);
@@ -209,7 +209,7 @@
     };
     let _ = World::new(&day, &policy::module, sink).expect("a world").run();
     let verdict = referee.verdict();
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(retries > 20, "{retries} retries");
     assert!(received.values().all(|n| *n == 1));
 }
@@ -303,7 +303,7 @@
     }
     // This policy lets requests wait until their deadlines, which violates `Rule::Waited` and no other rule.
     let verdict = referee.verdict();
-    assert!(verdict.breaches.keys().all(|rule| *rule == Rule::Waited), "{:?}", verdict.told);
+    assert!(verdict.violations.keys().all(|rule| *rule == Rule::Waited), "{:?}", verdict.first_violations);
 }
 
 fn run_mixed(seed: u64) -> Verdict {
@@ -320,7 +320,7 @@
 fn cold_boxes_withstand_expensive_requests() {
     for seed in [11, 69, 205] {
         let verdict = run_mixed(seed);
-        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
+        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.first_violations);
     }
 }
 
@@ -329,5 +329,5 @@
 #[test]
 fn a_cold_and_slow_box_withstands_its_load() {
     let verdict = run_mixed(115);
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
 }
