--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -14,7 +14,7 @@
 mod textbook;
 
 use hallpin_balancer::{Settings, SettingsError};
-use hallpin_simulation::policy::{module, Policy};
+use hallpin_simulation::policy::{balancer_policy, Policy};
 
 pub use boxes::View;
 pub use late::LateSeeing;
@@ -86,7 +86,7 @@
             Box::new(move |settings, seed| Ok(Box::new(Textbook::new(pick(), settings, seed)?)))
         }
         match self {
-            PolicyKind::Module => Box::new(module),
+            PolicyKind::Module => Box::new(balancer_policy),
             PolicyKind::Random => textbook(|| Random),
             PolicyKind::LeastOfTwo => textbook(|| LeastOfTwo),
             PolicyKind::Rendezvous => textbook(Rendezvous::default),
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -10,6 +10,6 @@
 
 pub use footprint::Footprint;
 pub use sockets::{agent, loopback, process};
-pub use sockets::{play_on_sockets, SocketsError, SocketsOptions};
+pub use sockets::{run_on_sockets, SocketsError, SocketsOptions};
 pub use trace_file::TraceFile;
-pub use virtual_time::{play, play_all, RunError, RunResult};
+pub use virtual_time::{run_all, run_scenario, RunError, RunResult};
--- a/crates/emulator/src/sockets/agent.rs
+++ b/crates/emulator/src/sockets/agent.rs
@@ -22,13 +22,13 @@
 /// State of a service discovery agent.
 pub trait Agent: Clone + 'static {
     /// Number of faults that keep the agent from answering; it answers only while this is 0.
-    fn silence(&self) -> watch::Receiver<u32>;
+    fn silence_count(&self) -> watch::Receiver<u32>;
     /// Revision of the list that the agent holds.
     fn revision(&self) -> watch::Receiver<u64>;
     /// Called for each request: for the complete list, or for the changes after a revision.
-    fn asked(&self, after: Option<u64>);
+    fn request_received(&self, after: Option<u64>);
     /// Called when the node has abandoned a call or has ended before the call was answered.
-    fn given_up(&self) {}
+    fn call_abandoned(&self) {}
     /// Body with the complete list, or with the changes after a revision. It is sent at once, so the node counts as
     /// notified.
     fn tell(&self, after: Option<u64>) -> String;
@@ -67,11 +67,11 @@
     let (Ok(index), Ok(wait)) = (parameter("index"), parameter("wait")) else {
         return respond(StatusCode::BAD_REQUEST, "index and wait: whole numbers expected".into());
     };
-    agent.asked(index);
+    agent.request_received(index);
     // If the node closes the connection, hyper drops this future at whichever await it has reached.
     let mut call = PendingCall { agent: &agent, answered: false };
     // While discovery is down, the agent does not answer.
-    let mut silence = agent.silence();
+    let mut silence = agent.silence_count();
     if silence.wait_for(|reasons| *reasons == 0).await.is_err() {
         return std::future::pending().await;
     }
@@ -97,7 +97,7 @@
 impl<A: Agent> Drop for PendingCall<'_, A> {
     fn drop(&mut self) {
         if !self.answered {
-            self.agent.given_up();
+            self.agent.call_abandoned();
         }
     }
 }
--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -66,7 +66,7 @@
             },
             MachineMode::Silent => tokio::select! {
                 is_running = path.changed() => is_running,
-                () = loopback::swallow(address) => unreachable!("connections are dropped until the mode changes"),
+                () = loopback::drop_connections(address) => unreachable!("connections are dropped until the mode changes"),
             },
             MachineMode::Down => path.changed().await,
         };
@@ -131,7 +131,7 @@
     let box_id = path.box_id;
     let idle_close = Duration::from_micros(environment.borrow().day.boxes[box_id].idle_close.0);
     if path.observed_mode() != MachineMode::Open(incarnation) || !environment.borrow_mut().connected(box_id) {
-        return loopback::reset(&stream);
+        return loopback::reset_on_close(&stream);
     }
     let _ = stream.set_nodelay(true);
     let (mut input, mut pending, mut last_used) =
@@ -177,7 +177,7 @@
     }
     environment.borrow_mut().disconnected(box_id, incarnation);
     if process_ended {
-        loopback::reset(&stream);
+        loopback::reset_on_close(&stream);
     }
 }
 
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -160,7 +160,7 @@
     let opaque = format!("{id:x}");
     let effect = request.effect.map(|key| format!("{key:016x}"));
     let command = Ask {
-        key: &keys::name(request.key),
+        key: &keys::wire_name(request.key),
         value: class.write.then_some(b"reported".as_slice()),
         opaque: &opaque,
         class: &class.name,
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -19,7 +19,7 @@
 }
 
 impl Agent for NodeAgent {
-    fn silence(&self) -> watch::Receiver<u32> {
+    fn silence_count(&self) -> watch::Receiver<u32> {
         self.environment.borrow().list_silent.subscribe()
     }
 
@@ -27,9 +27,9 @@
         self.environment.borrow().agents[self.node].changed.subscribe()
     }
 
-    fn asked(&self, _after: Option<u64>) {}
+    fn request_received(&self, _after: Option<u64>) {}
 
-    fn given_up(&self) {
+    fn call_abandoned(&self) {
         // At the end of the run all calls are dropped at once, possibly while the environment is borrowed.
         if let Ok(mut environment) = self.environment.try_borrow_mut() {
             environment.call_failed(self.node);
@@ -40,7 +40,7 @@
         let mut environment = self.environment.borrow_mut();
         environment.call_answered(self.node);
         let list = &environment.agents[self.node].list;
-        let update = after.map_or_else(|| list.whole(), |after| list.since(after));
+        let update = after.map_or_else(|| list.complete_list(), |after| list.changes_since(after));
         let body = list_json(&environment, self.node, &update).to_string();
         environment.record_notified(self.node, &update.listings);
         environment.observed[self.node].count_list_bytes(body.len());
@@ -76,7 +76,7 @@
 /// The list that a node is started with: the agent's current one. The node counts as notified of it.
 pub(super) fn initial_list(environment: &Rc<std::cell::RefCell<Environment>>, node: NodeId) -> Value {
     let mut environment = environment.borrow_mut();
-    let update = environment.agents[node].list.whole();
+    let update = environment.agents[node].list.complete_list();
     let list_json = list_json(&environment, node, &update);
     environment.record_notified(node, &update.listings);
     list_json
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -129,7 +129,7 @@
         }
         let now = self.now();
         let box_state = &mut self.box_states[box_id];
-        if let Some(wake) = box_state.cache.wakes(now).filter(|_| box_state.cache.is_up()) {
+        if let Some(wake) = box_state.cache.next_wake(now).filter(|_| box_state.cache.is_up()) {
             let wake = wake.max(now + Span(1));
             if box_state.wakes.is_none_or(|scheduled| wake < scheduled || scheduled <= now) {
                 box_state.wakes = Some(wake);
@@ -167,7 +167,7 @@
             let hit = job.write.is_none().then_some(hit);
             self.record(Event::Worked { id, attempt, work: job.work, hit });
         }
-        let fate = self.faults.fate(&mut self.chance);
+        let fate = self.faults.answer_fate(&mut self.chance);
         if fate == AnswerFate::Lost {
             // The connection stays open without an answer, until the node closes it.
             self.pending_attempts.insert(token, PendingAttempt { reply, id, attempt, box_id, opaque, job });
@@ -185,7 +185,7 @@
 
     pub(super) fn call_origin(&mut self, by: BoxId, ask: PlannerCall, cold: bool) {
         let (now, incarnation, mut outputs) = (self.now(), self.box_states[by].incarnation, Vec::new());
-        self.origin.ask(now, by, incarnation, ask, cold, &mut outputs);
+        self.origin.call(now, by, incarnation, ask, cold, &mut outputs);
         self.process_origin_outputs(outputs);
     }
 
@@ -193,7 +193,7 @@
         for out in outputs {
             match out {
                 OriginOutput::Record(event) => self.record(event),
-                OriginOutput::Answer { to, life: incarnation, id, version } => {
+                OriginOutput::Answer { to, incarnation: incarnation, id, version } => {
                     let one_way = self.day.network.same;
                     self.schedule_in(
                         one_way,
--- a/crates/emulator/src/sockets/environment/incidents.rs
+++ b/crates/emulator/src/sockets/environment/incidents.rs
@@ -12,20 +12,24 @@
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
             FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, *factor)),
             FaultEvent::Erring(boxes, share) => {
-                boxes.iter().for_each(|&b| self.box_states[b].cache.errs_by(*share))
+                boxes.iter().for_each(|&b| self.box_states[b].cache.add_error_rate(*share))
             }
             FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
-            FaultEvent::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
+            FaultEvent::Heavy { class, share, factor } => {
+                self.clients.set_heavy_work(*class, Some((*share, *factor)))
+            }
             FaultEvent::NodeDeath(nodes) => self.order_nodes(nodes, NodeOrder::Kill),
             FaultEvent::NodeRestart(nodes) => self.order_nodes(nodes, NodeOrder::Restart),
             FaultEvent::ListOutage => self.list_silent.send_modify(|n| *n += 1),
             FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
             FaultEvent::PlannerSilent => self.origin.silence(now, true, &mut outputs),
             FaultEvent::Partition(pairs) => self.set_partition(pairs, true),
-            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, *factor),
-            FaultEvent::Impatient { share, hurry } => self.clients.impatient(index, Some((*share, *hurry))),
-            FaultEvent::Hasty(haste) => self.clients.hasty(index, Some(*haste)),
-            FaultEvent::SlowWriters(slow) => self.clients.slow_writers(index, Some(*slow)),
+            FaultEvent::Shift { depot, factor } => self.clients.scale_depot_traffic(*depot, *factor),
+            FaultEvent::Impatient { share, hurry } => {
+                self.clients.set_impatient(index, Some((*share, *hurry)))
+            }
+            FaultEvent::Hasty(haste) => self.clients.set_hasty(index, Some(*haste)),
+            FaultEvent::SlowWriters(slow) => self.clients.set_slow_writers(index, Some(*slow)),
             FaultEvent::LateList { .. }
             | FaultEvent::LostAnswers(_)
             | FaultEvent::Resets(_)
@@ -39,9 +43,9 @@
             }),
             FaultEvent::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
             FaultEvent::Burst { factor, share, keys } => {
-                let keys = self.chance.some(*keys as usize, day.keys.count as usize);
+                let keys = self.chance.sample_indices(*keys as usize, day.keys.count as usize);
                 let keys = keys.into_iter().map(|key| key as u32).collect();
-                self.clients.burst(index, Some((*factor, *share, keys)));
+                self.clients.set_surge(index, Some((*factor, *share, keys)));
             }
         }
         self.process_origin_outputs(outputs);
@@ -58,10 +62,10 @@
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.end_box_silence(b)),
             FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, 1.0 / factor)),
             FaultEvent::Erring(boxes, share) => {
-                boxes.iter().for_each(|&b| self.box_states[b].cache.errs_by(-share))
+                boxes.iter().for_each(|&b| self.box_states[b].cache.add_error_rate(-share))
             }
             FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
-            FaultEvent::Heavy { class, .. } => self.clients.heavy(*class, None),
+            FaultEvent::Heavy { class, .. } => self.clients.set_heavy_work(*class, None),
             FaultEvent::NodeDeath(nodes) => self.order_nodes(nodes, NodeOrder::Run),
             FaultEvent::ListOutage => {
                 self.list_silent.send_modify(|n| *n -= 1);
@@ -73,12 +77,12 @@
                 self.stop_box(b);
                 self.schedule_in(day.list.notice, ScheduledEvent::ListChanged(listing(b, Phase::Gone, None)));
             }),
-            FaultEvent::Burst { .. } => self.clients.burst(index, None),
+            FaultEvent::Burst { .. } => self.clients.set_surge(index, None),
             FaultEvent::Partition(pairs) => self.set_partition(pairs, false),
-            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
-            FaultEvent::Impatient { .. } => self.clients.impatient(index, None),
-            FaultEvent::Hasty(_) => self.clients.hasty(index, None),
-            FaultEvent::SlowWriters(_) => self.clients.slow_writers(index, None),
+            FaultEvent::Shift { depot, factor } => self.clients.scale_depot_traffic(*depot, factor.recip()),
+            FaultEvent::Impatient { .. } => self.clients.set_impatient(index, None),
+            FaultEvent::Hasty(_) => self.clients.set_hasty(index, None),
+            FaultEvent::SlowWriters(_) => self.clients.set_slow_writers(index, None),
             FaultEvent::LateList { .. }
             | FaultEvent::LostAnswers(_)
             | FaultEvent::Resets(_)
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -26,12 +26,12 @@
 
     pub(super) fn update_agent(&mut self, node: NodeId, until: Option<u64>) {
         let list = match until {
-            Some(until) => self.list.until(until),
+            Some(until) => self.list.at_revision(until),
             None => self.list.clone(),
         };
         if *self.list_silent.borrow() == 0 && list.revision() > self.agents[node].list.revision() {
             // The node counts as informed whether or not it has a call open that the agent could answer.
-            let missed = list.since(self.agents[node].list.revision()).listings;
+            let missed = list.changes_since(self.agents[node].list.revision()).listings;
             let alive = self.nodes_alive[node];
             for l in missed.into_iter().filter(|_| alive) {
                 let (of, phase, started) = (l.cache_box, l.phase, l.started);
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -173,7 +173,7 @@
 
     fn schedule(&mut self, at: Time, event: ScheduledEvent) {
         let first = self.next_event_time().is_none_or(|next| at < next);
-        self.agenda.enter(at, event);
+        self.agenda.schedule(at, event);
         if first {
             self.earlier_event_scheduled.notify_one();
         }
@@ -184,13 +184,13 @@
     }
 
     pub fn next_event_time(&self) -> Option<Time> {
-        self.agenda.next()
+        self.agenda.next_time()
     }
 
     /// Processes all events that are due.
     pub fn process_due_events(&mut self) {
         let now = self.now();
-        while let Some((at, event)) = self.agenda.take_until(now) {
+        while let Some((at, event)) = self.agenda.pop_until(now) {
             self.process_event(at, event);
         }
     }
@@ -213,7 +213,7 @@
                 let box_state = &mut self.box_states[to];
                 if box_state.incarnation == incarnation && box_state.cache.is_up() {
                     let keys = &self.keys;
-                    box_state.cache.fetched(
+                    box_state.cache.on_planner_reply(
                         now,
                         id,
                         version,
@@ -229,7 +229,7 @@
             ScheduledEvent::IncidentBegins(index) => self.incident_begins(index),
             ScheduledEvent::IncidentEnds(index) => self.incident_ends(index),
             ScheduledEvent::KeysDrift => {
-                self.keys.drift();
+                self.keys.advance_drift();
                 self.schedule_in(Span::from_millis(1000), ScheduledEvent::KeysDrift);
             }
             ScheduledEvent::KeyChanged => {
--- a/crates/emulator/src/sockets/loopback.rs
+++ b/crates/emulator/src/sockets/loopback.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// If a socket cannot be bound.
-pub fn reserve(ip: Ipv4Addr, count: usize) -> io::Result<Vec<SocketAddr>> {
+pub fn reserve_ports(ip: Ipv4Addr, count: usize) -> io::Result<Vec<SocketAddr>> {
     // All sockets stay open until the last is bound, so that no port is returned twice.
     let listeners: Vec<_> =
         (0..count).map(|_| std::net::TcpListener::bind((ip, 0))).collect::<Result<_, _>>()?;
@@ -30,7 +30,7 @@
 
 /// Lets no connection to this address be established, and never returns: the accept queue has one place and is full, so
 /// that the kernel drops further attempts.
-pub async fn swallow(address: SocketAddr) {
+pub async fn drop_connections(address: SocketAddr) {
     let listener = listen_with(address, 0).await;
     let mut fillers = Vec::new();
     // The first connection fills the queue; one that is not established in time shows that it is full.
@@ -42,7 +42,7 @@
 }
 
 /// Makes the close of a connection send a reset, as when a process dies (`SO_LINGER` of zero).
-pub fn reset(stream: &TcpStream) {
+pub fn reset_on_close(stream: &TcpStream) {
     // The error is ignored: the connection may be gone already.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -24,7 +24,7 @@
 
 use hallpin_baselines::PolicyKind;
 use hallpin_simulation::day::RunSpec;
-use hallpin_simulation::history::{lenient, Header};
+use hallpin_simulation::history::{with_leeway, Header};
 use hallpin_simulation::plane::Tally;
 use hallpin_simulation::policy;
 use hallpin_simulation::referee::InvariantChecker;
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// If the scenario is invalid, a file or socket cannot be created, or a node cannot be started or ends unexpectedly.
-pub fn play_on_sockets(
+pub fn run_on_sockets(
     scenario: &Scenario,
     seed: u64,
     options: SocketsOptions,
@@ -89,8 +89,8 @@
     options: SocketsOptions<'_>,
 ) -> Result<RunResult, SocketsError> {
     let ignore = |_: Time, _: &Event| {};
-    let parts = World::new(&day, &policy::module, ignore)?.into_parts();
-    let lenient_day = lenient(&day, header.leeway);
+    let parts = World::new(&day, &policy::balancer_policy, ignore)?.into_parts();
+    let lenient_day = with_leeway(&day, header.leeway);
     let environment =
         Environment::new(day.clone(), parts, InvariantChecker::new(&lenient_day), allocate_addresses(&day)?);
     let environment: SharedEnvironment = Rc::new(RefCell::new(environment));
@@ -174,7 +174,7 @@
             Some(addresses) => addresses.clone(),
             None => {
                 let [high, low] = (spec.address as u16).to_be_bytes();
-                let addresses = loopback::reserve(Ipv4Addr::new(127, 77, high, low), day.depots.len())?;
+                let addresses = loopback::reserve_ports(Ipv4Addr::new(127, 77, high, low), day.depots.len())?;
                 by_number.insert(spec.address, addresses.clone());
                 addresses
             }
@@ -202,7 +202,7 @@
             node,
             program: Program { path: options.program.0.clone(), arguments: options.program.1.clone() },
             folder: options.folder.into(),
-            listen: loopback::reserve(Ipv4Addr::new(127, 78, high, low), 1)?[0],
+            listen: loopback::reserve_ports(Ipv4Addr::new(127, 78, high, low), 1)?[0],
             discovery: agent.local_addr()?,
         };
         tokio::task::spawn_local(discovery::run(environment.clone(), node, agent));
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// If the scenario is invalid or the trace could not be written completely.
-pub fn play(
+pub fn run_scenario(
     scenario: &Scenario,
     seed: u64,
     policy: PolicyKind,
@@ -115,7 +115,7 @@
 ///
 /// # Errors
 /// The first error in the order of the results.
-pub fn play_all(
+pub fn run_all(
     scenario: &Scenario,
     seeds: &[u64],
     policies: &[PolicyKind],
@@ -130,7 +130,7 @@
         for _ in 0..threads {
             scope.spawn(|| {
                 while let Some(&(policy, seed)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let played = play(scenario, seed, policy, plane, None);
+                    let played = run_scenario(scenario, seed, policy, plane, None);
                     ended();
                     // A poisoned lock is ignored: the scope propagates the panic of the thread that held it.
                     if let Ok(mut results) = results.lock() {
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -2,8 +2,8 @@
 //! the real node on loopback, and for each rule a history with one changed record that must violate this rule alone.
 
 use hallpin_baselines::PolicyKind;
-use hallpin_emulator::play;
-use hallpin_simulation::history::{judge, HistoryError};
+use hallpin_emulator::run_scenario;
+use hallpin_simulation::history::{check_history, HistoryError};
 use hallpin_simulation::plane::Switch;
 use hallpin_simulation::referee::{Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
@@ -33,12 +33,12 @@
     let scenario = Scenario::parse(scenario).expect("a scenario");
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("day.jsonl");
-    play(&scenario, seed, PolicyKind::Module, Switch::Off, Some(&path)).expect("a day");
+    run_scenario(&scenario, seed, PolicyKind::Module, Switch::Off, Some(&path)).expect("a day");
     std::fs::read_to_string(path).expect("a trace").lines().map(String::from).collect()
 }
 
 fn check(lines: &[String]) -> Result<Verdict, HistoryError> {
-    judge((lines.join("\n") + "\n").as_bytes())
+    check_history((lines.join("\n") + "\n").as_bytes())
 }
 
 /// Rules that a history violates.
--- a/crates/fault-harness/src/fakes/connection.rs
+++ b/crates/fault-harness/src/fakes/connection.rs
@@ -40,7 +40,7 @@
 ) {
     let mut generations = cache_box.generations();
     if *generations.borrow_and_update() != generation {
-        return loopback::reset(&stream);
+        return loopback::reset_on_close(&stream);
     }
     let _ = stream.set_nodelay(true);
     let (number, exceeds_limit) = cache_box.opened(node);
@@ -50,7 +50,7 @@
         _ = generations.wait_for(|now| *now != generation) => ConnectionEnd::ProcessEnded,
     };
     if end == ConnectionEnd::ProcessEnded {
-        loopback::reset(&stream);
+        loopback::reset_on_close(&stream);
     }
     drop(stream);
     cache_box.closed(number);
--- a/crates/fault-harness/src/fakes/discovery.rs
+++ b/crates/fault-harness/src/fakes/discovery.rs
@@ -79,7 +79,7 @@
 
     /// The endpoint list that a node has at its start, recorded as a notification.
     pub fn initial_list(&self, node: usize) -> Value {
-        let update = self.list.borrow().until(*self.agents[node].borrow()).whole();
+        let update = self.list.borrow().at_revision(*self.agents[node].borrow()).complete_list();
         self.notify(node, &update)
     }
 
@@ -121,7 +121,7 @@
 }
 
 impl Agent for NodeAgent {
-    fn silence(&self) -> watch::Receiver<u32> {
+    fn silence_count(&self) -> watch::Receiver<u32> {
         self.discovery.silence.subscribe()
     }
 
@@ -129,15 +129,15 @@
         self.discovery.agents[self.node].subscribe()
     }
 
-    fn asked(&self, _after: Option<u64>) {
+    fn request_received(&self, _after: Option<u64>) {
         self.discovery.recorder.record(Event::ListAsked { node: self.node });
     }
 
     fn tell(&self, after: Option<u64>) -> String {
         let (list, revision) = (self.discovery.list.borrow(), *self.discovery.agents[self.node].borrow());
         let update = match after {
-            Some(after) => list.between(after, revision),
-            None => list.until(revision).whole(),
+            Some(after) => list.changes_between(after, revision),
+            None => list.at_revision(revision).complete_list(),
         };
         self.discovery.notify(self.node, &update).to_string()
     }
--- a/crates/fault-harness/src/fakes/load.rs
+++ b/crates/fault-harness/src/fakes/load.rs
@@ -129,7 +129,7 @@
         let ask = self.next_request_id.get();
         self.next_request_id.set(ask + 1);
         let key = format!("{}-{}", spec.name, rng.below(u64::from(spec.keys)));
-        let (write, name) = (rng.unit() < spec.writes, spec.name.clone());
+        let (write, name) = (rng.uniform() < spec.writes, spec.name.clone());
         Request { ask, tenant, name, key, write, deadline: Duration::from_micros(spec.deadline.0) }
     }
 
--- a/crates/fault-harness/src/harness/build.rs
+++ b/crates/fault-harness/src/harness/build.rs
@@ -177,7 +177,7 @@
 
 fn start_boxes(spec: &Rc<Spec>, recorder: &Rc<Recorder>, at: Ipv4Addr) -> io::Result<Vec<Rc<CacheBox>>> {
     let box_hosts = spec.box_hosts();
-    let addresses = loopback::reserve(at, box_hosts.len())?;
+    let addresses = loopback::reserve_ports(at, box_hosts.len())?;
     let planner = Planner::new(&spec.planner, box_hosts.len(), recorder.clone());
     let tenants: Vec<String> = spec.tenants.iter().map(|tenant| tenant.name.clone()).collect();
     let one = |(number, (group, host)): (usize, (&crate::spec::Boxes, &usize))| {
@@ -200,7 +200,7 @@
 ) -> io::Result<NodeAddresses> {
     let folder = folder.join(format!("n{node}"));
     std::fs::create_dir_all(&folder)?;
-    let reserved = loopback::reserve(ip, 2)?;
+    let reserved = loopback::reserve_ports(ip, 2)?;
     let (listen, operator) = (reserved[0], reserved[1]);
     Ok(NodeAddresses {
         node,
--- a/crates/fault-harness/src/harness/links.rs
+++ b/crates/fault-harness/src/harness/links.rs
@@ -23,7 +23,7 @@
     ip: Ipv4Addr,
 ) -> io::Result<Vec<SocketAddr>> {
     let box_hosts = spec.box_hosts();
-    let listen_addresses = loopback::reserve(ip, boxes.len())?;
+    let listen_addresses = loopback::reserve_ports(ip, boxes.len())?;
     for (number, cache_box) in boxes.iter().enumerate().filter(|(number, _)| box_hosts[*number] == *number) {
         let members: Vec<_> = boxes
             .iter()
@@ -77,7 +77,7 @@
     let link = TcpLink {
         from: Site::Node(node),
         to: Site::List,
-        listen: loopback::reserve(ip, 1)?[0],
+        listen: loopback::reserve_ports(ip, 1)?[0],
         target: listener.local_addr()?,
         source: ip,
         up: is_up,
--- a/crates/fault-harness/src/judge/scheduling_delay.rs
+++ b/crates/fault-harness/src/judge/scheduling_delay.rs
@@ -31,7 +31,7 @@
     /// Whether the last second had so much delay that queues are full, so that attempts say nothing about placement
     /// tables.
     pub fn is_excessive(&self, at: Time) -> bool {
-        self.allowance(at.back(SECOND), at) > EXCESSIVE_DELAY
+        self.allowance(at.saturating_sub(SECOND), at) > EXCESSIVE_DELAY
     }
 
     /// The extension of a time limit for this interval: twice the scheduling delay in it.
--- a/crates/fault-harness/src/judge/window.rs
+++ b/crates/fault-harness/src/judge/window.rs
@@ -25,6 +25,6 @@
 
 /// Maximum number of events in the second that ends at `at`, extended for events whose recording was delayed.
 pub(super) fn extended_limit(limit: u32, at: Time, delays: &SchedulingDelay) -> usize {
-    let delay = delays.allowance(at.back(SECOND), at).as_secs();
+    let delay = delays.allowance(at.saturating_sub(SECOND), at).as_secs();
     (f64::from(limit) * (1.0 + delay)).floor() as usize
 }
--- a/crates/fault-harness/src/relay/fate.rs
+++ b/crates/fault-harness/src/relay/fate.rs
@@ -51,7 +51,8 @@
     /// Draws the fate of the next datagram and the delay of each of its copies. Every datagram takes the same number of
     /// draws, so that its fate does not depend on the conditions that applied to earlier ones.
     pub fn draw_fate(&self, rng: &mut RandomStream) -> (Fate, Vec<Duration>) {
-        let [lost, doubled, held] = [self.drop, self.duplicate, self.reorder].map(|share| rng.unit() < share);
+        let [lost, doubled, held] =
+            [self.drop, self.duplicate, self.reorder].map(|share| rng.uniform() < share);
         let [first, second] = [self.draw_delay(rng), self.draw_delay(rng)];
         match (self.cut || lost, doubled, held) {
             (true, ..) => (Fate::Lost, Vec::new()),
--- a/crates/fault-harness/src/relay/tcp.rs
+++ b/crates/fault-harness/src/relay/tcp.rs
@@ -66,7 +66,7 @@
                 match mode {
                     ListenMode::Open => self.accept(&network).await,
                     ListenMode::Refused => std::future::pending().await,
-                    ListenMode::Silent => loopback::swallow(self.listen).await,
+                    ListenMode::Silent => loopback::drop_connections(self.listen).await,
                 }
             };
             let mut up = self.up.clone();
@@ -92,7 +92,7 @@
 
     async fn connection(self, mut near: TcpStream, network: Rc<Network>, carrier: u64) {
         let mut resets = network.resets(self.from, self.to);
-        let Ok(mut far) = self.connect().await else { return loopback::reset(&near) };
+        let Ok(mut far) = self.connect().await else { return loopback::reset_on_close(&near) };
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let broken = {
             let (near_in, near_out) = near.split();
@@ -108,8 +108,8 @@
             }
         };
         if broken {
-            loopback::reset(&near);
-            loopback::reset(&far);
+            loopback::reset_on_close(&near);
+            loopback::reset_on_close(&far);
         }
     }
 
--- a/crates/fault-harness/tests/relay.rs
+++ b/crates/fault-harness/tests/relay.rs
@@ -125,7 +125,7 @@
     let link = TcpLink {
         from: Site::Node(0),
         to: Site::Box(0),
-        listen: loopback::reserve(source, 1).unwrap()[0],
+        listen: loopback::reserve_ports(source, 1).unwrap()[0],
         target: far.local_addr().unwrap(),
         source,
         up: is_up,
@@ -214,7 +214,7 @@
         }
         // A process that dies resets its connections; the relay passes the reset on to the other end.
         let (mut near, far) = linked.connect().await;
-        loopback::reset(&far);
+        loopback::reset_on_close(&far);
         drop(far);
         let broken = within_timeout(near.read(&mut byte)).await.map_err(|e| e.kind());
         assert_eq!(broken, Err(std::io::ErrorKind::ConnectionReset));
--- a/crates/fleet-test/src/play.rs
+++ b/crates/fleet-test/src/play.rs
@@ -6,7 +6,7 @@
 
 use hallpin_balancer::Sizes;
 use hallpin_baselines::PolicyKind;
-use hallpin_emulator::{play, RunError, RunResult};
+use hallpin_emulator::{run_scenario, RunError, RunResult};
 use hallpin_simulation::plane::{Switch, Tally};
 use hallpin_simulation::referee::Verdict;
 use hallpin_simulation::scenario::{Scenario, ScenarioFileError};
@@ -116,7 +116,7 @@
     }
 
     /// The result in which the module falls furthest behind the late-seeing policy; results with findings come first.
-    pub fn worst(&self) -> Option<&Result> {
+    pub fn worst_result(&self) -> Option<&Result> {
         let order = |r: &&Result| (r.findings.is_empty(), r.margin());
         self.results.iter().min_by(|a, b| {
             let (a, b) = (order(a), order(b));
@@ -157,7 +157,8 @@
                 while !stop.load(Ordering::Relaxed) {
                     let index = next.fetch_add(1, Ordering::Relaxed);
                     let Some(job) = jobs.get(index) else { break };
-                    let outcome = play(&scenarios[job.scenario], job.seed, job.policy, plan.plane, None);
+                    let outcome =
+                        run_scenario(&scenarios[job.scenario], job.seed, job.policy, plan.plane, None);
                     ended();
                     // A poisoned lock is ignored: the scope propagates the panic of the thread that held it.
                     if let Ok(mut played) = played.lock() {
--- a/crates/hallpin/src/check.rs
+++ b/crates/hallpin/src/check.rs
@@ -43,7 +43,7 @@
 fn check_history(path: &Path) -> Result<u8, Failure> {
     let file = File::open(path).map_err(|error| Failure::File(path.into(), error))?;
     let verdict =
-        history::judge(BufReader::new(file)).map_err(|error| Failure::History(path.into(), error))?;
+        history::check_history(BufReader::new(file)).map_err(|error| Failure::History(path.into(), error))?;
     for violation in &verdict.first_violations {
         println!(
             "{}: {}: {}: {}",
--- a/crates/hallpin/src/emulate.rs
+++ b/crates/hallpin/src/emulate.rs
@@ -6,7 +6,7 @@
 use clap::builder::PossibleValue;
 use clap::ValueEnum;
 use hallpin_baselines::{PolicyKind, DEFAULT_LATE_SEEING_DELAY_MS};
-use hallpin_emulator::{play, play_all, RunResult};
+use hallpin_emulator::{run_all, run_scenario, RunResult};
 use hallpin_loadgen::{chart, table};
 use hallpin_simulation::referee::Verdict;
 
@@ -96,7 +96,7 @@
             let played = if options.sockets {
                 sockets::play(&scenario, options.seed, trace)?.0
             } else {
-                play(&scenario, options.seed, *kind, options.plane.into(), trace)?
+                run_scenario(&scenario, options.seed, *kind, options.plane.into(), trace)?
             };
             println!("{}, seed {}, {}\n", scenario.name, played.seed, kind.name());
             println!("{}", table::run_summary(&played.verdict));
@@ -121,7 +121,7 @@
             } else {
                 let days = (seeds.len() * kinds.len()) as u64;
                 let bar = progress_bar(days, "{bar:40} {pos}/{len} days, {eta} to go");
-                let played = play_all(&scenario, &seeds, &kinds, options.plane.into(), &|| bar.inc(1));
+                let played = run_all(&scenario, &seeds, &kinds, options.plane.into(), &|| bar.inc(1));
                 bar.finish_and_clear();
                 played?
             };
--- a/crates/hallpin/src/sockets.rs
+++ b/crates/hallpin/src/sockets.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use hallpin_emulator::{play_on_sockets, RunResult, SocketsOptions};
+use hallpin_emulator::{run_on_sockets, RunResult, SocketsOptions};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use tokio::sync::watch;
@@ -29,7 +29,7 @@
         progress: &report_progress,
         stop: stopped.clone(),
     };
-    let played = play_on_sockets(scenario, seed, options);
+    let played = run_on_sockets(scenario, seed, options);
     bar.finish_and_clear();
     let ended_early = *stopped.borrow();
     if played.is_err() {
--- a/crates/hallpin/src/trial.rs
+++ b/crates/hallpin/src/trial.rs
@@ -143,7 +143,7 @@
 }
 
 fn draw_worst(options: &Options, trial: &Trial) -> Result<(), Failure> {
-    if let (Some(path), Some(worst)) = (&options.chart, trial.worst()) {
+    if let (Some(path), Some(worst)) = (&options.chart, trial.worst_result()) {
         let title = format!("fleet trial, {}, seed {}", worst.day.name(), worst.seed);
         chart::draw_run(&worst.verdict, &title, path)?;
     }
--- a/crates/hallpin/src/try_out.rs
+++ b/crates/hallpin/src/try_out.rs
@@ -41,7 +41,7 @@
             .map_err(|error| Failure::InvalidScenario("the built-in scenario".into(), error))?,
     };
     if let Some(seconds) = options.seconds {
-        scenario.length = Range::one(Span::from_millis(seconds * 1000));
+        scenario.length = Range::single(Span::from_millis(seconds * 1000));
         let end = scenario.length.low;
         scenario.incidents.retain(|incident| incident.at.high < end);
     }
--- a/crates/loadgen/src/load/connection.rs
+++ b/crates/loadgen/src/load/connection.rs
@@ -38,7 +38,7 @@
     let effect_key = class.writes.map(|_| format!("{:016x}", pending.request));
     let value = class.writes.map(|bytes| vec![b'x'; bytes]);
     let ask = Ask {
-        key: &keys::name(pending.request_spec.key),
+        key: &keys::wire_name(pending.request_spec.key),
         value: value.as_deref(),
         opaque: &opaque,
         class: &class.name,
--- a/crates/loadgen/src/load/mix.rs
+++ b/crates/loadgen/src/load/mix.rs
@@ -99,13 +99,13 @@
 
     /// Draws the next request.
     pub fn draw(&mut self) -> RequestSpec {
-        let class = self.classes.sample(self.rng.source());
-        let tenant = self.tenants.as_ref().map(|tenants| tenants.sample(self.rng.source()));
+        let class = self.classes.sample(self.rng.generator());
+        let tenant = self.tenants.as_ref().map(|tenants| tenants.sample(self.rng.generator()));
         RequestSpec { class, tenant, key: self.keys.draw(&mut self.rng) }
     }
 
     /// Advances the drift of key popularity by one second.
     pub fn drift(&mut self) {
-        self.keys.drift();
+        self.keys.advance_drift();
     }
 }
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -46,19 +46,19 @@
 
 impl<D> EventQueue<D> {
     /// Schedules an item; items with the same time are taken in insertion order.
-    pub fn enter(&mut self, at: Time, item: D) {
+    pub fn schedule(&mut self, at: Time, item: D) {
         self.inserted += 1;
         self.queue.push(Reverse(Scheduled { at, sequence: self.inserted, item }));
     }
 
     /// Time of the next item.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_time(&self) -> Option<Time> {
         self.queue.peek().map(|Reverse(item)| item.at)
     }
 
     /// Takes the next item if it is due at or before `until`.
-    pub fn take_until(&mut self, until: Time) -> Option<(Time, D)> {
-        self.next().filter(|at| *at <= until)?;
+    pub fn pop_until(&mut self, until: Time) -> Option<(Time, D)> {
+        self.next_time().filter(|at| *at <= until)?;
         self.queue.pop().map(|Reverse(Scheduled { at, item, .. })| (at, item))
     }
 }
@@ -71,12 +71,12 @@
     fn items_are_taken_by_time_and_then_by_insertion_order() {
         let mut agenda = EventQueue::default();
         for (at, item) in [(5, 'c'), (1, 'a'), (5, 'd'), (2, 'b'), (9, 'e')] {
-            agenda.enter(Time(at), item);
+            agenda.schedule(Time(at), item);
         }
-        assert_eq!(agenda.next(), Some(Time(1)));
+        assert_eq!(agenda.next_time(), Some(Time(1)));
         let taken: Vec<char> =
-            std::iter::from_fn(|| agenda.take_until(Time(5))).map(|(_, item)| item).collect();
+            std::iter::from_fn(|| agenda.pop_until(Time(5))).map(|(_, item)| item).collect();
         assert_eq!(taken, ['a', 'b', 'c', 'd']);
-        assert_eq!((agenda.next(), agenda.take_until(Time(8))), (Some(Time(9)), None));
+        assert_eq!((agenda.next_time(), agenda.pop_until(Time(8))), (Some(Time(9)), None));
     }
 }
--- a/crates/simulation/src/cache_box/fetches.rs
+++ b/crates/simulation/src/cache_box/fetches.rs
@@ -28,7 +28,7 @@
     }
 
     /// Handles the planner's reply to a call of this process: the key's version, or `None` for a failure.
-    pub fn fetched(
+    pub fn on_planner_reply(
         &mut self,
         now: Time,
         id: u64,
--- a/crates/simulation/src/cache_box/mod.rs
+++ b/crates/simulation/src/cache_box/mod.rs
@@ -181,7 +181,7 @@
     }
 
     /// Stores a copy of version 0 that expires at the given time; used to fill the cache before the simulation starts.
-    pub fn fill(&mut self, key: KeyId, bytes: u64, expires: Time) {
+    pub fn preload(&mut self, key: KeyId, bytes: u64, expires: Time) {
         self.store.insert_until(key, 0, bytes, expires);
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Adds `share` to the error rate; an incident that ends passes the negative.
-    pub fn errs_by(&mut self, share: f64) {
+    pub fn add_error_rate(&mut self, share: f64) {
         self.extra_error_rate = (self.extra_error_rate + share).max(0.0);
     }
 }
--- a/crates/simulation/src/cache_box/service.rs
+++ b/crates/simulation/src/cache_box/service.rs
@@ -123,7 +123,7 @@
     }
 
     /// Time at which the box next needs a call of `wake`, if any.
-    pub fn wakes(&self, now: Time) -> Option<Time> {
+    pub fn next_wake(&self, now: Time) -> Option<Time> {
         let end = self.serving.peek().map(|Reverse(end)| {
             let remaining_us = (end.finish_work - self.attained_work).max(0.0) / self.rate(now).max(1e-12);
             // The box may speed up while it warms up, so the estimate is renewed after 1 s at the latest.
@@ -170,7 +170,7 @@
     /// Ends the service of a request: it fails by the error rate, goes to the planner if it is a write, and is answered
     /// otherwise.
     pub(super) fn finish_service(&mut self, now: Time, index: usize, out: &mut Vec<BoxOutput>) {
-        if self.rng.happens(self.spec.error_rate + self.extra_error_rate) {
+        if self.rng.bernoulli(self.spec.error_rate + self.extra_error_rate) {
             return self.answer(index, BoxAnswer::Failed, out);
         }
         let job = self.requests[index].job;
--- a/crates/simulation/src/cache_box/views.rs
+++ b/crates/simulation/src/cache_box/views.rs
@@ -19,12 +19,12 @@
     }
 
     /// Number of requests that were accepted and not answered.
-    pub fn held(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
     /// Slots in use, plus requests that wait for one.
-    pub fn wanted_slots(&self) -> usize {
+    pub fn slot_demand(&self) -> usize {
         self.slots_in_use as usize + self.fetch_done.len() + self.waiting.len()
     }
 
@@ -34,17 +34,17 @@
     }
 
     /// Whether a request for this key would join a fetch in flight.
-    pub fn fetches(&self, key: KeyId) -> bool {
+    pub fn would_join_fetch(&self, key: KeyId) -> bool {
         self.spec.joins && self.joinable.contains_key(&key)
     }
 
     /// Number of cached copies.
-    pub fn kept(&self) -> usize {
+    pub fn cached_copies(&self) -> usize {
         self.store.len()
     }
 
     /// Whether a valid copy of this version is cached; leaves the eviction order unchanged.
-    pub fn keeps(&self, now: Time, key: KeyId, version: u64) -> bool {
+    pub fn has_valid_copy(&self, now: Time, key: KeyId, version: u64) -> bool {
         self.store.has(key, version, now)
     }
 }
--- a/crates/simulation/src/chance.rs
+++ b/crates/simulation/src/chance.rs
@@ -38,7 +38,7 @@
     }
 
     /// A uniform number in [0, 1).
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.stream.random()
     }
 
@@ -49,7 +49,7 @@
 
     /// A uniform number in [`low`, `high`).
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
-        low + (high - low) * self.unit()
+        low + (high - low) * self.uniform()
     }
 
     /// A uniform integer below `n`; 0 if `n` is 0.
@@ -58,18 +58,18 @@
     }
 
     /// True with this probability; draws nothing if it is 0.
-    pub fn happens(&mut self, probability: f64) -> bool {
-        probability > 0.0 && self.unit() < probability
+    pub fn bernoulli(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.uniform() < probability
     }
 
     /// The underlying generator, for the distributions of `rand_distr`.
-    pub fn source(&mut self) -> &mut ChaCha8Rng {
+    pub fn generator(&mut self) -> &mut ChaCha8Rng {
         &mut self.stream
     }
 
     /// An exponentially distributed number with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -libm::log1p(-self.unit()) * mean
+        -libm::log1p(-self.uniform()) * mean
     }
 
     /// A standard normal number, by Marsaglia's polar method.
@@ -78,7 +78,7 @@
             return spare;
         }
         loop {
-            let (x, y) = (2.0 * self.unit() - 1.0, 2.0 * self.unit() - 1.0);
+            let (x, y) = (2.0 * self.uniform() - 1.0, 2.0 * self.uniform() - 1.0);
             let square = x * x + y * y;
             if square > 0.0 && square < 1.0 {
                 let scale = libm::sqrt(-2.0 * libm::log(square) / square);
@@ -102,13 +102,13 @@
             Spread::Pareto => {
                 let shape = 1.0 + libm::sqrt(1.0 + 1.0 / (cv * cv));
                 let minimum = mean * (shape - 1.0) / shape;
-                minimum * libm::pow(1.0 - self.unit(), -1.0 / shape)
+                minimum * libm::pow(1.0 - self.uniform(), -1.0 / shape)
             }
         }
     }
 
     /// A sample of `many` distinct numbers of `0..of`, or all of them if there are fewer, in ascending order.
-    pub fn some(&mut self, many: usize, of: usize) -> Vec<usize> {
+    pub fn sample_indices(&mut self, many: usize, of: usize) -> Vec<usize> {
         let mut chosen = rand::seq::index::sample(&mut self.stream, of, many.min(of)).into_vec();
         chosen.sort_unstable();
         chosen
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -164,14 +164,14 @@
         let node = weighted_index(&mut self.rng, self.shares.iter().copied());
         let mut key = keys.draw(&mut self.rng);
         for (_, (_, share, hot_keys)) in &self.bursts {
-            if !hot_keys.is_empty() && self.rng.happens(*share) {
+            if !hot_keys.is_empty() && self.rng.bernoulli(*share) {
                 key = hot_keys[self.rng.below(hot_keys.len() as u64) as usize];
             }
         }
         let class_spec = &self.classes[class];
         let mut work = self.rng.spread(class_spec.spread, class_spec.work.0 as f64, class_spec.cv);
         for (share, factor) in &self.heavy_work[class] {
-            if self.rng.happens(*share) {
+            if self.rng.bernoulli(*share) {
                 work *= factor;
             }
         }
@@ -180,9 +180,9 @@
             self.rng.spread(Spread::LogNormal, work, noise) / 1e6
         });
         let effect = (class_spec.effect == Effect::Guarded).then_some(id);
-        let honours_advice = self.rng.happens(self.spec.honours);
+        let honours_advice = self.rng.bernoulli(self.spec.honours);
         // Without hasty clients no random number is drawn, so that scenarios without them give unchanged results.
-        let haste = self.hasty.iter().map(|(_, haste)| *haste).find(|haste| self.rng.happens(haste.share));
+        let haste = self.hasty.iter().map(|(_, haste)| *haste).find(|haste| self.rng.bernoulli(haste.share));
         let request = ClientRequest {
             class,
             tenant,
@@ -220,9 +220,9 @@
         let patience = class.deadline * self.spec.try_share;
         let wait = request.haste.map_or(patience, |haste| haste.try_timeout.min(patience)).min(time_left);
         let stay_probability: f64 = self.impatient.iter().map(|(_, share, _)| 1.0 - share).product();
-        let abandons = self.rng.happens(1.0 - (1.0 - self.spec.abandons) * stay_probability);
+        let abandons = self.rng.bernoulli(1.0 - (1.0 - self.spec.abandons) * stay_probability);
         let until = now + wait;
-        let ends_at = if abandons { now + wait * self.rng.unit() } else { until };
+        let ends_at = if abandons { now + wait * self.rng.uniform() } else { until };
         let writing = self.draw_writing();
         self.last_try += 1;
         self.tries.insert(self.last_try, Try { ask, node, until, writing, abandons });
@@ -232,8 +232,9 @@
     /// Draws how long a command takes to be written. Without slow writers no random number is drawn, so that scenarios
     /// without them give unchanged results.
     fn draw_writing(&mut self) -> Span {
-        let slow = self.slow_writers.iter().map(|(_, slow)| *slow).find(|slow| self.rng.happens(slow.share));
-        slow.map_or(Span::ZERO, |slow| slow.up_to * self.rng.unit())
+        let slow =
+            self.slow_writers.iter().map(|(_, slow)| *slow).find(|slow| self.rng.bernoulli(slow.share));
+        slow.map_or(Span::ZERO, |slow| slow.up_to * self.rng.uniform())
     }
 
     /// A try in flight, by its id.
@@ -299,7 +300,7 @@
     }
 
     /// Makes a share of the requests of a class heavier by a factor; `None` ends the latest such change of the class.
-    pub fn heavy(&mut self, class: usize, begins: Option<(f64, f64)>) {
+    pub fn set_heavy_work(&mut self, class: usize, begins: Option<(f64, f64)>) {
         match begins {
             Some(heavy) => self.heavy_work[class].push(heavy),
             None => drop(self.heavy_work[class].pop()),
@@ -307,31 +308,31 @@
     }
 
     /// Multiplies the traffic to the nodes of a depot; an incident that ends passes the inverse.
-    pub fn shift(&mut self, depot: usize, factor: f64) {
+    pub fn scale_depot_traffic(&mut self, depot: usize, factor: f64) {
         let depot_shares = self.depots.iter().zip(&mut self.shares).filter(|(at, _)| **at == depot);
         depot_shares.for_each(|(_, share)| *share *= factor);
     }
 
     /// Begins (`Some`) or ends (`None`) the impatience of clients in the incident with this number.
-    pub fn impatient(&mut self, number: usize, begins: Option<(f64, f64)>) {
+    pub fn set_impatient(&mut self, number: usize, begins: Option<(f64, f64)>) {
         self.impatient.retain(|(n, ..)| *n != number);
         self.impatient.extend(begins.map(|(share, hurry)| (number, share, hurry)));
     }
 
     /// Begins or ends the incident with this number, in which some new requests are hasty.
-    pub fn hasty(&mut self, number: usize, begins: Option<HastyClients>) {
+    pub fn set_hasty(&mut self, number: usize, begins: Option<HastyClients>) {
         self.hasty.retain(|(n, _)| *n != number);
         self.hasty.extend(begins.map(|haste| (number, haste)));
     }
 
     /// Begins or ends the incident with this number, in which some clients write slowly.
-    pub fn slow_writers(&mut self, number: usize, begins: Option<SlowWriters>) {
+    pub fn set_slow_writers(&mut self, number: usize, begins: Option<SlowWriters>) {
         self.slow_writers.retain(|(n, _)| *n != number);
         self.slow_writers.extend(begins.map(|slow| (number, slow)));
     }
 
     /// Begins or ends the surge with this incident number.
-    pub fn burst(&mut self, number: usize, begins: Option<Burst>) {
+    pub fn set_surge(&mut self, number: usize, begins: Option<Burst>) {
         self.bursts.retain(|(n, _)| *n != number);
         self.bursts.extend(begins.map(|burst| (number, burst)));
     }
@@ -351,7 +352,7 @@
 
 /// Draws an index with probability in proportion to its weight; 0 if no weight is positive.
 fn weighted_index(rng: &mut RandomStream, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut remaining = rng.unit() * weights.clone().sum::<f64>();
+    let mut remaining = rng.uniform() * weights.clone().sum::<f64>();
     let mut last = 0;
     for (index, weight) in weights.enumerate().filter(|(_, weight)| *weight > 0.0) {
         last = index;
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -37,11 +37,11 @@
     }
 
     /// Draws what happens to one answer.
-    pub fn fate(&self, rng: &mut RandomStream) -> AnswerFate {
+    pub fn answer_fate(&self, rng: &mut RandomStream) -> AnswerFate {
         for (_, incident) in &self.active {
             match incident {
-                FaultEvent::LostAnswers(share) if rng.happens(*share) => return AnswerFate::Lost,
-                FaultEvent::Resets(share) if rng.happens(*share) => return AnswerFate::Reset,
+                FaultEvent::LostAnswers(share) if rng.bernoulli(*share) => return AnswerFate::Lost,
+                FaultEvent::Resets(share) if rng.bernoulli(*share) => return AnswerFate::Reset,
                 _ => {}
             }
         }
@@ -50,7 +50,7 @@
 
     /// Draws whether one message between nodes is lost.
     pub fn loses_message(&self, rng: &mut RandomStream) -> bool {
-        self.active.iter().any(|(_, i)| matches!(i, FaultEvent::LostMessages(share) if rng.happens(*share)))
+        self.active.iter().any(|(_, i)| matches!(i, FaultEvent::LostMessages(share) if rng.bernoulli(*share)))
     }
 
     /// Extra delay of the list for the nodes of a depot: the longest of all active faults.
@@ -72,19 +72,22 @@
         let (mut faults, mut rng) = (NetworkFaults::default(), RandomStream::new(1, "faults"));
         let late = |depot, ms| FaultEvent::LateList { depot, by: Span::from_millis(ms) };
         faults.begin(0, &FaultEvent::Silent(vec![1]));
-        assert_eq!(faults.fate(&mut rng), AnswerFate::Arrives);
+        assert_eq!(faults.answer_fate(&mut rng), AnswerFate::Arrives);
         faults.begin(1, &FaultEvent::LostAnswers(1.0));
         faults.begin(2, &FaultEvent::LostMessages(1.0));
         faults.begin(3, &late(Some(2), 700));
         faults.begin(4, &late(None, 300));
-        assert_eq!(faults.fate(&mut rng), AnswerFate::Lost);
+        assert_eq!(faults.answer_fate(&mut rng), AnswerFate::Lost);
         assert!(faults.loses_message(&mut rng));
         assert_eq!([faults.list_delay(2), faults.list_delay(0)], [700, 300].map(Span::from_millis));
         faults.end(1);
         faults.begin(5, &FaultEvent::Resets(1.0));
-        assert_eq!(faults.fate(&mut rng), AnswerFate::Reset);
+        assert_eq!(faults.answer_fate(&mut rng), AnswerFate::Reset);
         (2..=5).for_each(|index| faults.end(index));
-        assert_eq!((faults.fate(&mut rng), faults.loses_message(&mut rng)), (AnswerFate::Arrives, false));
+        assert_eq!(
+            (faults.answer_fate(&mut rng), faults.loses_message(&mut rng)),
+            (AnswerFate::Arrives, false)
+        );
         assert_eq!(faults.list_delay(2), Span::ZERO);
     }
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -50,7 +50,7 @@
 }
 
 /// Returns the run with every time limit of its rules extended by the leeway.
-pub fn lenient(day: &RunSpec, leeway: Span) -> RunSpec {
+pub fn with_leeway(day: &RunSpec, leeway: Span) -> RunSpec {
     let mut extended = day.clone();
     extended.rules.answer_grace = extended.rules.answer_grace + leeway;
     extended.rules.drain_grace = extended.rules.drain_grace + leeway;
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// If a record is malformed, missing or out of place, or if the history has no accepted request to check.
-pub fn judge(from: impl BufRead) -> Result<Verdict, HistoryError> {
+pub fn check_history(from: impl BufRead) -> Result<Verdict, HistoryError> {
     let mut lines = (1..).zip(from.lines());
     let (mut last, mut over) = (1, false);
     let day = match lines.next() {
@@ -109,7 +109,7 @@
         return Err(format!("history: {FORMAT_VERSION} expected, got {}", header.history));
     }
     let day = header.scenario.draw(header.seed).map_err(|error| format!("scenario: {error}"))?;
-    Ok(lenient(&day, header.leeway))
+    Ok(with_leeway(&day, header.leeway))
 }
 
 /// Validates the records of a history: indices exist in the run, and each event follows those that it depends on.
--- a/crates/simulation/src/keys.rs
+++ b/crates/simulation/src/keys.rs
@@ -25,7 +25,7 @@
 }
 
 /// The name of a key on the wire.
-pub fn name(key: KeyId) -> String {
+pub fn wire_name(key: KeyId) -> String {
     format!("uprn{key:08x}")
 }
 
@@ -41,7 +41,7 @@
         let bytes = (0..spec.count)
             .map(|_| rng.spread(Spread::LogNormal, spec.bytes, spec.bytes_cv).max(1.0) as u32)
             .collect();
-        let hashed = (0..spec.count).map(|key| hallpin_protocol::key_of(&name(key))).collect();
+        let hashed = (0..spec.count).map(|key| hallpin_protocol::key_of(&wire_name(key))).collect();
         let mut keys_by_rank: Vec<KeyId> = (0..spec.count).collect();
         for rank in (1..keys_by_rank.len()).rev() {
             keys_by_rank.swap(rank, rng.below(rank as u64 + 1) as usize);
@@ -51,7 +51,7 @@
 
     /// Draws a key by popularity.
     pub fn draw(&self, rng: &mut RandomStream) -> KeyId {
-        self.keys_by_rank[self.by_rank.sample(rng.source())]
+        self.keys_by_rank[self.by_rank.sample(rng.generator())]
     }
 
     /// Size of the value of a key, in bytes.
@@ -65,12 +65,12 @@
     }
 
     /// The `count` most popular keys now.
-    pub fn top(&self, count: usize) -> Vec<KeyId> {
+    pub fn most_popular(&self, count: usize) -> Vec<KeyId> {
         self.keys_by_rank.iter().take(count).copied().collect()
     }
 
     /// Applies one second of drift: swaps the keys of random pairs of ranks, all ranks with equal probability.
-    pub fn drift(&mut self) {
+    pub fn advance_drift(&mut self) {
         let (key_count, bound) = (self.keys_by_rank.len() as f64, self.keys_by_rank.len() as u64);
         self.pending_swaps += self.spec.drift * key_count;
         while self.pending_swaps >= 1.0 {
@@ -100,14 +100,14 @@
     #[test]
     fn popular_keys_are_drawn_more_often_and_drift_moves_them() {
         let (mut keys, mut rng) = (Keys::new(spec(), 3).unwrap(), RandomStream::new(3, "t"));
-        let first = keys.top(1)[0];
+        let first = keys.most_popular(1)[0];
         let hits = (0..100_000).filter(|_| keys.draw(&mut rng) == first).count() as f64;
         let norm: f64 = (0..1000).map(|rank| 1.0 / (f64::from(rank) + 5.0)).sum();
         let expected = 100_000.0 / 5.0 / norm;
         assert!((hits / expected - 1.0).abs() < 0.1, "{hits} hits, expected {expected}");
-        let before = keys.top(1000);
-        keys.drift();
-        let moved = keys.top(1000).iter().zip(&before).filter(|(a, b)| a != b).count();
+        let before = keys.most_popular(1000);
+        keys.advance_drift();
+        let moved = keys.most_popular(1000).iter().zip(&before).filter(|(a, b)| a != b).count();
         assert!((1..=20).contains(&moved), "{moved} of 10 swaps at most");
         assert!(Keys::new(KeysSpec { count: 0, ..spec() }, 1).is_err());
     }
--- a/crates/simulation/src/list.rs
+++ b/crates/simulation/src/list.rs
@@ -74,13 +74,13 @@
     }
 
     /// The complete list.
-    pub fn whole(&self) -> WatchEvent {
+    pub fn complete_list(&self) -> WatchEvent {
         let listed = self.listings.iter().flatten().filter(|listing| listing.phase != Phase::Gone);
         WatchEvent { revision: self.revision(), complete: true, listings: listed.copied().collect() }
     }
 
     /// The list as it was at an earlier revision.
-    pub fn until(&self, revision: u64) -> List {
+    pub fn at_revision(&self, revision: u64) -> List {
         let mut list = List::default();
         let change_count = usize::try_from(revision).unwrap_or(usize::MAX).min(self.changes.len());
         self.changes[..change_count].iter().for_each(|listing| {
@@ -91,17 +91,19 @@
 
     /// The changes since a revision, with each box once in its latest state. The complete list for a revision that is
     /// far behind, or ahead, as after a restart of discovery.
-    pub fn since(&self, revision: u64) -> WatchEvent {
-        self.between(revision, self.revision())
+    pub fn changes_since(&self, revision: u64) -> WatchEvent {
+        self.changes_between(revision, self.revision())
     }
 
     /// Like [`List::since`], for the list as it was at revision `until`. Where the complete list is due, that is the
     /// current one.
-    pub fn between(&self, revision: u64, until: u64) -> WatchEvent {
+    pub fn changes_between(&self, revision: u64, until: u64) -> WatchEvent {
         let until = until.min(self.revision());
         let index = |revision| usize::try_from(revision).ok();
         let missed = index(revision).zip(index(until)).and_then(|(from, to)| self.changes.get(from..to));
-        let Some(missed) = missed.filter(|missed| missed.len() <= MAX_CHANGES) else { return self.whole() };
+        let Some(missed) = missed.filter(|missed| missed.len() <= MAX_CHANGES) else {
+            return self.complete_list();
+        };
         // Later changes of a box replace earlier ones.
         let latest: BTreeMap<BoxId, Listing> =
             missed.iter().map(|listing| (listing.cache_box, *listing)).collect();
@@ -126,17 +128,20 @@
         assert_eq!(list.set(entry(2, Phase::Ready)), None);
         list.set(entry(0, Phase::Draining));
         list.set(entry(0, Phase::Gone));
-        let update = list.since(2);
+        let update = list.changes_since(2);
         assert_eq!(
             update,
             WatchEvent { revision: 4, complete: false, listings: vec![entry(0, Phase::Gone)] }
         );
-        assert_eq!(list.since(4).listings, []);
-        assert_eq!(list.whole().listings, [entry(2, Phase::Ready)]);
-        assert!(list.since(5).complete, "a node that is ahead has a different list");
+        assert_eq!(list.changes_since(4).listings, []);
+        assert_eq!(list.complete_list().listings, [entry(2, Phase::Ready)]);
+        assert!(list.changes_since(5).complete, "a node that is ahead has a different list");
         let earlier = WatchEvent { revision: 3, complete: false, listings: vec![entry(0, Phase::Draining)] };
-        assert_eq!(list.between(2, 3), earlier, "as the list was at revision 3");
-        assert_eq!((list.until(3).revision(), list.until(3).whole().listings.len()), (3, 2));
+        assert_eq!(list.changes_between(2, 3), earlier, "as the list was at revision 3");
+        assert_eq!(
+            (list.at_revision(3).revision(), list.at_revision(3).complete_list().listings.len()),
+            (3, 2)
+        );
     }
 
     #[test]
@@ -145,6 +150,6 @@
         for n in 0..=MAX_CHANGES {
             list.set(entry(0, if n % 2 == 0 { Phase::Ready } else { Phase::Draining }));
         }
-        assert!(list.since(0).complete && !list.since(1).complete);
+        assert!(list.changes_since(0).complete && !list.changes_since(1).complete);
     }
 }
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -20,7 +20,7 @@
         /// The box that made the call.
         to: BoxId,
         /// Incarnation of the box when it made the call.
-        life: u32,
+        incarnation: u32,
         /// Id that the box gave the call.
         id: u64,
         /// Version of the key, or `None` if the call failed.
@@ -63,7 +63,7 @@
     }
 
     /// Handles a call from a box; `cold` if the box is warming up.
-    pub fn ask(
+    pub fn call(
         &mut self,
         now: Time,
         by: BoxId,
@@ -106,7 +106,7 @@
                         out.push(OriginOutput::Record(Event::Written { key, version }));
                     }
                     if let Some((to, life, id)) = self.callers.remove(&id) {
-                        out.push(OriginOutput::Answer { to, life, id, version });
+                        out.push(OriginOutput::Answer { to, incarnation: life, id, version });
                     }
                 }
                 PlannerNotification::Stopped => {
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -62,7 +62,7 @@
     /// Next time at which the policy is notified of the peers' evidence, if there is any.
     next_evidence_at: Moment,
     /// Time of the next tick that the simulation has scheduled.
-    pub wakes: Option<Time>,
+    pub next_wake: Option<Time>,
 }
 
 impl NodePlane {
@@ -103,7 +103,7 @@
             started,
             next_observation_at: OBSERVATION_INTERVAL,
             next_evidence_at: Moment::ZERO,
-            wakes: None,
+            next_wake: None,
         }))
     }
 
@@ -114,7 +114,7 @@
 
     /// Takes a complete endpoint list. `revision` is `None` for a list that may be outdated, as at a start: no table is
     /// made from that.
-    pub fn learn(&mut self, now: Time, revision: Option<u64>, list: &[EndpointEntry]) {
+    pub fn set_list(&mut self, now: Time, revision: Option<u64>, list: &[EndpointEntry]) {
         self.boxes.set_list(list);
         let now = self.moment(now);
         if let (Some(placement), Some(revision)) = (self.plane.placement(), revision) {
@@ -123,12 +123,12 @@
     }
 
     /// Records that an attempt is sent; `None` for a box that is not on the list.
-    pub fn sent(&mut self, server: &ServerId) -> Option<SentAttempt> {
+    pub fn record_sent(&mut self, server: &ServerId) -> Option<SentAttempt> {
         self.boxes.sent(server)
     }
 
     /// Records the outcome of an attempt.
-    pub fn ended(&mut self, sent: SentAttempt, status: Status) {
+    pub fn record_outcome(&mut self, sent: SentAttempt, status: Status) {
         self.boxes.ended(sent, status);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Runs everything that is due by now and returns the outputs.
-    pub fn turn(&mut self, now: Time) -> Vec<PlaneNotification> {
+    pub fn run_due(&mut self, now: Time) -> Vec<PlaneNotification> {
         let now = self.moment(now);
         let mut notifications = Vec::new();
         if now >= self.next_observation_at {
@@ -189,7 +189,7 @@
     }
 
     /// Time of the next tick that the plane needs.
-    pub fn due(&self, now: Time) -> Time {
+    pub fn next_due(&self, now: Time) -> Time {
         let next = self.plane.due().map_or(self.next_observation_at, |due| due.min(self.next_observation_at));
         let next = next.max(self.moment(now) + MIN_TICK_INTERVAL);
         // Rounded up: a tick before the plane's due time would do nothing.
--- a/crates/simulation/src/plane/tally.rs
+++ b/crates/simulation/src/plane/tally.rs
@@ -51,7 +51,7 @@
 
 impl Tally {
     /// Counts a datagram that a node sends.
-    pub fn datagram(&mut self, at: Time, node: usize, bytes: usize) {
+    pub fn count_datagram(&mut self, at: Time, node: usize, bytes: usize) {
         let second = at.0 / 1_000_000;
         if self.second.0 != second {
             self.second = (second, FxHashMap::default());
@@ -64,7 +64,7 @@
     }
 
     /// Counts a call from a box to the planner.
-    pub fn fetch(&mut self, at: Time, by: BoxId, key: KeyId, write: bool) {
+    pub fn count_fetch(&mut self, at: Time, by: BoxId, key: KeyId, write: bool) {
         self.fetches += 1;
         if write {
             return;
@@ -76,7 +76,7 @@
     }
 
     /// Records that all running nodes now place by this revision or a later one.
-    pub fn all_place_by(&mut self, at: Time, revision: u64) {
+    pub fn record_all_place_by(&mut self, at: Time, revision: u64) {
         let incomplete = self.spreads.iter_mut().rev().take_while(|spread| spread.all.is_none());
         incomplete.filter(|spread| spread.revision <= revision).for_each(|spread| spread.all = Some(at));
     }
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -147,7 +147,7 @@
     }
 
     /// The actual state, for policies with perfect information. Waiting calls go before a new one.
-    pub fn truth(&self) -> TruePlanner {
+    pub fn actual_state(&self) -> TruePlanner {
         let time = self.spec.time.as_secs() * self.slowness;
         let places = f64::from(self.spec.places.max(1));
         let ahead = self.waiting.len() as f64 / places;
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -116,6 +116,6 @@
 ///
 /// # Errors
 /// If the settings are invalid.
-pub fn module(settings: Settings, seed: u64) -> Result<Box<dyn Policy>, SettingsError> {
+pub fn balancer_policy(settings: Settings, seed: u64) -> Result<Box<dyn Policy>, SettingsError> {
     Balancer::new(settings, seed).map(|balancer| Box::new(balancer) as Box<dyn Policy>)
 }
--- a/crates/simulation/src/range.rs
+++ b/crates/simulation/src/range.rs
@@ -93,7 +93,7 @@
 
 impl<T: Quantity> Range<T> {
     /// A range of a single value.
-    pub const fn one(value: T) -> Self {
+    pub const fn single(value: T) -> Self {
         Range { low: value, high: value }
     }
 
@@ -127,17 +127,17 @@
                 write!(f, "{}, or two of them as [least, most]", T::FORM)
             }
             fn visit_str<E: Error>(self, text: &str) -> Result<Range<T>, E> {
-                T::deserialize(StrDeserializer::new(text)).map(Range::one)
+                T::deserialize(StrDeserializer::new(text)).map(Range::single)
             }
             fn visit_i64<E: Error>(self, number: i64) -> Result<Range<T>, E> {
-                T::deserialize(I64Deserializer::new(number)).map(Range::one)
+                T::deserialize(I64Deserializer::new(number)).map(Range::single)
             }
             // Non-negative JSON integers arrive as u64, TOML integers as i64.
             fn visit_u64<E: Error>(self, number: u64) -> Result<Range<T>, E> {
-                T::deserialize(U64Deserializer::new(number)).map(Range::one)
+                T::deserialize(U64Deserializer::new(number)).map(Range::single)
             }
             fn visit_f64<E: Error>(self, number: f64) -> Result<Range<T>, E> {
-                T::deserialize(F64Deserializer::new(number)).map(Range::one)
+                T::deserialize(F64Deserializer::new(number)).map(Range::single)
             }
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range<T>, A::Error> {
                 let mut next =
@@ -204,8 +204,8 @@
     fn values_and_ranges_round_trip() {
         let file: File = toml::from_str(GOOD).unwrap();
         assert_eq!(file.time, Range::of(Span::from_millis(410), Span::from_millis(1100)));
-        assert_eq!((file.many, file.share), (Range::one(3), Range::of(1.0, 2.5)));
-        assert_eq!(file.size, Range::one(Bytes(65536)));
+        assert_eq!((file.many, file.share), (Range::single(3), Range::of(1.0, 2.5)));
+        assert_eq!(file.size, Range::single(Bytes(65536)));
         let written = toml::to_string(&file).unwrap();
         assert_eq!(toml::from_str::<File>(&written).unwrap(), file, "{written}");
     }
--- a/crates/simulation/src/scenario/draw/boxes.rs
+++ b/crates/simulation/src/scenario/draw/boxes.rs
@@ -90,8 +90,8 @@
             fetches_per_slot: kind.fetches_per_slot.draw(rng),
             fetch_timeout: kind.fetch_timeout.draw(rng),
             fetch_retries: kind.fetch_retries.draw(rng),
-            miss_holds: rng.unit() < kind.miss_holds,
-            drops_cancelled: rng.unit() < kind.drops_cancelled,
+            miss_holds: rng.uniform() < kind.miss_holds,
+            drops_cancelled: rng.uniform() < kind.drops_cancelled,
         }
     }
 }
--- a/crates/simulation/src/scenario/draw/incidents.rs
+++ b/crates/simulation/src/scenario/draw/incidents.rs
@@ -37,7 +37,7 @@
         (None, None) if depot.is_some() => of.len(),
         (None, None) => 0,
     };
-    rng.some(many, of.len()).into_iter().map(|n| of[n]).collect()
+    rng.sample_indices(many, of.len()).into_iter().map(|n| of[n]).collect()
 }
 
 /// Splits targets into groups, each with its delay after the first group.
@@ -49,7 +49,7 @@
 
 impl Scenario {
     pub(super) fn draw_incident(&self, file: &IncidentFile, run: &mut DrawnRun, rng: &mut RandomStream) {
-        let happens = rng.unit() < file.chance.unwrap_or(1.0);
+        let happens = rng.uniform() < file.chance.unwrap_or(1.0);
         let at = Time::ZERO + file.at.draw(rng);
         let lasts = file.lasts.map(|lasts| lasts.draw(rng));
         let depot = file.depot.as_ref().map(|name| self.draw_depot(name, rng));
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -81,7 +81,7 @@
             version: 1,
             name: "unnamed".into(),
             about: String::new(),
-            length: Range::one(s(60)),
+            length: Range::single(s(60)),
             depots: ["north", "east", "south", "west"].map(String::from).to_vec(),
             nodes: Nodes::default(),
             planner: PlannerFile::default(),
--- a/crates/simulation/src/scenario/request_load.rs
+++ b/crates/simulation/src/scenario/request_load.rs
@@ -55,16 +55,16 @@
 impl Default for ClientsFile {
     fn default() -> Self {
         ClientsFile {
-            rate: Range::one(200.0),
+            rate: Range::single(200.0),
             curve: Vec::new(),
             entry: Entry::Own,
-            front_notice: Range::one(s(2)),
+            front_notice: Range::single(s(2)),
             retries: Range::of(1, 2),
             try_share: Range::of(0.5, 0.8),
             backoff: Range::of(ms(30), ms(240)),
             honours: Range::of(0.7, 1.0),
             most_advice: s(1),
-            abandons: Range::one(0.0),
+            abandons: Range::single(0.0),
             hints: true,
             hint_noise: Range::of(0.2, 0.6),
             attempt_noise: Range::of(0.24, 0.54),
@@ -100,7 +100,7 @@
             offset: Range::of(5.0, 16.0),
             drift: Range::of(0.0003, 0.0015),
             changes: Range::of(0.0002, 0.0015),
-            size: Range::one(Bytes(600)),
+            size: Range::single(Bytes(600)),
             size_cv: Range::of(0.2, 0.8),
         }
     }
@@ -140,7 +140,7 @@
     fn default() -> Self {
         ClassFile {
             name: "lookup".into(),
-            share: Range::one(0.963),
+            share: Range::single(0.963),
             work: Range::of(ms(34), ms(62)),
             spread: Spread::Pareto,
             cv: Range::of(1.6, 2.8),
@@ -159,7 +159,7 @@
     pub(super) fn write() -> Self {
         ClassFile {
             name: "report".into(),
-            share: Range::one(0.037),
+            share: Range::single(0.037),
             work: Range::of(ms(54), ms(98)),
             cv: Range::of(1.4, 2.8),
             aim: ms(750),
--- a/crates/simulation/src/scenario/scaling.rs
+++ b/crates/simulation/src/scenario/scaling.rs
@@ -40,7 +40,7 @@
     pub fn shortened(&self, length: Span) -> Scenario {
         let mut shortened = self.clone();
         if length < self.length.low {
-            shortened.length = Range::one(length);
+            shortened.length = Range::single(length);
             shortened.incidents.retain(|incident| incident.at.high < length);
         }
         shortened
--- a/crates/simulation/src/time.rs
+++ b/crates/simulation/src/time.rs
@@ -29,7 +29,7 @@
     }
 
     /// The point `by` earlier, or the start of the day if that would be before it.
-    pub fn back(self, by: Span) -> Time {
+    pub fn saturating_sub(self, by: Span) -> Time {
         Time(self.0.saturating_sub(by.0))
     }
 }
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -68,7 +68,7 @@
         }
         self.outputs = outputs;
         let box_state = &mut self.boxes[at];
-        let wakes = box_state.cache.wakes(self.now).filter(|_| box_state.cache.is_up());
+        let wakes = box_state.cache.next_wake(self.now).filter(|_| box_state.cache.is_up());
         if let Some(wake) = wakes.map(|at| at.max(self.now + Span(1))) {
             if box_state.wakes.is_none_or(|scheduled| wake < scheduled || scheduled <= self.now) {
                 box_state.wakes = Some(wake);
@@ -92,7 +92,7 @@
             return;
         }
         let delay = self.network_delay(from, to);
-        match self.faults.fate(&mut self.network_rng) {
+        match self.faults.answer_fate(&mut self.network_rng) {
             AnswerFate::Arrives => self.schedule_after(delay, ScheduledEvent::AnswerAtNode { token, answer }),
             AnswerFate::Lost => {}
             AnswerFate::Reset => self.schedule_after(delay, ScheduledEvent::ResetAtNode(token)),
@@ -145,8 +145,8 @@
     /// Handles a box's call at the planner.
     pub(super) fn ask_at_planner(&mut self, by: BoxId, generation: u32, ask: PlannerCall, cold: bool) {
         let mut outputs = Vec::new();
-        self.planes.tally.fetch(self.now, by, ask.key, ask.write.is_some());
-        self.origin.ask(self.now, by, generation, ask, cold, &mut outputs);
+        self.planes.tally.count_fetch(self.now, by, ask.key, ask.write.is_some());
+        self.origin.call(self.now, by, generation, ask, cold, &mut outputs);
         self.apply_origin_outputs(outputs);
     }
 
@@ -155,7 +155,7 @@
         for output in outputs {
             match output {
                 OriginOutput::Record(event) => self.record(event),
-                OriginOutput::Answer { to, life: generation, id, version } => {
+                OriginOutput::Answer { to, incarnation: generation, id, version } => {
                     let delay = self.jittered(self.day.network.same);
                     self.schedule_after(
                         delay,
@@ -174,7 +174,7 @@
             return;
         }
         let (mut outputs, keys) = (std::mem::take(&mut self.outputs), &self.keys);
-        box_state.cache.fetched(
+        box_state.cache.on_planner_reply(
             self.now,
             id,
             version,
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -51,7 +51,7 @@
         }
         let previous = std::mem::replace(&mut state.agent_revision, until);
         if state.alive && state.watch_silent {
-            for l in self.list.between(previous, until).listings {
+            for l in self.list.changes_between(previous, until).listings {
                 let (of, phase, started) = (l.cache_box, l.phase, l.started);
                 self.record(Event::ChangeAvailable { node, of, phase, started, asked: false });
             }
@@ -69,7 +69,7 @@
         {
             return;
         }
-        let update = self.list.between(state.revision, state.agent_revision);
+        let update = self.list.changes_between(state.revision, state.agent_revision);
         self.deliver_list_update(node, update);
     }
 
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -15,10 +15,12 @@
                 self.apply_box_outputs(b);
             }),
             FaultEvent::Erring(boxes, share) => {
-                boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(*share))
+                boxes.iter().for_each(|&b| self.boxes[b].cache.add_error_rate(*share))
             }
             FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
-            FaultEvent::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
+            FaultEvent::Heavy { class, share, factor } => {
+                self.clients.set_heavy_work(*class, Some((*share, *factor)))
+            }
             FaultEvent::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_ends(node, false)),
             FaultEvent::NodeRestart(nodes) => {
                 nodes.iter().for_each(|&node| self.restart_node(node, scheduled.stop))
@@ -27,10 +29,10 @@
             FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
             FaultEvent::PlannerSilent => self.origin.silence(self.now, true, &mut outputs),
             FaultEvent::Partition(pairs) => self.adjust_partitions(pairs, 1),
-            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, *factor),
-            FaultEvent::Impatient { share, hurry } => self.clients.impatient(at, Some((*share, *hurry))),
-            FaultEvent::Hasty(haste) => self.clients.hasty(at, Some(*haste)),
-            FaultEvent::SlowWriters(slow) => self.clients.slow_writers(at, Some(*slow)),
+            FaultEvent::Shift { depot, factor } => self.clients.scale_depot_traffic(*depot, *factor),
+            FaultEvent::Impatient { share, hurry } => self.clients.set_impatient(at, Some((*share, *hurry))),
+            FaultEvent::Hasty(haste) => self.clients.set_hasty(at, Some(*haste)),
+            FaultEvent::SlowWriters(slow) => self.clients.set_slow_writers(at, Some(*slow)),
             FaultEvent::LateList { .. }
             | FaultEvent::LostAnswers(_)
             | FaultEvent::Resets(_)
@@ -41,9 +43,9 @@
             }),
             FaultEvent::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
             FaultEvent::Burst { factor, share, keys } => {
-                let drawn = self.rng.some(*keys as usize, self.day.keys.count as usize);
+                let drawn = self.rng.sample_indices(*keys as usize, self.day.keys.count as usize);
                 let keys = drawn.into_iter().map(|key| key as KeyId).collect();
-                self.clients.burst(at, Some((*factor, *share, keys)));
+                self.clients.set_surge(at, Some((*factor, *share, keys)));
             }
         }
         self.apply_origin_outputs(outputs);
@@ -63,10 +65,10 @@
                 self.apply_box_outputs(b);
             }),
             FaultEvent::Erring(boxes, share) => {
-                boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(-share))
+                boxes.iter().for_each(|&b| self.boxes[b].cache.add_error_rate(-share))
             }
             FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
-            FaultEvent::Heavy { class, .. } => self.clients.heavy(*class, None),
+            FaultEvent::Heavy { class, .. } => self.clients.set_heavy_work(*class, None),
             FaultEvent::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_starts(node)),
             FaultEvent::NodeRestart(_) => {}
             FaultEvent::ListOutage => {
@@ -76,10 +78,10 @@
             FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
             FaultEvent::PlannerSilent => self.origin.silence(self.now, false, &mut outputs),
             FaultEvent::Partition(pairs) => self.adjust_partitions(pairs, -1),
-            FaultEvent::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
-            FaultEvent::Impatient { .. } => self.clients.impatient(at, None),
-            FaultEvent::Hasty(_) => self.clients.hasty(at, None),
-            FaultEvent::SlowWriters(_) => self.clients.slow_writers(at, None),
+            FaultEvent::Shift { depot, factor } => self.clients.scale_depot_traffic(*depot, factor.recip()),
+            FaultEvent::Impatient { .. } => self.clients.set_impatient(at, None),
+            FaultEvent::Hasty(_) => self.clients.set_hasty(at, None),
+            FaultEvent::SlowWriters(_) => self.clients.set_slow_writers(at, None),
             FaultEvent::LateList { .. }
             | FaultEvent::LostAnswers(_)
             | FaultEvent::Resets(_)
@@ -89,7 +91,7 @@
                 self.update_list_after(self.day.list.notice, listing(b, Phase::Gone, None));
             }),
             FaultEvent::Join(_) => {}
-            FaultEvent::Burst { .. } => self.clients.burst(at, None),
+            FaultEvent::Burst { .. } => self.clients.set_surge(at, None),
         }
         self.apply_origin_outputs(outputs);
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -137,7 +137,7 @@
 
     /// Processes the next event due by `end`; without one, records the end of the day and returns false.
     fn step(&mut self, end: Time) -> bool {
-        match self.queue.take_until(end) {
+        match self.queue.pop_until(end) {
             Some((at, event)) => {
                 debug_assert!(at >= self.now, "events are processed in time order");
                 self.now = at;
@@ -159,7 +159,7 @@
 
     /// Schedules an event; a time in the past becomes now.
     fn schedule_at(&mut self, at: Time, event: ScheduledEvent) {
-        self.queue.enter(at.max(self.now), event);
+        self.queue.schedule(at.max(self.now), event);
     }
 
     fn schedule_after(&mut self, delay: Span, event: ScheduledEvent) {
@@ -258,7 +258,7 @@
                 self.close_expired_connections(node)
             }
             ScheduledEvent::EverySecond => {
-                self.keys.drift();
+                self.keys.advance_drift();
                 self.sample_policy_sizes();
                 self.schedule_after(Span(1_000_000), ScheduledEvent::EverySecond);
             }
--- a/crates/simulation/src/world/network.rs
+++ b/crates/simulation/src/world/network.rs
@@ -39,7 +39,7 @@
         let mut copies = 0;
         for to in (0..self.nodes.len()).filter(|to| *to != from) {
             let partitioned = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
-            let lost = self.network_rng.happens(self.day.network.message_loss);
+            let lost = self.network_rng.bernoulli(self.day.network.message_loss);
             if partitioned || lost || self.faults.loses_message(&mut self.network_rng) {
                 continue;
             }
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -47,10 +47,10 @@
     pub(super) fn run_plane(&mut self, node: NodeId) {
         let now = self.now;
         let Some(plane) = &mut self.nodes[node].plane else { return };
-        let outputs = plane.turn(now);
-        let (due, generation) = (plane.due(now), self.nodes[node].generation);
-        if let Some(plane) = self.nodes[node].plane.as_mut().filter(|plane| plane.wakes != Some(due)) {
-            plane.wakes = Some(due);
+        let outputs = plane.run_due(now);
+        let (due, generation) = (plane.next_due(now), self.nodes[node].generation);
+        if let Some(plane) = self.nodes[node].plane.as_mut().filter(|plane| plane.next_wake != Some(due)) {
+            plane.next_wake = Some(due);
             self.schedule_at(due, ScheduledEvent::PlaneWakes { node, generation });
         }
         for output in outputs {
@@ -71,7 +71,10 @@
     /// Runs a node's plane, unless its wake-up was rescheduled.
     pub(super) fn plane_wakes(&mut self, node: NodeId) {
         let now = self.now;
-        if self.nodes[node].plane.as_mut().is_some_and(|plane| plane.wakes.take_if(|at| *at == now).is_some())
+        if self.nodes[node]
+            .plane
+            .as_mut()
+            .is_some_and(|plane| plane.next_wake.take_if(|at| *at == now).is_some())
         {
             self.run_plane(node);
         }
@@ -79,10 +82,10 @@
 
     /// Sends a datagram from one node to another; it may be lost without notice.
     fn send_datagram(&mut self, from: NodeId, to: NodeId, bytes: Vec<u8>) {
-        self.planes.tally.datagram(self.now, from, bytes.len());
+        self.planes.tally.count_datagram(self.now, from, bytes.len());
         let partitioned = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
         let rng = &mut self.planes.rng;
-        if partitioned || rng.happens(self.day.network.message_loss) || self.faults.loses_message(rng) {
+        if partitioned || rng.bernoulli(self.day.network.message_loss) || self.faults.loses_message(rng) {
             return;
         }
         let factor = 1.0 + self.day.network.jitter * rng.normal();
@@ -107,7 +110,7 @@
     pub(super) fn update_plane_list(&mut self, node: NodeId, revision: Option<u64>) {
         let (now, NodeState { plane, cached_endpoints, .. }) = (self.now, &mut self.nodes[node]);
         if let Some(plane) = plane {
-            plane.learn(now, revision, cached_endpoints);
+            plane.set_list(now, revision, cached_endpoints);
             self.run_plane(node);
         }
         if let Some(revision) = revision.filter(|_| self.planes.switch != Switch::Table) {
@@ -128,7 +131,7 @@
 
     /// Reports a new attempt to the node's plane; returns the plane's record of it.
     pub(super) fn plane_attempt_sent(&mut self, node: NodeId, server: &ServerId) -> Option<SentAttempt> {
-        self.nodes[node].plane.as_mut().and_then(|plane| plane.sent(server))
+        self.nodes[node].plane.as_mut().and_then(|plane| plane.record_sent(server))
     }
 
     /// Passes the end of an attempt to its node's plane, and counts attempts that a silent box did not answer.
@@ -141,7 +144,7 @@
         status: Status,
     ) {
         if let (Some(plane), Some(sent)) = (self.nodes[node].plane.as_mut(), sent) {
-            plane.ended(sent, status);
+            plane.record_outcome(sent, status);
         }
         let unanswered = matches!(status, Status::TimedOut | Status::Unreachable | Status::Broken);
         if unanswered && self.boxes[to].silence_count > 0 {
@@ -171,7 +174,7 @@
     pub(super) fn record_placement_spread(&mut self) {
         let running = self.nodes.iter().filter(|state| state.alive);
         if let Some(oldest) = running.map(|state| state.placement_revision).min() {
-            self.planes.tally.all_place_by(self.now, oldest);
+            self.planes.tally.record_all_place_by(self.now, oldest);
         }
     }
 }
--- a/crates/simulation/src/world/policy_view.rs
+++ b/crates/simulation/src/world/policy_view.rs
@@ -56,21 +56,21 @@
             up: box_state.cache.is_up() && box_state.silence_count == 0 && !partitioned,
             slots,
             current_slots: slots * share,
-            demanded_slots: box_state.cache.wanted_slots() + box_state.in_transit,
+            demanded_slots: box_state.cache.slot_demand() + box_state.in_transit,
             can_fetch: box_state.cache.may_fetch(),
         }
     }
 
     fn keeps(&self, at: usize, request: RequestId) -> bool {
         let key = self.key(request);
-        key.is_some_and(|key| self.boxes[at].cache.keeps(self.now, key, self.planner.version(key)))
+        key.is_some_and(|key| self.boxes[at].cache.has_valid_copy(self.now, key, self.planner.version(key)))
     }
 
     fn fetches(&self, at: usize, request: RequestId) -> bool {
-        self.key(request).is_some_and(|key| self.boxes[at].cache.fetches(key))
+        self.key(request).is_some_and(|key| self.boxes[at].cache.would_join_fetch(key))
     }
 
     fn planner(&self) -> TruePlanner {
-        self.planner.truth()
+        self.planner.actual_state()
     }
 }
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -159,10 +159,10 @@
                 policies[node].handle(now, decisions::Event::ClientLeft(id), &view, &mut actions);
                 continue;
             };
-            if !self.boxes[to].cache.keeps(Time::ZERO, key, 0) {
+            if !self.boxes[to].cache.has_valid_copy(Time::ZERO, key, 0) {
                 // Remaining lifetimes are uniform, so that copies do not expire together.
-                let fresh_for = self.day.boxes[to].ttl * rng.unit();
-                self.boxes[to].cache.fill(key, self.keys.bytes(key), Time::ZERO + fresh_for);
+                let fresh_for = self.day.boxes[to].ttl * rng.uniform();
+                self.boxes[to].cache.preload(key, self.keys.bytes(key), Time::ZERO + fresh_for);
             }
             let outcome = Outcome {
                 request: id,
@@ -185,7 +185,7 @@
                 self.record_box_up(b, false);
             }
         }
-        let snapshot = self.list.whole();
+        let snapshot = self.list.complete_list();
         for node in 0..self.nodes.len() {
             self.record(Event::NodeUp { node });
             self.nodes[node].cached_endpoints = snapshot.listings.iter().map(|l| self.entry(*l)).collect();
--- a/crates/simulation/src/world/tries.rs
+++ b/crates/simulation/src/world/tries.rs
@@ -55,7 +55,7 @@
     /// Handles a try whose last byte has reached its node; the node accepts it if it runs and is not stopping.
     pub(super) fn accept_try(&mut self, id: TryId) {
         let Some(t) = self.clients.open_try(id) else { return };
-        let (node, ask, until, first_byte) = (t.node, t.ask, t.until, self.now.back(t.writing));
+        let (node, ask, until, first_byte) = (t.node, t.ask, t.until, self.now.saturating_sub(t.writing));
         let state = &self.nodes[node];
         let generation = state.generation;
         if !state.alive || state.accepts_until.is_some_and(|at| self.now >= at) {
@@ -72,10 +72,13 @@
         let (class, tenant, key, work, hint) = (a.class, a.tenant, a.key, a.work, a.hint);
         let write = self.day.classes[class].write.then_some(a.effect);
         self.record(Event::TryAccepted { id, ask, node, until });
-        let deadline = until.back(CLIENT_DELAY_MARGIN);
+        let deadline = until.saturating_sub(CLIENT_DELAY_MARGIN);
         let accepted = AcceptedTry { key, work, write, deadline, answered: false, attempts: Vec::new() };
         self.nodes[node].tries.insert(id, accepted);
-        self.schedule_at(deadline.back(Span(2_500)), ScheduledEvent::AnswerDeadline { node, generation, id });
+        self.schedule_at(
+            deadline.saturating_sub(Span(2_500)),
+            ScheduledEvent::AnswerDeadline { node, generation, id },
+        );
         let request = NewRequest {
             id: RequestId(id),
             time_left: deadline.since(self.now).as_secs(),
--- a/crates/simulation/tests/cache_box.rs
+++ b/crates/simulation/tests/cache_box.rs
@@ -81,7 +81,7 @@
     fn run_until(&mut self, ms: u64) -> Vec<(u64, BoxOutput)> {
         let (end, mut all) = (Time(ms * US_PER_MS), Vec::new());
         while let Some(at) =
-            self.cache.wakes(self.now).map(|at| at.max(self.now + Span(1))).filter(|at| *at <= end)
+            self.cache.next_wake(self.now).map(|at| at.max(self.now + Span(1))).filter(|at| *at <= end)
         {
             self.now = at;
             self.cache.wake(at, &self.planner, &mut self.out);
@@ -92,7 +92,7 @@
     }
 
     fn fetched(&mut self, id: u64, version: Option<u64>) -> Vec<BoxOutput> {
-        self.cache.fetched(self.now, id, version, |_| 100, &self.planner, &mut self.out);
+        self.cache.on_planner_reply(self.now, id, version, |_| 100, &self.planner, &mut self.out);
         std::mem::take(&mut self.out)
     }
 }
@@ -112,7 +112,7 @@
 #[test]
 fn hits_are_served_in_order_and_a_full_queue_rejects() {
     let mut harness = TestHarness::new(spec());
-    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.preload(1, 100, Time(u64::MAX));
     for token in 1..=2 {
         assert_eq!(harness.read(token, 1, 10), []);
     }
@@ -121,13 +121,13 @@
         harness.run_until(100),
         [(10, served(1, CacheNote::Hit, 0)), (20, served(2, CacheNote::Hit, 0))]
     );
-    assert_eq!(harness.cache.held(), 0);
+    assert_eq!(harness.cache.request_count(), 0);
 }
 
 #[test]
 fn two_slowdowns_multiply_and_end_separately() {
     let mut harness = TestHarness::new(spec());
-    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.preload(1, 100, Time(u64::MAX));
     harness.cache.slow_by(harness.now, 2.0);
     harness.cache.slow_by(harness.now, 3.0);
     harness.read(1, 1, 10);
@@ -140,7 +140,7 @@
 #[test]
 fn requests_in_service_share_the_cores() {
     let mut harness = TestHarness::new(BoxSpec { slots: 2, ..spec() });
-    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.preload(1, 100, Time(u64::MAX));
     harness.read(1, 1, 10);
     harness.read(2, 1, 30);
     // Both run at half speed until the first ends; then the second gets the whole core.
@@ -176,21 +176,21 @@
         [(10, served(1, CacheNote::Miss, 0))],
         "a request from before the write may get the old version"
     );
-    assert_eq!(harness.cache.kept(), 0, "no copy for requests after the write");
+    assert_eq!(harness.cache.cached_copies(), 0, "no copy for requests after the write");
     assert_eq!(planner_call(&harness.read(2, 1, 10)).key, 1);
 }
 
 #[test]
 fn a_write_goes_to_the_planner_and_drops_the_copy() {
     let mut harness = TestHarness::new(spec());
-    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.preload(1, 100, Time(u64::MAX));
     harness.job(1, 1, 10, true);
     let outputs = harness.run_until(10);
     let ask = planner_call(&outputs.into_iter().map(|(_, out)| out).collect::<Vec<_>>());
     assert_eq!(ask.write, Some(Some(1)));
     harness.planner.change(1);
     assert_eq!(harness.fetched(ask.id, Some(1)), [served(1, CacheNote::Hit, 1)]);
-    assert_eq!(harness.cache.kept(), 0);
+    assert_eq!(harness.cache.cached_copies(), 0);
 }
 
 #[test]
@@ -221,7 +221,7 @@
 #[test]
 fn cancelled_requests_that_wait_are_dropped_and_running_ones_go_on() {
     let mut harness = TestHarness::new(spec());
-    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.preload(1, 100, Time(u64::MAX));
     harness.read(1, 1, 10);
     harness.read(2, 1, 10);
     for token in 1..=2 {
@@ -233,10 +233,10 @@
 #[test]
 fn a_restarted_box_is_cold_and_empty_and_falls_over_when_overloaded() {
     let mut harness = TestHarness::new(BoxSpec { waiting: 10_000, ..spec() });
-    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.preload(1, 100, Time(u64::MAX));
     harness.now = Time(1000 * US_PER_MS);
     harness.cache.start(harness.now);
-    assert_eq!((harness.cache.kept(), harness.cache.slow_start_factor(harness.now)), (0, 0.25));
+    assert_eq!((harness.cache.cached_copies(), harness.cache.slow_start_factor(harness.now)), (0, 0.25));
     // Allowed are 3 x 0.25 cores x 3 s, or N = 22.5 requests of 0.1 s. As N is under 30, the limit is
     // N + 3 √N + 3 = 39.73 requests within 3 s, whether an incident slows the box or not. Rejected work counts as well.
     harness.cache.slow_by(harness.now, 4.0);
@@ -255,7 +255,7 @@
 fn connections_are_bounded_cost_work_and_are_released() {
     let mut harness =
         TestHarness::new(BoxSpec { connections: 2, connection_work: Span::from_millis(4), ..spec() });
-    harness.cache.fill(1, 100, Time(u64::MAX));
+    harness.cache.preload(1, 100, Time(u64::MAX));
     let mut out = Vec::new();
     assert!(harness.cache.connect(harness.now, &mut out) && harness.cache.connect(harness.now, &mut out));
     assert!(!harness.cache.connect(harness.now, &mut out));
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -34,7 +34,7 @@
     let day = Scenario::parse(&text).expect("a scenario").draw(seed).expect("a drawn scenario");
     let silent_reports = Arc::new(Mutex::new(0));
     let start = |settings, seed| {
-        let inner = policy::module(settings, seed)?;
+        let inner = policy::balancer_policy(settings, seed)?;
         Ok(Box::new(RecordingPolicy { inner, silent_reports: silent_reports.clone() }) as Box<dyn Policy>)
     };
     let (mut events, mut referee) = (String::new(), InvariantChecker::new(&day));
--- a/crates/simulation/tests/referee/departed_clients.rs
+++ b/crates/simulation/tests/referee/departed_clients.rs
@@ -1,6 +1,6 @@
 //! Clients that have disconnected or cancelled: no attempt starts for them.
 
-use hallpin_simulation::history::lenient;
+use hallpin_simulation::history::with_leeway;
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
@@ -29,7 +29,7 @@
 fn violations(times: u64, after: u64, first: bool) -> Vec<(Rule, u64)> {
     let listed = (0..2).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
     let events = (1..=times).fold(listed, |events, id| with(events, attempt_after_leaving(id, after, first)));
-    let day = lenient(&day(), Span::from_millis(50));
+    let day = with_leeway(&day(), Span::from_millis(50));
     check(&day, &events).violations.into_iter().collect()
 }
 
@@ -59,7 +59,7 @@
     };
     let mut day = day();
     day.rules.answer_grace = Span::from_millis(500);
-    for day in [day.clone(), lenient(&day, Span::from_millis(50))] {
+    for day in [day.clone(), with_leeway(&day, Span::from_millis(50))] {
         let violations =
             |after| check(&day, &attempt_after_leaving(after)).violations.into_iter().collect::<Vec<_>>();
         assert_eq!(violations(100), []);
--- a/crates/simulation/tests/referee/wait_budget.rs
+++ b/crates/simulation/tests/referee/wait_budget.rs
@@ -1,6 +1,6 @@
 //! Wait time that an attempt carries to its cache server.
 
-use hallpin_simulation::history::lenient;
+use hallpin_simulation::history::with_leeway;
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
@@ -46,7 +46,7 @@
 /// An attempt is seen on a socket later than it was sent, so the client has less time left.
 #[test]
 fn seen_through_a_socket_the_slack_includes_the_leeway() {
-    let day = lenient(&day(), Span::from_millis(50));
+    let day = with_leeway(&day(), Span::from_millis(50));
     let violations = |wait| {
         let verdict = check(&day, &request(vec![attempt_with_wait(200, 0, wait)]));
         verdict.violations.into_iter().collect::<Vec<_>>()
--- a/crates/simulation/tests/terms.rs
+++ b/crates/simulation/tests/terms.rs
@@ -17,7 +17,7 @@
         events.push((at, event.clone()));
         checker.record(at, event);
     };
-    let _ = World::new(&day, &policy::module, sink).expect("a world").run();
+    let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
     (events, checker.verdict())
 }
 
--- a/crates/simulation/tests/trouble.rs
+++ b/crates/simulation/tests/trouble.rs
@@ -28,7 +28,7 @@
         events.push((at, event.clone()));
         referee.record(at, event);
     };
-    let _ = World::new(day, &policy::module, sink).expect("a world").run();
+    let _ = World::new(day, &policy::balancer_policy, sink).expect("a world").run();
     (events, referee.verdict())
 }
 
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -27,7 +27,7 @@
         text.push('\n');
         hallpin_simulation::trace::Sink::record(&mut referee, at, event);
     };
-    let _ = World::new(&day, &policy::module, sink).expect("a world").run();
+    let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
     (text, referee.verdict())
 }
 
@@ -140,9 +140,10 @@
 #[test]
 fn abandoned_requests_need_no_answer() {
     let mut scenario = scenario("");
-    scenario.clients.abandons = hallpin_simulation::range::Range::one(0.3);
+    scenario.clients.abandons = hallpin_simulation::range::Range::single(0.3);
     let day = scenario.draw(1).expect("a day");
-    let referee = World::new(&day, &policy::module, InvariantChecker::new(&day)).expect("a world").run().sink;
+    let referee =
+        World::new(&day, &policy::balancer_policy, InvariantChecker::new(&day)).expect("a world").run().sink;
     let verdict = referee.verdict();
     assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(verdict.losses.contains_key(&Loss::NoAnswer), "{:?}", verdict.losses);
@@ -189,8 +190,8 @@
 fn a_retry_during_its_first_try_is_answered_once() {
     let mut scenario =
         scenario("[[incidents]]\nkind = \"slow\"\nat = \"2s\"\nlasts = \"15s\"\npart = 1.0\nfactor = 12.0\n");
-    scenario.clients.rate = hallpin_simulation::range::Range::one(20.0);
-    scenario.clients.retries = hallpin_simulation::range::Range::one(2);
+    scenario.clients.rate = hallpin_simulation::range::Range::single(20.0);
+    scenario.clients.retries = hallpin_simulation::range::Range::single(2);
     let day = scenario.draw(4).expect("a day");
     let (mut tries, mut received, mut retries) =
         (std::collections::BTreeMap::new(), std::collections::BTreeMap::new(), 0);
@@ -207,7 +208,7 @@
         }
         hallpin_simulation::trace::Sink::record(&mut referee, at, event);
     };
-    let _ = World::new(&day, &policy::module, sink).expect("a world").run();
+    let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
     let verdict = referee.verdict();
     assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(retries > 20, "{retries} retries");
@@ -311,7 +312,7 @@
     let day = day.expect("a day");
     let mut referee = InvariantChecker::new(&day);
     let sink = |at: Time, event: &Event| hallpin_simulation::trace::Sink::record(&mut referee, at, event);
-    let _ = World::new(&day, &policy::module, sink).expect("a world").run();
+    let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
     referee.verdict()
 }
 
