--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -6,8 +6,8 @@
 
 use bytes::BytesMut;
 use hallpin_protocol::cache_server::{self, Call};
-use hallpin_simulation::day::NodeId;
 use hallpin_simulation::list::BoxId;
+use hallpin_simulation::run_spec::NodeId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{oneshot, watch};
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use hallpin_simulation::day::NodeId;
 use hallpin_simulation::list::{Listing, Phase, WatchEvent};
+use hallpin_simulation::run_spec::NodeId;
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
--- a/crates/emulator/src/sockets/error.rs
+++ b/crates/emulator/src/sockets/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use hallpin_simulation::day::NodeId;
+use hallpin_simulation::run_spec::NodeId;
 use hallpin_simulation::scenario::InvalidField;
 use hallpin_simulation::world::WorldError;
 
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -23,11 +23,11 @@
 use std::time::Duration;
 
 use hallpin_baselines::PolicyKind;
-use hallpin_simulation::day::RunSpec;
 use hallpin_simulation::history::{with_leeway, Header};
+use hallpin_simulation::invariants::InvariantChecker;
 use hallpin_simulation::plane::Tally;
 use hallpin_simulation::policy;
-use hallpin_simulation::referee::InvariantChecker;
+use hallpin_simulation::run_spec::RunSpec;
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::Event;
--- a/crates/emulator/src/sockets/node.rs
+++ b/crates/emulator/src/sockets/node.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use hallpin_simulation::day::NodeId;
+use hallpin_simulation::run_spec::NodeId;
 use hallpin_simulation::trace::Event;
 use rustix::process::Signal;
 use serde_json::json;
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -4,8 +4,8 @@
 use hallpin_baselines::PolicyKind;
 use hallpin_emulator::run_scenario;
 use hallpin_simulation::history::{check_history, HistoryError};
+use hallpin_simulation::invariants::{Rule, Verdict};
 use hallpin_simulation::plane::Switch;
-use hallpin_simulation::referee::{Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use serde_json::{json, Value};
 
--- a/crates/fault-harness/src/fakes/discovery.rs
+++ b/crates/fault-harness/src/fakes/discovery.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hallpin_emulator::agent::Agent;
-use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::list::{self, Listing, Phase, WatchEvent};
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::time::{Span, Time};
 use serde_json::{json, Value};
 use tokio::sync::watch;
--- a/crates/fault-harness/src/fakes/load.rs
+++ b/crates/fault-harness/src/fakes/load.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::time::Span;
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
--- a/crates/fault-harness/src/harness/inject.rs
+++ b/crates/fault-harness/src/harness/inject.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::list::Phase;
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::time::Span;
 use tokio::net::UdpSocket;
 use tokio::time::{interval, Instant};
--- a/crates/fault-harness/src/process/config.rs
+++ b/crates/fault-harness/src/process/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a node's process, in the form in which the platform writes it.
 
-use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::random::RandomStream;
 use serde_json::{json, Value};
 
 use super::NodeAddresses;
--- a/crates/fault-harness/src/relay/fate.rs
+++ b/crates/fault-harness/src/relay/fate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::time::Span;
 use serde::{Deserialize, Serialize};
 
--- a/crates/fault-harness/src/relay/network.rs
+++ b/crates/fault-harness/src/relay/network.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::random::RandomStream;
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
--- a/crates/fault-harness/tests/relay.rs
+++ b/crates/fault-harness/tests/relay.rs
@@ -9,7 +9,7 @@
 use hallpin_emulator::loopback;
 use hallpin_fault_harness::relay::{Conditions, DatagramMesh, Fate, Network, Site, TcpLink};
 use hallpin_fault_harness::trace::{Event, Recorder};
-use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::time::Span;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
--- a/crates/fleet-test/src/gate/floors.rs
+++ b/crates/fleet-test/src/gate/floors.rs
@@ -1,8 +1,8 @@
 //! Floors for the classes, tenants and thirds of a run: of each, a minimum share of what the late-seeing policy serves
 //! must be served.
 
-use hallpin_simulation::day::Effect;
-use hallpin_simulation::referee::{Second, Verdict};
+use hallpin_simulation::invariants::{Second, Verdict};
+use hallpin_simulation::run_spec::Effect;
 use serde::Serialize;
 
 use crate::day::Day;
@@ -102,7 +102,7 @@
 
 #[cfg(test)]
 mod tests {
-    use hallpin_simulation::referee::{InvariantChecker, Worth};
+    use hallpin_simulation::invariants::{InvariantChecker, Worth};
     use hallpin_simulation::scenario::Scenario;
 
     use super::super::Finding;
--- a/crates/fleet-test/src/gate/metrics.rs
+++ b/crates/fleet-test/src/gate/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallpin_simulation::referee::{ClassVerdict, Loss, Rule, Verdict};
+use hallpin_simulation::invariants::{ClassVerdict, Loss, Rule, Verdict};
 use serde::Serialize;
 
 /// Metrics of one simulation run.
--- a/crates/fleet-test/src/gate/mod.rs
+++ b/crates/fleet-test/src/gate/mod.rs
@@ -5,7 +5,7 @@
 mod metrics;
 
 use hallpin_balancer::Sizes;
-use hallpin_simulation::referee::{Rule, Verdict};
+use hallpin_simulation::invariants::{Rule, Verdict};
 use hallpin_simulation::time::Time;
 use serde::Serialize;
 
--- a/crates/fleet-test/src/play.rs
+++ b/crates/fleet-test/src/play.rs
@@ -7,8 +7,8 @@
 use hallpin_balancer::Sizes;
 use hallpin_baselines::PolicyKind;
 use hallpin_emulator::{run_scenario, RunError, RunResult};
+use hallpin_simulation::invariants::Verdict;
 use hallpin_simulation::plane::{Switch, Tally};
-use hallpin_simulation::referee::Verdict;
 use hallpin_simulation::scenario::{Scenario, ScenarioFileError};
 use serde::Serialize;
 
--- a/crates/fleet-test/src/report.rs
+++ b/crates/fleet-test/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use hallpin_simulation::referee::Loss;
+use hallpin_simulation::invariants::Loss;
 
 use crate::day::Day;
 use crate::play::{Result, Trial};
--- a/crates/hallpin/src/emulate.rs
+++ b/crates/hallpin/src/emulate.rs
@@ -8,7 +8,7 @@
 use hallpin_baselines::{PolicyKind, DEFAULT_LATE_SEEING_DELAY_MS};
 use hallpin_emulator::{run_all, run_scenario, RunResult};
 use hallpin_loadgen::{chart, table};
-use hallpin_simulation::referee::Verdict;
+use hallpin_simulation::invariants::Verdict;
 
 use crate::failure::{self, Failure};
 use crate::plane_parts::PlaneParts;
--- a/crates/hallpin/src/load.rs
+++ b/crates/hallpin/src/load.rs
@@ -13,8 +13,8 @@
 use hallpin_loadgen::load::report::{self, Report};
 use hallpin_loadgen::load::schedule::{Arrivals, RateProfile, RecordedRequest, Spacing};
 use hallpin_loadgen::load::{self, LoadSpec, Progress};
-use hallpin_simulation::day::KeysSpec;
 use hallpin_simulation::history::Header;
+use hallpin_simulation::run_spec::KeysSpec;
 use serde::Deserialize;
 
 use crate::failure::{self, Failure};
--- a/crates/loadgen/src/chart.rs
+++ b/crates/loadgen/src/chart.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use hallpin_simulation::referee::Verdict;
+use hallpin_simulation::invariants::Verdict;
 use plotters::prelude::*;
 
 /// Error of drawing a chart or writing its file.
@@ -50,7 +50,7 @@
     let share = |n: usize| if seconds[n].asked > 0.0 { seconds[n].served / seconds[n].asked } else { 1.0 };
     let request_seconds = seconds.iter().rposition(|s| s.requests > 0).map_or(0, |n| n + 1);
     let served: Vec<f64> = (0..request_seconds).map(share).collect();
-    let per_second = |counter: &dyn Fn(&hallpin_simulation::referee::Second) -> u64| -> Vec<f64> {
+    let per_second = |counter: &dyn Fn(&hallpin_simulation::invariants::Second) -> u64| -> Vec<f64> {
         seconds.iter().map(|second| counter(second) as f64).collect()
     };
     draw_panel(
--- a/crates/loadgen/src/load/mix.rs
+++ b/crates/loadgen/src/load/mix.rs
@@ -1,8 +1,8 @@
 //! Random draw of each request's class, tenant and key. No I/O.
 
-use hallpin_simulation::chance::RandomStream;
-use hallpin_simulation::day::KeysSpec;
 use hallpin_simulation::keys::Keys;
+use hallpin_simulation::random::RandomStream;
+use hallpin_simulation::run_spec::KeysSpec;
 use hallpin_simulation::store::KeyId;
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::Distribution;
--- a/crates/loadgen/src/load/schedule.rs
+++ b/crates/loadgen/src/load/schedule.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hallpin_simulation::chance::RandomStream;
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::store::KeyId;
 
 /// Distribution of the gaps between requests.
--- a/crates/loadgen/src/table.rs
+++ b/crates/loadgen/src/table.rs
@@ -3,7 +3,7 @@
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
 use hallpin_emulator::RunResult;
-use hallpin_simulation::referee::{Rule, Verdict};
+use hallpin_simulation::invariants::{Rule, Verdict};
 
 use crate::statistics::quartiles;
 
@@ -83,7 +83,7 @@
     );
     let asked = verdict.all_requests.asked.max(1e-9);
     if !verdict.losses.is_empty() {
-        let loss_share = |(loss, worth): (&hallpin_simulation::referee::Loss, &f64)| {
+        let loss_share = |(loss, worth): (&hallpin_simulation::invariants::Loss, &f64)| {
             format!("{loss:?} {:.1} %", worth * 100.0 / asked)
         };
         let losses: Vec<String> = verdict.losses.iter().map(loss_share).collect();
--- a/crates/loadgen/tests/load.rs
+++ b/crates/loadgen/tests/load.rs
@@ -9,7 +9,7 @@
 use hallpin_loadgen::load::results::{Outcome, RunResults};
 use hallpin_loadgen::load::schedule::{Arrivals, RateProfile, RecordedRequest, Spacing};
 use hallpin_loadgen::load::{run, LoadError, LoadSpec, Progress};
-use hallpin_simulation::day::KeysSpec;
+use hallpin_simulation::run_spec::KeysSpec;
 
 fn spec(target: &FakeServer, rate: f64, length: Duration) -> LoadSpec {
     let class = |name: &str, share, writes| ClassShare { name: name.into(), share, writes };
--- a/crates/simulation/src/cache_box/mod.rs
+++ b/crates/simulation/src/cache_box/mod.rs
@@ -20,8 +20,8 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-use crate::chance::RandomStream;
 use crate::planner::{Planner, PlannerCall};
+use crate::random::RandomStream;
 use crate::store::{KeyId, Store};
 use crate::time::{Span, Time};
 use requests::{Fetch, PendingRequest, ServiceEnd, Stage};
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -2,9 +2,9 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::chance::{RandomStream, Spread};
-use crate::day::{Effect, Entry, HastyClients, NodeId, RunSpec, SlowWriters};
 use crate::keys::Keys;
+use crate::random::{RandomStream, Spread};
+use crate::run_spec::{Effect, Entry, HastyClients, NodeId, RunSpec, SlowWriters};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 use crate::trace::{AskId, Event, TryId, TryOutcome};
@@ -85,9 +85,9 @@
 
 /// All clients of a scenario.
 pub struct Clients {
-    classes: Vec<crate::day::ClassSpec>,
-    tenants: Vec<crate::day::TenantSpec>,
-    spec: crate::day::ClientsSpec,
+    classes: Vec<crate::run_spec::ClassSpec>,
+    tenants: Vec<crate::run_spec::TenantSpec>,
+    spec: crate::run_spec::ClientsSpec,
     length: Span,
     rng: RandomStream,
     attempt_rng: RandomStream,
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,8 +1,8 @@
 //! Network faults between machines: lost answers, reset connections, lost messages and late lists. Used for days in
 //! virtual time and for days over sockets.
 
-use crate::chance::RandomStream;
-use crate::day::FaultEvent;
+use crate::random::RandomStream;
+use crate::run_spec::FaultEvent;
 use crate::time::Span;
 
 /// What happens to an answer on its way to its node.
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -9,8 +9,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::day::RunSpec;
-use crate::referee::{InvariantChecker, Verdict};
+use crate::invariants::{InvariantChecker, Verdict};
+use crate::run_spec::RunSpec;
 use crate::scenario::Scenario;
 use crate::time::{Span, Time};
 use crate::trace::{AskId, AttemptOutcome, Event, Line, Sink, TryId};
--- a/crates/simulation/src/referee/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -23,8 +23,8 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::day::{Effect, NodeId, RunSpec};
 use crate::list::{BoxId, Phase};
+use crate::run_spec::{Effect, NodeId, RunSpec};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 use crate::trace::{AskId, AttemptOutcome, Event, Sink, TryId, TryOutcome};
--- a/crates/simulation/src/referee/parameters.rs
+++ b/crates/simulation/src/invariants/parameters.rs
@@ -1,6 +1,6 @@
 //! Parameters of the rules, taken from the settings of a run.
 
-use crate::day::{Effect, GoalSpec, RunSpec};
+use crate::run_spec::{Effect, GoalSpec, RunSpec};
 use crate::time::Span;
 
 /// Parameters of the rules for one run.
--- a/crates/simulation/src/referee/verdict.rs
+++ b/crates/simulation/src/invariants/verdict.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::day::{Effect, RunSpec};
+use crate::run_spec::{Effect, RunSpec};
 use crate::time::Time;
 
 /// The four rules, and the operators' further requirements on rejections, disconnected clients and restarts.
@@ -193,7 +193,7 @@
 impl Verdict {
     /// Creates the result of a run without any events.
     pub(super) fn new(day: &RunSpec) -> Self {
-        let class = |c: &crate::day::ClassSpec| ClassVerdict {
+        let class = |c: &crate::run_spec::ClassSpec| ClassVerdict {
             name: c.name.clone(),
             effect: c.effect,
             worth: Worth::default(),
--- a/crates/simulation/src/keys.rs
+++ b/crates/simulation/src/keys.rs
@@ -4,8 +4,8 @@
 use rand_distr::weighted::{Error, WeightedAliasIndex};
 use rand_distr::Distribution;
 
-use crate::chance::{RandomStream, Spread};
-use crate::day::KeysSpec;
+use crate::random::{RandomStream, Spread};
+use crate::run_spec::KeysSpec;
 use crate::store::KeyId;
 
 /// All keys of a scenario.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -7,13 +7,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agenda;
 pub mod cache_box;
-pub mod chance;
 pub mod clients;
-pub mod day;
+pub mod event_queue;
 pub mod faults;
 pub mod history;
+pub mod invariants;
 pub mod keys;
 pub mod list;
 mod locate;
@@ -21,8 +20,9 @@
 pub mod plane;
 pub mod planner;
 pub mod policy;
+pub mod random;
 pub mod range;
-pub mod referee;
+pub mod run_spec;
 pub mod scenario;
 pub mod store;
 pub mod time;
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -6,8 +6,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::chance::{RandomStream, Spread};
 use crate::policy::TruePlanner;
+use crate::random::{RandomStream, Spread};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 
--- a/crates/simulation/src/range.rs
+++ b/crates/simulation/src/range.rs
@@ -8,7 +8,7 @@
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::chance::RandomStream;
+use crate::random::RandomStream;
 use crate::time::Span;
 
 /// A size in bytes, written with its unit: `64KiB`.
--- a/crates/simulation/src/day/mod.rs
+++ b/crates/simulation/src/run_spec/mod.rs
@@ -6,9 +6,9 @@
 mod settings;
 
 use crate::cache_box::BoxSpec;
-use crate::chance::Spread;
 use crate::list::BoxId;
 use crate::planner::PlannerSpec;
+use crate::random::Spread;
 use crate::time::{Span, Time};
 pub use incident::{FaultEvent, HastyClients, ScheduledFault, SlowWriters, StopTimings, WatchSilence};
 pub use rules::{GoalSpec, LimitsSpec, PricesSpec, RulesSpec};
--- a/crates/simulation/src/scenario/draw/boxes.rs
+++ b/crates/simulation/src/scenario/draw/boxes.rs
@@ -2,7 +2,7 @@
 
 use super::super::{BoxKind, Scenario};
 use crate::cache_box::BoxSpec;
-use crate::chance::RandomStream;
+use crate::random::RandomStream;
 use crate::time::Span;
 
 impl Scenario {
--- a/crates/simulation/src/scenario/draw/incidents.rs
+++ b/crates/simulation/src/scenario/draw/incidents.rs
@@ -3,9 +3,9 @@
 use super::super::{s, BoxKind, ClassFile, IncidentFile, IncidentKind, Scenario};
 use super::boxes::KindValues;
 use crate::cache_box::BoxSpec;
-use crate::chance::RandomStream;
-use crate::day::{FaultEvent, HastyClients, ScheduledFault, SlowWriters, StopTimings, WatchSilence};
+use crate::random::RandomStream;
 use crate::range::Range;
+use crate::run_spec::{FaultEvent, HastyClients, ScheduledFault, SlowWriters, StopTimings, WatchSilence};
 use crate::time::{Span, Time};
 
 /// Range of the time after SIGTERM in which new connections keep arriving.
--- a/crates/simulation/src/scenario/draw/mod.rs
+++ b/crates/simulation/src/scenario/draw/mod.rs
@@ -5,12 +5,12 @@
 
 use super::{ClassFile, InvalidField, Scenario, TenantFile};
 use crate::cache_box::BoxSpec;
-use crate::chance::{RandomStream, Spread};
-use crate::day::{
+use crate::planner::PlannerSpec;
+use crate::random::{RandomStream, Spread};
+use crate::run_spec::{
     mean_work, ClassSpec, ClientsSpec, GoalSpec, KeysSpec, ListSpec, NetworkSpec, NodeTimings, PricesSpec,
     RulesSpec, RunSpec, ScheduledFault, TenantSpec,
 };
-use crate::planner::PlannerSpec;
 use crate::time::{Span, Time};
 use boxes::KindValues;
 use incidents::DrawnRun;
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -16,8 +16,8 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::day::LimitsSpec;
 use crate::range::Range;
+use crate::run_spec::LimitsSpec;
 use crate::time::Span;
 pub use boxes::BoxKind;
 pub use fleet::{ListFile, NetworkFile, Nodes, PlannerFile};
--- a/crates/simulation/src/scenario/request_load.rs
+++ b/crates/simulation/src/scenario/request_load.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::{ms, s};
-use crate::chance::Spread;
-use crate::day::{Effect, Entry};
+use crate::random::Spread;
 use crate::range::{Bytes, Range};
+use crate::run_spec::{Effect, Entry};
 use crate::time::Span;
 
 /// A point of the request rate's curve.
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -4,7 +4,7 @@
 
 use super::fields::check_fields;
 use super::{s, IncidentFile, IncidentKind, InvalidField, Scenario};
-use crate::day::Effect;
+use crate::run_spec::Effect;
 
 impl Scenario {
     /// Checks the scenario for invalid or contradictory values.
--- a/crates/simulation/src/trace/event.rs
+++ b/crates/simulation/src/trace/event.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{AskId, AttemptOutcome, TryId, TryOutcome};
-use crate::day::NodeId;
 use crate::list::{BoxId, Phase};
+use crate::run_spec::NodeId;
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -27,11 +27,9 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
 
-use crate::agenda::EventQueue;
 use crate::cache_box::{BoxAnswer, BoxOutput, CacheBox, Job};
-use crate::chance::RandomStream;
 use crate::clients::{ClientOutput, Clients, Reply};
-use crate::day::{Entry, FaultEvent, NodeId, RunSpec, StopTimings};
+use crate::event_queue::EventQueue;
 use crate::faults::{AnswerFate, NetworkFaults};
 use crate::keys::Keys;
 use crate::list::{BoxId, List, Listing, Phase, WatchEvent};
@@ -39,6 +37,8 @@
 use crate::plane::{PlaneError, Tally};
 use crate::planner::{Planner, PlannerCall};
 use crate::policy::{Policy, PolicyFactory, TrueBox, TruePlanner, WorldView};
+use crate::random::RandomStream;
+use crate::run_spec::{Entry, FaultEvent, NodeId, RunSpec, StopTimings};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
 use crate::trace::{Event, Sink, TryId, TryOutcome};
--- a/crates/simulation/tests/cache_box.rs
+++ b/crates/simulation/tests/cache_box.rs
@@ -2,8 +2,8 @@
 
 use hallpin_balancer::CacheNote;
 use hallpin_simulation::cache_box::{BoxAnswer, BoxOutput, BoxSpec, CacheBox, Job};
-use hallpin_simulation::chance::RandomStream;
 use hallpin_simulation::planner::{Planner, PlannerCall};
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
 
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -3,9 +3,9 @@
 use std::sync::{Arc, Mutex};
 
 use hallpin_balancer::{Action, Event, FleetUpdate, Seconds};
+use hallpin_simulation::invariants::{InvariantChecker, Verdict};
 use hallpin_simulation::plane::{Switch, Tally};
 use hallpin_simulation::policy::{self, Policy, WorldView};
-use hallpin_simulation::referee::{InvariantChecker, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use hallpin_simulation::trace::{Event as TraceEvent, Sink};
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -9,10 +9,10 @@
     self as decisions, Action, AttemptId, Balancer, CacheNote, EndpointEntry, EndpointUpdate, Key,
     NewRequest, Outcome, RequestId, Seconds, ServerId, ServerState, Settings, Status, TimerToken,
 };
-use hallpin_simulation::chance::RandomStream;
-use hallpin_simulation::day::{Effect, RunSpec};
+use hallpin_simulation::invariants::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::{InvariantChecker, Rule, Verdict};
+use hallpin_simulation::random::RandomStream;
+use hallpin_simulation::run_spec::{Effect, RunSpec};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{Event, Sink, TryOutcome};
@@ -28,7 +28,7 @@
     let read = day.classes[0].clone();
     day.classes = [("read", Effect::Free), ("keyed", Effect::Guarded), ("once", Effect::SingleShot)]
         .into_iter()
-        .map(|(name, effect)| hallpin_simulation::day::ClassSpec {
+        .map(|(name, effect)| hallpin_simulation::run_spec::ClassSpec {
             name: name.into(),
             effect,
             ..read.clone()
--- a/crates/simulation/tests/referee/departed_clients.rs
+++ b/crates/simulation/tests/referee/departed_clients.rs
@@ -1,8 +1,8 @@
 //! Clients that have disconnected or cancelled: no attempt starts for them.
 
 use hallpin_simulation::history::with_leeway;
+use hallpin_simulation::invariants::Rule;
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
 use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
--- a/crates/simulation/tests/referee/events.rs
+++ b/crates/simulation/tests/referee/events.rs
@@ -1,8 +1,8 @@
 //! Builders of events, and helpers that run the invariant checker on them.
 
-use hallpin_simulation::day::{Effect, RunSpec};
+use hallpin_simulation::invariants::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::{InvariantChecker, Rule, Verdict};
+use hallpin_simulation::run_spec::{Effect, RunSpec};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryOutcome};
--- a/crates/simulation/tests/referee/faults.rs
+++ b/crates/simulation/tests/referee/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of cache servers, of the origin and of other clients don't excuse a missing final answer.
 
+use hallpin_simulation::invariants::Rule;
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
 use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
--- a/crates/simulation/tests/referee/notifications.rs
+++ b/crates/simulation/tests/referee/notifications.rs
@@ -1,7 +1,7 @@
 //! Time from which a change of the endpoint list counts as notified, for drains and cold starts.
 
+use hallpin_simulation::invariants::Rule;
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
--- a/crates/simulation/tests/referee/overload.rs
+++ b/crates/simulation/tests/referee/overload.rs
@@ -1,7 +1,7 @@
 //! Overload of cold boxes and of the planner.
 
+use hallpin_simulation::invariants::Rule;
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::Event;
 
--- a/crates/simulation/tests/referee/planned_restarts.rs
+++ b/crates/simulation/tests/referee/planned_restarts.rs
@@ -1,7 +1,7 @@
 //! Planned restarts: which requests count as lost when a node receives SIGTERM.
 
+use hallpin_simulation::invariants::{Loss, Rule};
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::{Loss, Rule};
 use hallpin_simulation::trace::{AttemptOutcome, Event};
 
 use crate::events::*;
--- a/crates/simulation/tests/referee/restarts.rs
+++ b/crates/simulation/tests/referee/restarts.rs
@@ -1,6 +1,6 @@
 //! Restarts: nine in ten restarted nodes must be ready within 10 s.
 
-use hallpin_simulation::referee::Rule;
+use hallpin_simulation::invariants::Rule;
 use hallpin_simulation::trace::Event;
 
 use crate::events::*;
--- a/crates/simulation/tests/referee/rules.rs
+++ b/crates/simulation/tests/referee/rules.rs
@@ -1,7 +1,7 @@
 //! Final answers, repeats, drains, prompt rejections, and worth.
 
+use hallpin_simulation::invariants::{InvariantChecker, Loss, Rule};
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::{InvariantChecker, Loss, Rule};
 use hallpin_simulation::time::Time;
 use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryOutcome};
 
@@ -254,8 +254,12 @@
 #[test]
 fn worth_beyond_the_quota_is_reduced_and_losses_are_distinguished() {
     let mut day = day();
-    day.tenants =
-        vec![hallpin_simulation::day::TenantSpec { name: "t".into(), share: 1.0, quota: 10.0, usage: 1.0 }];
+    day.tenants = vec![hallpin_simulation::run_spec::TenantSpec {
+        name: "t".into(),
+        share: 1.0,
+        quota: 10.0,
+        usage: 1.0,
+    }];
     let ask = |n: u64| {
         (100, Event::RequestStarted { ask: n, class: READ, tenant: Some(0), key: 1, work: 50_000.0 })
     };
--- a/crates/simulation/tests/terms.rs
+++ b/crates/simulation/tests/terms.rs
@@ -1,8 +1,8 @@
 //! Planned restarts, silent watches and new processes in virtual time, with timings of the node that keep or violate
 //! the rules.
 
+use hallpin_simulation::invariants::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::policy;
-use hallpin_simulation::referee::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use hallpin_simulation::trace::{Event, Sink};
--- a/crates/simulation/tests/trouble.rs
+++ b/crates/simulation/tests/trouble.rs
@@ -3,10 +3,10 @@
 
 use std::collections::HashSet;
 
-use hallpin_simulation::day::RunSpec;
+use hallpin_simulation::invariants::{InvariantChecker, Loss, Verdict};
 use hallpin_simulation::list::Phase;
 use hallpin_simulation::policy;
-use hallpin_simulation::referee::{InvariantChecker, Loss, Verdict};
+use hallpin_simulation::run_spec::RunSpec;
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryOutcome};
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -5,8 +5,8 @@
 use hallpin_balancer::{
     self as decisions, Action, AttemptId, EndpointUpdate, RequestId, ServerId, TimerToken,
 };
+use hallpin_simulation::invariants::{InvariantChecker, Loss, Rule, Verdict};
 use hallpin_simulation::policy::{self, Policy, WorldView};
-use hallpin_simulation::referee::{InvariantChecker, Loss, Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use hallpin_simulation::trace::{AttemptOutcome, Event, Line, TryOutcome};
