--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -193,7 +193,7 @@
         for out in outputs {
             match out {
                 OriginOutput::Record(event) => self.record(event),
-                OriginOutput::Answer { to, incarnation: incarnation, id, version } => {
+                OriginOutput::Answer { to, incarnation, id, version } => {
                     let one_way = self.day.network.same;
                     self.schedule_in(
                         one_way,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -265,7 +265,7 @@
     }
 
     /// Time of the next try, if the class allows a retry and the deadline leaves time for it. The backoff is
-    /// exponential with jitter, and at least the retry-after advice, up to `most_advice`, for clients that honour it.
+    /// exponential with jitter, and at least the retry-after advice, up to `max_retry_after`, for clients that honour it.
     /// Hasty clients retry after a short fixed delay instead.
     fn retry_time(&mut self, now: Time, ask: AskId, reply: Reply) -> Option<Time> {
         let request = self.asks.get(&ask)?;
--- a/crates/simulation/src/list.rs
+++ b/crates/simulation/src/list.rs
@@ -95,7 +95,7 @@
         self.changes_between(revision, self.revision())
     }
 
-    /// Like [`List::since`], for the list as it was at revision `until`. Where the complete list is due, that is the
+    /// Like [`List::changes_since`], for the list as it was at revision `until`. Where the complete list is due, that is the
     /// current one.
     pub fn changes_between(&self, revision: u64, until: u64) -> WatchEvent {
         let until = until.min(self.revision());
