--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -129,7 +129,7 @@
     mut path: BoxPath,
 ) {
     let box_id = path.box_id;
-    let idle_close = Duration::from_micros(environment.borrow().day.boxes[box_id].idle_close.0);
+    let idle_close = Duration::from_micros(environment.borrow().run_spec.boxes[box_id].idle_close.0);
     if path.observed_mode() != MachineMode::Open(incarnation) || !environment.borrow_mut().connected(box_id) {
         return loopback::reset_on_close(&stream);
     }
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -53,7 +53,7 @@
         let next_try = {
             let mut environment = environment.borrow_mut();
             let now = environment.now();
-            let open = match environment.day.clients.entry {
+            let open = match environment.run_spec.clients.entry {
                 Entry::Own => vec![true; nodes.len()],
                 Entry::Front => environment.nodes_up.clone(),
             };
@@ -152,11 +152,11 @@
 /// Encodes the command of a try and registers the try; returns its node and the command.
 fn prepare_command(environment: &SharedEnvironment, id: TryId) -> Option<(usize, TimedCommand)> {
     let mut environment = environment.borrow_mut();
-    let (now, day) = (environment.now(), environment.day.clone());
+    let (now, run_spec) = (environment.now(), environment.run_spec.clone());
     let (node, ask, until, writing) =
         environment.clients.open_try(id).map(|t| (t.node, t.ask, t.until, t.writing))?;
     let request = environment.clients.ask(ask)?.clone();
-    let class = &day.classes[request.class];
+    let class = &run_spec.classes[request.class];
     let opaque = format!("{id:x}");
     let effect = request.effect.map(|key| format!("{key:016x}"));
     let command = Ask {
@@ -164,7 +164,7 @@
         value: class.write.then_some(b"reported".as_slice()),
         opaque: &opaque,
         class: &class.name,
-        tenant: request.tenant.map(|t| day.tenants[t].name.as_str()),
+        tenant: request.tenant.map(|t| run_spec.tenants[t].name.as_str()),
         wait: Duration::from_micros(until.since(now).0),
         work: request.hint.map(Duration::from_secs_f64),
         effect_key: effect.as_deref(),
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -55,9 +55,9 @@
 
 /// Encodes a list as discovery does, with the addresses at which the boxes are reached from the node's depot.
 pub(super) fn list_json(environment: &Environment, node: NodeId, update: &WatchEvent) -> Value {
-    let depot = environment.day.nodes[node];
+    let depot = environment.run_spec.nodes[node];
     let member = |l: &Listing| {
-        let spec = &environment.day.boxes[l.cache_box];
+        let spec = &environment.run_spec.boxes[l.cache_box];
         let phase = match l.phase {
             Phase::Ready => "ready",
             Phase::Draining => "draining",
@@ -65,7 +65,7 @@
         };
         json!({
             "id": spec.id, "host_port": environment.addresses[l.cache_box][depot].to_string(),
-            "locality": environment.day.depots[spec.depot], "flavor": spec.kind, "cell": spec.cell,
+            "locality": environment.run_spec.depots[spec.depot], "flavor": spec.kind, "cell": spec.cell,
             "phase": phase, "size": spec.size, "up_since_ms": environment.unix_ms(l.started),
         })
     };
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -9,15 +9,15 @@
 
     /// Number of incidents that partition the nodes of a depot from a box.
     pub fn link(&self, from: usize, box_id: BoxId) -> watch::Receiver<u32> {
-        self.links[from * self.day.depots.len() + self.day.boxes[box_id].depot].subscribe()
+        self.links[from * self.run_spec.depots.len() + self.run_spec.boxes[box_id].depot].subscribe()
     }
 
     /// Draws the round-trip time between a node and a box, to be added to that of loopback.
     pub fn round_trip(&mut self, node: NodeId, box_id: BoxId) -> Duration {
-        let network = &self.day.network;
-        let same = self.day.nodes[node] == self.day.boxes[box_id].depot;
+        let network = &self.run_spec.network;
+        let same = self.run_spec.nodes[node] == self.run_spec.boxes[box_id].depot;
         let one_way = if same { network.same } else { network.cross };
-        let factor = (1.0 + network.jitter * self.chance.normal()).max(0.2);
+        let factor = (1.0 + network.jitter * self.rng.normal()).max(0.2);
         Duration::from_micros((one_way.0 as f64 * 2.0 * factor) as u64)
     }
 
@@ -71,7 +71,7 @@
         let (node, attempt) = (try_state.node, try_state.attempts);
         try_state.attempts += 1;
         let ask = self.clients.open_try(id).map(|t| (t.ask, t.until));
-        let crosses = self.day.nodes[node] != self.day.boxes[box_id].depot;
+        let crosses = self.run_spec.nodes[node] != self.run_spec.boxes[box_id].depot;
         let wait = Some(Span(command.wait.as_micros() as u64));
         self.record(Event::Sent { id, attempt, node, to: box_id, crosses, wait });
         // If the client has gone away, the request is no longer known; the box still does its work.
@@ -79,7 +79,7 @@
         let now = self.now();
         let (key, work, write, deadline) = match request {
             Some((a, until)) => {
-                let write = self.day.classes[a.class].write.then_some(a.effect);
+                let write = self.run_spec.classes[a.class].write.then_some(a.effect);
                 (a.key, a.work * self.clients.attempt_factor(), write, until)
             }
             None => (0, 1000.0, None, now),
@@ -121,7 +121,7 @@
                     self.record(Event::BoxCrashed { of: box_id });
                     self.end_process(box_id, MachineMode::Down);
                     self.schedule_in(
-                        self.day.list.notice,
+                        self.run_spec.list.notice,
                         ScheduledEvent::ListChanged(listing(box_id, Phase::Gone, None)),
                     );
                 }
@@ -144,7 +144,7 @@
         else {
             return;
         };
-        let load = if self.day.limits.reports { self.load(box_id) } else { Vec::new() };
+        let load = if self.run_spec.limits.reports { self.load(box_id) } else { Vec::new() };
         let (how, text) = match answer {
             BoxAnswer::Served { note, version } => {
                 let remarks = Remarks { note: Some(note), load };
@@ -167,7 +167,7 @@
             let hit = job.write.is_none().then_some(hit);
             self.record(Event::Worked { id, attempt, work: job.work, hit });
         }
-        let fate = self.faults.answer_fate(&mut self.chance);
+        let fate = self.faults.answer_fate(&mut self.rng);
         if fate == AnswerFate::Lost {
             // The connection stays open without an answer, until the node closes it.
             self.pending_attempts.insert(token, PendingAttempt { reply, id, attempt, box_id, opaque, job });
@@ -194,7 +194,7 @@
             match out {
                 OriginOutput::Record(event) => self.record(event),
                 OriginOutput::Answer { to, incarnation, id, version } => {
-                    let one_way = self.day.network.same;
+                    let one_way = self.run_spec.network.same;
                     self.schedule_in(
                         one_way,
                         ScheduledEvent::PlannerAnswers { to, incarnation, id, version },
@@ -237,13 +237,13 @@
         // every node as not informed of this start.
         let started = self.last_recorded_at;
         self.schedule_in(
-            self.day.list.add,
+            self.run_spec.list.add,
             ScheduledEvent::ListChanged(listing(box_id, Phase::Ready, Some(started))),
         );
     }
 
     pub(super) fn record_box_up(&mut self, of: BoxId, cold: bool) {
-        let spec = &self.day.boxes[of];
+        let spec = &self.run_spec.boxes[of];
         let (capacity, size, from, ramp) = (spec.capacity(), spec.size, spec.cold_from, spec.ramp);
         self.record(Event::BoxUp { of, capacity, size, cold, from, ramp });
     }
--- a/crates/emulator/src/sockets/environment/incidents.rs
+++ b/crates/emulator/src/sockets/environment/incidents.rs
@@ -4,8 +4,8 @@
 
 impl Environment {
     pub(super) fn incident_begins(&mut self, index: usize) {
-        let day = self.day.clone();
-        let scheduled = &day.fault_events[index];
+        let run_spec = self.run_spec.clone();
+        let scheduled = &run_spec.fault_events[index];
         self.record(Event::FaultBegins { incident: index, what: scheduled.incident.to_string() });
         let (now, mut outputs) = (self.now(), Vec::new());
         match &scheduled.incident {
@@ -37,13 +37,13 @@
             FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 let started = self.box_states[b].cache.started();
                 self.schedule_in(
-                    day.list.notice,
+                    run_spec.list.notice,
                     ScheduledEvent::ListChanged(listing(b, Phase::Draining, started)),
                 );
             }),
             FaultEvent::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
             FaultEvent::Burst { factor, share, keys } => {
-                let keys = self.chance.sample_indices(*keys as usize, day.keys.count as usize);
+                let keys = self.rng.sample_indices(*keys as usize, run_spec.keys.count as usize);
                 let keys = keys.into_iter().map(|key| key as u32).collect();
                 self.clients.set_surge(index, Some((*factor, *share, keys)));
             }
@@ -56,9 +56,9 @@
 
     pub(super) fn incident_ends(&mut self, index: usize) {
         self.record(Event::FaultEnds { incident: index });
-        let day = self.day.clone();
+        let run_spec = self.run_spec.clone();
         let (now, mut outputs) = (self.now(), Vec::new());
-        match &day.fault_events[index].incident {
+        match &run_spec.fault_events[index].incident {
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.end_box_silence(b)),
             FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| self.slow_box(b, 1.0 / factor)),
             FaultEvent::Erring(boxes, share) => {
@@ -75,7 +75,10 @@
             FaultEvent::PlannerSilent => self.origin.silence(now, false, &mut outputs),
             FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 self.stop_box(b);
-                self.schedule_in(day.list.notice, ScheduledEvent::ListChanged(listing(b, Phase::Gone, None)));
+                self.schedule_in(
+                    run_spec.list.notice,
+                    ScheduledEvent::ListChanged(listing(b, Phase::Gone, None)),
+                );
             }),
             FaultEvent::Burst { .. } => self.clients.set_surge(index, None),
             FaultEvent::Partition(pairs) => self.set_partition(pairs, false),
@@ -98,7 +101,7 @@
         let change = |count: &mut u32| if begins { *count += 1 } else { *count = count.saturating_sub(1) };
         for (a, b) in pairs {
             for (from, to) in [(a, b), (b, a)] {
-                self.links[from * self.day.depots.len() + to].send_modify(change);
+                self.links[from * self.run_spec.depots.len() + to].send_modify(change);
             }
         }
     }
@@ -107,7 +110,7 @@
         if self.box_states[box_id].silent == 0 && self.box_states[box_id].cache.is_up() {
             self.stop_box(box_id);
             self.schedule_in(
-                self.day.list.notice,
+                self.run_spec.list.notice,
                 ScheduledEvent::ListChanged(listing(box_id, Phase::Gone, None)),
             );
         }
@@ -141,7 +144,7 @@
         self.record(Event::BoxDown { of: box_id });
         self.box_states[box_id].mode.send_replace(MachineMode::Silent);
         self.schedule_in(
-            self.day.list.silent_detection_delay,
+            self.run_spec.list.silent_detection_delay,
             ScheduledEvent::ListChanged(listing(box_id, Phase::Gone, None)),
         );
     }
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -17,8 +17,8 @@
 
     pub(super) fn schedule_agent_updates(&mut self) {
         for node in 0..self.agents.len() {
-            let spread = Span::from_secs(self.chance.between(0.0, self.day.list.spread.as_secs()));
-            let delay = self.faults.list_delay(self.day.nodes[node]);
+            let spread = Span::from_secs(self.rng.between(0.0, self.run_spec.list.spread.as_secs()));
+            let delay = self.faults.list_delay(self.run_spec.nodes[node]);
             let until = (!delay.is_zero()).then(|| self.list.revision());
             self.schedule_in(spread + delay, ScheduledEvent::AgentUpdated(node, until));
         }
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -40,7 +40,7 @@
 
 /// Shared state of all fakes of a run.
 pub(super) struct Environment {
-    pub day: Rc<RunSpec>,
+    pub run_spec: Rc<RunSpec>,
     /// Start of the run; its clock stays at 0 until then.
     start: Option<Instant>,
     start_unix_ms: f64,
@@ -70,10 +70,10 @@
     /// Token of the latest attempt; tokens count up from 1.
     last_token: u64,
     pub tries: FxHashMap<TryId, TryState>,
-    agenda: EventQueue<ScheduledEvent>,
+    event_queue: EventQueue<ScheduledEvent>,
     faults: NetworkFaults,
-    chance: RandomStream,
-    pub referee: InvariantChecker,
+    rng: RandomStream,
+    pub checker: InvariantChecker,
     pub trace: Option<TraceFile<std::io::BufWriter<std::fs::File>>>,
     /// Notified when an event is scheduled before all others.
     pub earlier_event_scheduled: Rc<Notify>,
@@ -86,16 +86,16 @@
 
 impl Environment {
     pub fn new(
-        day: Rc<RunSpec>,
+        run_spec: Rc<RunSpec>,
         parts: WorldParts,
-        referee: InvariantChecker,
+        checker: InvariantChecker,
         addresses: Vec<Vec<SocketAddr>>,
     ) -> Self {
         let box_state = |cache: CacheBox| {
             let mode = if cache.is_up() { MachineMode::Open(0) } else { MachineMode::Down };
             BoxState { cache, incarnation: 0, silent: 0, wakes: None, mode: watch::channel(mode).0 }
         };
-        let nodes = day.nodes.len();
+        let nodes = run_spec.nodes.len();
         Environment {
             start: None,
             start_unix_ms: 0.0,
@@ -107,7 +107,7 @@
             list: parts.list,
             list_silent: watch::channel(0).0,
             addresses,
-            links: (0..day.depots.len().pow(2)).map(|_| watch::channel(0).0).collect(),
+            links: (0..run_spec.depots.len().pow(2)).map(|_| watch::channel(0).0).collect(),
             node_orders: (0..nodes).map(|_| watch::channel(NodeOrder::Run).0).collect(),
             nodes_up: vec![false; nodes],
             nodes_alive: vec![false; nodes],
@@ -116,15 +116,15 @@
             pending_attempts: FxHashMap::default(),
             last_token: 0,
             tries: FxHashMap::default(),
-            agenda: EventQueue::default(),
+            event_queue: EventQueue::default(),
             faults: NetworkFaults::default(),
-            chance: RandomStream::new(day.seed, "sockets"),
-            referee,
+            rng: RandomStream::new(run_spec.seed, "sockets"),
+            checker,
             trace: None,
             earlier_event_scheduled: Rc::new(Notify::new()),
             last_recorded_at: Time::ZERO,
             events: 0,
-            day,
+            run_spec,
         }
     }
 
@@ -138,8 +138,8 @@
                 self.record_box_up(box_id, false);
             }
         }
-        let day = self.day.clone();
-        for (index, scheduled) in day.fault_events.iter().enumerate() {
+        let run_spec = self.run_spec.clone();
+        for (index, scheduled) in run_spec.fault_events.iter().enumerate() {
             self.schedule(scheduled.at, ScheduledEvent::IncidentBegins(index));
         }
         self.schedule_in(Span::from_millis(1000), ScheduledEvent::KeysDrift);
@@ -165,7 +165,7 @@
         let at = self.now().max(self.last_recorded_at);
         self.last_recorded_at = at;
         self.events += 1;
-        self.referee.record(at, &event);
+        self.checker.record(at, &event);
         if let Some(trace) = &mut self.trace {
             trace.record(at, &event);
         }
@@ -173,7 +173,7 @@
 
     fn schedule(&mut self, at: Time, event: ScheduledEvent) {
         let first = self.next_event_time().is_none_or(|next| at < next);
-        self.agenda.schedule(at, event);
+        self.event_queue.schedule(at, event);
         if first {
             self.earlier_event_scheduled.notify_one();
         }
@@ -184,13 +184,13 @@
     }
 
     pub fn next_event_time(&self) -> Option<Time> {
-        self.agenda.next_time()
+        self.event_queue.next_time()
     }
 
     /// Processes all events that are due.
     pub fn process_due_events(&mut self) {
         let now = self.now();
-        while let Some((at, event)) = self.agenda.pop_until(now) {
+        while let Some((at, event)) = self.event_queue.pop_until(now) {
             self.process_event(at, event);
         }
     }
@@ -233,7 +233,7 @@
                 self.schedule_in(Span::from_millis(1000), ScheduledEvent::KeysDrift);
             }
             ScheduledEvent::KeyChanged => {
-                let key = self.chance.below(u64::from(self.day.keys.count)) as u32;
+                let key = self.rng.below(u64::from(self.run_spec.keys.count)) as u32;
                 self.origin.planner_mut().change(key);
                 self.schedule_key_change();
             }
@@ -243,8 +243,8 @@
     }
 
     fn schedule_key_change(&mut self) {
-        if self.day.keys.changes > 0.0 {
-            let wait = Span::from_secs(self.chance.exponential(1.0 / self.day.keys.changes));
+        if self.run_spec.keys.changes > 0.0 {
+            let wait = Span::from_secs(self.rng.exponential(1.0 / self.run_spec.keys.changes));
             self.schedule_in(wait, ScheduledEvent::KeyChanged);
         }
     }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -73,33 +73,37 @@
     seed: u64,
     options: SocketsOptions,
 ) -> Result<RunResult, SocketsError> {
-    let day = scenario.draw(seed)?;
+    let run_spec = scenario.draw(seed)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
     let header = Header::new(scenario, seed, RULE_LEEWAY);
-    let played = local.block_on(&runtime, play(Rc::new(day), &header, options));
+    let played = local.block_on(&runtime, play(Rc::new(run_spec), &header, options));
     // The tasks own the node processes, which are killed when the tasks are dropped.
     drop(local);
     played
 }
 
 async fn play(
-    day: Rc<RunSpec>,
+    run_spec: Rc<RunSpec>,
     header: &Header,
     options: SocketsOptions<'_>,
 ) -> Result<RunResult, SocketsError> {
     let ignore = |_: Time, _: &Event| {};
-    let parts = World::new(&day, &policy::balancer_policy, ignore)?.into_parts();
-    let lenient_day = with_leeway(&day, header.leeway);
-    let environment =
-        Environment::new(day.clone(), parts, InvariantChecker::new(&lenient_day), allocate_addresses(&day)?);
+    let parts = World::new(&run_spec, &policy::balancer_policy, ignore)?.into_parts();
+    let lenient_day = with_leeway(&run_spec, header.leeway);
+    let environment = Environment::new(
+        run_spec.clone(),
+        parts,
+        InvariantChecker::new(&lenient_day),
+        allocate_addresses(&run_spec)?,
+    );
     let environment: SharedEnvironment = Rc::new(RefCell::new(environment));
     if let Some(path) = options.trace {
         let file = TraceFile::create(path, header).map_err(|error| SocketsError::File(path.into(), error))?;
         environment.borrow_mut().trace = Some(file);
     }
-    for box_id in 0..day.boxes.len() {
-        for depot in 0..day.depots.len() {
+    for box_id in 0..run_spec.boxes.len() {
+        for depot in 0..run_spec.depots.len() {
             tokio::task::spawn_local(box_server::run(environment.clone(), box_id, depot));
         }
     }
@@ -114,11 +118,11 @@
     if let (Some(file), Some(path)) = (environment.trace.take(), options.trace) {
         file.finish().map_err(|error| SocketsError::File(path.into(), error))?;
     }
-    let referee = std::mem::replace(&mut environment.referee, InvariantChecker::new(&lenient_day));
+    let checker = std::mem::replace(&mut environment.checker, InvariantChecker::new(&lenient_day));
     Ok(RunResult {
         policy: PolicyKind::Module,
-        seed: day.seed,
-        verdict: referee.verdict(),
+        seed: run_spec.seed,
+        verdict: checker.verdict(),
         events: environment.events,
         tally: Tally::default(),
         footprints: environment.observed.iter().map(ObservedNode::footprint).collect(),
@@ -140,8 +144,8 @@
     tokio::task::spawn_local(clients::run(environment.clone(), Rc::new(nodes), pools));
     let mut stop = options.stop.clone();
     let end = {
-        let day = &environment.borrow().day;
-        Time::ZERO + day.length + day.longest_deadline() + RUN_TAIL
+        let run_spec = &environment.borrow().run_spec;
+        Time::ZERO + run_spec.length + run_spec.longest_deadline() + RUN_TAIL
     };
     loop {
         let (now, tick) = (
@@ -166,15 +170,16 @@
 
 /// Allocates for each box one socket address per depot, so that depots can be partitioned. Boxes with the same address
 /// in the scenario share their addresses, so that one box can replace another.
-fn allocate_addresses(day: &RunSpec) -> io::Result<Vec<Vec<SocketAddr>>> {
+fn allocate_addresses(run_spec: &RunSpec) -> io::Result<Vec<Vec<SocketAddr>>> {
     let mut by_number: BTreeMap<u32, Vec<SocketAddr>> = BTreeMap::new();
     let mut all = Vec::new();
-    for spec in &day.boxes {
+    for spec in &run_spec.boxes {
         let addresses = match by_number.get(&spec.address) {
             Some(addresses) => addresses.clone(),
             None => {
                 let [high, low] = (spec.address as u16).to_be_bytes();
-                let addresses = loopback::reserve_ports(Ipv4Addr::new(127, 77, high, low), day.depots.len())?;
+                let addresses =
+                    loopback::reserve_ports(Ipv4Addr::new(127, 77, high, low), run_spec.depots.len())?;
                 by_number.insert(spec.address, addresses.clone());
                 addresses
             }
@@ -193,7 +198,7 @@
     options: &SocketsOptions<'_>,
     running: &mut NodeTasks,
 ) -> Result<Vec<SocketAddr>, SocketsError> {
-    let count = environment.borrow().day.nodes.len();
+    let count = environment.borrow().run_spec.nodes.len();
     let (mut addresses, mut ups) = (Vec::new(), Vec::new());
     for node in 0..count {
         let agent = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
--- a/crates/emulator/src/sockets/node.rs
+++ b/crates/emulator/src/sockets/node.rs
@@ -41,13 +41,13 @@
 impl NodeSpec {
     /// Writes the configuration and starts the process. `starts` counts earlier starts and goes into the seed.
     fn start(&self, environment: &SharedEnvironment, starts: u32) -> Result<Running, SocketsError> {
-        let day = environment.borrow().day.clone();
+        let run_spec = environment.borrow().run_spec.clone();
         let known = discovery::initial_list(environment, self.node);
         let config = json!({
             "name": format!("n{}", self.node), "listen": self.listen, "discovery": self.discovery,
-            "seed": format!("{:016x}", day.seed.wrapping_mul(0x9e37).wrapping_add((self.node as u64) << 8 | u64::from(starts))),
+            "seed": format!("{:016x}", run_spec.seed.wrapping_mul(0x9e37).wrapping_add((self.node as u64) << 8 | u64::from(starts))),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": known, "settings": day.settings(self.node),
+            "known": known, "settings": run_spec.settings(self.node),
         });
         let path = self.folder.join(format!("node-{}.json", self.node));
         let file_error = |error| SocketsError::File(path.clone(), error);
@@ -91,7 +91,7 @@
     ) -> Result<(), SocketsError> {
         let mut orders: watch::Receiver<NodeOrder> = environment.borrow().node_orders[self.node].subscribe();
         let (mut starts, mut up) = (0, Some(up));
-        let deadline = environment.borrow().day.longest_deadline();
+        let deadline = environment.borrow().run_spec.longest_deadline();
         loop {
             let mut running = self.start(&environment, starts)?;
             starts += 1;
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -74,26 +74,27 @@
     plane: Switch,
     trace: Option<&Path>,
 ) -> Result<RunResult, RunError> {
-    let day = scenario.draw(seed)?;
+    let run_spec = scenario.draw(seed)?;
     let began = Instant::now();
     let new_policy = policy.factory();
     let plane = if policy == PolicyKind::Module { plane } else { Switch::Off };
-    let mut referee = InvariantChecker::new(&day);
+    let mut checker = InvariantChecker::new(&run_spec);
     let (events, sizes, tally) = match trace {
         None => {
-            let done = World::new(&day, &*new_policy, |at: Time, event: &Event| referee.record(at, event))?
-                .with_plane(plane)?
-                .run();
+            let done =
+                World::new(&run_spec, &*new_policy, |at: Time, event: &Event| checker.record(at, event))?
+                    .with_plane(plane)?
+                    .run();
             (done.events, done.sizes, done.tally)
         }
         Some(path) => {
             let mut file = TraceFile::create(path, &Header::new(scenario, seed, Span::ZERO))?;
             let sink = |at: Time, event: &Event| {
                 file.record(at, event);
-                referee.record(at, event);
+                checker.record(at, event);
             };
             let DayResult { events, sizes, tally, .. } =
-                World::new(&day, &*new_policy, sink)?.with_plane(plane)?.run();
+                World::new(&run_spec, &*new_policy, sink)?.with_plane(plane)?.run();
             file.finish()?;
             (events, sizes, tally)
         }
@@ -101,7 +102,7 @@
     Ok(RunResult {
         policy,
         seed,
-        verdict: referee.verdict(),
+        verdict: checker.verdict(),
         events,
         sizes,
         tally,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -113,22 +113,22 @@
 
 impl Clients {
     /// The clients of this scenario.
-    pub fn new(day: &RunSpec) -> Self {
+    pub fn new(run_spec: &RunSpec) -> Self {
         Clients {
-            classes: day.classes.clone(),
-            tenants: day.tenants.clone(),
-            spec: day.clients.clone(),
-            length: day.length,
-            rng: RandomStream::new(day.seed, "clients"),
-            attempt_rng: RandomStream::new(day.seed, "attempts"),
+            classes: run_spec.classes.clone(),
+            tenants: run_spec.tenants.clone(),
+            spec: run_spec.clients.clone(),
+            length: run_spec.length,
+            rng: RandomStream::new(run_spec.seed, "clients"),
+            attempt_rng: RandomStream::new(run_spec.seed, "attempts"),
             asks: FxHashMap::default(),
             tries: FxHashMap::default(),
             last_ask: 0,
             last_try: 0,
-            heavy_work: vec![Vec::new(); day.classes.len()],
+            heavy_work: vec![Vec::new(); run_spec.classes.len()],
             bursts: Vec::new(),
-            depots: day.nodes.clone(),
-            shares: day.clients.node_shares.clone(),
+            depots: run_spec.nodes.clone(),
+            shares: run_spec.clients.node_shares.clone(),
             impatient: Vec::new(),
             hasty: Vec::new(),
             slow_writers: Vec::new(),
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -69,14 +69,14 @@
 
     #[test]
     fn items_are_taken_by_time_and_then_by_insertion_order() {
-        let mut agenda = EventQueue::default();
+        let mut event_queue = EventQueue::default();
         for (at, item) in [(5, 'c'), (1, 'a'), (5, 'd'), (2, 'b'), (9, 'e')] {
-            agenda.schedule(Time(at), item);
+            event_queue.schedule(Time(at), item);
         }
-        assert_eq!(agenda.next_time(), Some(Time(1)));
+        assert_eq!(event_queue.next_time(), Some(Time(1)));
         let taken: Vec<char> =
-            std::iter::from_fn(|| agenda.pop_until(Time(5))).map(|(_, item)| item).collect();
+            std::iter::from_fn(|| event_queue.pop_until(Time(5))).map(|(_, item)| item).collect();
         assert_eq!(taken, ['a', 'b', 'c', 'd']);
-        assert_eq!((agenda.next_time(), agenda.pop_until(Time(8))), (Some(Time(9)), None));
+        assert_eq!((event_queue.next_time(), event_queue.pop_until(Time(8))), (Some(Time(9)), None));
     }
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -50,14 +50,14 @@
 }
 
 /// Returns the run with every time limit of its rules extended by the leeway.
-pub fn with_leeway(day: &RunSpec, leeway: Span) -> RunSpec {
-    let mut extended = day.clone();
+pub fn with_leeway(run_spec: &RunSpec, leeway: Span) -> RunSpec {
+    let mut extended = run_spec.clone();
     extended.rules.answer_grace = extended.rules.answer_grace + leeway;
     extended.rules.drain_grace = extended.rules.drain_grace + leeway;
     extended.rules.wait_slack = extended.rules.wait_slack + leeway;
     if !leeway.is_zero() {
         // A connection that is never established is visible only to the node that waits for it.
-        let dial_time = day.limits.dial_timeout * f64::from(day.limits.max_attempts);
+        let dial_time = run_spec.limits.dial_timeout * f64::from(run_spec.limits.max_attempts);
         extended.rules.unseen = leeway + dial_time;
         extended.rules.disconnects_cross = true;
     }
@@ -71,15 +71,15 @@
 pub fn check_history(from: impl BufRead) -> Result<Verdict, HistoryError> {
     let mut lines = (1..).zip(from.lines());
     let (mut last, mut over) = (1, false);
-    let day = match lines.next() {
+    let run_spec = match lines.next() {
         None => return Err(HistoryError { line: 1, what: "a history expected, got nothing".into() }),
         Some((_, first)) => {
             let header = first.map_err(|e| e.to_string()).and_then(|text| parse_header(&text));
             header.map_err(|what| HistoryError { line: 1, what })?
         }
     };
-    let mut validator = RecordValidator::new(&day);
-    let mut checker = InvariantChecker::new(&day);
+    let mut validator = RecordValidator::new(&run_spec);
+    let mut checker = InvariantChecker::new(&run_spec);
     for (line, text) in lines {
         let error_here = |what: String| HistoryError { line, what };
         let text = text.map_err(|error| error_here(error.to_string()))?;
@@ -108,13 +108,13 @@
     if header.history != FORMAT_VERSION {
         return Err(format!("history: {FORMAT_VERSION} expected, got {}", header.history));
     }
-    let day = header.scenario.draw(header.seed).map_err(|error| format!("scenario: {error}"))?;
-    Ok(with_leeway(&day, header.leeway))
+    let run_spec = header.scenario.draw(header.seed).map_err(|error| format!("scenario: {error}"))?;
+    Ok(with_leeway(&run_spec, header.leeway))
 }
 
 /// Validates the records of a history: indices exist in the run, and each event follows those that it depends on.
 struct RecordValidator<'d> {
-    day: &'d RunSpec,
+    run_spec: &'d RunSpec,
     now: Time,
     asks: HashSet<AskId>,
     /// Number of attempts sent for each accepted try.
@@ -123,9 +123,9 @@
 }
 
 impl<'d> RecordValidator<'d> {
-    fn new(day: &'d RunSpec) -> Self {
+    fn new(run_spec: &'d RunSpec) -> Self {
         let (asks, tries) = (HashSet::new(), HashMap::new());
-        RecordValidator { day, now: Time::ZERO, asks, tries, incidents: 0 }
+        RecordValidator { run_spec, now: Time::ZERO, asks, tries, incidents: 0 }
     }
 
     fn check(&mut self, at: Time, event: &Event) -> Result<(), String> {
@@ -176,16 +176,16 @@
 
     /// Checks that indices of nodes, boxes, classes, tenants and fault events exist in the run.
     fn check_indices(&self, event: &Event) -> Result<(), String> {
-        let day = self.day;
+        let run_spec = self.run_spec;
         let check_below = |field: &str, index: usize, count: usize| match index < count {
             true => Ok(()),
             false => Err(format!("{field}: below {count} expected, got {index}")),
         };
-        let (nodes, boxes) = (day.nodes.len(), day.boxes.len());
+        let (nodes, boxes) = (run_spec.nodes.len(), run_spec.boxes.len());
         match *event {
             Event::RequestStarted { class, tenant, .. } => {
-                check_below("class", class, day.classes.len())?;
-                tenant.map_or(Ok(()), |tenant| check_below("tenant", tenant, day.tenants.len()))
+                check_below("class", class, run_spec.classes.len())?;
+                tenant.map_or(Ok(()), |tenant| check_below("tenant", tenant, run_spec.tenants.len()))
             }
             Event::Sent { node, to, .. } | Event::Reached { node, to, .. } => {
                 check_below("node", node, nodes)?;
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -79,29 +79,29 @@
 
 impl InvariantChecker {
     /// Creates a checker with the rules of this scenario run.
-    pub fn new(day: &RunSpec) -> Self {
+    pub fn new(run_spec: &RunSpec) -> Self {
         InvariantChecker {
-            parameters: RuleParameters::new(day),
+            parameters: RuleParameters::new(run_spec),
             now: Time::ZERO,
             open_requests: FxHashMap::default(),
             tries: BTreeMap::new(),
             in_flight: FxHashMap::default(),
             due: BTreeSet::new(),
-            quota_buckets: day.tenants.iter().map(|t| (t.quota.max(1.0), Time::ZERO)).collect(),
+            quota_buckets: run_spec.tenants.iter().map(|t| (t.quota.max(1.0), Time::ZERO)).collect(),
             notified: FxHashMap::default(),
             notification_deadlines: NotificationDeadlines::default(),
             stopping: FxHashMap::default(),
             departed_clients: DepartedClients::default(),
             restarts: Restarts::default(),
-            box_sizes: vec![None; day.boxes.len()],
+            box_sizes: vec![None; run_spec.boxes.len()],
             cold_boxes: BTreeMap::new(),
             planner: PlannerLoad::default(),
             written: FxHashMap::default(),
             acknowledged: FxHashMap::default(),
             window_worth: Vec::new(),
-            tenant_worth: vec![Worth::default(); day.tenants.len()],
+            tenant_worth: vec![Worth::default(); run_spec.tenants.len()],
             totals: CostTotals::default(),
-            verdict: Verdict::new(day),
+            verdict: Verdict::new(run_spec),
         }
     }
 
--- a/crates/simulation/src/invariants/parameters.rs
+++ b/crates/simulation/src/invariants/parameters.rs
@@ -34,25 +34,25 @@
 }
 
 impl RuleParameters {
-    pub fn new(day: &RunSpec) -> Self {
+    pub fn new(run_spec: &RunSpec) -> Self {
         RuleParameters {
-            effects: day.classes.iter().map(|c| (c.effect, c.window)).collect(),
-            objectives: day.classes.iter().map(|c| (c.aim, c.worth, c.late_worth)).collect(),
-            quotas: day.tenants.iter().map(|t| t.quota).collect(),
-            goal: day.goal.clone(),
-            answer_grace: day.rules.answer_grace,
-            drain_grace: day.rules.drain_grace,
-            fall_multiple: day.rules.fall_multiple,
-            fall_for: day.rules.fall_for,
-            mean_work: day.mean_work().0 as f64,
-            planner_for: day.rules.planner_for,
-            disconnects_cross: day.rules.disconnects_cross,
-            max_unseen_time: day.rules.unseen,
-            wait_slack: day.rules.wait_slack,
-            max_attempts: day.limits.max_attempts,
-            second_copies: day.limits.second_copies,
-            sends_retry_after: day.limits.retry_after && !day.clients.max_retry_after.is_zero(),
-            box_count: day.running.len().max(1),
+            effects: run_spec.classes.iter().map(|c| (c.effect, c.window)).collect(),
+            objectives: run_spec.classes.iter().map(|c| (c.aim, c.worth, c.late_worth)).collect(),
+            quotas: run_spec.tenants.iter().map(|t| t.quota).collect(),
+            goal: run_spec.goal.clone(),
+            answer_grace: run_spec.rules.answer_grace,
+            drain_grace: run_spec.rules.drain_grace,
+            fall_multiple: run_spec.rules.fall_multiple,
+            fall_for: run_spec.rules.fall_for,
+            mean_work: run_spec.mean_work().0 as f64,
+            planner_for: run_spec.rules.planner_for,
+            disconnects_cross: run_spec.rules.disconnects_cross,
+            max_unseen_time: run_spec.rules.unseen,
+            wait_slack: run_spec.rules.wait_slack,
+            max_attempts: run_spec.limits.max_attempts,
+            second_copies: run_spec.limits.second_copies,
+            sends_retry_after: run_spec.limits.retry_after && !run_spec.clients.max_retry_after.is_zero(),
+            box_count: run_spec.running.len().max(1),
         }
     }
 }
--- a/crates/simulation/src/invariants/prompt_answers.rs
+++ b/crates/simulation/src/invariants/prompt_answers.rs
@@ -62,8 +62,8 @@
     /// longer than the longest latency objective.
     #[test]
     fn idle_keys_are_remembered_within_their_bound() {
-        let day = Scenario::default().draw(1).expect("the defaults make a day");
-        let mut checker = InvariantChecker::new(&day);
+        let run_spec = Scenario::default().draw(1).expect("the defaults make a day");
+        let mut checker = InvariantChecker::new(&run_spec);
         checker.record(Time::ZERO, &Event::Notified { node: 0, of: 0, phase: Phase::Ready, started: None });
         let (mut most, keys) = (0, 3 * MAX_IDLE_KEYS as u64);
         for n in 0..keys {
--- a/crates/simulation/src/invariants/verdict.rs
+++ b/crates/simulation/src/invariants/verdict.rs
@@ -192,7 +192,7 @@
 
 impl Verdict {
     /// Creates the result of a run without any events.
-    pub(super) fn new(day: &RunSpec) -> Self {
+    pub(super) fn new(run_spec: &RunSpec) -> Self {
         let class = |c: &crate::run_spec::ClassSpec| ClassVerdict {
             name: c.name.clone(),
             effect: c.effect,
@@ -211,8 +211,8 @@
             first_violations: Vec::new(),
             all_requests: Worth::default(),
             worst_window: (1.0, Time::ZERO),
-            classes: day.classes.iter().map(class).collect(),
-            tenants: day.tenants.iter().map(|t| (t.name.clone(), Worth::default())).collect(),
+            classes: run_spec.classes.iter().map(class).collect(),
+            tenants: run_spec.tenants.iter().map(|t| (t.name.clone(), Worth::default())).collect(),
             losses: BTreeMap::new(),
             prices: 0.0,
             attempts: 0,
--- a/crates/simulation/src/scenario/tests.rs
+++ b/crates/simulation/src/scenario/tests.rs
@@ -28,18 +28,18 @@
 #[test]
 fn equal_seeds_draw_equal_runs_and_other_seeds_draw_others() {
     let scenario = Scenario::parse(FILE).unwrap();
-    let day = scenario.draw(1).unwrap();
-    assert_eq!(day, scenario.draw(1).unwrap());
-    assert_ne!(day.fault_events, scenario.draw(2).unwrap().fault_events);
-    assert!((10_000_000..=20_000_000).contains(&day.fault_events[0].at.0));
-    assert_eq!((day.boxes.len(), day.nodes.len()), (4, 3));
+    let run_spec = scenario.draw(1).unwrap();
+    assert_eq!(run_spec, scenario.draw(1).unwrap());
+    assert_ne!(run_spec.fault_events, scenario.draw(2).unwrap().fault_events);
+    assert!((10_000_000..=20_000_000).contains(&run_spec.fault_events[0].at.0));
+    assert_eq!((run_spec.boxes.len(), run_spec.nodes.len()), (4, 3));
 }
 
 #[test]
 fn the_defaults_make_a_fleet_with_valid_settings() {
-    let day = Scenario::parse("version = 1").unwrap().draw(1).unwrap();
-    assert_eq!(day.boxes.len(), 12);
-    let settings = hallpin_balancer::Settings::from_json(&day.settings(0)).unwrap();
+    let run_spec = Scenario::parse("version = 1").unwrap().draw(1).unwrap();
+    assert_eq!(run_spec.boxes.len(), 12);
+    let settings = hallpin_balancer::Settings::from_json(&run_spec.settings(0)).unwrap();
     settings.validate().unwrap();
     assert_eq!(settings.classes.len(), 2);
 }
--- a/crates/simulation/src/world/answers.rs
+++ b/crates/simulation/src/world/answers.rs
@@ -16,7 +16,7 @@
             return false;
         }
         self.record(Event::Answered { id, how, version, advice });
-        let delay = self.jittered(self.day.network.client);
+        let delay = self.jittered(self.run_spec.network.client);
         self.schedule_after(delay, ScheduledEvent::Reply { id, reply: Reply::Answer { how, advice } });
         true
     }
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -21,7 +21,7 @@
             let mut actions = std::mem::take(&mut self.actions);
             let NodeState { policy, tries, depot, .. } = &mut self.nodes[node];
             let view = PolicyView {
-                day: self.day,
+                run_spec: self.run_spec,
                 boxes: &self.boxes,
                 servers: &self.servers,
                 planner: self.origin.planner(),
@@ -48,7 +48,7 @@
                 self.abandon_attempt(node, request.0, attempt.0, Status::Cancelled);
             }
             Action::Reject { request, retry_after } => {
-                let advice = retry_after.filter(|_| self.day.limits.retry_after).map(Span::from_secs);
+                let advice = retry_after.filter(|_| self.run_spec.limits.retry_after).map(Span::from_secs);
                 self.answer_client(node, request.0, TryOutcome::Rejected, advice, None);
                 self.cancel_unsent_attempts(node, request.0);
             }
@@ -63,8 +63,10 @@
                     ScheduledEvent::Timer { node, generation, token },
                 );
             }
-            Action::HealthCheck(server) if self.day.limits.probes => self.start_health_check(node, &server),
-            Action::Broadcast(bytes) if self.day.limits.peers => self.broadcast(node, bytes),
+            Action::HealthCheck(server) if self.run_spec.limits.probes => {
+                self.start_health_check(node, &server)
+            }
+            Action::Broadcast(bytes) if self.run_spec.limits.peers => self.broadcast(node, bytes),
             // The simulated list is pushed without a subscription, and log lines are not simulated.
             Action::HealthCheck(_) | Action::Broadcast(_) | Action::Subscribe | Action::Log(_) => {}
         }
@@ -73,7 +75,7 @@
     /// Starts an attempt at a box. Its outcome is `Void` if the try is answered or has no attempts or time left.
     pub(super) fn start_attempt(&mut self, node: NodeId, id: TryId, server: &ServerId, timeout: Option<f64>) {
         let (now, generation, max) =
-            (self.now, self.nodes[node].generation, self.day.limits.max_attempts as usize);
+            (self.now, self.nodes[node].generation, self.run_spec.limits.max_attempts as usize);
         let Some(to) = self.servers.get(server).copied() else { return };
         let Some(accepted) = self.nodes[node].tries.get_mut(&id) else { return };
         let attempt = accepted.attempts.len() as u32;
@@ -106,7 +108,7 @@
         if let Some(accepted) = self.nodes[node].tries.get_mut(&id) {
             accepted.attempts.push(Attempt { sent_at: now, to, sent, token: Some(token) });
         }
-        let crosses = self.nodes[node].depot != self.day.boxes[to].depot;
+        let crosses = self.nodes[node].depot != self.run_spec.boxes[to].depot;
         // Not recorded: the wait announced to the box is the job's deadline, which is never beyond the client's.
         self.record(Event::Sent { id, attempt, node, to, crosses, wait: None });
         self.schedule_at(until, ScheduledEvent::AttemptDeadline { node, generation, id, attempt });
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -9,7 +9,7 @@
         let (node, to, box_generation, mut job) =
             (in_flight.node, in_flight.to, in_flight.box_generation, in_flight.job);
         let box_state = &self.boxes[to];
-        let (from, at) = (self.nodes[node].depot, self.day.boxes[to].depot);
+        let (from, at) = (self.nodes[node].depot, self.run_spec.boxes[to].depot);
         if box_state.silence_count > 0 || self.is_partitioned(from, at) {
             // The request is lost; its connection is reset when the machine is back.
             return;
@@ -51,7 +51,7 @@
                 BoxOutput::Answer(token, answer) => self.box_answers(at, token, answer),
                 BoxOutput::Ask { ask, cold } => {
                     let (delay, generation) =
-                        (self.jittered(self.day.network.same), self.boxes[at].generation);
+                        (self.jittered(self.run_spec.network.same), self.boxes[at].generation);
                     self.schedule_after(
                         delay,
                         ScheduledEvent::AskAtPlanner { by: at, generation, ask, cold },
@@ -62,7 +62,7 @@
                     self.boxes[at].generation += 1;
                     self.nodes.iter_mut().for_each(|state| state.idle_connections[at].clear());
                     self.reset_connections(at);
-                    self.update_list_after(self.day.list.notice, listing(at, Phase::Gone, None));
+                    self.update_list_after(self.run_spec.list.notice, listing(at, Phase::Gone, None));
                 }
             }
         }
@@ -87,7 +87,7 @@
         if answer != BoxAnswer::Busy {
             self.record(Event::Worked { id, attempt, work, hit });
         }
-        let (from, to) = (self.day.boxes[at].depot, self.nodes[node].depot);
+        let (from, to) = (self.run_spec.boxes[at].depot, self.nodes[node].depot);
         if self.is_partitioned(from, to) {
             return;
         }
@@ -109,7 +109,7 @@
             .map(|(_, f)| (f.token, f.node))
             .collect();
         for (token, node) in broken {
-            let delay = self.network_delay(self.day.boxes[at].depot, self.nodes[node].depot);
+            let delay = self.network_delay(self.run_spec.boxes[at].depot, self.nodes[node].depot);
             self.schedule_after(delay, ScheduledEvent::ResetAtNode(token));
         }
     }
@@ -132,12 +132,12 @@
         self.boxes[at].wakes = None;
         self.record_box_up(at, true);
         self.reset_connections(at);
-        self.update_list_after(self.day.list.add, listing(at, Phase::Ready, Some(self.now)));
+        self.update_list_after(self.run_spec.list.add, listing(at, Phase::Ready, Some(self.now)));
     }
 
     /// Records the start of a box with its capacity and warm-up.
     pub(super) fn record_box_up(&mut self, of: BoxId, cold: bool) {
-        let spec = &self.day.boxes[of];
+        let spec = &self.run_spec.boxes[of];
         let (capacity, size, from, ramp) = (spec.capacity(), spec.size, spec.cold_from, spec.ramp);
         self.record(Event::BoxUp { of, capacity, size, cold, from, ramp });
     }
@@ -156,7 +156,7 @@
             match output {
                 OriginOutput::Record(event) => self.record(event),
                 OriginOutput::Answer { to, incarnation: generation, id, version } => {
-                    let delay = self.jittered(self.day.network.same);
+                    let delay = self.jittered(self.run_spec.network.same);
                     self.schedule_after(
                         delay,
                         ScheduledEvent::PlannerAnswers { to, generation, id, version },
--- a/crates/simulation/src/world/connections.rs
+++ b/crates/simulation/src/world/connections.rs
@@ -14,7 +14,7 @@
     /// Takes the most recently used idle connection and returns its box's generation. If even that one has been idle
     /// for 90% of the box's idle timeout, closes all and returns `None`.
     pub(super) fn take_idle_connection(&mut self, node: NodeId, to: BoxId) -> Option<u32> {
-        let max_idle = self.day.boxes[to].idle_close * 0.9;
+        let max_idle = self.run_spec.boxes[to].idle_close * 0.9;
         let (since, generation) = self.nodes[node].idle_connections[to].pop_back()?;
         if self.now.since(since) < max_idle {
             return Some(generation);
@@ -27,7 +27,7 @@
 
     /// Closes a node's idle connections to a box, the longest idle first, until `keep` are left.
     pub(super) fn close_idle_connections(&mut self, node: NodeId, to: BoxId, keep: usize) {
-        let delay = self.network_delay(self.nodes[node].depot, self.day.boxes[to].depot);
+        let delay = self.network_delay(self.nodes[node].depot, self.run_spec.boxes[to].depot);
         while self.nodes[node].idle_connections[to].len() > keep {
             let Some((_, generation)) = self.nodes[node].idle_connections[to].pop_front() else { return };
             self.record(Event::Closed { to });
@@ -39,11 +39,11 @@
     pub(super) fn open_connection(&mut self, token: u64) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, to) = (in_flight.node, in_flight.to);
-        let (from, at) = (self.nodes[node].depot, self.day.boxes[to].depot);
+        let (from, at) = (self.nodes[node].depot, self.run_spec.boxes[to].depot);
         if self.boxes[to].silence_count > 0 || self.is_partitioned_either_way(from, at) {
-            return self.schedule_after(self.day.limits.dial_timeout, ScheduledEvent::DialFails(token));
+            return self.schedule_after(self.run_spec.limits.dial_timeout, ScheduledEvent::DialFails(token));
         }
-        let handshake = self.network_delay(from, at) * (2.0 * self.day.network.handshake_rtts);
+        let handshake = self.network_delay(from, at) * (2.0 * self.run_spec.network.handshake_rtts);
         self.schedule_after(handshake, ScheduledEvent::ConnectionUp(token));
     }
 
@@ -53,7 +53,7 @@
         let to = in_flight.to;
         if self.boxes[to].silence_count > 0 {
             // The box went silent during the handshake.
-            return self.schedule_after(self.day.limits.dial_timeout, ScheduledEvent::DialFails(token));
+            return self.schedule_after(self.run_spec.limits.dial_timeout, ScheduledEvent::DialFails(token));
         }
         let mut outputs = std::mem::take(&mut self.outputs);
         let box_state = &mut self.boxes[to];
@@ -63,7 +63,7 @@
             return self.end_in_flight(token, Status::Unreachable);
         }
         self.record(Event::Opened { to });
-        let work = self.day.boxes[to].connection_work.0 as f64;
+        let work = self.run_spec.boxes[to].connection_work.0 as f64;
         let node = self.in_flight[slab_index(token)].node;
         self.record(Event::Reached { to, node, work, read: false });
         self.in_flight[slab_index(token)].box_generation = self.boxes[to].generation;
@@ -78,7 +78,7 @@
         };
         in_flight.written = true;
         let (node, to) = (in_flight.node, in_flight.to);
-        let delay = self.network_delay(self.nodes[node].depot, self.day.boxes[to].depot);
+        let delay = self.network_delay(self.nodes[node].depot, self.run_spec.boxes[to].depot);
         self.schedule_after(delay, ScheduledEvent::AttemptAtBox(token));
     }
 
@@ -90,7 +90,7 @@
         self.remove_in_flight(token);
         if written {
             self.record(Event::Closed { to });
-            let delay = self.network_delay(self.nodes[node].depot, self.day.boxes[to].depot);
+            let delay = self.network_delay(self.nodes[node].depot, self.run_spec.boxes[to].depot);
             self.schedule_after(
                 delay,
                 ScheduledEvent::ClosedAtBox { at: to, generation, cancels: Some(token) },
@@ -108,7 +108,7 @@
     pub(super) fn close_expired_connections(&mut self, node: NodeId) {
         let generation = self.nodes[node].generation;
         for to in 0..self.boxes.len() {
-            let max_idle = self.day.boxes[to].idle_close * 0.9;
+            let max_idle = self.run_spec.boxes[to].idle_close * 0.9;
             let now = self.now;
             let expired_in = |pool: &VecDeque<(Time, u32)>| {
                 pool.iter().take_while(|(since, _)| now.since(*since) >= max_idle).count()
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -28,7 +28,7 @@
             return;
         }
         for node in 0..self.nodes.len() {
-            let delay = Span::from_secs(self.network_rng.between(0.0, self.day.list.spread.as_secs()));
+            let delay = Span::from_secs(self.network_rng.between(0.0, self.run_spec.list.spread.as_secs()));
             self.notify_agent_after(delay, node);
         }
     }
@@ -96,7 +96,7 @@
 
     /// Makes the list watches of some nodes silent.
     pub(super) fn watches_silent(&mut self, at: usize) {
-        let silence = &self.day.watch_silences[at];
+        let silence = &self.run_spec.watch_silences[at];
         for &node in &silence.nodes {
             if self.nodes[node].alive && !std::mem::replace(&mut self.nodes[node].watch_silent, true) {
                 self.record(Event::WatchSilent { node, waits: silence.waits });
@@ -108,7 +108,10 @@
     /// Schedules the reopening of a node's watch after the call timeout.
     pub(super) fn schedule_watch_reopen(&mut self, node: NodeId) {
         let generation = self.nodes[node].generation;
-        self.schedule_after(self.day.node_timings.reopens, ScheduledEvent::WatchOpens { node, generation });
+        self.schedule_after(
+            self.run_spec.node_timings.reopens,
+            ScheduledEvent::WatchOpens { node, generation },
+        );
     }
 
     /// Reopens a node's watch after a call without an answer; the new call fails while discovery is down.
@@ -156,7 +159,7 @@
 
     /// The endpoint entry of a listed box, as a policy receives it.
     pub(super) fn entry(&self, listing: Listing) -> EndpointEntry {
-        let spec = &self.day.boxes[listing.cache_box];
+        let spec = &self.run_spec.boxes[listing.cache_box];
         EndpointEntry {
             server: self.boxes[listing.cache_box].server.clone(),
             state: match listing.phase {
@@ -164,7 +167,7 @@
                 Phase::Draining => ServerState::Draining,
                 Phase::Gone => ServerState::Gone,
             },
-            zone: self.day.depots[spec.depot].clone(),
+            zone: self.run_spec.depots[spec.depot].clone(),
             weight: spec.size,
             kind: spec.kind.clone(),
             started: listing.started.map(Time::as_secs),
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -5,7 +5,7 @@
 impl<S: Sink> World<'_, S> {
     /// Applies an incident, and schedules its end if it has a duration.
     pub(super) fn incident_begins(&mut self, at: usize) {
-        let scheduled = &self.day.fault_events[at];
+        let scheduled = &self.run_spec.fault_events[at];
         self.record(Event::FaultBegins { incident: at, what: scheduled.incident.to_string() });
         let mut outputs = Vec::new();
         match &scheduled.incident {
@@ -39,11 +39,11 @@
             | FaultEvent::LostMessages(_) => self.faults.begin(at, &scheduled.incident),
             FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 let started = self.boxes[b].cache.started();
-                self.update_list_after(self.day.list.notice, listing(b, Phase::Draining, started));
+                self.update_list_after(self.run_spec.list.notice, listing(b, Phase::Draining, started));
             }),
             FaultEvent::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
             FaultEvent::Burst { factor, share, keys } => {
-                let drawn = self.rng.sample_indices(*keys as usize, self.day.keys.count as usize);
+                let drawn = self.rng.sample_indices(*keys as usize, self.run_spec.keys.count as usize);
                 let keys = drawn.into_iter().map(|key| key as KeyId).collect();
                 self.clients.set_surge(at, Some((*factor, *share, keys)));
             }
@@ -58,7 +58,7 @@
     pub(super) fn incident_ends(&mut self, at: usize) {
         self.record(Event::FaultEnds { incident: at });
         let mut outputs = Vec::new();
-        match &self.day.fault_events[at].incident {
+        match &self.run_spec.fault_events[at].incident {
             FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.unsilence_box(b)),
             FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, 1.0 / factor);
@@ -88,7 +88,7 @@
             | FaultEvent::LostMessages(_) => self.faults.end(at),
             FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 self.stop_box(b);
-                self.update_list_after(self.day.list.notice, listing(b, Phase::Gone, None));
+                self.update_list_after(self.run_spec.list.notice, listing(b, Phase::Gone, None));
             }),
             FaultEvent::Join(_) => {}
             FaultEvent::Burst { .. } => self.clients.set_surge(at, None),
@@ -104,7 +104,7 @@
         }
         self.boxes[at].cache.stop();
         self.record(Event::BoxDown { of: at });
-        self.update_list_after(self.day.list.silent_detection_delay, listing(at, Phase::Gone, None));
+        self.update_list_after(self.run_spec.list.silent_detection_delay, listing(at, Phase::Gone, None));
     }
 
     /// Ends one silence of a box; its process restarts with an empty store once no other silence is active.
@@ -118,7 +118,7 @@
     pub(super) fn kill_box(&mut self, at: BoxId) {
         if self.boxes[at].silence_count == 0 && self.boxes[at].cache.is_up() {
             self.stop_box(at);
-            self.update_list_after(self.day.list.notice, listing(at, Phase::Gone, None));
+            self.update_list_after(self.run_spec.list.notice, listing(at, Phase::Gone, None));
         }
     }
 
@@ -135,7 +135,7 @@
     /// The current state of the world as seen from a node.
     pub(super) fn policy_view<'b>(&'b self, node: NodeId, request_keys: RequestKeys<'b>) -> PolicyView<'b> {
         PolicyView {
-            day: self.day,
+            run_spec: self.run_spec,
             boxes: &self.boxes,
             servers: &self.servers,
             planner: self.origin.planner(),
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -74,7 +74,7 @@
 }
 /// State of one simulated day.
 pub struct World<'a, S: Sink> {
-    day: &'a RunSpec,
+    run_spec: &'a RunSpec,
     start: PolicyFactory<'a>,
     sink: S,
     now: Time,
@@ -132,7 +132,7 @@
 
     /// Time after which no event is processed.
     fn end_time(&self) -> Time {
-        Time::ZERO + self.day.length + self.day.longest_deadline() + END_MARGIN
+        Time::ZERO + self.run_spec.length + self.run_spec.longest_deadline() + END_MARGIN
     }
 
     /// Processes the next event due by `end`; without one, records the end of the day and returns false.
@@ -263,7 +263,7 @@
                 self.schedule_after(Span(1_000_000), ScheduledEvent::EverySecond);
             }
             ScheduledEvent::KeyChanges => {
-                let key = self.rng.below(u64::from(self.day.keys.count)) as KeyId;
+                let key = self.rng.below(u64::from(self.run_spec.keys.count)) as KeyId;
                 self.origin.planner_mut().change(key);
                 self.schedule_key_change();
             }
--- a/crates/simulation/src/world/network.rs
+++ b/crates/simulation/src/world/network.rs
@@ -5,18 +5,18 @@
 impl<S: Sink> World<'_, S> {
     /// A duration with the network's jitter: normally distributed, at least 20% of the duration and 1 µs.
     pub(super) fn jittered(&mut self, span: Span) -> Span {
-        let factor = 1.0 + self.day.network.jitter * self.network_rng.normal();
+        let factor = 1.0 + self.run_spec.network.jitter * self.network_rng.normal();
         Span(((span.0 as f64 * factor.max(0.2)).round() as u64).max(1))
     }
 
     /// A one-way delay between two depots.
     pub(super) fn network_delay(&mut self, from: usize, to: usize) -> Span {
-        self.jittered(if from == to { self.day.network.same } else { self.day.network.cross })
+        self.jittered(if from == to { self.run_spec.network.same } else { self.run_spec.network.cross })
     }
 
     /// Returns whether packets from depot `a` to depot `b` are lost.
     pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
-        self.partition_counts[a * self.day.depots.len() + b] > 0
+        self.partition_counts[a * self.run_spec.depots.len() + b] > 0
     }
 
     /// Returns whether packets between two depots are lost in at least one direction.
@@ -27,7 +27,7 @@
     /// Adds `by` to the partition counts of directed depot pairs.
     pub(super) fn adjust_partitions(&mut self, pairs: &[(usize, usize)], by: i32) {
         for (a, b) in pairs {
-            let pair = &mut self.partition_counts[a * self.day.depots.len() + b];
+            let pair = &mut self.partition_counts[a * self.run_spec.depots.len() + b];
             *pair = pair.saturating_add_signed(by);
         }
     }
@@ -39,11 +39,12 @@
         let mut copies = 0;
         for to in (0..self.nodes.len()).filter(|to| *to != from) {
             let partitioned = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
-            let lost = self.network_rng.bernoulli(self.day.network.message_loss);
+            let lost = self.network_rng.bernoulli(self.run_spec.network.message_loss);
             if partitioned || lost || self.faults.loses_message(&mut self.network_rng) {
                 continue;
             }
-            let (delay, generation) = (self.jittered(self.day.network.message), self.nodes[to].generation);
+            let (delay, generation) =
+                (self.jittered(self.run_spec.network.message), self.nodes[to].generation);
             self.schedule_after(delay, ScheduledEvent::Message { to, generation, from, message });
             copies += 1;
         }
@@ -71,11 +72,11 @@
         let Some(of) = self.servers.get(server).copied() else { return };
         self.record(Event::Probed { of });
         let (generation, (from, at)) =
-            (self.nodes[node].generation, (self.nodes[node].depot, self.day.boxes[of].depot));
+            (self.nodes[node].generation, (self.nodes[node].depot, self.run_spec.boxes[of].depot));
         if self.boxes[of].silence_count > 0 || self.is_partitioned_either_way(from, at) {
             let status = Status::TimedOut;
             return self.schedule_after(
-                self.day.limits.probe_timeout,
+                self.run_spec.limits.probe_timeout,
                 ScheduledEvent::ProbeEnds { node, generation, of, status },
             );
         }
@@ -85,10 +86,10 @@
 
     /// Handles a health check at its box.
     pub(super) fn health_check_at_box(&mut self, node: NodeId, generation: u32, of: BoxId) {
-        let delay = self.network_delay(self.nodes[node].depot, self.day.boxes[of].depot);
+        let delay = self.network_delay(self.nodes[node].depot, self.run_spec.boxes[of].depot);
         let status = if self.boxes[of].cache.is_up() { Status::Success } else { Status::Unreachable };
         if status == Status::Success {
-            let work = self.day.boxes[of].probe_work.0 as f64;
+            let work = self.run_spec.boxes[of].probe_work.0 as f64;
             self.record(Event::Reached { to: of, node, work, read: false });
             let mut outputs = std::mem::take(&mut self.outputs);
             self.boxes[of].cache.probe(self.now, &mut outputs);
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -36,9 +36,9 @@
     /// Creates the plane of a node's current process; `None` if the plane is disabled.
     pub(super) fn new_plane(&self, node: NodeId) -> Result<Option<Box<NodePlane>>, WorldError> {
         let state = &self.nodes[node];
-        let (nodes, depots) = (self.nodes.len(), self.day.depots.len());
+        let (nodes, depots) = (self.nodes.len(), self.run_spec.depots.len());
         let seat = NodePosition { node, nodes, depot: state.depot, depots, start: state.start_count };
-        let seed = node_seed(self.day.seed, node, state.start_count);
+        let seed = node_seed(self.run_spec.seed, node, state.start_count);
         let plane = NodePlane::new(self.planes.switch, &seat, &state.settings, seed, self.now)?;
         Ok(plane.map(Box::new))
     }
@@ -85,11 +85,12 @@
         self.planes.tally.count_datagram(self.now, from, bytes.len());
         let partitioned = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
         let rng = &mut self.planes.rng;
-        if partitioned || rng.bernoulli(self.day.network.message_loss) || self.faults.loses_message(rng) {
+        if partitioned || rng.bernoulli(self.run_spec.network.message_loss) || self.faults.loses_message(rng)
+        {
             return;
         }
-        let factor = 1.0 + self.day.network.jitter * rng.normal();
-        let delay = self.day.network.message.0 as f64 * factor.max(0.2);
+        let factor = 1.0 + self.run_spec.network.jitter * rng.normal();
+        let delay = self.run_spec.network.message.0 as f64 * factor.max(0.2);
         self.schedule_after(
             Span((delay.round() as u64).max(1)),
             ScheduledEvent::Datagram { to, from, bytes },
--- a/crates/simulation/src/world/policy_view.rs
+++ b/crates/simulation/src/world/policy_view.rs
@@ -12,7 +12,7 @@
 
 /// State of the world at one time, as seen from one node.
 pub(super) struct PolicyView<'a> {
-    pub day: &'a RunSpec,
+    pub run_spec: &'a RunSpec,
     pub boxes: &'a [BoxState],
     pub servers: &'a FxHashMap<ServerId, BoxId>,
     pub planner: &'a Planner,
@@ -46,7 +46,7 @@
 
     fn look(&self, at: usize) -> TrueBox {
         let box_state = &self.boxes[at];
-        let (depots, there) = (self.day.depots.len(), self.day.boxes[at].depot);
+        let (depots, there) = (self.run_spec.depots.len(), self.run_spec.boxes[at].depot);
         let partitioned = self.partition_counts[self.depot * depots + there]
             + self.partition_counts[there * depots + self.depot]
             > 0;
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -20,7 +20,7 @@
         self.notify_policy(node, decisions::Event::Endpoints(EndpointUpdate::Cached(cached)));
         self.update_plane_list(node, None);
         self.nodes[node].revision = 0;
-        let delay = Span::from_secs(self.network_rng.between(0.0, self.day.list.spread.as_secs()));
+        let delay = Span::from_secs(self.network_rng.between(0.0, self.run_spec.list.spread.as_secs()));
         self.notify_agent_after(delay, node);
         self.schedule_after(SWEEP_INTERVAL, ScheduledEvent::Sweep { node, generation });
     }
@@ -32,7 +32,7 @@
         }
         let state = &mut self.nodes[node];
         state.start_count += 1;
-        let seed = node_seed(self.day.seed, node, state.start_count);
+        let seed = node_seed(self.run_spec.seed, node, state.start_count);
         // Cannot fail: the same settings were accepted when the day began.
         if let Ok(policy) = (self.start)(state.settings.clone(), seed) {
             state.policy = policy;
@@ -62,12 +62,12 @@
         state.unavailable_since = Some(now);
         let Some(StopTimings { new_connections_time, kill }) = stop else {
             state.accepts_until = Some(now + ACCEPT_AFTER_STOP);
-            let leave = self.day.longest_deadline() + LEAVE_DELAY;
+            let leave = self.run_spec.longest_deadline() + LEAVE_DELAY;
             self.schedule_after(leave, ScheduledEvent::NodeLeaves { node, generation });
             return self.schedule_after(leave + LEAVE_DELAY, ScheduledEvent::NodeStarts(node));
         };
         (state.accepts_until, state.new_connections_until) =
-            (Some(now + self.day.node_timings.parting), Some(now + new_connections_time));
+            (Some(now + self.run_spec.node_timings.parting), Some(now + new_connections_time));
         self.record(Event::Stopping { node });
         self.schedule_after(kill, ScheduledEvent::NodeKilled { node, generation });
         self.schedule_after(kill + LEAVE_DELAY, ScheduledEvent::NodeStarts(node));
@@ -96,7 +96,7 @@
         }
         self.record_placement_spread();
         for (id, _) in open.into_iter().filter(|(_, answered)| !answered) {
-            let delay = self.jittered(self.day.network.client);
+            let delay = self.jittered(self.run_spec.network.client);
             self.schedule_after(delay, ScheduledEvent::Reply { id, reply: Reply::Reset });
         }
     }
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -38,15 +38,15 @@
     ///
     /// # Errors
     /// If the day's settings or keys are invalid.
-    pub fn new(day: &'a RunSpec, start: PolicyFactory<'a>, sink: S) -> Result<Self, WorldError> {
-        let boxes: Vec<BoxState> = day
+    pub fn new(run_spec: &'a RunSpec, start: PolicyFactory<'a>, sink: S) -> Result<Self, WorldError> {
+        let boxes: Vec<BoxState> = run_spec
             .boxes
             .iter()
             .enumerate()
             .map(|(at, spec)| {
                 let mut cache =
-                    CacheBox::new(spec.clone(), RandomStream::new(day.seed, &format!("box {at}")));
-                if !day.running.contains(&at) {
+                    CacheBox::new(spec.clone(), RandomStream::new(run_spec.seed, &format!("box {at}")));
+                if !run_spec.running.contains(&at) {
                     cache.stop();
                 }
                 let server = ServerId(spec.id.as_str().into());
@@ -56,9 +56,9 @@
         let servers =
             boxes.iter().enumerate().map(|(at, box_state)| (box_state.server.clone(), at)).collect();
         let mut nodes = Vec::new();
-        for (node, &depot) in day.nodes.iter().enumerate() {
-            let settings = Settings::from_json(&day.settings(node))?;
-            let policy = start(settings.clone(), node_seed(day.seed, node, 0))?;
+        for (node, &depot) in run_spec.nodes.iter().enumerate() {
+            let settings = Settings::from_json(&run_spec.settings(node))?;
+            let policy = start(settings.clone(), node_seed(run_spec.seed, node, 0))?;
             nodes.push(NodeState {
                 policy,
                 settings,
@@ -69,7 +69,7 @@
                 new_connections_until: None,
                 unavailable_since: None,
                 tries: FxHashMap::default(),
-                idle_connections: vec![VecDeque::new(); day.boxes.len()],
+                idle_connections: vec![VecDeque::new(); run_spec.boxes.len()],
                 cached_endpoints: Vec::new(),
                 revision: 0,
                 agent_revision: 0,
@@ -81,16 +81,19 @@
             });
         }
         let mut world = World {
-            keys: Keys::new(day.keys.clone(), day.seed)?,
-            clients: Clients::new(day),
-            origin: Origin::new(Planner::new(day.planner.clone(), RandomStream::new(day.seed, "planner"))),
+            keys: Keys::new(run_spec.keys.clone(), run_spec.seed)?,
+            clients: Clients::new(run_spec),
+            origin: Origin::new(Planner::new(
+                run_spec.planner.clone(),
+                RandomStream::new(run_spec.seed, "planner"),
+            )),
             list: List::default(),
             list_outages: 0,
-            network_rng: RandomStream::new(day.seed, "network"),
-            rng: RandomStream::new(day.seed, "world"),
-            partition_counts: vec![0; day.depots.len() * day.depots.len()],
+            network_rng: RandomStream::new(run_spec.seed, "network"),
+            rng: RandomStream::new(run_spec.seed, "world"),
+            partition_counts: vec![0; run_spec.depots.len() * run_spec.depots.len()],
             faults: NetworkFaults::default(),
-            planes: PlaneState::new(day.seed),
+            planes: PlaneState::new(run_spec.seed),
             sizes: Vec::new(),
             in_flight: Slab::new(),
             attempts_started: 0,
@@ -101,7 +104,7 @@
             event_count: 0,
             actions: Vec::new(),
             outputs: Vec::new(),
-            day,
+            run_spec,
             start,
             sink,
             boxes,
@@ -120,20 +123,20 @@
     /// Fills the stores with the keys of random requests. A separate policy instance per node, of the kind under test,
     /// picks the box of each request.
     pub(super) fn fill_caches(&mut self) -> Result<(), WorldError> {
-        let start = |state: &NodeState| (self.start)(state.settings.clone(), self.day.seed);
+        let start = |state: &NodeState| (self.start)(state.settings.clone(), self.run_spec.seed);
         let mut policies = self.nodes.iter().map(start).collect::<Result<Vec<_>, _>>()?;
-        let mut rng = RandomStream::new(self.day.seed, "warm up");
+        let mut rng = RandomStream::new(self.run_spec.seed, "warm up");
         let running: Vec<EndpointEntry> =
-            self.day.running.iter().map(|&b| self.entry(listing(b, Phase::Ready, None))).collect();
+            self.run_spec.running.iter().map(|&b| self.entry(listing(b, Phase::Ready, None))).collect();
         let mut actions = Vec::new();
         for policy in &mut policies {
             let endpoints = decisions::Event::Endpoints(EndpointUpdate::Full(running.clone()));
             policy.handle(0.0, endpoints, &self.policy_view(0, RequestKeys::Fixed(0)), &mut actions);
         }
-        let capacity: u64 = self.day.running.iter().map(|&b| self.day.boxes[b].memory).sum();
-        let draws = (capacity as f64 / self.day.keys.bytes.max(1.0) * WARM_UP_DRAWS_PER_COPY)
+        let capacity: u64 = self.run_spec.running.iter().map(|&b| self.run_spec.boxes[b].memory).sum();
+        let draws = (capacity as f64 / self.run_spec.keys.bytes.max(1.0) * WARM_UP_DRAWS_PER_COPY)
             .min(MAX_WARM_UP_DRAWS) as u64;
-        let class = self.day.classes.iter().position(|c| !c.write).unwrap_or(0);
+        let class = self.run_spec.classes.iter().position(|c| !c.write).unwrap_or(0);
         for n in 1..=draws {
             let now = n as f64 * 1e-3;
             let (key, node) = (self.keys.draw(&mut rng), self.clients.draw_node(&mut rng));
@@ -161,7 +164,7 @@
             };
             if !self.boxes[to].cache.has_valid_copy(Time::ZERO, key, 0) {
                 // Remaining lifetimes are uniform, so that copies do not expire together.
-                let fresh_for = self.day.boxes[to].ttl * rng.uniform();
+                let fresh_for = self.run_spec.boxes[to].ttl * rng.uniform();
                 self.boxes[to].cache.preload(key, self.keys.bytes(key), Time::ZERO + fresh_for);
             }
             let outcome = Outcome {
@@ -192,10 +195,10 @@
             self.nodes[node].agent_revision = snapshot.revision;
             self.start_process(node);
         }
-        for (at, scheduled) in self.day.fault_events.iter().enumerate() {
+        for (at, scheduled) in self.run_spec.fault_events.iter().enumerate() {
             self.schedule_at(scheduled.at, ScheduledEvent::IncidentBegins(at));
         }
-        for (at, silence) in self.day.watch_silences.iter().enumerate() {
+        for (at, silence) in self.run_spec.watch_silences.iter().enumerate() {
             self.schedule_at(silence.at, ScheduledEvent::WatchesSilent(at));
         }
         self.schedule_at(Time::ZERO + Span(1_000_000), ScheduledEvent::EverySecond);
--- a/crates/simulation/src/world/tries.rs
+++ b/crates/simulation/src/world/tries.rs
@@ -15,8 +15,8 @@
 
     /// Schedules the next change of a key, if keys change.
     pub(super) fn schedule_key_change(&mut self) {
-        if self.day.keys.changes > 0.0 {
-            let wait = Span::from_secs(self.rng.exponential(1.0 / self.day.keys.changes));
+        if self.run_spec.keys.changes > 0.0 {
+            let wait = Span::from_secs(self.rng.exponential(1.0 / self.run_spec.keys.changes));
             self.schedule_after(wait, ScheduledEvent::KeyChanges);
         }
     }
@@ -33,8 +33,8 @@
 
     /// Sends the next try of a request to one of the nodes that clients can reach.
     pub(super) fn next_try(&mut self, ask: u64) {
-        let (now, entry) = (self.now, self.day.clients.entry);
-        let notice = self.day.clients.front_detection_delay;
+        let (now, entry) = (self.now, self.run_spec.clients.entry);
+        let notice = self.run_spec.clients.front_detection_delay;
         let is_open = |state: &NodeState| match state.new_connections_until {
             _ if entry == Entry::Own => true,
             // A stopping node gets new connections until that time, and tries on kept ones for as long as it accepts,
@@ -46,7 +46,7 @@
         };
         let open: Vec<bool> = self.nodes.iter().map(is_open).collect();
         let Some((id, deadline)) = self.clients.next_try(now, ask, &open) else { return };
-        let delay = self.jittered(self.day.network.client);
+        let delay = self.jittered(self.run_spec.network.client);
         let writing = self.clients.open_try(id).map_or(Span::ZERO, |t| t.writing);
         self.schedule_after(delay + writing, ScheduledEvent::TryAtNode(id));
         self.schedule_at(deadline, ScheduledEvent::TryDeadline(id));
@@ -65,12 +65,12 @@
                 // The try came on a new connection, as kept ones have been closed.
                 self.record(Event::Dropped { ask, node });
             }
-            let delay = self.jittered(self.day.network.client);
+            let delay = self.jittered(self.run_spec.network.client);
             return self.schedule_after(delay, ScheduledEvent::Reply { id, reply: Reply::Unreached });
         }
         let Some(a) = self.clients.ask(ask) else { return };
         let (class, tenant, key, work, hint) = (a.class, a.tenant, a.key, a.work, a.hint);
-        let write = self.day.classes[class].write.then_some(a.effect);
+        let write = self.run_spec.classes[class].write.then_some(a.effect);
         self.record(Event::TryAccepted { id, ask, node, until });
         let deadline = until.saturating_sub(CLIENT_DELAY_MARGIN);
         let accepted = AcceptedTry { key, work, write, deadline, answered: false, attempts: Vec::new() };
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -37,15 +37,15 @@
         let inner = policy::balancer_policy(settings, seed)?;
         Ok(Box::new(RecordingPolicy { inner, silent_reports: silent_reports.clone() }) as Box<dyn Policy>)
     };
-    let (mut events, mut referee) = (String::new(), InvariantChecker::new(&day));
+    let (mut events, mut checker) = (String::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &TraceEvent| {
         events += &format!("{at:?} {event:?}\n");
-        referee.record(at, event);
+        checker.record(at, event);
     };
     let world = World::new(&day, &start, sink).expect("a world").with_plane(switch).expect("a plane");
     let tally = world.run().tally;
     let silent_reports = *silent_reports.lock().expect("a count");
-    (events, referee.verdict(), tally, silent_reports)
+    (events, checker.verdict(), tally, silent_reports)
 }
 
 const SILENT_BOXES: &str = "[[incidents]]\nkind = \"silent\"\nat = \"4s\"\nlasts = \"5s\"\npart = 0.3\n";
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -72,7 +72,7 @@
 /// they are recorded and applied.
 struct BalancerRun {
     balancer: Balancer,
-    referee: InvariantChecker,
+    checker: InvariantChecker,
     rng: RandomStream,
     now: Seconds,
     open: BTreeMap<u64, OpenRequest>,
@@ -89,7 +89,7 @@
         let list = (0..LISTED).map(|of| entry(of, ServerState::Ready, None)).collect();
         BalancerRun {
             balancer,
-            referee: InvariantChecker::new(day),
+            checker: InvariantChecker::new(day),
             rng: RandomStream::new(seed, "random life"),
             now: 50.0,
             open: BTreeMap::new(),
@@ -105,7 +105,7 @@
 
     fn record(&mut self, event: Event) {
         let at = self.at();
-        self.referee.record(at, &event);
+        self.checker.record(at, &event);
     }
 
     fn record_list_change(&mut self, entries: &[EndpointEntry]) {
@@ -319,7 +319,7 @@
         run.advance(0.001, &tamper);
     }
     run.record(Event::RunEnded);
-    (run.referee.verdict(), run.sends)
+    (run.checker.verdict(), run.sends)
 }
 
 /// The rules that a verdict reports as violated, with the first three violations as text.
--- a/crates/simulation/tests/trouble.rs
+++ b/crates/simulation/tests/trouble.rs
@@ -23,13 +23,13 @@
 }
 
 fn run(day: &RunSpec) -> (Vec<(Time, Event)>, Verdict) {
-    let (mut events, mut referee) = (Vec::new(), InvariantChecker::new(day));
+    let (mut events, mut checker) = (Vec::new(), InvariantChecker::new(day));
     let sink = |at: Time, event: &Event| {
         events.push((at, event.clone()));
-        referee.record(at, event);
+        checker.record(at, event);
     };
     let _ = World::new(day, &policy::balancer_policy, sink).expect("a world").run();
-    (events, referee.verdict())
+    (events, checker.verdict())
 }
 
 fn at(ms: u64) -> Time {
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -20,15 +20,15 @@
 
 fn trace(incidents: &str, seed: u64) -> (String, Verdict) {
     let day = scenario(incidents).draw(seed).expect("a day");
-    let (mut text, mut referee) = (String::new(), InvariantChecker::new(&day));
+    let (mut text, mut checker) = (String::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &Event| {
         let line = Line { at, event: event.clone() };
         text.push_str(&serde_json::to_string(&line).expect("a line"));
         text.push('\n');
-        hallpin_simulation::trace::Sink::record(&mut referee, at, event);
+        hallpin_simulation::trace::Sink::record(&mut checker, at, event);
     };
     let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
-    (text, referee.verdict())
+    (text, checker.verdict())
 }
 
 const ALL_INCIDENTS: &str = r#"
@@ -142,9 +142,9 @@
     let mut scenario = scenario("");
     scenario.clients.abandons = hallpin_simulation::range::Range::single(0.3);
     let day = scenario.draw(1).expect("a day");
-    let referee =
+    let checker =
         World::new(&day, &policy::balancer_policy, InvariantChecker::new(&day)).expect("a world").run().sink;
-    let verdict = referee.verdict();
+    let verdict = checker.verdict();
     assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(verdict.losses.contains_key(&Loss::NoAnswer), "{:?}", verdict.losses);
 }
@@ -195,7 +195,7 @@
     let day = scenario.draw(4).expect("a day");
     let (mut tries, mut received, mut retries) =
         (std::collections::BTreeMap::new(), std::collections::BTreeMap::new(), 0);
-    let mut referee = InvariantChecker::new(&day);
+    let mut checker = InvariantChecker::new(&day);
     let sink = |at: Time, event: &Event| {
         match event {
             Event::TryAccepted { ask, .. } => {
@@ -206,10 +206,10 @@
             Event::Received { ask, .. } => *received.entry(*ask).or_insert(0) += 1,
             _ => {}
         }
-        hallpin_simulation::trace::Sink::record(&mut referee, at, event);
+        hallpin_simulation::trace::Sink::record(&mut checker, at, event);
     };
     let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
-    let verdict = referee.verdict();
+    let verdict = checker.verdict();
     assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(retries > 20, "{retries} retries");
     assert!(received.values().all(|n| *n == 1));
@@ -265,10 +265,10 @@
         scenario("[[classes]]\nname = \"lookup\"\nwork = \"10ms\"\naim = \"500ms\"\ndeadline = \"1s\"\n")
             .draw(1)
             .expect("a day");
-    let (mut events, mut referee) = (Vec::new(), InvariantChecker::new(&day));
+    let (mut events, mut checker) = (Vec::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &Event| {
         events.push(event.clone());
-        hallpin_simulation::trace::Sink::record(&mut referee, at, event);
+        hallpin_simulation::trace::Sink::record(&mut checker, at, event);
     };
     let start = |_, _| Ok(Box::<FixedTimeout>::default() as Box<dyn Policy>);
     let _ = World::new(&day, &start, sink).expect("a world").run();
@@ -303,17 +303,17 @@
         assert!(events.iter().any(second), "{id}: the other attempt has no outcome");
     }
     // This policy lets requests wait until their deadlines, which violates `Rule::Waited` and no other rule.
-    let verdict = referee.verdict();
+    let verdict = checker.verdict();
     assert!(verdict.violations.keys().all(|rule| *rule == Rule::Waited), "{:?}", verdict.first_violations);
 }
 
 fn run_mixed(seed: u64) -> Verdict {
     let day = Scenario::parse(include_str!("../../../scenarios/mixed.toml")).expect("a scenario").draw(seed);
     let day = day.expect("a day");
-    let mut referee = InvariantChecker::new(&day);
-    let sink = |at: Time, event: &Event| hallpin_simulation::trace::Sink::record(&mut referee, at, event);
+    let mut checker = InvariantChecker::new(&day);
+    let sink = |at: Time, event: &Event| hallpin_simulation::trace::Sink::record(&mut checker, at, event);
     let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
-    referee.verdict()
+    checker.verdict()
 }
 
 /// Expensive requests reach boxes that restart with a cold cache: none of these boxes crashes from overload.
