--- a/crates/baselines/src/late.rs
+++ b/crates/baselines/src/late.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use hallpin_balancer::Seconds;
-use hallpin_simulation::policy::{Sight, TrueBox, TruePlanner};
+use hallpin_simulation::policy::{TrueBox, TruePlanner, WorldView};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -37,7 +37,7 @@
 
     /// Takes a snapshot if one is due and passes the latest one that is at least `delay` old to `then`, or the oldest
     /// if none is that old.
-    fn with_snapshot<T>(&self, now: Seconds, world: &dyn Sight, then: impl FnOnce(&Snapshot) -> T) -> T {
+    fn with_snapshot<T>(&self, now: Seconds, world: &dyn WorldView, then: impl FnOnce(&Snapshot) -> T) -> T {
         let mut depots = self.depots.lock().unwrap_or_else(PoisonError::into_inner);
         let snapshots = depots.entry(world.depot()).or_default();
         // The warm-up has its own clock, which ran before the clock of the run started.
@@ -85,8 +85,8 @@
     /// the box was not up.
     fn load(boxes: View, snapshot: &Snapshot, index: usize) -> Option<f64> {
         let seen = boxes.true_index(index).and_then(|n| snapshot.boxes.get(n)).filter(|s| s.up)?;
-        let requests = (seen.wanted as f64).max(f64::from(boxes.in_flight(index)));
-        Some(requests / seen.present_slots.max(1.0))
+        let requests = (seen.demanded_slots as f64).max(f64::from(boxes.in_flight(index)));
+        Some(requests / seen.current_slots.max(1.0))
     }
 
     /// Picks one of these boxes at random, weighted by its spare capacity. Not simply the least loaded one, since all
@@ -185,7 +185,7 @@
     /// A world of one box that is up or down.
     struct OneBoxWorld(bool);
 
-    impl Sight for OneBoxWorld {
+    impl WorldView for OneBoxWorld {
         fn boxes(&self) -> usize {
             1
         }
@@ -199,7 +199,7 @@
         }
 
         fn look(&self, _: usize) -> TrueBox {
-            TrueBox { up: self.0, slots: 1.0, present_slots: 1.0, wanted: 0, may_fetch: true }
+            TrueBox { up: self.0, slots: 1.0, current_slots: 1.0, demanded_slots: 0, can_fetch: true }
         }
 
         fn keeps(&self, _: usize, _: RequestId) -> bool {
--- a/crates/emulator/src/sockets/clients.rs
+++ b/crates/emulator/src/sockets/clients.rs
@@ -10,10 +10,10 @@
 use bytes::BytesMut;
 use hallpin_protocol::client::{next_answer, Answer, ClientCommand};
 use hallpin_simulation::clients::Reply;
-use hallpin_simulation::day::Entry;
 use hallpin_simulation::keys;
+use hallpin_simulation::run_spec::Entry;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Event, How, TryId};
+use hallpin_simulation::trace::{Event, TryId, TryOutcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout_at, Instant};
@@ -53,7 +53,7 @@
         let next_try = {
             let mut environment = environment.borrow_mut();
             let now = environment.now();
-            let open = match environment.day.clients.entry {
+            let open = match environment.run_spec.clients.entry {
                 Entry::Own => vec![true; nodes.len()],
                 Entry::Front => environment.nodes_up.clone(),
             };
@@ -152,19 +152,19 @@
 /// Encodes the command of a try and registers the try; returns its node and the command.
 fn prepare_command(environment: &SharedEnvironment, id: TryId) -> Option<(usize, TimedCommand)> {
     let mut environment = environment.borrow_mut();
-    let (now, day) = (environment.now(), environment.day.clone());
+    let (now, run_spec) = (environment.now(), environment.run_spec.clone());
     let (node, ask, until, writing) =
         environment.clients.open_try(id).map(|t| (t.node, t.ask, t.until, t.writing))?;
     let request = environment.clients.ask(ask)?.clone();
-    let class = &day.classes[request.class];
+    let class = &run_spec.classes[request.class];
     let opaque = format!("{id:x}");
     let effect = request.effect.map(|key| format!("{key:016x}"));
     let command = ClientCommand {
-        key: &keys::name(request.key),
+        key: &keys::wire_name(request.key),
         value: class.write.then_some(b"reported".as_slice()),
         opaque: &opaque,
         class: &class.name,
-        tenant: request.tenant.map(|t| day.tenants[t].name.as_str()),
+        tenant: request.tenant.map(|t| run_spec.tenants[t].name.as_str()),
         wait: Duration::from_micros(until.since(now).0),
         work_hint: request.hint.map(Duration::from_secs_f64),
         idempotency_key: effect.as_deref(),
@@ -181,7 +181,7 @@
     if let Some((ask, node, until)) = environment.clients.open_try(id).map(|t| (t.ask, t.node, t.until)) {
         // Bytes that the socket of a dead process still accepted reach no node.
         if environment.nodes_alive[node] && environment.tries.get_mut(&id).is_some_and(TryState::mark_taken) {
-            environment.record(Event::Taken { id, ask, node, until });
+            environment.record(Event::TryAccepted { id, ask, node, until });
         }
     }
 }
@@ -190,10 +190,10 @@
 fn record_answer(environment: &SharedEnvironment, id: TryId, answer: Answer) -> Reply {
     let parse_version = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().parse::<u64>().ok();
     let (how, advice, version) = match &answer {
-        Answer::Value(value, _) => (How::Completed, None, parse_version(value)),
-        Answer::Receipt(receipt, _) => (How::Completed, None, parse_version(receipt)),
-        Answer::Busy(advice) => (How::Rejected, *advice, None),
-        Answer::Failed(_) => (How::Failed, None, None),
+        Answer::Value(value, _) => (TryOutcome::Completed, None, parse_version(value)),
+        Answer::Receipt(receipt, _) => (TryOutcome::Completed, None, parse_version(receipt)),
+        Answer::Busy(advice) => (TryOutcome::Rejected, *advice, None),
+        Answer::Failed(_) => (TryOutcome::Failed, None, None),
     };
     // An answer made for another request is recorded under an unused id, which the invariant checker reports as an
     // answer that no box has made.
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use hallpin_simulation::day::NodeId;
-use hallpin_simulation::list::{Listing, News, Phase};
+use hallpin_simulation::list::{Listing, Phase, WatchEvent};
+use hallpin_simulation::run_spec::NodeId;
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -19,7 +19,7 @@
 }
 
 impl Agent for NodeAgent {
-    fn silence(&self) -> watch::Receiver<u32> {
+    fn silence_count(&self) -> watch::Receiver<u32> {
         self.environment.borrow().list_silent.subscribe()
     }
 
@@ -27,9 +27,9 @@
         self.environment.borrow().agents[self.node].changed.subscribe()
     }
 
-    fn asked(&self, _after: Option<u64>) {}
+    fn request_received(&self, _after: Option<u64>) {}
 
-    fn given_up(&self) {
+    fn call_abandoned(&self) {
         // At the end of the run all calls are dropped at once, possibly while the environment is borrowed.
         if let Ok(mut environment) = self.environment.try_borrow_mut() {
             environment.call_failed(self.node);
@@ -40,7 +40,7 @@
         let mut environment = self.environment.borrow_mut();
         environment.call_answered(self.node);
         let list = &environment.agents[self.node].list;
-        let update = after.map_or_else(|| list.whole(), |after| list.since(after));
+        let update = after.map_or_else(|| list.complete_list(), |after| list.changes_since(after));
         let body = list_json(&environment, self.node, &update).to_string();
         environment.record_notified(self.node, &update.listings);
         environment.observed[self.node].count_list_bytes(body.len());
@@ -54,10 +54,10 @@
 }
 
 /// Encodes a list as discovery does, with the addresses at which the boxes are reached from the node's depot.
-pub(super) fn list_json(environment: &Environment, node: NodeId, update: &News) -> Value {
-    let depot = environment.day.nodes[node];
+pub(super) fn list_json(environment: &Environment, node: NodeId, update: &WatchEvent) -> Value {
+    let depot = environment.run_spec.nodes[node];
     let member = |l: &Listing| {
-        let spec = &environment.day.boxes[l.cache_box];
+        let spec = &environment.run_spec.boxes[l.cache_box];
         let phase = match l.phase {
             Phase::Ready => "ready",
             Phase::Draining => "draining",
@@ -65,7 +65,7 @@
         };
         json!({
             "id": spec.id, "host_port": environment.addresses[l.cache_box][depot].to_string(),
-            "locality": environment.day.depots[spec.depot], "flavor": spec.kind, "cell": spec.cell,
+            "locality": environment.run_spec.depots[spec.depot], "flavor": spec.kind, "cell": spec.cell,
             "phase": phase, "size": spec.size, "up_since_ms": environment.unix_ms(l.started),
         })
     };
@@ -76,7 +76,7 @@
 /// The list that a node is started with: the agent's current one. The node counts as notified of it.
 pub(super) fn initial_list(environment: &Rc<std::cell::RefCell<Environment>>, node: NodeId) -> Value {
     let mut environment = environment.borrow_mut();
-    let update = environment.agents[node].list.whole();
+    let update = environment.agents[node].list.complete_list();
     let list_json = list_json(&environment, node, &update);
     environment.record_notified(node, &update.listings);
     list_json
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -10,15 +10,15 @@
 
     /// Number of incidents that partition the nodes of a depot from a box.
     pub fn link(&self, from: usize, box_id: BoxId) -> watch::Receiver<u32> {
-        self.links[from * self.day.depots.len() + self.day.boxes[box_id].depot].subscribe()
+        self.links[from * self.run_spec.depots.len() + self.run_spec.boxes[box_id].depot].subscribe()
     }
 
     /// Draws the round-trip time between a node and a box, to be added to that of loopback.
     pub fn round_trip(&mut self, node: NodeId, box_id: BoxId) -> Duration {
-        let network = &self.day.network;
-        let same = self.day.nodes[node] == self.day.boxes[box_id].depot;
+        let network = &self.run_spec.network;
+        let same = self.run_spec.nodes[node] == self.run_spec.boxes[box_id].depot;
         let one_way = if same { network.same } else { network.cross };
-        let factor = (1.0 + network.jitter * self.chance.normal()).max(0.2);
+        let factor = (1.0 + network.jitter * self.rng.normal()).max(0.2);
         Duration::from_micros((one_way.0 as f64 * 2.0 * factor) as u64)
     }
 
@@ -74,7 +74,7 @@
         let (node, attempt) = (try_state.node, try_state.attempts);
         try_state.attempts += 1;
         let ask = self.clients.open_try(id).map(|t| (t.ask, t.until));
-        let crosses = self.day.nodes[node] != self.day.boxes[box_id].depot;
+        let crosses = self.run_spec.nodes[node] != self.run_spec.boxes[box_id].depot;
         let wait = Some(Span(command.wait.as_micros() as u64));
         self.record(Event::Sent { id, attempt, node, to: box_id, crosses, wait });
         // If the client has gone away, the request is no longer known; the box still does its work.
@@ -82,7 +82,7 @@
         let now = self.now();
         let (key, work, write, deadline) = match request {
             Some((a, until)) => {
-                let write = self.day.classes[a.class].write.then_some(a.effect);
+                let write = self.run_spec.classes[a.class].write.then_some(a.effect);
                 (a.key, a.work * self.clients.attempt_factor(), write, until)
             }
             None => (0, 1000.0, None, now),
@@ -103,7 +103,11 @@
     /// Cancels an attempt whose connection the node has closed before the answer.
     pub fn cancel_attempt(&mut self, token: u64) {
         let Some(pending) = self.pending_attempts.remove(&token) else { return };
-        self.record(Event::Ended { id: pending.id, attempt: pending.attempt, how: Ended::Cancelled });
+        self.record(Event::Ended {
+            id: pending.id,
+            attempt: pending.attempt,
+            how: AttemptOutcome::Cancelled,
+        });
         if self.box_states[pending.box_id].cache.is_up() {
             let (now, mut outputs) = (self.now(), Vec::new());
             self.box_states[pending.box_id].cache.cancel(now, token, self.origin.planner(), &mut outputs);
@@ -112,16 +116,16 @@
     }
 
     /// Carries out a box's outputs and schedules its next wake-up.
-    pub(super) fn process_box_outputs(&mut self, box_id: BoxId, outputs: Vec<BoxOut>) {
+    pub(super) fn process_box_outputs(&mut self, box_id: BoxId, outputs: Vec<BoxOutput>) {
         for out in outputs {
             match out {
-                BoxOut::Answer(token, answer) => self.box_answers(box_id, token, answer),
-                BoxOut::Ask { ask, cold } => self.call_origin(box_id, ask, cold),
-                BoxOut::Fell => {
-                    self.record(Event::BoxFell { of: box_id });
+                BoxOutput::Answer(token, answer) => self.box_answers(box_id, token, answer),
+                BoxOutput::Ask { ask, cold } => self.call_origin(box_id, ask, cold),
+                BoxOutput::Fell => {
+                    self.record(Event::BoxCrashed { of: box_id });
                     self.end_process(box_id, MachineMode::Down);
                     self.schedule_in(
-                        self.day.list.notice,
+                        self.run_spec.list.notice,
                         ScheduledEvent::ListChanged(listing(box_id, Phase::Gone, None)),
                     );
                 }
@@ -129,7 +133,7 @@
         }
         let now = self.now();
         let box_state = &mut self.box_states[box_id];
-        if let Some(wake) = box_state.cache.wakes(now).filter(|_| box_state.cache.is_up()) {
+        if let Some(wake) = box_state.cache.next_wake(now).filter(|_| box_state.cache.is_up()) {
             let wake = wake.max(now + Span(1));
             if box_state.wakes.is_none_or(|scheduled| wake < scheduled || scheduled <= now) {
                 box_state.wakes = Some(wake);
@@ -146,7 +150,7 @@
         else {
             return;
         };
-        let load = if self.day.limits.reports { self.load(box_id) } else { Vec::new() };
+        let load = if self.run_spec.limits.reports { self.load(box_id) } else { Vec::new() };
         let (how, text) = match answer {
             BoxAnswer::Served { note, version } => {
                 let remarks = AnswerMetadata { cache_note: Some(note), load };
@@ -157,29 +161,29 @@
                         cache_server::value(&opaque, value.as_bytes(), &remarks)
                     }
                 };
-                (Ended::Success, text)
+                (AttemptOutcome::Success, text)
             }
             BoxAnswer::Busy => {
-                (Ended::Overloaded, cache_server::busy(&AnswerMetadata { cache_note: None, load }))
+                (AttemptOutcome::Overloaded, cache_server::busy(&AnswerMetadata { cache_note: None, load }))
             }
             BoxAnswer::Failed => {
-                (Ended::Error, cache_server::failed(&AnswerMetadata { cache_note: None, load }))
+                (AttemptOutcome::Error, cache_server::failed(&AnswerMetadata { cache_note: None, load }))
             }
         };
         let hit = matches!(answer, BoxAnswer::Served { note: CacheNote::Hit, .. });
-        if how != Ended::Overloaded {
+        if how != AttemptOutcome::Overloaded {
             let hit = job.write.is_none().then_some(hit);
             self.record(Event::Worked { id, attempt, work: job.work, hit });
         }
-        let fate = self.faults.fate(&mut self.chance);
-        if fate == Fate::Lost {
+        let fate = self.faults.answer_fate(&mut self.rng);
+        if fate == AnswerFate::Lost {
             // The connection stays open without an answer, until the node closes it.
             self.pending_attempts.insert(token, PendingAttempt { reply, id, attempt, box_id, opaque, job });
             return;
         }
-        let how = if fate == Fate::Reset { Ended::Broken } else { how };
+        let how = if fate == AnswerFate::Reset { AttemptOutcome::Broken } else { how };
         self.record(Event::Ended { id, attempt, how });
-        if fate == Fate::Reset {
+        if fate == AnswerFate::Reset {
             // Dropping the sender closes the connection.
             return;
         }
@@ -188,25 +192,25 @@
     }
 
     /// Passes a box's call to the planner on to the origin.
-    pub(super) fn call_origin(&mut self, by: BoxId, ask: Ask, cold: bool) {
+    pub(super) fn call_origin(&mut self, by: BoxId, ask: PlannerCall, cold: bool) {
         let (now, incarnation, mut outputs) = (self.now(), self.box_states[by].incarnation, Vec::new());
-        self.origin.ask(now, by, incarnation, ask, cold, &mut outputs);
+        self.origin.call(now, by, incarnation, ask, cold, &mut outputs);
         self.process_origin_outputs(outputs);
     }
 
     /// Carries out the origin's outputs.
-    pub(super) fn process_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
+    pub(super) fn process_origin_outputs(&mut self, outputs: Vec<OriginOutput>) {
         for out in outputs {
             match out {
-                OriginOut::Record(event) => self.record(event),
-                OriginOut::Answer { to, life: incarnation, id, version } => {
-                    let one_way = self.day.network.same;
+                OriginOutput::Record(event) => self.record(event),
+                OriginOutput::Answer { to, incarnation, id, version } => {
+                    let one_way = self.run_spec.network.same;
                     self.schedule_in(
                         one_way,
                         ScheduledEvent::PlannerAnswers { to, incarnation, id, version },
                     );
                 }
-                OriginOut::WakeAt(time) => self.schedule(time, ScheduledEvent::PlannerWakes),
+                OriginOutput::WakeAt(time) => self.schedule(time, ScheduledEvent::PlannerWakes),
             }
         }
     }
@@ -220,7 +224,7 @@
         lost.sort_unstable();
         for token in lost {
             if let Some(w) = self.pending_attempts.remove(&token) {
-                self.record(Event::Ended { id: w.id, attempt: w.attempt, how: Ended::Broken });
+                self.record(Event::Ended { id: w.id, attempt: w.attempt, how: AttemptOutcome::Broken });
             }
         }
         self.box_states[box_id].mode.send_replace(mode);
@@ -245,14 +249,14 @@
         // every node as not informed of this start.
         let started = self.last_recorded_at;
         self.schedule_in(
-            self.day.list.add,
+            self.run_spec.list.add,
             ScheduledEvent::ListChanged(listing(box_id, Phase::Ready, Some(started))),
         );
     }
 
     /// Records that a box's process runs, with its capacity.
     pub(super) fn record_box_up(&mut self, of: BoxId, cold: bool) {
-        let spec = &self.day.boxes[of];
+        let spec = &self.run_spec.boxes[of];
         let (capacity, size, from, ramp) = (spec.capacity(), spec.size, spec.cold_from, spec.ramp);
         self.record(Event::BoxUp { of, capacity, size, cold, from, ramp });
     }
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -19,8 +19,8 @@
     /// Schedules the update of each node's agent after a random delay, and after the delay of faults.
     pub(super) fn schedule_agent_updates(&mut self) {
         for node in 0..self.agents.len() {
-            let spread = Span::from_secs(self.chance.between(0.0, self.day.list.spread.as_secs()));
-            let delay = self.faults.list_delay(self.day.nodes[node]);
+            let spread = Span::from_secs(self.rng.between(0.0, self.run_spec.list.spread.as_secs()));
+            let delay = self.faults.list_delay(self.run_spec.nodes[node]);
             let until = (!delay.is_zero()).then(|| self.list.revision());
             self.schedule_in(spread + delay, ScheduledEvent::AgentUpdated(node, until));
         }
@@ -30,16 +30,16 @@
     /// newer.
     pub(super) fn update_agent(&mut self, node: NodeId, until: Option<u64>) {
         let list = match until {
-            Some(until) => self.list.until(until),
+            Some(until) => self.list.at_revision(until),
             None => self.list.clone(),
         };
         if *self.list_silent.borrow() == 0 && list.revision() > self.agents[node].list.revision() {
             // The node counts as informed whether or not it has a call open that the agent could answer.
-            let missed = list.since(self.agents[node].list.revision()).listings;
+            let missed = list.changes_since(self.agents[node].list.revision()).listings;
             let alive = self.nodes_alive[node];
             for l in missed.into_iter().filter(|_| alive) {
                 let (of, phase, started) = (l.cache_box, l.phase, l.started);
-                self.record(Event::Has { node, of, phase, started, asked: false });
+                self.record(Event::ChangeAvailable { node, of, phase, started, asked: false });
             }
             self.agents[node].changed.send_replace(list.revision());
             self.agents[node].list = list;
@@ -64,7 +64,7 @@
     /// Records that a node has been notified of these entries.
     pub fn record_notified(&mut self, node: NodeId, listings: &[Listing]) {
         for l in listings {
-            self.record(Event::Told { node, of: l.cache_box, phase: l.phase, started: l.started });
+            self.record(Event::Notified { node, of: l.cache_box, phase: l.phase, started: l.started });
         }
     }
 
@@ -87,12 +87,12 @@
     }
 
     /// Carries out the clients' next steps and returns the time and request of each try that is due.
-    pub fn client_steps(&mut self, steps: Vec<Step>) -> VecDeque<(Time, u64)> {
+    pub fn client_steps(&mut self, steps: Vec<ClientOutput>) -> VecDeque<(Time, u64)> {
         let mut tries = VecDeque::new();
         for step in steps {
             match step {
-                Step::Record(event) => self.record(event),
-                Step::TryAt(at, ask) => tries.push_back((at, ask)),
+                ClientOutput::Record(event) => self.record(event),
+                ClientOutput::TryAt(at, ask) => tries.push_back((at, ask)),
             }
         }
         tries
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -14,20 +14,20 @@
 use hallpin_balancer::CacheNote;
 use hallpin_protocol::cache_server::{self, AnswerMetadata};
 use hallpin_protocol::Command;
-use hallpin_simulation::agenda::Agenda;
-use hallpin_simulation::cache_box::{BoxAnswer, BoxOut, CacheBox, Job};
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::clients::{Clients, Step};
-use hallpin_simulation::day::{Day, Incident, NodeId};
-use hallpin_simulation::faults::{Fate, Faults};
+use hallpin_simulation::cache_box::{BoxAnswer, BoxOutput, CacheBox, Job};
+use hallpin_simulation::clients::{ClientOutput, Clients};
+use hallpin_simulation::event_queue::EventQueue;
+use hallpin_simulation::faults::{AnswerFate, NetworkFaults};
+use hallpin_simulation::invariants::InvariantChecker;
 use hallpin_simulation::keys::Keys;
 use hallpin_simulation::list::{BoxId, List, Listing, Phase};
-use hallpin_simulation::origin::{Origin, OriginOut};
-use hallpin_simulation::planner::Ask;
-use hallpin_simulation::referee::Referee;
+use hallpin_simulation::origin::{Origin, OriginOutput};
+use hallpin_simulation::planner::PlannerCall;
+use hallpin_simulation::random::RandomStream;
+use hallpin_simulation::run_spec::{FaultEvent, NodeId, RunSpec};
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Ended, Event, Sink, TryId};
-use hallpin_simulation::world::Parts;
+use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryId};
+use hallpin_simulation::world::WorldParts;
 use rustc_hash::FxHashMap;
 use rustix::process::Pid;
 use tokio::sync::{oneshot, watch, Notify};
@@ -40,7 +40,7 @@
 
 /// Shared state of all fakes of a run.
 pub(super) struct Environment {
-    pub day: Rc<Day>,
+    pub run_spec: Rc<RunSpec>,
     /// Start of the run; its clock stays at 0 until then.
     start: Option<Instant>,
     start_unix_ms: f64,
@@ -70,10 +70,10 @@
     /// Token of the latest attempt; tokens count up from 1.
     last_token: u64,
     pub tries: FxHashMap<TryId, TryState>,
-    agenda: Agenda<ScheduledEvent>,
-    faults: Faults,
-    chance: Chance,
-    pub referee: Referee,
+    event_queue: EventQueue<ScheduledEvent>,
+    faults: NetworkFaults,
+    rng: RandomStream,
+    pub checker: InvariantChecker,
     pub trace: Option<TraceFile<std::io::BufWriter<std::fs::File>>>,
     /// Notified when an event is scheduled before all others.
     pub earlier_event_scheduled: Rc<Notify>,
@@ -85,12 +85,17 @@
 pub(super) type SharedEnvironment = Rc<RefCell<Environment>>;
 
 impl Environment {
-    pub fn new(day: Rc<Day>, parts: Parts, referee: Referee, addresses: Vec<Vec<SocketAddr>>) -> Self {
+    pub fn new(
+        run_spec: Rc<RunSpec>,
+        parts: WorldParts,
+        checker: InvariantChecker,
+        addresses: Vec<Vec<SocketAddr>>,
+    ) -> Self {
         let box_state = |cache: CacheBox| {
             let mode = if cache.is_up() { MachineMode::Open(0) } else { MachineMode::Down };
             BoxState { cache, incarnation: 0, silent: 0, wakes: None, mode: watch::channel(mode).0 }
         };
-        let nodes = day.nodes.len();
+        let nodes = run_spec.nodes.len();
         Environment {
             start: None,
             start_unix_ms: 0.0,
@@ -102,7 +107,7 @@
             list: parts.list,
             list_silent: watch::channel(0).0,
             addresses,
-            links: (0..day.depots.len().pow(2)).map(|_| watch::channel(0).0).collect(),
+            links: (0..run_spec.depots.len().pow(2)).map(|_| watch::channel(0).0).collect(),
             node_orders: (0..nodes).map(|_| watch::channel(NodeOrder::Run).0).collect(),
             nodes_up: vec![false; nodes],
             nodes_alive: vec![false; nodes],
@@ -111,15 +116,15 @@
             pending_attempts: FxHashMap::default(),
             last_token: 0,
             tries: FxHashMap::default(),
-            agenda: Agenda::default(),
-            faults: Faults::default(),
-            chance: Chance::new(day.seed, "sockets"),
-            referee,
+            event_queue: EventQueue::default(),
+            faults: NetworkFaults::default(),
+            rng: RandomStream::new(run_spec.seed, "sockets"),
+            checker,
             trace: None,
             earlier_event_scheduled: Rc::new(Notify::new()),
             last_recorded_at: Time::ZERO,
             events: 0,
-            day,
+            run_spec,
         }
     }
 
@@ -133,8 +138,8 @@
                 self.record_box_up(box_id, false);
             }
         }
-        let day = self.day.clone();
-        for (index, scheduled) in day.incidents.iter().enumerate() {
+        let run_spec = self.run_spec.clone();
+        for (index, scheduled) in run_spec.fault_events.iter().enumerate() {
             self.schedule(scheduled.at, ScheduledEvent::IncidentBegins(index));
         }
         self.schedule_in(Span::from_millis(1000), ScheduledEvent::KeysDrift);
@@ -160,7 +165,7 @@
         let at = self.now().max(self.last_recorded_at);
         self.last_recorded_at = at;
         self.events += 1;
-        self.referee.record(at, &event);
+        self.checker.record(at, &event);
         if let Some(trace) = &mut self.trace {
             trace.record(at, &event);
         }
@@ -169,7 +174,7 @@
     /// Schedules an event, and wakes the event loop if it is the earliest.
     fn schedule(&mut self, at: Time, event: ScheduledEvent) {
         let first = self.next_event_time().is_none_or(|next| at < next);
-        self.agenda.enter(at, event);
+        self.event_queue.schedule(at, event);
         if first {
             self.earlier_event_scheduled.notify_one();
         }
@@ -180,13 +185,13 @@
     }
 
     pub fn next_event_time(&self) -> Option<Time> {
-        self.agenda.next()
+        self.event_queue.next_time()
     }
 
     /// Processes all events that are due.
     pub fn process_due_events(&mut self) {
         let now = self.now();
-        while let Some((at, event)) = self.agenda.take_until(now) {
+        while let Some((at, event)) = self.event_queue.pop_until(now) {
             self.process_event(at, event);
         }
     }
@@ -209,7 +214,7 @@
                 let box_state = &mut self.box_states[to];
                 if box_state.incarnation == incarnation && box_state.cache.is_up() {
                     let keys = &self.keys;
-                    box_state.cache.fetched(
+                    box_state.cache.on_planner_reply(
                         now,
                         id,
                         version,
@@ -225,11 +230,11 @@
             ScheduledEvent::IncidentBegins(index) => self.incident_begins(index),
             ScheduledEvent::IncidentEnds(index) => self.incident_ends(index),
             ScheduledEvent::KeysDrift => {
-                self.keys.drift();
+                self.keys.advance_drift();
                 self.schedule_in(Span::from_millis(1000), ScheduledEvent::KeysDrift);
             }
             ScheduledEvent::KeyChanged => {
-                let key = self.chance.below(u64::from(self.day.keys.count)) as u32;
+                let key = self.rng.below(u64::from(self.run_spec.keys.count)) as u32;
                 self.origin.planner_mut().change(key);
                 self.schedule_key_change();
             }
@@ -240,8 +245,8 @@
 
     /// Schedules the next key change at the planner, as a Poisson process.
     fn schedule_key_change(&mut self) {
-        if self.day.keys.changes > 0.0 {
-            let wait = Span::from_secs(self.chance.exponential(1.0 / self.day.keys.changes));
+        if self.run_spec.keys.changes > 0.0 {
+            let wait = Span::from_secs(self.rng.exponential(1.0 / self.run_spec.keys.changes));
             self.schedule_in(wait, ScheduledEvent::KeyChanged);
         }
     }
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -8,24 +8,24 @@
 use std::time::{Duration, Instant};
 
 use hallpin_balancer::Sizes;
-use hallpin_baselines::Kind;
+use hallpin_baselines::PolicyKind;
 use hallpin_simulation::history::Header;
+use hallpin_simulation::invariants::{InvariantChecker, Verdict};
 use hallpin_simulation::plane::{Switch, Tally};
-use hallpin_simulation::referee::{Referee, Verdict};
-use hallpin_simulation::scenario::{Scenario, Wrong};
+use hallpin_simulation::scenario::{InvalidField, Scenario};
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{Event, Sink};
-use hallpin_simulation::world::{Done, World, WorldError};
+use hallpin_simulation::world::{DayResult, World, WorldError};
 
 use crate::footprint::Footprint;
 use crate::trace_file::TraceFile;
 
 /// Reason why a scenario run failed.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
+pub enum RunError {
     /// The scenario is invalid.
     #[error("scenario: {0}")]
-    Scenario(#[from] Wrong),
+    Scenario(#[from] InvalidField),
     /// The simulated world cannot be built from the scenario.
     #[error("scenario: {0}")]
     World(#[from] WorldError),
@@ -36,10 +36,10 @@
 
 /// Result of one scenario run.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Played {
+pub struct RunResult {
     /// The policy that made the decisions.
     #[serde(serialize_with = "serialize_policy_name")]
-    pub policy: Kind,
+    pub policy: PolicyKind,
     /// Seed that the run was drawn from.
     pub seed: u64,
     /// Verdict of the invariant checker.
@@ -55,10 +55,10 @@
     pub footprints: Vec<Footprint>,
     /// Wall-clock duration of the run; not serialised, as it is not part of the result.
     #[serde(skip)]
-    pub took: Duration,
+    pub wall_time: Duration,
 }
 
-fn serialize_policy_name<S: serde::Serializer>(kind: &Kind, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_policy_name<S: serde::Serializer>(kind: &PolicyKind, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(kind.name())
 }
 
@@ -67,46 +67,47 @@
 ///
 /// # Errors
 /// If the scenario is invalid or the trace could not be written completely.
-pub fn play(
+pub fn run_scenario(
     scenario: &Scenario,
     seed: u64,
-    policy: Kind,
+    policy: PolicyKind,
     plane: Switch,
     trace: Option<&Path>,
-) -> Result<Played, PlayError> {
-    let day = scenario.draw(seed)?;
+) -> Result<RunResult, RunError> {
+    let run_spec = scenario.draw(seed)?;
     let began = Instant::now();
     let new_policy = policy.factory();
-    let plane = if policy == Kind::Module { plane } else { Switch::Off };
-    let mut referee = Referee::new(&day);
+    let plane = if policy == PolicyKind::Module { plane } else { Switch::Off };
+    let mut checker = InvariantChecker::new(&run_spec);
     let (events, sizes, tally) = match trace {
         None => {
-            let done = World::new(&day, &*new_policy, |at: Time, event: &Event| referee.record(at, event))?
-                .with_plane(plane)?
-                .run();
+            let done =
+                World::new(&run_spec, &*new_policy, |at: Time, event: &Event| checker.record(at, event))?
+                    .with_plane(plane)?
+                    .run();
             (done.events, done.sizes, done.tally)
         }
         Some(path) => {
             let mut file = TraceFile::create(path, &Header::new(scenario, seed, Span::ZERO))?;
             let sink = |at: Time, event: &Event| {
                 file.record(at, event);
-                referee.record(at, event);
+                checker.record(at, event);
             };
-            let Done { events, sizes, tally, .. } =
-                World::new(&day, &*new_policy, sink)?.with_plane(plane)?.run();
+            let DayResult { events, sizes, tally, .. } =
+                World::new(&run_spec, &*new_policy, sink)?.with_plane(plane)?.run();
             file.finish()?;
             (events, sizes, tally)
         }
     };
-    Ok(Played {
+    Ok(RunResult {
         policy,
         seed,
-        verdict: referee.verdict(),
+        verdict: checker.verdict(),
         events,
         sizes,
         tally,
         footprints: Vec::new(),
-        took: began.elapsed(),
+        wall_time: began.elapsed(),
     })
 }
 
@@ -115,14 +116,14 @@
 ///
 /// # Errors
 /// The first error in the order of the results.
-pub fn play_all(
+pub fn run_all(
     scenario: &Scenario,
     seeds: &[u64],
-    policies: &[Kind],
+    policies: &[PolicyKind],
     plane: Switch,
     ended: &(dyn Fn() + Sync),
-) -> Result<Vec<Played>, PlayError> {
-    let runs: Vec<(Kind, u64)> = policies.iter().flat_map(|p| seeds.iter().map(|s| (*p, *s))).collect();
+) -> Result<Vec<RunResult>, RunError> {
+    let runs: Vec<(PolicyKind, u64)> = policies.iter().flat_map(|p| seeds.iter().map(|s| (*p, *s))).collect();
     let threads = std::thread::available_parallelism().map_or(1, NonZeroUsize::get).min(runs.len());
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
@@ -130,7 +131,7 @@
         for _ in 0..threads {
             scope.spawn(|| {
                 while let Some(&(policy, seed)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let played = play(scenario, seed, policy, plane, None);
+                    let played = run_scenario(scenario, seed, policy, plane, None);
                     ended();
                     // A poisoned lock is ignored: the scope propagates the panic of the thread that held it.
                     if let Ok(mut results) = results.lock() {
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -1,11 +1,11 @@
 //! The invariant checker on recorded histories: runs of the real decision module in virtual time, one run recorded from
 //! the real node on loopback, and for each rule a history with one changed record that must violate this rule alone.
 
-use hallpin_baselines::Kind;
-use hallpin_emulator::play;
-use hallpin_simulation::history::{judge, HistoryError};
+use hallpin_baselines::PolicyKind;
+use hallpin_emulator::run_scenario;
+use hallpin_simulation::history::{check_history, HistoryError};
+use hallpin_simulation::invariants::{Rule, Verdict};
 use hallpin_simulation::plane::Switch;
-use hallpin_simulation::referee::{Rule, Verdict};
 use hallpin_simulation::scenario::Scenario;
 use serde_json::{json, Value};
 
@@ -33,17 +33,17 @@
     let scenario = Scenario::parse(scenario).expect("a scenario");
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("day.jsonl");
-    play(&scenario, seed, Kind::Module, Switch::Off, Some(&path)).expect("a completed run");
+    run_scenario(&scenario, seed, PolicyKind::Module, Switch::Off, Some(&path)).expect("a completed run");
     std::fs::read_to_string(path).expect("a trace").lines().map(String::from).collect()
 }
 
 fn check(lines: &[String]) -> Result<Verdict, HistoryError> {
-    judge((lines.join("\n") + "\n").as_bytes())
+    check_history((lines.join("\n") + "\n").as_bytes())
 }
 
 /// Rules that a history violates.
 fn violated_rules(lines: &[String]) -> Vec<Rule> {
-    check(lines).expect("a complete history").breaches.into_keys().collect()
+    check(lines).expect("a complete history").violations.into_keys().collect()
 }
 
 #[test]
@@ -52,8 +52,8 @@
         for seed in seeds {
             let lines = history(scenario, seed);
             let verdict = check(&lines).unwrap_or_else(|error| panic!("{name}, seed {seed}, line {error}"));
-            assert!(verdict.is_clean(), "{name}, seed {seed}: {:?}", verdict.told);
-            assert!(verdict.whole.requests > 1000 && verdict.attempts > 1000, "{name}, seed {seed}");
+            assert!(verdict.is_clean(), "{name}, seed {seed}: {:?}", verdict.first_violations);
+            assert!(verdict.all_requests.requests > 1000 && verdict.attempts > 1000, "{name}, seed {seed}");
             assert!(lines.iter().any(|line| line.contains("\"abandoned\"")), "{name}, seed {seed}");
         }
     }
@@ -66,7 +66,7 @@
 #[test]
 fn a_recorded_run_of_the_real_node_violates_no_rule() {
     let verdict = check(&real_node()).unwrap_or_else(|error| panic!("line {error}"));
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(verdict.classes.iter().all(|class| class.completed > 0), "of each class");
     assert!(verdict.classes.iter().map(|class| class.rejected).sum::<u64>() > 0, "and rejections");
 }
--- a/crates/fault-harness/src/fakes/discovery.rs
+++ b/crates/fault-harness/src/fakes/discovery.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hallpin_emulator::agent::Agent;
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::list::{self, Listing, News, Phase};
+use hallpin_simulation::list::{self, Listing, Phase, WatchEvent};
+use hallpin_simulation::random::RandomStream;
 use hallpin_simulation::time::{Span, Time};
 use serde_json::{json, Value};
 use tokio::sync::watch;
@@ -25,7 +25,7 @@
     agents: Vec<watch::Sender<u64>>,
     /// 1 while the agents are silent, 0 otherwise.
     silence: watch::Sender<u32>,
-    rng: RefCell<Chance>,
+    rng: RefCell<RandomStream>,
     /// `box_addresses[node][box]` is the address at which a node reaches a box.
     box_addresses: Vec<Vec<SocketAddr>>,
     /// Unix time of the harness's start, in milliseconds.
@@ -42,7 +42,7 @@
             list: RefCell::default(),
             agents: box_addresses.iter().map(|_| watch::Sender::new(0)).collect(),
             silence: watch::Sender::new(0),
-            rng: RefCell::new(Chance::new(spec.seed, "list")),
+            rng: RefCell::new(RandomStream::new(spec.seed, "list")),
             spec,
             box_addresses,
             started_unix_ms: u64::try_from(started_unix_ms).unwrap_or(0),
@@ -80,7 +80,7 @@
 
     /// The endpoint list that a node has at its start, recorded as a notification.
     pub fn initial_list(&self, node: usize) -> Value {
-        let update = self.list.borrow().until(*self.agents[node].borrow()).whole();
+        let update = self.list.borrow().at_revision(*self.agents[node].borrow()).complete_list();
         self.notify(node, &update)
     }
 
@@ -97,9 +97,9 @@
         });
     }
 
-    fn notify(&self, node: usize, update: &News) -> Value {
+    fn notify(&self, node: usize, update: &WatchEvent) -> Value {
         let entries = update.listings.iter().map(|l| (l.cache_box, l.phase)).collect();
-        let News { revision, complete, .. } = *update;
+        let WatchEvent { revision, complete, .. } = *update;
         self.recorder.record(Event::Told { node, revision, complete, entries });
         let boxes: Vec<_> = self.spec.each_box().collect();
         let member = |l: &Listing| {
@@ -122,7 +122,7 @@
 }
 
 impl Agent for NodeAgent {
-    fn silence(&self) -> watch::Receiver<u32> {
+    fn silence_count(&self) -> watch::Receiver<u32> {
         self.discovery.silence.subscribe()
     }
 
@@ -130,15 +130,15 @@
         self.discovery.agents[self.node].subscribe()
     }
 
-    fn asked(&self, _after: Option<u64>) {
+    fn request_received(&self, _after: Option<u64>) {
         self.discovery.recorder.record(Event::ListAsked { node: self.node });
     }
 
     fn tell(&self, after: Option<u64>) -> String {
         let (list, revision) = (self.discovery.list.borrow(), *self.discovery.agents[self.node].borrow());
         let update = match after {
-            Some(after) => list.between(after, revision),
-            None => list.until(revision).whole(),
+            Some(after) => list.changes_between(after, revision),
+            None => list.at_revision(revision).complete_list(),
         };
         self.discovery.notify(self.node, &update).to_string()
     }
--- a/crates/fleet-test/src/gate/floors.rs
+++ b/crates/fleet-test/src/gate/floors.rs
@@ -1,8 +1,8 @@
 //! Floors for the classes, tenants and thirds of a run: of each, a minimum share of what the late-seeing policy serves
 //! must be served.
 
-use hallpin_simulation::day::Effect;
-use hallpin_simulation::referee::{Second, Verdict};
+use hallpin_simulation::invariants::{Second, Verdict};
+use hallpin_simulation::run_spec::Effect;
 use serde::Serialize;
 
 use crate::day::Day;
@@ -59,7 +59,7 @@
 /// Classes with at least a twentieth of the requests or of the priority weight, or that are not idempotent, unless the
 /// late-seeing policy itself serves little of them.
 fn classes(verdict: &Verdict, late: &Verdict) -> Vec<Served> {
-    let whole = verdict.whole;
+    let whole = verdict.all_requests;
     let has_floor = |requests: u64, worth: f64, effect| {
         let is_frequent = requests as f64 >= MIN_WEIGHT_SHARE * whole.requests as f64;
         is_frequent || worth >= MIN_WEIGHT_SHARE * whole.asked || effect != Effect::Free
@@ -102,7 +102,7 @@
 
 #[cfg(test)]
 mod tests {
-    use hallpin_simulation::referee::{Referee, Worth};
+    use hallpin_simulation::invariants::{InvariantChecker, Worth};
     use hallpin_simulation::scenario::Scenario;
 
     use super::super::Finding;
@@ -115,11 +115,11 @@
     /// A run of 1,000 requests: reads, writes and a few of a third class, and two tenants.
     fn day() -> Verdict {
         let drawn = Scenario::default().draw(1).unwrap();
-        let mut verdict = Referee::new(&drawn).verdict();
+        let mut verdict = InvariantChecker::new(&drawn).verdict();
         let mut rare = verdict.classes[0].clone();
         rare.name = "rare".into();
         verdict.classes.push(rare);
-        verdict.whole = worth(1000, 100.0, 90.0);
+        verdict.all_requests = worth(1000, 100.0, 90.0);
         verdict.classes[0].worth = worth(931, 90.0, 85.0);
         verdict.classes[1].worth = worth(20, 6.0, 5.0);
         verdict.classes[2].worth = worth(49, 4.0, 4.0);
--- a/crates/hallpin/src/emulate.rs
+++ b/crates/hallpin/src/emulate.rs
@@ -5,10 +5,10 @@
 
 use clap::builder::PossibleValue;
 use clap::ValueEnum;
-use hallpin_baselines::{Kind, LATE_MS};
-use hallpin_emulator::{play, play_all, Played};
+use hallpin_baselines::{PolicyKind, DEFAULT_LATE_SEEING_DELAY_MS};
+use hallpin_emulator::{run_all, run_scenario, RunResult};
 use hallpin_loadgen::{chart, table};
-use hallpin_simulation::referee::Verdict;
+use hallpin_simulation::invariants::Verdict;
 
 use crate::failure::{self, Failure};
 use crate::plane_parts::PlaneParts;
@@ -18,21 +18,21 @@
 /// Value of `--policy`: one policy, or all of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
-    One(Kind),
+    One(PolicyKind),
     All,
 }
 
 impl ValueEnum for Policy {
     fn value_variants<'a>() -> &'a [Self] {
         const ALL: [Policy; 9] = [
-            Policy::One(Kind::Module),
-            Policy::One(Kind::Random),
-            Policy::One(Kind::LeastOfTwo),
-            Policy::One(Kind::Rendezvous),
-            Policy::One(Kind::BoundedLoad),
-            Policy::One(Kind::Maglev),
-            Policy::One(Kind::Omniscient),
-            Policy::One(Kind::LateSeeing { delay_ms: LATE_MS }),
+            Policy::One(PolicyKind::Module),
+            Policy::One(PolicyKind::Random),
+            Policy::One(PolicyKind::LeastOfTwo),
+            Policy::One(PolicyKind::Rendezvous),
+            Policy::One(PolicyKind::BoundedLoad),
+            Policy::One(PolicyKind::Maglev),
+            Policy::One(PolicyKind::Omniscient),
+            Policy::One(PolicyKind::LateSeeing { delay_ms: DEFAULT_LATE_SEEING_DELAY_MS }),
             Policy::All,
         ];
         &ALL
@@ -85,7 +85,7 @@
 pub fn run(options: &Options) -> Result<ExitCode, Failure> {
     let scenario = failure::read_scenario(&options.file)?;
     let kinds = kinds(&options.policy);
-    if options.sockets && kinds != [Kind::Module] {
+    if options.sockets && kinds != [PolicyKind::Module] {
         return Err(Failure::Usage(
             "--sockets runs real nodes, which always use the module policy: omit --policy".into(),
         ));
@@ -96,7 +96,7 @@
             let played = if options.sockets {
                 sockets::play(&scenario, options.seed, trace)?.0
             } else {
-                play(&scenario, options.seed, *kind, options.plane.into(), trace)?
+                run_scenario(&scenario, options.seed, *kind, options.plane.into(), trace)?
             };
             println!("{}, seed {}, {}\n", scenario.name, played.seed, kind.name());
             println!("{}", table::run_summary(&played.verdict));
@@ -104,8 +104,8 @@
                 let title = format!("{}, seed {}, {}", scenario.name, played.seed, kind.name());
                 chart::draw_run(&played.verdict, &title, path)?;
             }
-            let speed = played.events as f64 / played.took.as_secs_f64().max(1e-9) / 1e6;
-            eprintln!("{} events in {:.2?}, {speed:.2} million a second", played.events, played.took);
+            let speed = played.events as f64 / played.wall_time.as_secs_f64().max(1e-9) / 1e6;
+            eprintln!("{} events in {:.2?}, {speed:.2} million a second", played.events, played.wall_time);
             vec![played]
         }
         (seeds, _) => {
@@ -121,7 +121,7 @@
             } else {
                 let days = (seeds.len() * kinds.len()) as u64;
                 let bar = progress_bar(days, "{bar:40} {pos}/{len} days, {eta} to go");
-                let played = play_all(&scenario, &seeds, &kinds, options.plane.into(), &|| bar.inc(1));
+                let played = run_all(&scenario, &seeds, &kinds, options.plane.into(), &|| bar.inc(1));
                 bar.finish_and_clear();
                 played?
             };
@@ -134,16 +134,16 @@
         let text = serde_json::to_vec_pretty(&played).map_err(|error| Failure::Json(path.clone(), error))?;
         failure::write_file(path, &text)?;
     }
-    let broke_a_rule = |p: &Played| p.policy == Kind::Module && !Verdict::is_clean(&p.verdict);
+    let broke_a_rule = |p: &RunResult| p.policy == PolicyKind::Module && !Verdict::is_clean(&p.verdict);
     Ok(ExitCode::from(u8::from(played.iter().any(broke_a_rule))))
 }
 
-fn kinds(policies: &[Policy]) -> Vec<Kind> {
+fn kinds(policies: &[Policy]) -> Vec<PolicyKind> {
     let mut kinds = Vec::new();
     for policy in policies {
         match policy {
             Policy::One(kind) => kinds.push(*kind),
-            Policy::All => kinds.extend(Kind::ALL),
+            Policy::All => kinds.extend(PolicyKind::ALL),
         }
     }
     let mut seen = std::collections::BTreeSet::new();
--- a/crates/hallpin/src/try_out.rs
+++ b/crates/hallpin/src/try_out.rs
@@ -41,7 +41,7 @@
             .map_err(|error| Failure::InvalidScenario("the built-in scenario".into(), error))?,
     };
     if let Some(seconds) = options.seconds {
-        scenario.length = Range::one(Span::from_millis(seconds * 1000));
+        scenario.length = Range::single(Span::from_millis(seconds * 1000));
         let end = scenario.length.low;
         scenario.incidents.retain(|incident| incident.at.high < end);
     }
@@ -69,6 +69,6 @@
     fn the_built_in_scenario_is_valid() {
         let scenario = Scenario::parse(BUILT_IN_SCENARIO).unwrap();
         let day = scenario.draw(1).unwrap();
-        assert_eq!((day.boxes.len(), day.nodes.len(), day.incidents.len()), (12, 3, 2));
+        assert_eq!((day.boxes.len(), day.nodes.len(), day.fault_events.len()), (12, 3, 2));
     }
 }
--- a/crates/loadgen/src/load/mix.rs
+++ b/crates/loadgen/src/load/mix.rs
@@ -1,8 +1,8 @@
 //! Random draw of each request's class, tenant and key. No I/O.
 
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::day::KeysSpec;
 use hallpin_simulation::keys::Keys;
+use hallpin_simulation::random::RandomStream;
+use hallpin_simulation::run_spec::KeysSpec;
 use hallpin_simulation::store::KeyId;
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::Distribution;
@@ -71,7 +71,7 @@
     keys: Keys,
     classes: WeightedIndex<f64>,
     tenants: Option<WeightedIndex<f64>>,
-    rng: Chance,
+    rng: RandomStream,
 }
 
 impl Mix {
@@ -93,19 +93,19 @@
         } else {
             Some(WeightedIndex::new(spec.tenants.iter().map(|t| t.share)).map_err(MixError::Tenants)?)
         };
-        let rng = Chance::new(seed, &format!("requests of worker {worker}"));
+        let rng = RandomStream::new(seed, &format!("requests of worker {worker}"));
         Ok(Mix { keys: Keys::new(spec.keys.clone(), seed)?, classes, tenants, rng })
     }
 
     /// Draws the next request.
     pub fn draw(&mut self) -> RequestSpec {
-        let class = self.classes.sample(self.rng.source());
-        let tenant = self.tenants.as_ref().map(|tenants| tenants.sample(self.rng.source()));
+        let class = self.classes.sample(self.rng.generator());
+        let tenant = self.tenants.as_ref().map(|tenants| tenants.sample(self.rng.generator()));
         RequestSpec { class, tenant, key: self.keys.draw(&mut self.rng) }
     }
 
     /// Advances the drift of key popularity by one second.
     pub fn drift(&mut self) {
-        self.keys.drift();
+        self.keys.advance_drift();
     }
 }
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -2,12 +2,12 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::chance::{Chance, Spread};
-use crate::day::{Day, Effect, Entry, Haste, NodeId, SlowWriters};
 use crate::keys::Keys;
+use crate::random::{RandomStream, Spread};
+use crate::run_spec::{Effect, Entry, HastyClients, NodeId, RunSpec, SlowWriters};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
-use crate::trace::{AskId, Event, How, TryId};
+use crate::trace::{AskId, Event, TryId, TryOutcome};
 
 /// Delay before a hasty client retries: one pass of its own event loop.
 const HASTY_RETRY_DELAY: Span = Span(1000);
@@ -18,7 +18,7 @@
     /// The final answer of the node.
     Answer {
         /// Outcome that the answer states.
-        how: How,
+        how: TryOutcome,
         /// Retry-after advice of a rejection.
         advice: Option<Span>,
     },
@@ -32,7 +32,7 @@
 
 /// An output of the clients, which the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ClientOutput {
     /// Record this event in the trace.
     Record(Event),
     /// Start a try of this request at this time.
@@ -62,7 +62,7 @@
     /// Whether the client honours retry-after advice.
     honours_advice: bool,
     /// How the client hurries; `None` for one that is not hasty.
-    haste: Option<Haste>,
+    haste: Option<HastyClients>,
 }
 
 /// A try in flight.
@@ -85,12 +85,12 @@
 
 /// All clients of a scenario.
 pub struct Clients {
-    classes: Vec<crate::day::ClassSpec>,
-    tenants: Vec<crate::day::TenantSpec>,
-    spec: crate::day::ClientsSpec,
+    classes: Vec<crate::run_spec::ClassSpec>,
+    tenants: Vec<crate::run_spec::TenantSpec>,
+    spec: crate::run_spec::ClientsSpec,
     length: Span,
-    rng: Chance,
-    attempt_rng: Chance,
+    rng: RandomStream,
+    attempt_rng: RandomStream,
     asks: FxHashMap<AskId, ClientRequest>,
     tries: FxHashMap<TryId, Try>,
     last_ask: AskId,
@@ -106,29 +106,29 @@
     /// By incident: share of tries that clients abandon, and the factor by which they shorten the backoff.
     impatient: Vec<(usize, f64, f64)>,
     /// By incident: which clients are hasty, and how.
-    hasty: Vec<(usize, Haste)>,
+    hasty: Vec<(usize, HastyClients)>,
     /// By incident: which clients write slowly, and how slowly.
     slow_writers: Vec<(usize, SlowWriters)>,
 }
 
 impl Clients {
     /// The clients of this scenario.
-    pub fn new(day: &Day) -> Self {
+    pub fn new(run_spec: &RunSpec) -> Self {
         Clients {
-            classes: day.classes.clone(),
-            tenants: day.tenants.clone(),
-            spec: day.clients.clone(),
-            length: day.length,
-            rng: Chance::new(day.seed, "clients"),
-            attempt_rng: Chance::new(day.seed, "attempts"),
+            classes: run_spec.classes.clone(),
+            tenants: run_spec.tenants.clone(),
+            spec: run_spec.clients.clone(),
+            length: run_spec.length,
+            rng: RandomStream::new(run_spec.seed, "clients"),
+            attempt_rng: RandomStream::new(run_spec.seed, "attempts"),
             asks: FxHashMap::default(),
             tries: FxHashMap::default(),
             last_ask: 0,
             last_try: 0,
-            heavy_work: vec![Vec::new(); day.classes.len()],
+            heavy_work: vec![Vec::new(); run_spec.classes.len()],
             bursts: Vec::new(),
-            depots: day.nodes.clone(),
-            shares: day.clients.node_shares.clone(),
+            depots: run_spec.nodes.clone(),
+            shares: run_spec.clients.node_shares.clone(),
             impatient: Vec::new(),
             hasty: Vec::new(),
             slow_writers: Vec::new(),
@@ -150,12 +150,12 @@
     }
 
     /// Draws the node that one more client process connects to.
-    pub fn draw_node(&self, rng: &mut Chance) -> NodeId {
+    pub fn draw_node(&self, rng: &mut RandomStream) -> NodeId {
         weighted_index(rng, self.spec.node_shares.iter().copied())
     }
 
     /// Creates a request and starts its first try.
-    pub fn arrival(&mut self, now: Time, keys: &Keys) -> Vec<Step> {
+    pub fn arrival(&mut self, now: Time, keys: &Keys) -> Vec<ClientOutput> {
         self.last_ask += 1;
         let id = self.last_ask;
         let class = weighted_index(&mut self.rng, self.classes.iter().map(|class| class.share));
@@ -164,14 +164,14 @@
         let node = weighted_index(&mut self.rng, self.shares.iter().copied());
         let mut key = keys.draw(&mut self.rng);
         for (_, (_, share, hot_keys)) in &self.bursts {
-            if !hot_keys.is_empty() && self.rng.happens(*share) {
+            if !hot_keys.is_empty() && self.rng.bernoulli(*share) {
                 key = hot_keys[self.rng.below(hot_keys.len() as u64) as usize];
             }
         }
         let class_spec = &self.classes[class];
         let mut work = self.rng.spread(class_spec.spread, class_spec.work.0 as f64, class_spec.cv);
         for (share, factor) in &self.heavy_work[class] {
-            if self.rng.happens(*share) {
+            if self.rng.bernoulli(*share) {
                 work *= factor;
             }
         }
@@ -180,9 +180,9 @@
             self.rng.spread(Spread::LogNormal, work, noise) / 1e6
         });
         let effect = (class_spec.effect == Effect::Guarded).then_some(id);
-        let honours_advice = self.rng.happens(self.spec.honours);
+        let honours_advice = self.rng.bernoulli(self.spec.honours);
         // Without hasty clients no random number is drawn, so that scenarios without them give unchanged results.
-        let haste = self.hasty.iter().map(|(_, haste)| *haste).find(|haste| self.rng.happens(haste.share));
+        let haste = self.hasty.iter().map(|(_, haste)| *haste).find(|haste| self.rng.bernoulli(haste.share));
         let request = ClientRequest {
             class,
             tenant,
@@ -197,7 +197,10 @@
             haste,
         };
         self.asks.insert(id, request);
-        vec![Step::Record(Event::Asked { ask: id, class, tenant, key, work }), Step::TryAt(now, id)]
+        vec![
+            ClientOutput::Record(Event::RequestStarted { ask: id, class, tenant, key, work }),
+            ClientOutput::TryAt(now, id),
+        ]
     }
 
     /// Starts a try at one of the open nodes; returns its id and the time at which the client stops waiting or abandons
@@ -215,11 +218,11 @@
         request.tries += 1;
         let time_left = (request.first + class.deadline).since(now);
         let patience = class.deadline * self.spec.try_share;
-        let wait = request.haste.map_or(patience, |haste| haste.gives.min(patience)).min(time_left);
+        let wait = request.haste.map_or(patience, |haste| haste.try_timeout.min(patience)).min(time_left);
         let stay_probability: f64 = self.impatient.iter().map(|(_, share, _)| 1.0 - share).product();
-        let abandons = self.rng.happens(1.0 - (1.0 - self.spec.abandons) * stay_probability);
+        let abandons = self.rng.bernoulli(1.0 - (1.0 - self.spec.abandons) * stay_probability);
         let until = now + wait;
-        let ends_at = if abandons { now + wait * self.rng.unit() } else { until };
+        let ends_at = if abandons { now + wait * self.rng.uniform() } else { until };
         let writing = self.draw_writing();
         self.last_try += 1;
         self.tries.insert(self.last_try, Try { ask, node, until, writing, abandons });
@@ -229,8 +232,9 @@
     /// Draws how long a command takes to be written. Without slow writers no random number is drawn, so that scenarios
     /// without them give unchanged results.
     fn draw_writing(&mut self) -> Span {
-        let slow = self.slow_writers.iter().map(|(_, slow)| *slow).find(|slow| self.rng.happens(slow.share));
-        slow.map_or(Span::ZERO, |slow| slow.up_to * self.rng.unit())
+        let slow =
+            self.slow_writers.iter().map(|(_, slow)| *slow).find(|slow| self.rng.bernoulli(slow.share));
+        slow.map_or(Span::ZERO, |slow| slow.up_to * self.rng.uniform())
     }
 
     /// A try in flight, by its id.
@@ -244,39 +248,40 @@
     }
 
     /// Ends a try: records success, schedules a retry, or gives the request up.
-    pub fn reply(&mut self, now: Time, id: TryId, reply: Reply) -> Vec<Step> {
+    pub fn reply(&mut self, now: Time, id: TryId, reply: Reply) -> Vec<ClientOutput> {
         let Some(Try { ask, abandons, .. }) = self.tries.remove(&id) else { return Vec::new() };
-        if matches!(reply, Reply::Answer { how: How::Completed, .. }) {
+        if matches!(reply, Reply::Answer { how: TryOutcome::Completed, .. }) {
             self.asks.remove(&ask);
-            return vec![Step::Record(Event::Received { ask, id })];
+            return vec![ClientOutput::Record(Event::Received { ask, id })];
         }
         let retry_at = if abandons { None } else { self.retry_time(now, ask, reply) };
         match retry_at {
-            Some(at) => vec![Step::TryAt(at, ask)],
+            Some(at) => vec![ClientOutput::TryAt(at, ask)],
             None => {
                 self.asks.remove(&ask);
-                vec![Step::Record(Event::GaveUp { ask })]
+                vec![ClientOutput::Record(Event::GaveUp { ask })]
             }
         }
     }
 
     /// Time of the next try, if the class allows a retry and the deadline leaves time for it. The backoff is
-    /// exponential with jitter, and at least the retry-after advice, up to `most_advice`, for clients that honour it.
+    /// exponential with jitter, and at least the retry-after advice, up to `max_retry_after`, for clients that honour it.
     /// Hasty clients retry after a short fixed delay instead.
     fn retry_time(&mut self, now: Time, ask: AskId, reply: Reply) -> Option<Time> {
         let request = self.asks.get(&ask)?;
         let class = &self.classes[request.class];
-        if request.tries > request.haste.map_or(self.spec.retries, |haste| haste.again) {
+        if request.tries > request.haste.map_or(self.spec.retries, |haste| haste.retries) {
             return None;
         }
-        let not_executed = matches!(reply, Reply::Answer { how: How::Rejected, .. } | Reply::Unreached);
+        let not_executed =
+            matches!(reply, Reply::Answer { how: TryOutcome::Rejected, .. } | Reply::Unreached);
         let hurry: f64 = self.impatient.iter().map(|(.., hurry)| hurry).product();
         let base_backoff = self.spec.backoff * hurry.recip() * f64::from(1u32 << (request.tries - 1).min(16));
         let mut wait = base_backoff * self.rng.between(0.5, 1.5);
         match (request.haste, reply) {
             (Some(_), _) => wait = HASTY_RETRY_DELAY,
             (None, Reply::Answer { advice: Some(advice), .. }) if request.honours_advice => {
-                wait = wait.max(advice.min(self.spec.most_advice));
+                wait = wait.max(advice.min(self.spec.max_retry_after));
             }
             _ => {}
         }
@@ -295,7 +300,7 @@
     }
 
     /// Makes a share of the requests of a class heavier by a factor; `None` ends the latest such change of the class.
-    pub fn heavy(&mut self, class: usize, begins: Option<(f64, f64)>) {
+    pub fn set_heavy_work(&mut self, class: usize, begins: Option<(f64, f64)>) {
         match begins {
             Some(heavy) => self.heavy_work[class].push(heavy),
             None => drop(self.heavy_work[class].pop()),
@@ -303,31 +308,31 @@
     }
 
     /// Multiplies the traffic to the nodes of a depot; an incident that ends passes the inverse.
-    pub fn shift(&mut self, depot: usize, factor: f64) {
+    pub fn scale_depot_traffic(&mut self, depot: usize, factor: f64) {
         let depot_shares = self.depots.iter().zip(&mut self.shares).filter(|(at, _)| **at == depot);
         depot_shares.for_each(|(_, share)| *share *= factor);
     }
 
     /// Begins (`Some`) or ends (`None`) the impatience of clients in the incident with this number.
-    pub fn impatient(&mut self, number: usize, begins: Option<(f64, f64)>) {
+    pub fn set_impatient(&mut self, number: usize, begins: Option<(f64, f64)>) {
         self.impatient.retain(|(n, ..)| *n != number);
         self.impatient.extend(begins.map(|(share, hurry)| (number, share, hurry)));
     }
 
     /// Begins or ends the incident with this number, in which some new requests are hasty.
-    pub fn hasty(&mut self, number: usize, begins: Option<Haste>) {
+    pub fn set_hasty(&mut self, number: usize, begins: Option<HastyClients>) {
         self.hasty.retain(|(n, _)| *n != number);
         self.hasty.extend(begins.map(|haste| (number, haste)));
     }
 
     /// Begins or ends the incident with this number, in which some clients write slowly.
-    pub fn slow_writers(&mut self, number: usize, begins: Option<SlowWriters>) {
+    pub fn set_slow_writers(&mut self, number: usize, begins: Option<SlowWriters>) {
         self.slow_writers.retain(|(n, _)| *n != number);
         self.slow_writers.extend(begins.map(|slow| (number, slow)));
     }
 
     /// Begins or ends the surge with this incident number.
-    pub fn burst(&mut self, number: usize, begins: Option<Burst>) {
+    pub fn set_surge(&mut self, number: usize, begins: Option<Burst>) {
         self.bursts.retain(|(n, _)| *n != number);
         self.bursts.extend(begins.map(|burst| (number, burst)));
     }
@@ -346,8 +351,8 @@
 }
 
 /// Draws an index with probability in proportion to its weight; 0 if no weight is positive.
-fn weighted_index(rng: &mut Chance, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut remaining = rng.unit() * weights.clone().sum::<f64>();
+fn weighted_index(rng: &mut RandomStream, weights: impl Iterator<Item = f64> + Clone) -> usize {
+    let mut remaining = rng.uniform() * weights.clone().sum::<f64>();
     let mut last = 0;
     for (index, weight) in weights.enumerate().filter(|(_, weight)| *weight > 0.0) {
         last = index;
@@ -373,7 +378,7 @@
 
     #[test]
     fn weighted_index_follows_the_weights_and_skips_zero_weights() {
-        let mut rng = Chance::new(1, "pick");
+        let mut rng = RandomStream::new(1, "pick");
         let mut counts = [0; 4];
         for _ in 0..10_000 {
             counts[weighted_index(&mut rng, [0.0, 1.0, 3.0, 0.0].into_iter())] += 1;
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -32,33 +32,33 @@
 }
 
 /// Priority queue of scheduled items.
-pub struct Agenda<D> {
+pub struct EventQueue<D> {
     queue: BinaryHeap<Reverse<Scheduled<D>>>,
     /// Number of items inserted so far.
     inserted: u64,
 }
 
-impl<D> Default for Agenda<D> {
+impl<D> Default for EventQueue<D> {
     fn default() -> Self {
-        Agenda { queue: BinaryHeap::new(), inserted: 0 }
+        EventQueue { queue: BinaryHeap::new(), inserted: 0 }
     }
 }
 
-impl<D> Agenda<D> {
+impl<D> EventQueue<D> {
     /// Schedules an item; items with the same time are taken in insertion order.
-    pub fn enter(&mut self, at: Time, item: D) {
+    pub fn schedule(&mut self, at: Time, item: D) {
         self.inserted += 1;
         self.queue.push(Reverse(Scheduled { at, sequence: self.inserted, item }));
     }
 
     /// Time of the next item.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_time(&self) -> Option<Time> {
         self.queue.peek().map(|Reverse(item)| item.at)
     }
 
     /// Takes the next item if it is due at or before `until`.
-    pub fn take_until(&mut self, until: Time) -> Option<(Time, D)> {
-        self.next().filter(|at| *at <= until)?;
+    pub fn pop_until(&mut self, until: Time) -> Option<(Time, D)> {
+        self.next_time().filter(|at| *at <= until)?;
         self.queue.pop().map(|Reverse(Scheduled { at, item, .. })| (at, item))
     }
 }
@@ -69,14 +69,14 @@
 
     #[test]
     fn items_are_taken_by_time_and_then_by_insertion_order() {
-        let mut agenda = Agenda::default();
+        let mut event_queue = EventQueue::default();
         for (at, item) in [(5, 'c'), (1, 'a'), (5, 'd'), (2, 'b'), (9, 'e')] {
-            agenda.enter(Time(at), item);
+            event_queue.schedule(Time(at), item);
         }
-        assert_eq!(agenda.next(), Some(Time(1)));
+        assert_eq!(event_queue.next_time(), Some(Time(1)));
         let taken: Vec<char> =
-            std::iter::from_fn(|| agenda.take_until(Time(5))).map(|(_, item)| item).collect();
+            std::iter::from_fn(|| event_queue.pop_until(Time(5))).map(|(_, item)| item).collect();
         assert_eq!(taken, ['a', 'b', 'c', 'd']);
-        assert_eq!((agenda.next(), agenda.take_until(Time(8))), (Some(Time(9)), None));
+        assert_eq!((event_queue.next_time(), event_queue.pop_until(Time(8))), (Some(Time(9)), None));
     }
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -9,11 +9,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::day::Day;
-use crate::referee::{Referee, Verdict};
+use crate::invariants::{InvariantChecker, Verdict};
+use crate::run_spec::RunSpec;
 use crate::scenario::Scenario;
 use crate::time::{Span, Time};
-use crate::trace::{AskId, Ended, Event, Line, Sink, TryId};
+use crate::trace::{AskId, AttemptOutcome, Event, Line, Sink, TryId};
 
 /// Format version that this library writes and reads.
 const FORMAT_VERSION: u32 = 1;
@@ -50,14 +50,14 @@
 }
 
 /// Returns the run with every time limit of its rules extended by the leeway.
-pub fn lenient(day: &Day, leeway: Span) -> Day {
-    let mut extended = day.clone();
+pub fn with_leeway(run_spec: &RunSpec, leeway: Span) -> RunSpec {
+    let mut extended = run_spec.clone();
     extended.rules.answer_grace = extended.rules.answer_grace + leeway;
     extended.rules.drain_grace = extended.rules.drain_grace + leeway;
     extended.rules.wait_slack = extended.rules.wait_slack + leeway;
     if !leeway.is_zero() {
         // A connection that is never established is visible only to the node that waits for it.
-        let dial_time = day.limits.dial_timeout * f64::from(day.limits.max_attempts);
+        let dial_time = run_spec.limits.dial_timeout * f64::from(run_spec.limits.max_attempts);
         extended.rules.unseen = leeway + dial_time;
         extended.rules.disconnects_cross = true;
     }
@@ -68,18 +68,18 @@
 ///
 /// # Errors
 /// If a record is malformed, missing or out of place, or if the history has no accepted request to check.
-pub fn judge(from: impl BufRead) -> Result<Verdict, HistoryError> {
+pub fn check_history(from: impl BufRead) -> Result<Verdict, HistoryError> {
     let mut lines = (1..).zip(from.lines());
     let (mut last, mut over) = (1, false);
-    let day = match lines.next() {
+    let run_spec = match lines.next() {
         None => return Err(HistoryError { line: 1, what: "a history expected, got nothing".into() }),
         Some((_, first)) => {
             let header = first.map_err(|e| e.to_string()).and_then(|text| parse_header(&text));
             header.map_err(|what| HistoryError { line: 1, what })?
         }
     };
-    let mut validator = RecordValidator::new(&day);
-    let mut checker = Referee::new(&day);
+    let mut validator = RecordValidator::new(&run_spec);
+    let mut checker = InvariantChecker::new(&run_spec);
     for (line, text) in lines {
         let error_here = |what: String| HistoryError { line, what };
         let text = text.map_err(|error| error_here(error.to_string()))?;
@@ -90,7 +90,7 @@
         }
         validator.check(at, &event).map_err(error_here)?;
         checker.record(at, &event);
-        (last, over) = (line, event == Event::DayOver);
+        (last, over) = (line, event == Event::RunEnded);
     }
     let error_at_end = |what: &str| HistoryError { line: last + 1, what: what.into() };
     if !over {
@@ -103,18 +103,18 @@
 }
 
 /// Draws the run that a history's first line describes, with the header's leeway.
-fn parse_header(text: &str) -> Result<Day, String> {
+fn parse_header(text: &str) -> Result<RunSpec, String> {
     let header: Header = serde_json::from_str(text).map_err(|error| error.to_string())?;
     if header.history != FORMAT_VERSION {
         return Err(format!("history: {FORMAT_VERSION} expected, got {}", header.history));
     }
-    let day = header.scenario.draw(header.seed).map_err(|error| format!("scenario: {error}"))?;
-    Ok(lenient(&day, header.leeway))
+    let run_spec = header.scenario.draw(header.seed).map_err(|error| format!("scenario: {error}"))?;
+    Ok(with_leeway(&run_spec, header.leeway))
 }
 
 /// Validates the records of a history: indices exist in the run, and each event follows those that it depends on.
 struct RecordValidator<'d> {
-    day: &'d Day,
+    run_spec: &'d RunSpec,
     now: Time,
     asks: HashSet<AskId>,
     /// Number of attempts sent for each accepted try.
@@ -123,9 +123,9 @@
 }
 
 impl<'d> RecordValidator<'d> {
-    fn new(day: &'d Day) -> Self {
+    fn new(run_spec: &'d RunSpec) -> Self {
         let (asks, tries) = (HashSet::new(), HashMap::new());
-        RecordValidator { day, now: Time::ZERO, asks, tries, incidents: 0 }
+        RecordValidator { run_spec, now: Time::ZERO, asks, tries, incidents: 0 }
     }
 
     fn check(&mut self, at: Time, event: &Event) -> Result<(), String> {
@@ -135,10 +135,10 @@
         self.now = at;
         self.check_indices(event)?;
         match *event {
-            Event::Asked { ask, .. } if !self.asks.insert(ask) => {
+            Event::RequestStarted { ask, .. } if !self.asks.insert(ask) => {
                 Err(format!("ask: a new request expected, got {ask} again"))
             }
-            Event::Taken { ask, .. }
+            Event::TryAccepted { ask, .. }
             | Event::GaveUp { ask }
             | Event::Received { ask, .. }
             | Event::Dropped { ask, .. }
@@ -146,7 +146,7 @@
             {
                 Err(format!("ask: a request asked before expected, got {ask}"))
             }
-            Event::Taken { id, .. } => match self.tries.insert(id, 0) {
+            Event::TryAccepted { id, .. } => match self.tries.insert(id, 0) {
                 Some(_) => Err(format!("id: a new try expected, got {id} again")),
                 None => Ok(()),
             },
@@ -159,14 +159,14 @@
                 None => Err(format!("id: a try taken before expected, got {id}")),
             },
             // An attempt that was never sent may still be recorded as void.
-            Event::Ended { how: Ended::Void, .. } => Ok(()),
+            Event::Ended { how: AttemptOutcome::Void, .. } => Ok(()),
             Event::Ended { id, attempt, .. } if self.tries.get(&id).is_none_or(|sent| attempt >= *sent) => {
                 Err(format!("attempt: one sent before expected, got {attempt} of try {id}"))
             }
-            Event::Begins { incident, .. } if incident != self.incidents => {
+            Event::FaultBegins { incident, .. } if incident != self.incidents => {
                 Err(format!("incident: {} expected, got {incident}", self.incidents))
             }
-            Event::Begins { .. } => {
+            Event::FaultBegins { .. } => {
                 self.incidents += 1;
                 Ok(())
             }
@@ -176,26 +176,26 @@
 
     /// Checks that indices of nodes, boxes, classes, tenants and fault events exist in the run.
     fn check_indices(&self, event: &Event) -> Result<(), String> {
-        let day = self.day;
+        let run_spec = self.run_spec;
         let check_below = |field: &str, index: usize, count: usize| match index < count {
             true => Ok(()),
             false => Err(format!("{field}: below {count} expected, got {index}")),
         };
-        let (nodes, boxes) = (day.nodes.len(), day.boxes.len());
+        let (nodes, boxes) = (run_spec.nodes.len(), run_spec.boxes.len());
         match *event {
-            Event::Asked { class, tenant, .. } => {
-                check_below("class", class, day.classes.len())?;
-                tenant.map_or(Ok(()), |tenant| check_below("tenant", tenant, day.tenants.len()))
+            Event::RequestStarted { class, tenant, .. } => {
+                check_below("class", class, run_spec.classes.len())?;
+                tenant.map_or(Ok(()), |tenant| check_below("tenant", tenant, run_spec.tenants.len()))
             }
             Event::Sent { node, to, .. } | Event::Reached { node, to, .. } => {
                 check_below("node", node, nodes)?;
                 check_below("to", to, boxes)
             }
-            Event::Told { node, of, .. } | Event::Has { node, of, .. } => {
+            Event::Notified { node, of, .. } | Event::ChangeAvailable { node, of, .. } => {
                 check_below("node", node, nodes)?;
                 check_below("of", of, boxes)
             }
-            Event::Taken { node, .. }
+            Event::TryAccepted { node, .. }
             | Event::NodeUp { node }
             | Event::NodeReady { node }
             | Event::NodeDown { node, .. }
@@ -207,11 +207,11 @@
             | Event::Reconfigured { node } => check_below("node", node, nodes),
             Event::BoxUp { of, .. }
             | Event::BoxDown { of }
-            | Event::BoxFell { of }
+            | Event::BoxCrashed { of }
             | Event::Probed { of } => check_below("of", of, boxes),
-            Event::PlannerAsked { by, .. } => check_below("by", by, boxes),
+            Event::PlannerCalled { by, .. } => check_below("by", by, boxes),
             Event::Opened { to } | Event::Closed { to } => check_below("to", to, boxes),
-            Event::Ends { incident } => check_below("incident", incident, self.incidents),
+            Event::FaultEnds { incident } => check_below("incident", incident, self.incidents),
             _ => Ok(()),
         }
     }
--- a/crates/simulation/src/referee/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -23,11 +23,11 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::day::{Day, Effect, NodeId};
 use crate::list::{BoxId, Phase};
+use crate::run_spec::{Effect, NodeId, RunSpec};
 use crate::store::KeyId;
 use crate::time::{Span, Time};
-use crate::trace::{AskId, Ended, Event, How, Sink, TryId};
+use crate::trace::{AskId, AttemptOutcome, Event, Sink, TryId, TryOutcome};
 use cold::{slow_start_factor, ColdBox};
 use departed_clients::DepartedClients;
 use drains::NotifiedBox;
@@ -37,14 +37,14 @@
 use planner::PlannerLoad;
 use restarts::Restarts;
 use score::CostTotals;
-pub use verdict::{latencies, Breach, ClassVerdict, Loss, Rule, Second, Verdict, Worth};
+pub use verdict::{latencies, ClassVerdict, Loss, Rule, Second, Verdict, Violation, Worth};
 use worth::OpenRequest;
 
 /// Violations that are kept with a description; all are counted.
 const MAX_DESCRIBED_VIOLATIONS: usize = 100;
 
 /// Checks the events of a trace as they are recorded.
-pub struct Referee {
+pub struct InvariantChecker {
     parameters: RuleParameters,
     now: Time,
     open_requests: FxHashMap<AskId, OpenRequest>,
@@ -77,38 +77,38 @@
     verdict: Verdict,
 }
 
-impl Referee {
+impl InvariantChecker {
     /// Creates a checker with the rules of this scenario run.
-    pub fn new(day: &Day) -> Self {
-        Referee {
-            parameters: RuleParameters::new(day),
+    pub fn new(run_spec: &RunSpec) -> Self {
+        InvariantChecker {
+            parameters: RuleParameters::new(run_spec),
             now: Time::ZERO,
             open_requests: FxHashMap::default(),
             tries: BTreeMap::new(),
             in_flight: FxHashMap::default(),
             due: BTreeSet::new(),
-            quota_buckets: day.tenants.iter().map(|t| (t.quota.max(1.0), Time::ZERO)).collect(),
+            quota_buckets: run_spec.tenants.iter().map(|t| (t.quota.max(1.0), Time::ZERO)).collect(),
             notified: FxHashMap::default(),
             notification_deadlines: NotificationDeadlines::default(),
             stopping: FxHashMap::default(),
             departed_clients: DepartedClients::default(),
             restarts: Restarts::default(),
-            box_sizes: vec![None; day.boxes.len()],
+            box_sizes: vec![None; run_spec.boxes.len()],
             cold_boxes: BTreeMap::new(),
             planner: PlannerLoad::default(),
             written: FxHashMap::default(),
             acknowledged: FxHashMap::default(),
             window_worth: Vec::new(),
-            tenant_worth: vec![Worth::default(); day.tenants.len()],
+            tenant_worth: vec![Worth::default(); run_spec.tenants.len()],
             totals: CostTotals::default(),
-            verdict: Verdict::new(day),
+            verdict: Verdict::new(run_spec),
         }
     }
 
     fn report_violation(&mut self, rule: Rule, at: Time, what: String) {
-        *self.verdict.breaches.entry(rule).or_default() += 1;
-        if self.verdict.told.len() < MAX_DESCRIBED_VIOLATIONS {
-            self.verdict.told.push(Breach { rule, at, what });
+        *self.verdict.violations.entry(rule).or_default() += 1;
+        if self.verdict.first_violations.len() < MAX_DESCRIBED_VIOLATIONS {
+            self.verdict.first_violations.push(Violation { rule, at, what });
         }
     }
 
@@ -127,7 +127,7 @@
     }
 }
 
-impl Sink for Referee {
+impl Sink for InvariantChecker {
     fn record(&mut self, at: Time, event: &Event) {
         if at < self.now {
             self.report_violation(Rule::Lost, at, "the trace goes back in time".into());
@@ -136,10 +136,10 @@
         self.expire_unanswered(at);
         self.apply_due_notifications(at);
         match *event {
-            Event::Asked { ask, class, tenant, key, work } => {
+            Event::RequestStarted { ask, class, tenant, key, work } => {
                 self.request_started(at, ask, class, tenant, key, work)
             }
-            Event::Taken { id, ask, node, until } => self.try_accepted(at, id, ask, node, until),
+            Event::TryAccepted { id, ask, node, until } => self.try_accepted(at, id, ask, node, until),
             Event::Sent { id, attempt, node, to, crosses, wait } => {
                 self.totals.depot_crossings += u64::from(crosses);
                 self.check_target(at, node, to);
@@ -154,7 +154,7 @@
             Event::Abandoned { id } => self.try_abandoned(id, at),
             Event::Received { ask, .. } => self.request_served(at, ask),
             Event::GaveUp { ask } => self.request_given_up(at, ask, None),
-            Event::Told { node, of, phase, started } => {
+            Event::Notified { node, of, phase, started } => {
                 self.totals.list_entries += 1;
                 self.notification_deadlines.change_arrived(node, of);
                 self.box_notified(at, node, of, phase, started);
@@ -185,17 +185,17 @@
                 self.cold_boxes.remove(&of);
                 self.update_connections(at, of, |_| 0);
             }
-            Event::BoxFell { of } => {
+            Event::BoxCrashed { of } => {
                 self.box_crashed(at, of);
                 self.box_sizes[of] = None;
                 self.update_connections(at, of, |_| 0);
             }
-            Event::PlannerAsked { cold, .. } => self.planner_called(at, cold),
+            Event::PlannerCalled { cold, .. } => self.planner_called(at, cold),
             Event::PlannerStopped { overdriven: true } => self.planner_stopped(at),
             Event::Written { key, version } => {
                 self.written.insert(key, version);
             }
-            Event::Has { node, of, phase, started, asked } => {
+            Event::ChangeAvailable { node, of, phase, started, asked } => {
                 self.notification_deadlines.change_available(
                     at,
                     node,
@@ -224,12 +224,12 @@
             Event::Closed { to } => self.update_connections(at, to, |open| open.saturating_sub(1)),
             Event::Probed { .. } => self.totals.probes += 1,
             Event::Message { bytes } => self.totals.message_bytes += bytes as u64,
-            Event::Begins { ref what, .. } => self.verdict.incidents.push((at, None, what.clone())),
-            Event::Ends { incident } => {
+            Event::FaultBegins { ref what, .. } => self.verdict.incidents.push((at, None, what.clone())),
+            Event::FaultEnds { incident } => {
                 let begun = self.verdict.incidents.get_mut(incident);
                 begun.into_iter().for_each(|i| i.1 = Some(at));
             }
-            Event::DayOver => {
+            Event::RunEnded => {
                 self.run_ended(at);
                 self.compute_score(at);
             }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,19 +1,18 @@
 //! Simulated environment of a node, without clocks or sockets: cache boxes, the origin (`planner`), the endpoint list,
-//! clients, scheduled faults (`incident`), and the invariant checker (`referee`).
+//! clients, scheduled faults (`incident`), and the invariant checker (`invariants`).
 //!
-//! A [`scenario`] and a seed give a [`day::Day`]. A [`world::World`] runs it with a [`policy::Policy`] and records the
-//! events in a [`trace::Sink`], such as a [`referee::Referee`]. The same inputs give the same trace on every machine.
+//! A [`scenario`] and a seed give a [`run_spec::RunSpec`]. A [`world::World`] runs it with a [`policy::Policy`] and records the
+//! events in a [`trace::Sink`], such as a [`invariants::InvariantChecker`]. The same inputs give the same trace on every machine.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agenda;
 pub mod cache_box;
-pub mod chance;
 pub mod clients;
-pub mod day;
+pub mod event_queue;
 pub mod faults;
 pub mod history;
+pub mod invariants;
 pub mod keys;
 pub mod list;
 mod locate;
@@ -21,8 +20,9 @@
 pub mod plane;
 pub mod planner;
 pub mod policy;
+pub mod random;
 pub mod range;
-pub mod referee;
+pub mod run_spec;
 pub mod scenario;
 pub mod store;
 pub mod time;
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -12,11 +12,11 @@
     /// Requests that the box can serve concurrently when warm and not slowed down.
     pub slots: f64,
     /// Requests that the box can serve concurrently now: fewer while it is warming up or slow.
-    pub present_slots: f64,
+    pub current_slots: f64,
     /// Slots in use, plus those needed by requests that the box holds or that are in transit to it.
-    pub wanted: usize,
+    pub demanded_slots: usize,
     /// Whether the box could call the planner for one more key now.
-    pub may_fetch: bool,
+    pub can_fetch: bool,
 }
 
 /// True state of the planner.
@@ -25,13 +25,13 @@
     /// Whether the planner answers.
     pub up: bool,
     /// Estimated time until a call made now would be answered.
-    pub answers_in: Seconds,
+    pub expected_wait: Seconds,
     /// Calls waiting and in progress, divided by the number that the planner works on concurrently.
     pub load: f64,
 }
 
 /// True state of the world, for policies that may see it. Boxes are addressed by their index in the day.
-pub trait Sight {
+pub trait WorldView {
     /// Number of boxes in the day.
     fn boxes(&self) -> usize;
 
@@ -56,9 +56,9 @@
 
 /// An empty view, for running a policy without a simulated world.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Blind;
+pub struct EmptyWorldView;
 
-impl Sight for Blind {
+impl WorldView for EmptyWorldView {
     fn boxes(&self) -> usize {
         0
     }
@@ -72,7 +72,7 @@
     }
 
     fn look(&self, _: usize) -> TrueBox {
-        TrueBox { up: false, slots: 0.0, present_slots: 0.0, wanted: 0, may_fetch: false }
+        TrueBox { up: false, slots: 0.0, current_slots: 0.0, demanded_slots: 0, can_fetch: false }
     }
 
     fn keeps(&self, _: usize, _: RequestId) -> bool {
@@ -91,7 +91,7 @@
 /// Decision logic of one node: consumes events and returns actions, as [`Balancer`] does.
 pub trait Policy: Send {
     /// Handles one event and appends the resulting actions. Only an omniscient policy uses `world`.
-    fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>);
+    fn handle(&mut self, now: Seconds, event: Event, world: &dyn WorldView, actions: &mut Vec<Action>);
 
     /// Sizes of the policy's state, for detecting unbounded growth; all zero if the policy does not count.
     fn sizes(&self) -> Sizes {
@@ -100,7 +100,7 @@
 }
 
 impl Policy for Balancer {
-    fn handle(&mut self, now: Seconds, event: Event, _: &dyn Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Seconds, event: Event, _: &dyn WorldView, actions: &mut Vec<Action>) {
         Balancer::handle(self, now, event, actions);
     }
 
@@ -110,12 +110,12 @@
 }
 
 /// Creates the policy of a starting node from its settings and seed.
-pub type Start<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError>;
+pub type PolicyFactory<'a> = &'a dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError>;
 
 /// Creates the balancer as a policy.
 ///
 /// # Errors
 /// If the settings are invalid.
-pub fn module(settings: Settings, seed: u64) -> Result<Box<dyn Policy>, SettingsError> {
+pub fn balancer_policy(settings: Settings, seed: u64) -> Result<Box<dyn Policy>, SettingsError> {
     Balancer::new(settings, seed).map(|balancer| Box::new(balancer) as Box<dyn Policy>)
 }
--- a/crates/simulation/src/chance.rs
+++ b/crates/simulation/src/random.rs
@@ -10,7 +10,7 @@
 
 /// One stream of random numbers.
 #[derive(Clone, Debug)]
-pub struct Chance {
+pub struct RandomStream {
     stream: ChaCha8Rng,
     /// Second value of the last pair of normal draws, not used yet.
     spare: Option<f64>,
@@ -29,16 +29,16 @@
     Pareto,
 }
 
-impl Chance {
+impl RandomStream {
     /// Creates the stream with this name for a seed.
     pub fn new(seed: u64, name: &str) -> Self {
         let mut stream = ChaCha8Rng::seed_from_u64(seed);
         stream.set_stream(XxHash3_64::oneshot(name.as_bytes()));
-        Chance { stream, spare: None }
+        RandomStream { stream, spare: None }
     }
 
     /// A uniform number in [0, 1).
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.stream.random()
     }
 
@@ -49,7 +49,7 @@
 
     /// A uniform number in [`low`, `high`).
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
-        low + (high - low) * self.unit()
+        low + (high - low) * self.uniform()
     }
 
     /// A uniform integer below `n`; 0 if `n` is 0.
@@ -58,18 +58,18 @@
     }
 
     /// True with this probability; draws nothing if it is 0.
-    pub fn happens(&mut self, probability: f64) -> bool {
-        probability > 0.0 && self.unit() < probability
+    pub fn bernoulli(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.uniform() < probability
     }
 
     /// The underlying generator, for the distributions of `rand_distr`.
-    pub fn source(&mut self) -> &mut ChaCha8Rng {
+    pub fn generator(&mut self) -> &mut ChaCha8Rng {
         &mut self.stream
     }
 
     /// An exponentially distributed number with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -libm::log1p(-self.unit()) * mean
+        -libm::log1p(-self.uniform()) * mean
     }
 
     /// A standard normal number, by Marsaglia's polar method.
@@ -78,7 +78,7 @@
             return spare;
         }
         loop {
-            let (x, y) = (2.0 * self.unit() - 1.0, 2.0 * self.unit() - 1.0);
+            let (x, y) = (2.0 * self.uniform() - 1.0, 2.0 * self.uniform() - 1.0);
             let square = x * x + y * y;
             if square > 0.0 && square < 1.0 {
                 let scale = libm::sqrt(-2.0 * libm::log(square) / square);
@@ -102,13 +102,13 @@
             Spread::Pareto => {
                 let shape = 1.0 + libm::sqrt(1.0 + 1.0 / (cv * cv));
                 let minimum = mean * (shape - 1.0) / shape;
-                minimum * libm::pow(1.0 - self.unit(), -1.0 / shape)
+                minimum * libm::pow(1.0 - self.uniform(), -1.0 / shape)
             }
         }
     }
 
     /// A sample of `many` distinct numbers of `0..of`, or all of them if there are fewer, in ascending order.
-    pub fn some(&mut self, many: usize, of: usize) -> Vec<usize> {
+    pub fn sample_indices(&mut self, many: usize, of: usize) -> Vec<usize> {
         let mut chosen = rand::seq::index::sample(&mut self.stream, of, many.min(of)).into_vec();
         chosen.sort_unstable();
         chosen
@@ -122,7 +122,7 @@
     #[test]
     fn a_stream_depends_only_on_its_name_and_seed() {
         let draw = |seed, name| -> Vec<u64> {
-            let mut rng = Chance::new(seed, name);
+            let mut rng = RandomStream::new(seed, name);
             (0..8).map(|_| rng.bits()).collect()
         };
         assert_eq!(draw(1, "a"), draw(1, "a"));
@@ -135,7 +135,7 @@
         for (spread, cv, tolerance) in
             [(Spread::Fixed, 1.0, 1e-9), (Spread::LogNormal, 0.5, 0.01), (Spread::Pareto, 0.4, 0.02)]
         {
-            let mut rng = Chance::new(7, "spread");
+            let mut rng = RandomStream::new(7, "spread");
             let draws: Vec<f64> = (0..200_000).map(|_| rng.spread(spread, 40.0, cv)).collect();
             let mean = draws.iter().sum::<f64>() / draws.len() as f64;
             let variance = draws.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / draws.len() as f64;
--- a/crates/simulation/src/range.rs
+++ b/crates/simulation/src/range.rs
@@ -8,7 +8,7 @@
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::chance::Chance;
+use crate::random::RandomStream;
 use crate::time::Span;
 
 /// A size in bytes, written with its unit: `64KiB`.
@@ -47,13 +47,13 @@
     const FORM: &'static str;
 
     /// Draws a value from `low` to `high`; for integer quantities, both are included.
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self;
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self;
 }
 
 impl Quantity for f64 {
     const FORM: &'static str = "a number";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         rng.between(low, high)
     }
 }
@@ -61,7 +61,7 @@
 impl Quantity for u32 {
     const FORM: &'static str = "a whole number";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         low + rng.below(u64::from(high - low) + 1) as u32
     }
 }
@@ -69,7 +69,7 @@
 impl Quantity for Span {
     const FORM: &'static str = "a duration with its unit, such as \"250ms\"";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         Span(low.0 + rng.below(high.0 - low.0 + 1))
     }
 }
@@ -77,7 +77,7 @@
 impl Quantity for Bytes {
     const FORM: &'static str = "a size with its unit, such as \"64KiB\"";
 
-    fn between(low: Self, high: Self, rng: &mut Chance) -> Self {
+    fn between(low: Self, high: Self, rng: &mut RandomStream) -> Self {
         Bytes(low.0 + rng.below(high.0 - low.0 + 1))
     }
 }
@@ -93,7 +93,7 @@
 
 impl<T: Quantity> Range<T> {
     /// A range of a single value.
-    pub const fn one(value: T) -> Self {
+    pub const fn single(value: T) -> Self {
         Range { low: value, high: value }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Draws a value. A single value consumes a draw too, so that replacing a range by one does not shift later draws.
-    pub fn draw(&self, rng: &mut Chance) -> T {
+    pub fn draw(&self, rng: &mut RandomStream) -> T {
         T::between(self.low, self.high, rng)
     }
 }
@@ -127,17 +127,17 @@
                 write!(f, "{}, or two of them as [least, most]", T::FORM)
             }
             fn visit_str<E: Error>(self, text: &str) -> Result<Range<T>, E> {
-                T::deserialize(StrDeserializer::new(text)).map(Range::one)
+                T::deserialize(StrDeserializer::new(text)).map(Range::single)
             }
             fn visit_i64<E: Error>(self, number: i64) -> Result<Range<T>, E> {
-                T::deserialize(I64Deserializer::new(number)).map(Range::one)
+                T::deserialize(I64Deserializer::new(number)).map(Range::single)
             }
             // Non-negative JSON integers arrive as u64, TOML integers as i64.
             fn visit_u64<E: Error>(self, number: u64) -> Result<Range<T>, E> {
-                T::deserialize(U64Deserializer::new(number)).map(Range::one)
+                T::deserialize(U64Deserializer::new(number)).map(Range::single)
             }
             fn visit_f64<E: Error>(self, number: f64) -> Result<Range<T>, E> {
-                T::deserialize(F64Deserializer::new(number)).map(Range::one)
+                T::deserialize(F64Deserializer::new(number)).map(Range::single)
             }
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range<T>, A::Error> {
                 let mut next =
@@ -204,8 +204,8 @@
     fn values_and_ranges_round_trip() {
         let file: File = toml::from_str(GOOD).unwrap();
         assert_eq!(file.time, Range::of(Span::from_millis(410), Span::from_millis(1100)));
-        assert_eq!((file.many, file.share), (Range::one(3), Range::of(1.0, 2.5)));
-        assert_eq!(file.size, Range::one(Bytes(65536)));
+        assert_eq!((file.many, file.share), (Range::single(3), Range::of(1.0, 2.5)));
+        assert_eq!(file.size, Range::single(Bytes(65536)));
         let written = toml::to_string(&file).unwrap();
         assert_eq!(toml::from_str::<File>(&written).unwrap(), file, "{written}");
     }
@@ -231,7 +231,7 @@
 
     #[test]
     fn draws_stay_in_range_and_reach_both_ends() {
-        let (mut rng, range) = (Chance::new(1, "range"), Range::of(2u32, 4));
+        let (mut rng, range) = (RandomStream::new(1, "range"), Range::of(2u32, 4));
         let draws: Vec<u32> = (0..100).map(|_| range.draw(&mut rng)).collect();
         assert!((2..=4).all(|n| draws.contains(&n)) && draws.iter().all(|n| (2..=4).contains(n)));
     }
--- a/crates/simulation/src/day/mod.rs
+++ b/crates/simulation/src/run_spec/mod.rs
@@ -6,11 +6,11 @@
 mod settings;
 
 use crate::cache_box::BoxSpec;
-use crate::chance::Spread;
 use crate::list::BoxId;
 use crate::planner::PlannerSpec;
+use crate::random::Spread;
 use crate::time::{Span, Time};
-pub use incident::{Haste, Incident, Scheduled, Silence, SlowWriters, Stop};
+pub use incident::{FaultEvent, HastyClients, ScheduledFault, SlowWriters, StopTimings, WatchSilence};
 pub use rules::{GoalSpec, LimitsSpec, PricesSpec, RulesSpec};
 
 /// Index of a node in the run.
@@ -99,7 +99,7 @@
     /// How clients reach nodes.
     pub entry: Entry,
     /// Time after which the front detects a dead node.
-    pub front_notice: Span,
+    pub front_detection_delay: Span,
     /// Maximum number of tries after the first one.
     pub retries: u32,
     /// Share of the class's deadline after which a client gives up a try.
@@ -109,7 +109,7 @@
     /// Share of clients that honour the retry-after time of a rejection.
     pub honours: f64,
     /// Longest retry-after time that clients honour.
-    pub most_advice: Span,
+    pub max_retry_after: Span,
     /// Share of tries that clients abandon early, at a random point within their time.
     pub abandons: f64,
     /// Relative error of the work estimate that requests carry; `None` if they carry no estimate.
@@ -164,7 +164,7 @@
     /// Time until an ended or draining process is detected.
     pub notice: Span,
     /// Time until a machine that has stopped responding is detected.
-    pub silent_notice: Span,
+    pub silent_detection_delay: Span,
     /// Longest time between the first and the last node's notification of a change.
     pub spread: Span,
 }
@@ -180,7 +180,7 @@
 
 /// Parameters of one run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Day {
+pub struct RunSpec {
     /// Name of the scenario.
     pub name: String,
     /// Seed of all random numbers of the run.
@@ -194,7 +194,7 @@
     /// All boxes of the run, including those that join later.
     pub boxes: Vec<BoxSpec>,
     /// Behaviour of nodes at their listeners and watches.
-    pub shell: NodeTimings,
+    pub node_timings: NodeTimings,
     /// Boxes that run at the start.
     pub running: Vec<BoxId>,
     /// The planner.
@@ -218,12 +218,12 @@
     /// Weights and prices of the score.
     pub goal: GoalSpec,
     /// Scheduled fault events, in order of time.
-    pub incidents: Vec<Scheduled>,
+    pub fault_events: Vec<ScheduledFault>,
     /// Times at which watches of the endpoint list fall silent.
-    pub silences: Vec<Silence>,
+    pub watch_silences: Vec<WatchSilence>,
 }
 
-impl Day {
+impl RunSpec {
     /// Mean work of a request.
     pub fn mean_work(&self) -> Span {
         mean_work(&self.classes)
--- a/crates/simulation/src/scenario/draw/mod.rs
+++ b/crates/simulation/src/scenario/draw/mod.rs
@@ -3,14 +3,14 @@
 mod boxes;
 mod incidents;
 
-use super::{ClassFile, Scenario, TenantFile, Wrong};
+use super::{ClassFile, InvalidField, Scenario, TenantFile};
 use crate::cache_box::BoxSpec;
-use crate::chance::{Chance, Spread};
-use crate::day::{
-    mean_work, ClassSpec, ClientsSpec, Day, GoalSpec, KeysSpec, ListSpec, NetworkSpec, NodeTimings,
-    PricesSpec, RulesSpec, Scheduled, TenantSpec,
-};
 use crate::planner::PlannerSpec;
+use crate::random::{RandomStream, Spread};
+use crate::run_spec::{
+    mean_work, ClassSpec, ClientsSpec, GoalSpec, KeysSpec, ListSpec, NetworkSpec, NodeTimings, PricesSpec,
+    RulesSpec, RunSpec, ScheduledFault, TenantSpec,
+};
 use crate::time::{Span, Time};
 use boxes::KindValues;
 use incidents::DrawnRun;
@@ -23,9 +23,9 @@
     ///
     /// # Errors
     /// If [`Scenario::check`] fails.
-    pub fn draw(&self, seed: u64) -> Result<Day, Wrong> {
+    pub fn draw(&self, seed: u64) -> Result<RunSpec, InvalidField> {
         self.check()?;
-        let mut rng = Chance::new(seed, "day");
+        let mut rng = RandomStream::new(seed, "day");
         let length = self.length.draw(&mut rng);
         let nodes = self.nodes.count.draw(&mut rng) as usize;
         let unlike = self.nodes.unlike.draw(&mut rng);
@@ -50,11 +50,11 @@
         };
         for (n, file) in self.incidents.iter().enumerate() {
             // Each fault event has its own random stream, so that adding one doesn't change the others.
-            let mut incident_rng = Chance::new(seed, &format!("incident {n}"));
+            let mut incident_rng = RandomStream::new(seed, &format!("incident {n}"));
             self.draw_incident(file, &mut drawn, &mut incident_rng);
         }
         let DrawnRun { mut boxes, mut incidents, mut silences, .. } = drawn;
-        incidents.sort_by_key(|i: &Scheduled| i.at);
+        incidents.sort_by_key(|i: &ScheduledFault| i.at);
         silences.sort_by_key(|s| s.at);
         let window = self.classes.iter().map(|class| class.window).max().unwrap_or_default();
         let keys = self.draw_keys(&mut rng);
@@ -62,19 +62,19 @@
         let list = ListSpec {
             add: self.list.add.draw(&mut rng),
             notice: self.list.notice.draw(&mut rng),
-            silent_notice: self.list.silent_notice.draw(&mut rng),
+            silent_detection_delay: self.list.silent_notice.draw(&mut rng),
             spread: self.list.spread.draw(&mut rng),
         };
         let network = self.draw_network(&mut rng);
         let classes: Vec<ClassSpec> = self.classes.iter().map(|class| draw_class(class, &mut rng)).collect();
         boxes.iter_mut().for_each(|b| b.mean_work = mean_work(&classes));
-        Ok(Day {
+        Ok(RunSpec {
             name: self.name.clone(),
             seed,
             length,
             depots: self.depots.clone(),
             nodes: (0..nodes).map(|n| n % depots).collect(),
-            shell: NodeTimings { parting: self.nodes.parting, reopens: self.nodes.reopens },
+            node_timings: NodeTimings { parting: self.nodes.parting, reopens: self.nodes.reopens },
             planner,
             list,
             network,
@@ -87,12 +87,12 @@
             goal: self.goal(),
             running,
             boxes,
-            incidents,
-            silences,
+            fault_events: incidents,
+            watch_silences: silences,
         })
     }
 
-    fn draw_planner(&self, repeat_window: Span, rng: &mut Chance) -> PlannerSpec {
+    fn draw_planner(&self, repeat_window: Span, rng: &mut RandomStream) -> PlannerSpec {
         let file = &self.planner;
         PlannerSpec {
             places: file.places.draw(rng),
@@ -109,7 +109,7 @@
         }
     }
 
-    fn draw_network(&self, rng: &mut Chance) -> NetworkSpec {
+    fn draw_network(&self, rng: &mut RandomStream) -> NetworkSpec {
         let file = &self.network;
         NetworkSpec {
             same: file.same.draw(rng),
@@ -122,7 +122,7 @@
         }
     }
 
-    fn draw_clients(&self, node_shares: Vec<f64>, rng: &mut Chance) -> ClientsSpec {
+    fn draw_clients(&self, node_shares: Vec<f64>, rng: &mut RandomStream) -> ClientsSpec {
         let file = &self.clients;
         let mut curve: Vec<(Time, f64)> = file.curve.iter().map(|p| (Time::ZERO + p.at, p.times)).collect();
         curve.sort_by_key(|(at, _)| *at);
@@ -131,19 +131,19 @@
             curve,
             node_shares,
             entry: file.entry,
-            front_notice: file.front_notice.draw(rng),
+            front_detection_delay: file.front_notice.draw(rng),
             retries: file.retries.draw(rng),
             try_share: file.try_share.draw(rng),
             backoff: file.backoff.draw(rng),
             honours: file.honours.draw(rng),
-            most_advice: file.most_advice,
+            max_retry_after: file.most_advice,
             abandons: file.abandons.draw(rng),
             hint_noise: Some(file.hint_noise.draw(rng)).filter(|_| file.hints),
             attempt_noise: file.attempt_noise.draw(rng),
         }
     }
 
-    fn draw_keys(&self, rng: &mut Chance) -> KeysSpec {
+    fn draw_keys(&self, rng: &mut RandomStream) -> KeysSpec {
         let file = &self.keys;
         let count = file.count.draw(rng);
         KeysSpec {
@@ -198,7 +198,7 @@
     }
 }
 
-fn draw_class(file: &ClassFile, rng: &mut Chance) -> ClassSpec {
+fn draw_class(file: &ClassFile, rng: &mut RandomStream) -> ClassSpec {
     ClassSpec {
         name: file.name.clone(),
         share: file.share.draw(rng),
@@ -215,6 +215,6 @@
     }
 }
 
-fn draw_tenant(file: &TenantFile, rng: &mut Chance) -> TenantSpec {
+fn draw_tenant(file: &TenantFile, rng: &mut RandomStream) -> TenantSpec {
     TenantSpec { name: file.name.clone(), share: file.share, quota: file.quota, usage: file.usage.draw(rng) }
 }
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -9,7 +9,7 @@
         let (node, to, box_generation, mut job) =
             (in_flight.node, in_flight.to, in_flight.box_generation, in_flight.job);
         let box_state = &self.boxes[to];
-        let (from, at) = (self.nodes[node].depot, self.day.boxes[to].depot);
+        let (from, at) = (self.nodes[node].depot, self.run_spec.boxes[to].depot);
         if box_state.silence_count > 0 || self.is_partitioned(from, at) {
             // The request is lost; its connection is reset when the machine is back.
             return;
@@ -48,27 +48,27 @@
         let mut outputs = std::mem::take(&mut self.outputs);
         for output in outputs.drain(..) {
             match output {
-                BoxOut::Answer(token, answer) => self.box_answers(at, token, answer),
-                BoxOut::Ask { ask, cold } => {
+                BoxOutput::Answer(token, answer) => self.box_answers(at, token, answer),
+                BoxOutput::Ask { ask, cold } => {
                     let (delay, generation) =
-                        (self.jittered(self.day.network.same), self.boxes[at].generation);
+                        (self.jittered(self.run_spec.network.same), self.boxes[at].generation);
                     self.schedule_after(
                         delay,
                         ScheduledEvent::AskAtPlanner { by: at, generation, ask, cold },
                     );
                 }
-                BoxOut::Fell => {
-                    self.record(Event::BoxFell { of: at });
+                BoxOutput::Fell => {
+                    self.record(Event::BoxCrashed { of: at });
                     self.boxes[at].generation += 1;
                     self.nodes.iter_mut().for_each(|state| state.idle_connections[at].clear());
                     self.reset_connections(at);
-                    self.update_list_after(self.day.list.notice, listing(at, Phase::Gone, None));
+                    self.update_list_after(self.run_spec.list.notice, listing(at, Phase::Gone, None));
                 }
             }
         }
         self.outputs = outputs;
         let box_state = &mut self.boxes[at];
-        let wakes = box_state.cache.wakes(self.now).filter(|_| box_state.cache.is_up());
+        let wakes = box_state.cache.next_wake(self.now).filter(|_| box_state.cache.is_up());
         if let Some(wake) = wakes.map(|at| at.max(self.now + Span(1))) {
             if box_state.wakes.is_none_or(|scheduled| wake < scheduled || scheduled <= self.now) {
                 box_state.wakes = Some(wake);
@@ -87,15 +87,15 @@
         if answer != BoxAnswer::Busy {
             self.record(Event::Worked { id, attempt, work, hit });
         }
-        let (from, to) = (self.day.boxes[at].depot, self.nodes[node].depot);
+        let (from, to) = (self.run_spec.boxes[at].depot, self.nodes[node].depot);
         if self.is_partitioned(from, to) {
             return;
         }
         let delay = self.network_delay(from, to);
-        match self.faults.fate(&mut self.network_rng) {
-            Fate::Arrives => self.schedule_after(delay, ScheduledEvent::AnswerAtNode { token, answer }),
-            Fate::Lost => {}
-            Fate::Reset => self.schedule_after(delay, ScheduledEvent::ResetAtNode(token)),
+        match self.faults.answer_fate(&mut self.network_rng) {
+            AnswerFate::Arrives => self.schedule_after(delay, ScheduledEvent::AnswerAtNode { token, answer }),
+            AnswerFate::Lost => {}
+            AnswerFate::Reset => self.schedule_after(delay, ScheduledEvent::ResetAtNode(token)),
         }
     }
 
@@ -109,7 +109,7 @@
             .map(|(_, f)| (f.token, f.node))
             .collect();
         for (token, node) in broken {
-            let delay = self.network_delay(self.day.boxes[at].depot, self.nodes[node].depot);
+            let delay = self.network_delay(self.run_spec.boxes[at].depot, self.nodes[node].depot);
             self.schedule_after(delay, ScheduledEvent::ResetAtNode(token));
         }
     }
@@ -132,37 +132,37 @@
         self.boxes[at].wakes = None;
         self.record_box_up(at, true);
         self.reset_connections(at);
-        self.update_list_after(self.day.list.add, listing(at, Phase::Ready, Some(self.now)));
+        self.update_list_after(self.run_spec.list.add, listing(at, Phase::Ready, Some(self.now)));
     }
 
     /// Records the start of a box with its capacity and warm-up.
     pub(super) fn record_box_up(&mut self, of: BoxId, cold: bool) {
-        let spec = &self.day.boxes[of];
+        let spec = &self.run_spec.boxes[of];
         let (capacity, size, from, ramp) = (spec.capacity(), spec.size, spec.cold_from, spec.ramp);
         self.record(Event::BoxUp { of, capacity, size, cold, from, ramp });
     }
 
     /// Handles a box's call at the planner.
-    pub(super) fn ask_at_planner(&mut self, by: BoxId, generation: u32, ask: Ask, cold: bool) {
+    pub(super) fn ask_at_planner(&mut self, by: BoxId, generation: u32, ask: PlannerCall, cold: bool) {
         let mut outputs = Vec::new();
-        self.planes.tally.fetch(self.now, by, ask.key, ask.write.is_some());
-        self.origin.ask(self.now, by, generation, ask, cold, &mut outputs);
+        self.planes.tally.count_fetch(self.now, by, ask.key, ask.write.is_some());
+        self.origin.call(self.now, by, generation, ask, cold, &mut outputs);
         self.apply_origin_outputs(outputs);
     }
 
     /// Records the planner's events, sends its answers and schedules its wake-ups.
-    pub(super) fn apply_origin_outputs(&mut self, outputs: Vec<OriginOut>) {
+    pub(super) fn apply_origin_outputs(&mut self, outputs: Vec<OriginOutput>) {
         for output in outputs {
             match output {
-                OriginOut::Record(event) => self.record(event),
-                OriginOut::Answer { to, life: generation, id, version } => {
-                    let delay = self.jittered(self.day.network.same);
+                OriginOutput::Record(event) => self.record(event),
+                OriginOutput::Answer { to, incarnation: generation, id, version } => {
+                    let delay = self.jittered(self.run_spec.network.same);
                     self.schedule_after(
                         delay,
                         ScheduledEvent::PlannerAnswers { to, generation, id, version },
                     );
                 }
-                OriginOut::WakeAt(at) => self.schedule_at(at, ScheduledEvent::PlannerWakes),
+                OriginOutput::WakeAt(at) => self.schedule_at(at, ScheduledEvent::PlannerWakes),
             }
         }
     }
@@ -174,7 +174,7 @@
             return;
         }
         let (mut outputs, keys) = (std::mem::take(&mut self.outputs), &self.keys);
-        box_state.cache.fetched(
+        box_state.cache.on_planner_reply(
             self.now,
             id,
             version,
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -5,43 +5,47 @@
 impl<S: Sink> World<'_, S> {
     /// Applies an incident, and schedules its end if it has a duration.
     pub(super) fn incident_begins(&mut self, at: usize) {
-        let scheduled = &self.day.incidents[at];
-        self.record(Event::Begins { incident: at, what: scheduled.incident.to_string() });
+        let scheduled = &self.run_spec.fault_events[at];
+        self.record(Event::FaultBegins { incident: at, what: scheduled.incident.to_string() });
         let mut outputs = Vec::new();
         match &scheduled.incident {
-            Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
-            Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
+            FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.silence_box(b)),
+            FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, *factor);
                 self.apply_box_outputs(b);
             }),
-            Incident::Erring(boxes, share) => boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(*share)),
-            Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
-            Incident::Heavy { class, share, factor } => self.clients.heavy(*class, Some((*share, *factor))),
-            Incident::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_ends(node, false)),
-            Incident::NodeRestart(nodes) => {
+            FaultEvent::Erring(boxes, share) => {
+                boxes.iter().for_each(|&b| self.boxes[b].cache.add_error_rate(*share))
+            }
+            FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.kill_box(b)),
+            FaultEvent::Heavy { class, share, factor } => {
+                self.clients.set_heavy_work(*class, Some((*share, *factor)))
+            }
+            FaultEvent::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_ends(node, false)),
+            FaultEvent::NodeRestart(nodes) => {
                 nodes.iter().for_each(|&node| self.restart_node(node, scheduled.stop))
             }
-            Incident::ListOutage => self.discovery_fails(),
-            Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
-            Incident::PlannerSilent => self.origin.silence(self.now, true, &mut outputs),
-            Incident::Partition(pairs) => self.adjust_partitions(pairs, 1),
-            Incident::Shift { depot, factor } => self.clients.shift(*depot, *factor),
-            Incident::Impatient { share, hurry } => self.clients.impatient(at, Some((*share, *hurry))),
-            Incident::Hasty(haste) => self.clients.hasty(at, Some(*haste)),
-            Incident::SlowWriters(slow) => self.clients.slow_writers(at, Some(*slow)),
-            Incident::LateList { .. }
-            | Incident::LostAnswers(_)
-            | Incident::Resets(_)
-            | Incident::LostMessages(_) => self.faults.begin(at, &scheduled.incident),
-            Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
+            FaultEvent::ListOutage => self.discovery_fails(),
+            FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(*factor),
+            FaultEvent::PlannerSilent => self.origin.silence(self.now, true, &mut outputs),
+            FaultEvent::Partition(pairs) => self.adjust_partitions(pairs, 1),
+            FaultEvent::Shift { depot, factor } => self.clients.scale_depot_traffic(*depot, *factor),
+            FaultEvent::Impatient { share, hurry } => self.clients.set_impatient(at, Some((*share, *hurry))),
+            FaultEvent::Hasty(haste) => self.clients.set_hasty(at, Some(*haste)),
+            FaultEvent::SlowWriters(slow) => self.clients.set_slow_writers(at, Some(*slow)),
+            FaultEvent::LateList { .. }
+            | FaultEvent::LostAnswers(_)
+            | FaultEvent::Resets(_)
+            | FaultEvent::LostMessages(_) => self.faults.begin(at, &scheduled.incident),
+            FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 let started = self.boxes[b].cache.started();
-                self.update_list_after(self.day.list.notice, listing(b, Phase::Draining, started));
+                self.update_list_after(self.run_spec.list.notice, listing(b, Phase::Draining, started));
             }),
-            Incident::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
-            Incident::Burst { factor, share, keys } => {
-                let drawn = self.rng.some(*keys as usize, self.day.keys.count as usize);
+            FaultEvent::Join(boxes) => boxes.iter().for_each(|&b| self.start_box(b)),
+            FaultEvent::Burst { factor, share, keys } => {
+                let drawn = self.rng.sample_indices(*keys as usize, self.run_spec.keys.count as usize);
                 let keys = drawn.into_iter().map(|key| key as KeyId).collect();
-                self.clients.burst(at, Some((*factor, *share, keys)));
+                self.clients.set_surge(at, Some((*factor, *share, keys)));
             }
         }
         self.apply_origin_outputs(outputs);
@@ -52,40 +56,42 @@
 
     /// Ends an incident: reverts its effect, or stops the boxes of a drain.
     pub(super) fn incident_ends(&mut self, at: usize) {
-        self.record(Event::Ends { incident: at });
+        self.record(Event::FaultEnds { incident: at });
         let mut outputs = Vec::new();
-        match &self.day.incidents[at].incident {
-            Incident::Silent(boxes) => boxes.iter().for_each(|&b| self.unsilence_box(b)),
-            Incident::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
+        match &self.run_spec.fault_events[at].incident {
+            FaultEvent::Silent(boxes) => boxes.iter().for_each(|&b| self.unsilence_box(b)),
+            FaultEvent::Slow(boxes, factor) => boxes.iter().for_each(|&b| {
                 self.boxes[b].cache.slow_by(self.now, 1.0 / factor);
                 self.apply_box_outputs(b);
             }),
-            Incident::Erring(boxes, share) => boxes.iter().for_each(|&b| self.boxes[b].cache.errs_by(-share)),
-            Incident::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
-            Incident::Heavy { class, .. } => self.clients.heavy(*class, None),
-            Incident::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_starts(node)),
-            Incident::NodeRestart(_) => {}
-            Incident::ListOutage => {
+            FaultEvent::Erring(boxes, share) => {
+                boxes.iter().for_each(|&b| self.boxes[b].cache.add_error_rate(-share))
+            }
+            FaultEvent::Kill(boxes) => boxes.iter().for_each(|&b| self.revive_box(b)),
+            FaultEvent::Heavy { class, .. } => self.clients.set_heavy_work(*class, None),
+            FaultEvent::NodeDeath(nodes) => nodes.iter().for_each(|&node| self.node_starts(node)),
+            FaultEvent::NodeRestart(_) => {}
+            FaultEvent::ListOutage => {
                 self.discovery_recovers();
                 self.distribute_list();
             }
-            Incident::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
-            Incident::PlannerSilent => self.origin.silence(self.now, false, &mut outputs),
-            Incident::Partition(pairs) => self.adjust_partitions(pairs, -1),
-            Incident::Shift { depot, factor } => self.clients.shift(*depot, factor.recip()),
-            Incident::Impatient { .. } => self.clients.impatient(at, None),
-            Incident::Hasty(_) => self.clients.hasty(at, None),
-            Incident::SlowWriters(_) => self.clients.slow_writers(at, None),
-            Incident::LateList { .. }
-            | Incident::LostAnswers(_)
-            | Incident::Resets(_)
-            | Incident::LostMessages(_) => self.faults.end(at),
-            Incident::Drain(boxes) => boxes.iter().for_each(|&b| {
+            FaultEvent::PlannerSlow(factor) => self.origin.planner_mut().slow_by(1.0 / factor),
+            FaultEvent::PlannerSilent => self.origin.silence(self.now, false, &mut outputs),
+            FaultEvent::Partition(pairs) => self.adjust_partitions(pairs, -1),
+            FaultEvent::Shift { depot, factor } => self.clients.scale_depot_traffic(*depot, factor.recip()),
+            FaultEvent::Impatient { .. } => self.clients.set_impatient(at, None),
+            FaultEvent::Hasty(_) => self.clients.set_hasty(at, None),
+            FaultEvent::SlowWriters(_) => self.clients.set_slow_writers(at, None),
+            FaultEvent::LateList { .. }
+            | FaultEvent::LostAnswers(_)
+            | FaultEvent::Resets(_)
+            | FaultEvent::LostMessages(_) => self.faults.end(at),
+            FaultEvent::Drain(boxes) => boxes.iter().for_each(|&b| {
                 self.stop_box(b);
-                self.update_list_after(self.day.list.notice, listing(b, Phase::Gone, None));
+                self.update_list_after(self.run_spec.list.notice, listing(b, Phase::Gone, None));
             }),
-            Incident::Join(_) => {}
-            Incident::Burst { .. } => self.clients.burst(at, None),
+            FaultEvent::Join(_) => {}
+            FaultEvent::Burst { .. } => self.clients.set_surge(at, None),
         }
         self.apply_origin_outputs(outputs);
     }
@@ -98,7 +104,7 @@
         }
         self.boxes[at].cache.stop();
         self.record(Event::BoxDown { of: at });
-        self.update_list_after(self.day.list.silent_notice, listing(at, Phase::Gone, None));
+        self.update_list_after(self.run_spec.list.silent_detection_delay, listing(at, Phase::Gone, None));
     }
 
     /// Ends one silence of a box; its process restarts with an empty store once no other silence is active.
@@ -112,7 +118,7 @@
     pub(super) fn kill_box(&mut self, at: BoxId) {
         if self.boxes[at].silence_count == 0 && self.boxes[at].cache.is_up() {
             self.stop_box(at);
-            self.update_list_after(self.day.list.notice, listing(at, Phase::Gone, None));
+            self.update_list_after(self.run_spec.list.notice, listing(at, Phase::Gone, None));
         }
     }
 
@@ -129,7 +135,7 @@
     /// The current state of the world as seen from a node.
     pub(super) fn policy_view<'b>(&'b self, node: NodeId, request_keys: RequestKeys<'b>) -> PolicyView<'b> {
         PolicyView {
-            day: self.day,
+            run_spec: self.run_spec,
             boxes: &self.boxes,
             servers: &self.servers,
             planner: self.origin.planner(),
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -1,13 +1,13 @@
 //! The plane between nodes: datagrams on the simulated network, scheduling, and counters.
 
 use super::*;
-use crate::plane::{NodePlane, Seat, Sent, Spread, Switch, Tally, Told};
+use crate::plane::{NodePlane, NodePosition, PlaneNotification, RevisionSpread, SentAttempt, Switch, Tally};
 
 /// State that the planes of all nodes share.
 pub(super) struct PlaneState {
     pub switch: Switch,
     /// Separate from the network's random stream, so that the plane does not change any other draw of a day.
-    rng: Chance,
+    rng: RandomStream,
     pub tally: Tally,
     /// When the first unanswered attempt at each box ended during its current silence.
     silent_since: FxHashMap<BoxId, Time>,
@@ -15,7 +15,7 @@
 
 impl PlaneState {
     pub fn new(seed: u64) -> Self {
-        let rng = Chance::new(seed, "plane");
+        let rng = RandomStream::new(seed, "plane");
         PlaneState { switch: Switch::Off, rng, tally: Tally::default(), silent_since: FxHashMap::default() }
     }
 }
@@ -36,9 +36,9 @@
     /// Creates the plane of a node's current process; `None` if the plane is disabled.
     pub(super) fn new_plane(&self, node: NodeId) -> Result<Option<Box<NodePlane>>, WorldError> {
         let state = &self.nodes[node];
-        let (nodes, depots) = (self.nodes.len(), self.day.depots.len());
-        let seat = Seat { node, nodes, depot: state.depot, depots, start: state.start_count };
-        let seed = node_seed(self.day.seed, node, state.start_count);
+        let (nodes, depots) = (self.nodes.len(), self.run_spec.depots.len());
+        let seat = NodePosition { node, nodes, depot: state.depot, depots, start: state.start_count };
+        let seed = node_seed(self.run_spec.seed, node, state.start_count);
         let plane = NodePlane::new(self.planes.switch, &seat, &state.settings, seed, self.now)?;
         Ok(plane.map(Box::new))
     }
@@ -47,17 +47,19 @@
     pub(super) fn run_plane(&mut self, node: NodeId) {
         let now = self.now;
         let Some(plane) = &mut self.nodes[node].plane else { return };
-        let outputs = plane.turn(now);
-        let (due, generation) = (plane.due(now), self.nodes[node].generation);
-        if let Some(plane) = self.nodes[node].plane.as_mut().filter(|plane| plane.wakes != Some(due)) {
-            plane.wakes = Some(due);
+        let outputs = plane.run_due(now);
+        let (due, generation) = (plane.next_due(now), self.nodes[node].generation);
+        if let Some(plane) = self.nodes[node].plane.as_mut().filter(|plane| plane.next_wake != Some(due)) {
+            plane.next_wake = Some(due);
             self.schedule_at(due, ScheduledEvent::PlaneWakes { node, generation });
         }
         for output in outputs {
             match output {
-                Told::Datagram(to, bytes) => self.send_datagram(node, to, bytes),
-                Told::News(news) => self.nodes[node].pending_events.push_back(decisions::Event::Fleet(news)),
-                Told::Table(news, revision) => {
+                PlaneNotification::Datagram(to, bytes) => self.send_datagram(node, to, bytes),
+                PlaneNotification::News(news) => {
+                    self.nodes[node].pending_events.push_back(decisions::Event::Fleet(news))
+                }
+                PlaneNotification::Table(news, revision) => {
                     self.nodes[node].pending_events.push_back(decisions::Event::Fleet(news));
                     self.set_placement_revision(node, revision);
                 }
@@ -69,7 +71,10 @@
     /// Runs a node's plane, unless its wake-up was rescheduled.
     pub(super) fn plane_wakes(&mut self, node: NodeId) {
         let now = self.now;
-        if self.nodes[node].plane.as_mut().is_some_and(|plane| plane.wakes.take_if(|at| *at == now).is_some())
+        if self.nodes[node]
+            .plane
+            .as_mut()
+            .is_some_and(|plane| plane.next_wake.take_if(|at| *at == now).is_some())
         {
             self.run_plane(node);
         }
@@ -77,14 +82,15 @@
 
     /// Sends a datagram from one node to another; it may be lost without notice.
     fn send_datagram(&mut self, from: NodeId, to: NodeId, bytes: Vec<u8>) {
-        self.planes.tally.datagram(self.now, from, bytes.len());
+        self.planes.tally.count_datagram(self.now, from, bytes.len());
         let partitioned = self.is_partitioned(self.nodes[from].depot, self.nodes[to].depot);
         let rng = &mut self.planes.rng;
-        if partitioned || rng.happens(self.day.network.message_loss) || self.faults.loses_message(rng) {
+        if partitioned || rng.bernoulli(self.run_spec.network.message_loss) || self.faults.loses_message(rng)
+        {
             return;
         }
-        let factor = 1.0 + self.day.network.jitter * rng.normal();
-        let delay = self.day.network.message.0 as f64 * factor.max(0.2);
+        let factor = 1.0 + self.run_spec.network.jitter * rng.normal();
+        let delay = self.run_spec.network.message.0 as f64 * factor.max(0.2);
         self.schedule_after(
             Span((delay.round() as u64).max(1)),
             ScheduledEvent::Datagram { to, from, bytes },
@@ -105,7 +111,7 @@
     pub(super) fn update_plane_list(&mut self, node: NodeId, revision: Option<u64>) {
         let (now, NodeState { plane, cached_endpoints, .. }) = (self.now, &mut self.nodes[node]);
         if let Some(plane) = plane {
-            plane.learn(now, revision, cached_endpoints);
+            plane.set_list(now, revision, cached_endpoints);
             self.run_plane(node);
         }
         if let Some(revision) = revision.filter(|_| self.planes.switch != Switch::Table) {
@@ -125,8 +131,8 @@
     }
 
     /// Reports a new attempt to the node's plane; returns the plane's record of it.
-    pub(super) fn plane_attempt_sent(&mut self, node: NodeId, server: &ServerId) -> Option<Sent> {
-        self.nodes[node].plane.as_mut().and_then(|plane| plane.sent(server))
+    pub(super) fn plane_attempt_sent(&mut self, node: NodeId, server: &ServerId) -> Option<SentAttempt> {
+        self.nodes[node].plane.as_mut().and_then(|plane| plane.record_sent(server))
     }
 
     /// Passes the end of an attempt to its node's plane, and counts attempts that a silent box did not answer.
@@ -135,11 +141,11 @@
         node: NodeId,
         to: BoxId,
         sent_at: Time,
-        sent: Option<Sent>,
+        sent: Option<SentAttempt>,
         status: Status,
     ) {
         if let (Some(plane), Some(sent)) = (self.nodes[node].plane.as_mut(), sent) {
-            plane.ended(sent, status);
+            plane.record_outcome(sent, status);
         }
         let unanswered = matches!(status, Status::TimedOut | Status::Unreachable | Status::Broken);
         if unanswered && self.boxes[to].silence_count > 0 {
@@ -156,7 +162,7 @@
 
     /// Records when the list reached a revision.
     pub(super) fn record_list_revision(&mut self, revision: u64) {
-        self.planes.tally.spreads.push(Spread { revision, listed: self.now, all: None });
+        self.planes.tally.spreads.push(RevisionSpread { revision, listed: self.now, all: None });
     }
 
     /// Sets the list revision by which a node places keys.
@@ -169,7 +175,7 @@
     pub(super) fn record_placement_spread(&mut self) {
         let running = self.nodes.iter().filter(|state| state.alive);
         if let Some(oldest) = running.map(|state| state.placement_revision).min() {
-            self.planes.tally.all_place_by(self.now, oldest);
+            self.planes.tally.record_all_place_by(self.now, oldest);
         }
     }
 }
--- a/crates/simulation/src/world/policy_view.rs
+++ b/crates/simulation/src/world/policy_view.rs
@@ -12,7 +12,7 @@
 
 /// State of the world at one time, as seen from one node.
 pub(super) struct PolicyView<'a> {
-    pub day: &'a Day,
+    pub run_spec: &'a RunSpec,
     pub boxes: &'a [BoxState],
     pub servers: &'a FxHashMap<ServerId, BoxId>,
     pub planner: &'a Planner,
@@ -31,7 +31,7 @@
     }
 }
 
-impl Sight for PolicyView<'_> {
+impl WorldView for PolicyView<'_> {
     fn boxes(&self) -> usize {
         self.boxes.len()
     }
@@ -46,7 +46,7 @@
 
     fn look(&self, at: usize) -> TrueBox {
         let box_state = &self.boxes[at];
-        let (depots, there) = (self.day.depots.len(), self.day.boxes[at].depot);
+        let (depots, there) = (self.run_spec.depots.len(), self.run_spec.boxes[at].depot);
         let partitioned = self.partition_counts[self.depot * depots + there]
             + self.partition_counts[there * depots + self.depot]
             > 0;
@@ -55,22 +55,22 @@
         TrueBox {
             up: box_state.cache.is_up() && box_state.silence_count == 0 && !partitioned,
             slots,
-            present_slots: slots * share,
-            wanted: box_state.cache.wanted_slots() + box_state.in_transit,
-            may_fetch: box_state.cache.may_fetch(),
+            current_slots: slots * share,
+            demanded_slots: box_state.cache.slot_demand() + box_state.in_transit,
+            can_fetch: box_state.cache.may_fetch(),
         }
     }
 
     fn keeps(&self, at: usize, request: RequestId) -> bool {
         let key = self.key(request);
-        key.is_some_and(|key| self.boxes[at].cache.keeps(self.now, key, self.planner.version(key)))
+        key.is_some_and(|key| self.boxes[at].cache.has_valid_copy(self.now, key, self.planner.version(key)))
     }
 
     fn fetches(&self, at: usize, request: RequestId) -> bool {
-        self.key(request).is_some_and(|key| self.boxes[at].cache.fetches(key))
+        self.key(request).is_some_and(|key| self.boxes[at].cache.would_join_fetch(key))
     }
 
     fn planner(&self) -> TruePlanner {
-        self.planner.truth()
+        self.planner.actual_state()
     }
 }
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -14,13 +14,13 @@
             if let Some(&of) = self.servers.get(&entry.server) {
                 let phase = if entry.state == ServerState::Ready { Phase::Ready } else { Phase::Draining };
                 let started = entry.started.map(|s| Time::ZERO + Span::from_secs(s));
-                self.record(Event::Told { node, of, phase, started });
+                self.record(Event::Notified { node, of, phase, started });
             }
         }
         self.notify_policy(node, decisions::Event::Endpoints(EndpointUpdate::Cached(cached)));
         self.update_plane_list(node, None);
         self.nodes[node].revision = 0;
-        let delay = Span::from_secs(self.network_rng.between(0.0, self.day.list.spread.as_secs()));
+        let delay = Span::from_secs(self.network_rng.between(0.0, self.run_spec.list.spread.as_secs()));
         self.notify_agent_after(delay, node);
         self.schedule_after(SWEEP_INTERVAL, ScheduledEvent::Sweep { node, generation });
     }
@@ -32,7 +32,7 @@
         }
         let state = &mut self.nodes[node];
         state.start_count += 1;
-        let seed = node_seed(self.day.seed, node, state.start_count);
+        let seed = node_seed(self.run_spec.seed, node, state.start_count);
         // Cannot fail: the same settings were accepted when the day began.
         if let Ok(policy) = (self.start)(state.settings.clone(), seed) {
             state.policy = policy;
@@ -53,21 +53,21 @@
     /// Restarts a node as planned: it accepts tries for a while, answers all of them, exits and starts again. With
     /// `stop`, clients keep using open connections for as long as the node does, and it is killed if it has not exited
     /// after `stop.kill`.
-    pub(super) fn restart_node(&mut self, node: NodeId, stop: Option<Stop>) {
+    pub(super) fn restart_node(&mut self, node: NodeId, stop: Option<StopTimings>) {
         if !self.nodes[node].alive {
             return;
         }
         let (now, generation) = (self.now, self.nodes[node].generation);
         let state = &mut self.nodes[node];
         state.unavailable_since = Some(now);
-        let Some(Stop { coming, kill }) = stop else {
+        let Some(StopTimings { new_connections_time, kill }) = stop else {
             state.accepts_until = Some(now + ACCEPT_AFTER_STOP);
-            let leave = self.day.longest_deadline() + LEAVE_DELAY;
+            let leave = self.run_spec.longest_deadline() + LEAVE_DELAY;
             self.schedule_after(leave, ScheduledEvent::NodeLeaves { node, generation });
             return self.schedule_after(leave + LEAVE_DELAY, ScheduledEvent::NodeStarts(node));
         };
         (state.accepts_until, state.new_connections_until) =
-            (Some(now + self.day.shell.parting), Some(now + coming));
+            (Some(now + self.run_spec.node_timings.parting), Some(now + new_connections_time));
         self.record(Event::Stopping { node });
         self.schedule_after(kill, ScheduledEvent::NodeKilled { node, generation });
         self.schedule_after(kill + LEAVE_DELAY, ScheduledEvent::NodeStarts(node));
@@ -96,7 +96,7 @@
         }
         self.record_placement_spread();
         for (id, _) in open.into_iter().filter(|(_, answered)| !answered) {
-            let delay = self.jittered(self.day.network.client);
+            let delay = self.jittered(self.run_spec.network.client);
             self.schedule_after(delay, ScheduledEvent::Reply { id, reply: Reply::Reset });
         }
     }
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -3,9 +3,9 @@
 use std::sync::{Arc, Mutex};
 
 use hallpin_balancer::{Action, Event, FleetUpdate, Seconds};
+use hallpin_simulation::invariants::{InvariantChecker, Verdict};
 use hallpin_simulation::plane::{Switch, Tally};
-use hallpin_simulation::policy::{self, Policy, Sight};
-use hallpin_simulation::referee::{Referee, Verdict};
+use hallpin_simulation::policy::{self, Policy, WorldView};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
 use hallpin_simulation::trace::{Event as TraceEvent, Sink};
@@ -18,7 +18,7 @@
 }
 
 impl Policy for RecordingPolicy {
-    fn handle(&mut self, now: Seconds, event: Event, world: &dyn Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Seconds, event: Event, world: &dyn WorldView, actions: &mut Vec<Action>) {
         if let Event::Fleet(FleetUpdate::Servers(servers)) = &event {
             *self.silent_reports.lock().expect("a count") += servers.iter().filter(|s| s.silent > 0).count();
         }
@@ -34,18 +34,18 @@
     let day = Scenario::parse(&text).expect("a scenario").draw(seed).expect("a drawn scenario");
     let silent_reports = Arc::new(Mutex::new(0));
     let start = |settings, seed| {
-        let inner = policy::module(settings, seed)?;
+        let inner = policy::balancer_policy(settings, seed)?;
         Ok(Box::new(RecordingPolicy { inner, silent_reports: silent_reports.clone() }) as Box<dyn Policy>)
     };
-    let (mut events, mut referee) = (String::new(), Referee::new(&day));
+    let (mut events, mut checker) = (String::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &TraceEvent| {
         events += &format!("{at:?} {event:?}\n");
-        referee.record(at, event);
+        checker.record(at, event);
     };
     let world = World::new(&day, &start, sink).expect("a world").with_plane(switch).expect("a plane");
     let tally = world.run().tally;
     let silent_reports = *silent_reports.lock().expect("a count");
-    (events, referee.verdict(), tally, silent_reports)
+    (events, checker.verdict(), tally, silent_reports)
 }
 
 const SILENT_BOXES: &str = "[[incidents]]\nkind = \"silent\"\nat = \"4s\"\nlasts = \"5s\"\npart = 0.3\n";
@@ -72,7 +72,7 @@
             let (first, verdict, tally, _) = run_scenario(RESTARTS_AND_REPLACEMENTS, seed, switch);
             let (second, ..) = run_scenario(RESTARTS_AND_REPLACEMENTS, seed, switch);
             assert!(first == second, "seed {seed}, {switch:?}");
-            assert!(verdict.is_clean(), "seed {seed}, {switch:?}: {:?}", verdict.breaches);
+            assert!(verdict.is_clean(), "seed {seed}, {switch:?}: {:?}", verdict.violations);
             assert!(!tally.spreads.is_empty(), "the list changed");
             let incomplete = tally.spreads.iter().filter(|spread| spread.all.is_none()).count();
             assert_eq!(incomplete, 0, "seed {seed}, {switch:?}: {:?}", tally.spreads);
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -9,13 +9,13 @@
     self as decisions, Action, AttemptId, Balancer, CacheNote, EndpointEntry, EndpointUpdate, Key,
     NewRequest, Outcome, RequestId, Seconds, ServerId, ServerState, Settings, Status, TimerToken,
 };
-use hallpin_simulation::chance::Chance;
-use hallpin_simulation::day::{Day, Effect};
+use hallpin_simulation::invariants::{InvariantChecker, Rule, Verdict};
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::{Referee, Rule, Verdict};
+use hallpin_simulation::random::RandomStream;
+use hallpin_simulation::run_spec::{Effect, RunSpec};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::{Span, Time};
-use hallpin_simulation::trace::{Event, How, Sink};
+use hallpin_simulation::trace::{Event, Sink, TryOutcome};
 
 /// Number of boxes on the node's list; the day has twelve.
 const LISTED: usize = 8;
@@ -23,12 +23,12 @@
 const KEYS: u64 = 50;
 
 /// The default day, with one class for each effect: free, guarded and single-shot.
-fn day() -> Day {
+fn day() -> RunSpec {
     let mut day = Scenario::default().draw(1).expect("the defaults make a day");
     let read = day.classes[0].clone();
     day.classes = [("read", Effect::Free), ("keyed", Effect::Guarded), ("once", Effect::SingleShot)]
         .into_iter()
-        .map(|(name, effect)| hallpin_simulation::day::ClassSpec {
+        .map(|(name, effect)| hallpin_simulation::run_spec::ClassSpec {
             name: name.into(),
             effect,
             ..read.clone()
@@ -72,8 +72,8 @@
 /// they are recorded and applied.
 struct BalancerRun {
     balancer: Balancer,
-    referee: Referee,
-    rng: Chance,
+    checker: InvariantChecker,
+    rng: RandomStream,
     now: Seconds,
     open: BTreeMap<u64, OpenRequest>,
     timers: Vec<(Seconds, TimerToken)>,
@@ -82,15 +82,15 @@
 }
 
 impl BalancerRun {
-    fn new(seed: u64, day: &Day) -> Self {
+    fn new(seed: u64, day: &RunSpec) -> Self {
         let mut settings = Settings::from_json(&day.settings(0)).expect("the day's settings");
         settings.limits.health_checks = seed.is_multiple_of(2);
         let balancer = Balancer::new(settings, seed).expect("settings are valid");
         let list = (0..LISTED).map(|of| entry(of, ServerState::Ready, None)).collect();
         BalancerRun {
             balancer,
-            referee: Referee::new(day),
-            rng: Chance::new(seed, "random life"),
+            checker: InvariantChecker::new(day),
+            rng: RandomStream::new(seed, "random life"),
             now: 50.0,
             open: BTreeMap::new(),
             timers: Vec::new(),
@@ -105,13 +105,18 @@
 
     fn record(&mut self, event: Event) {
         let at = self.at();
-        self.referee.record(at, &event);
+        self.checker.record(at, &event);
     }
 
     fn record_list_change(&mut self, entries: &[EndpointEntry]) {
         for e in entries {
             let started = e.started.map(|s| Time((s * 1e6) as u64));
-            self.record(Event::Told { node: 0, of: box_index(&e.server), phase: phase(e.state), started });
+            self.record(Event::Notified {
+                node: 0,
+                of: box_index(&e.server),
+                phase: phase(e.state),
+                started,
+            });
         }
     }
 
@@ -144,11 +149,21 @@
             Action::Reject { request, retry_after } => {
                 self.mark_answered(request);
                 let advice = retry_after.map(|s| Span((s * 1e6) as u64));
-                self.record(Event::Answered { id: request.0, how: How::Rejected, version: None, advice });
+                self.record(Event::Answered {
+                    id: request.0,
+                    how: TryOutcome::Rejected,
+                    version: None,
+                    advice,
+                });
             }
             Action::Fail(request) => {
                 self.mark_answered(request);
-                self.record(Event::Answered { id: request.0, how: How::Failed, version: None, advice: None })
+                self.record(Event::Answered {
+                    id: request.0,
+                    how: TryOutcome::Failed,
+                    version: None,
+                    advice: None,
+                })
             }
             Action::SetTimer { token, after } => self.timers.push((self.now + after.max(0.001), token)),
             _ => {}
@@ -169,9 +184,9 @@
         let key = self.rng.below(KEYS);
         self.open
             .insert(id, OpenRequest { until: self.now + time_left, attempts: Vec::new(), finished: false });
-        self.record(Event::Asked { ask: id, class, tenant: None, key: key as u32, work: 50_000.0 });
+        self.record(Event::RequestStarted { ask: id, class, tenant: None, key: key as u32, work: 50_000.0 });
         let until = Time(((self.now + time_left) * 1e6) as u64);
-        self.record(Event::Taken { id, ask: id, node: 0, until });
+        self.record(Event::TryAccepted { id, ask: id, node: 0, until });
         let request = NewRequest {
             id: RequestId(id),
             time_left,
@@ -220,7 +235,12 @@
             let note = (status == Status::Success).then_some(CacheNote::Hit);
             self.record(Event::Ended { id, attempt: index as u32, how: status.into() });
             if served {
-                self.record(Event::Answered { id, how: How::Completed, version: Some(0), advice: None });
+                self.record(Event::Answered {
+                    id,
+                    how: TryOutcome::Completed,
+                    version: Some(0),
+                    advice: None,
+                });
             }
             let attempt = AttemptId(index as u32);
             let outcome = Outcome {
@@ -298,14 +318,14 @@
     for _ in 0..2_000 {
         run.advance(0.001, &tamper);
     }
-    run.record(Event::DayOver);
-    (run.referee.verdict(), run.sends)
+    run.record(Event::RunEnded);
+    (run.checker.verdict(), run.sends)
 }
 
 /// The rules that a verdict reports as violated, with the first three violations as text.
 fn violations(verdict: &Verdict) -> (Vec<Rule>, String) {
-    let told = verdict.told.iter().take(3).map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
-    (verdict.breaches.keys().copied().collect(), told)
+    let told = verdict.first_violations.iter().take(3).map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
+    (verdict.violations.keys().copied().collect(), told)
 }
 
 #[test]
--- a/crates/simulation/tests/referee/departed_clients.rs
+++ b/crates/simulation/tests/referee/departed_clients.rs
@@ -1,10 +1,10 @@
 //! Clients that have disconnected or cancelled: no attempt starts for them.
 
-use hallpin_simulation::history::lenient;
+use hallpin_simulation::history::with_leeway;
+use hallpin_simulation::invariants::Rule;
 use hallpin_simulation::list::Phase;
-use hallpin_simulation::referee::Rule;
 use hallpin_simulation::time::Span;
-use hallpin_simulation::trace::{Ended, Event, How};
+use hallpin_simulation::trace::{AttemptOutcome, Event, TryOutcome};
 
 use crate::events::*;
 
@@ -15,12 +15,12 @@
     let mut events =
         vec![(100, asked(id, READ)), (101, accepted(id, id, 1900)), (LEFT, Event::Abandoned { id })];
     if !first {
-        events.extend([(102, sent(id, 0, 0)), (200, ended(id, 0, Ended::Broken))]);
+        events.extend([(102, sent(id, 0, 0)), (200, ended(id, 0, AttemptOutcome::Broken))]);
     }
     let attempt = u32::from(!first);
     events.extend([
         (LEFT + after, sent(id, attempt, 1)),
-        (LEFT + after + 5, ended(id, attempt, Ended::Success)),
+        (LEFT + after + 5, ended(id, attempt, AttemptOutcome::Success)),
     ]);
     events
 }
@@ -29,8 +29,8 @@
 fn violations(times: u64, after: u64, first: bool) -> Vec<(Rule, u64)> {
     let listed = (0..2).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
     let events = (1..=times).fold(listed, |events, id| with(events, attempt_after_leaving(id, after, first)));
-    let day = lenient(&day(), Span::from_millis(50));
-    check(&day, &events).breaches.into_iter().collect()
+    let day = with_leeway(&day(), Span::from_millis(50));
+    check(&day, &events).violations.into_iter().collect()
 }
 
 #[test]
@@ -53,15 +53,15 @@
             (101, accepted(1, 1, UNTIL)),
             (UNTIL, Event::Abandoned { id: 1 }),
             (UNTIL + after, sent(1, 0, 0)),
-            (UNTIL + after + 5, ended(1, 0, Ended::Success)),
-            (UNTIL + after + 5, answered(1, How::Completed)),
+            (UNTIL + after + 5, ended(1, 0, AttemptOutcome::Success)),
+            (UNTIL + after + 5, answered(1, TryOutcome::Completed)),
         ]
     };
     let mut day = day();
     day.rules.answer_grace = Span::from_millis(500);
-    for day in [day.clone(), lenient(&day, Span::from_millis(50))] {
+    for day in [day.clone(), with_leeway(&day, Span::from_millis(50))] {
         let violations =
-            |after| check(&day, &attempt_after_leaving(after)).breaches.into_iter().collect::<Vec<_>>();
+            |after| check(&day, &attempt_after_leaving(after)).violations.into_iter().collect::<Vec<_>>();
         assert_eq!(violations(100), []);
         assert_eq!(violations(101), [(Rule::Gone, 1)]);
     }
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -5,11 +5,11 @@
 use hallpin_balancer::{
     self as decisions, Action, AttemptId, EndpointUpdate, RequestId, ServerId, TimerToken,
 };
-use hallpin_simulation::policy::{self, Policy, Sight};
-use hallpin_simulation::referee::{Loss, Referee, Rule, Verdict};
+use hallpin_simulation::invariants::{InvariantChecker, Loss, Rule, Verdict};
+use hallpin_simulation::policy::{self, Policy, WorldView};
 use hallpin_simulation::scenario::Scenario;
 use hallpin_simulation::time::Time;
-use hallpin_simulation::trace::{Ended, Event, How, Line};
+use hallpin_simulation::trace::{AttemptOutcome, Event, Line, TryOutcome};
 use hallpin_simulation::world::World;
 
 fn scenario(incidents: &str) -> Scenario {
@@ -20,15 +20,15 @@
 
 fn trace(incidents: &str, seed: u64) -> (String, Verdict) {
     let day = scenario(incidents).draw(seed).expect("a day");
-    let (mut text, mut referee) = (String::new(), Referee::new(&day));
+    let (mut text, mut checker) = (String::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &Event| {
         let line = Line { at, event: event.clone() };
         text.push_str(&serde_json::to_string(&line).expect("a line"));
         text.push('\n');
-        hallpin_simulation::trace::Sink::record(&mut referee, at, event);
+        hallpin_simulation::trace::Sink::record(&mut checker, at, event);
     };
-    let _ = World::new(&day, &policy::module, sink).expect("a world").run();
-    (text, referee.verdict())
+    let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
+    (text, checker.verdict())
 }
 
 const ALL_INCIDENTS: &str = r#"
@@ -116,7 +116,7 @@
 fn the_balancer_keeps_the_rules_under_many_faults() {
     for seed in 1..=6 {
         let (_, verdict) = trace(ALL_INCIDENTS, seed);
-        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
+        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.first_violations);
         assert_eq!(verdict.stale, 0, "seed {seed}");
     }
 }
@@ -125,7 +125,7 @@
 fn a_node_crash_loses_open_requests_and_breaks_no_rule() {
     let node_death = "[[incidents]]\nkind = \"node-death\"\nat = \"5s\"\nlasts = \"5s\"\nnodes = 3\n";
     let (text, verdict) = trace(node_death, 3);
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert_eq!(text.matches("\"node-down\"").count(), 3);
     assert_eq!(text.matches("\"node-up\"").count(), 6);
     let seconds = &verdict.seconds;
@@ -140,11 +140,12 @@
 #[test]
 fn abandoned_requests_need_no_answer() {
     let mut scenario = scenario("");
-    scenario.clients.abandons = hallpin_simulation::range::Range::one(0.3);
+    scenario.clients.abandons = hallpin_simulation::range::Range::single(0.3);
     let day = scenario.draw(1).expect("a day");
-    let referee = World::new(&day, &policy::module, Referee::new(&day)).expect("a world").run().sink;
-    let verdict = referee.verdict();
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    let checker =
+        World::new(&day, &policy::balancer_policy, InvariantChecker::new(&day)).expect("a world").run().sink;
+    let verdict = checker.verdict();
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(verdict.losses.contains_key(&Loss::NoAnswer), "{:?}", verdict.losses);
 }
 
@@ -175,7 +176,7 @@
 boxes = 1
 "#;
     let (text, verdict) = trace(incidents, 2);
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     let at = |event: &str| -> Vec<u64> {
         let line = |line: &str| serde_json::from_str::<Line>(line).expect("a line").at.0;
         text.lines().filter(|l| l.contains(event)).map(line).collect()
@@ -189,15 +190,15 @@
 fn a_retry_during_its_first_try_is_answered_once() {
     let mut scenario =
         scenario("[[incidents]]\nkind = \"slow\"\nat = \"2s\"\nlasts = \"15s\"\npart = 1.0\nfactor = 12.0\n");
-    scenario.clients.rate = hallpin_simulation::range::Range::one(20.0);
-    scenario.clients.retries = hallpin_simulation::range::Range::one(2);
+    scenario.clients.rate = hallpin_simulation::range::Range::single(20.0);
+    scenario.clients.retries = hallpin_simulation::range::Range::single(2);
     let day = scenario.draw(4).expect("a day");
     let (mut tries, mut received, mut retries) =
         (std::collections::BTreeMap::new(), std::collections::BTreeMap::new(), 0);
-    let mut referee = Referee::new(&day);
+    let mut checker = InvariantChecker::new(&day);
     let sink = |at: Time, event: &Event| {
         match event {
-            Event::Taken { ask, .. } => {
+            Event::TryAccepted { ask, .. } => {
                 let tries = tries.entry(*ask).or_insert(0);
                 *tries += 1;
                 retries += u32::from(*tries > 1);
@@ -205,11 +206,11 @@
             Event::Received { ask, .. } => *received.entry(*ask).or_insert(0) += 1,
             _ => {}
         }
-        hallpin_simulation::trace::Sink::record(&mut referee, at, event);
+        hallpin_simulation::trace::Sink::record(&mut checker, at, event);
     };
-    let _ = World::new(&day, &policy::module, sink).expect("a world").run();
-    let verdict = referee.verdict();
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
+    let verdict = checker.verdict();
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
     assert!(retries > 20, "{retries} retries");
     assert!(received.values().all(|n| *n == 1));
 }
@@ -232,7 +233,7 @@
 }
 
 impl Policy for FixedTimeout {
-    fn handle(&mut self, _: f64, event: decisions::Event, _: &dyn Sight, actions: &mut Vec<Action>) {
+    fn handle(&mut self, _: f64, event: decisions::Event, _: &dyn WorldView, actions: &mut Vec<Action>) {
         match event {
             decisions::Event::Endpoints(EndpointUpdate::Cached(list) | EndpointUpdate::Full(list)) => {
                 self.servers = list.into_iter().map(|entry| entry.server).collect();
@@ -264,10 +265,10 @@
         scenario("[[classes]]\nname = \"lookup\"\nwork = \"10ms\"\naim = \"500ms\"\ndeadline = \"1s\"\n")
             .draw(1)
             .expect("a day");
-    let (mut events, mut referee) = (Vec::new(), Referee::new(&day));
+    let (mut events, mut checker) = (Vec::new(), InvariantChecker::new(&day));
     let sink = |at: Time, event: &Event| {
         events.push(event.clone());
-        hallpin_simulation::trace::Sink::record(&mut referee, at, event);
+        hallpin_simulation::trace::Sink::record(&mut checker, at, event);
     };
     let start = |_, _| Ok(Box::<FixedTimeout>::default() as Box<dyn Policy>);
     let _ = World::new(&day, &start, sink).expect("a world").run();
@@ -280,7 +281,7 @@
                     None
                 }
                 Event::Ended { id, attempt: 0, how } => {
-                    (worked.remove(id) && *how == Ended::Cancelled).then_some(*id)
+                    (worked.remove(id) && *how == AttemptOutcome::Cancelled).then_some(*id)
                 }
                 _ => None,
             };
@@ -290,7 +291,7 @@
         .collect();
     assert!(worked.len() > 5, "too few answers crossed a cancel: {}", worked.len());
     for id in worked {
-        let answers: Vec<&How> = events
+        let answers: Vec<&TryOutcome> = events
             .iter()
             .filter_map(|e| match e {
                 Event::Answered { id: of, how, .. } if *of == id => Some(how),
@@ -302,17 +303,17 @@
         assert!(events.iter().any(second), "{id}: the other attempt has no outcome");
     }
     // This policy lets requests wait until their deadlines, which violates `Rule::Waited` and no other rule.
-    let verdict = referee.verdict();
-    assert!(verdict.breaches.keys().all(|rule| *rule == Rule::Waited), "{:?}", verdict.told);
+    let verdict = checker.verdict();
+    assert!(verdict.violations.keys().all(|rule| *rule == Rule::Waited), "{:?}", verdict.first_violations);
 }
 
 fn run_mixed(seed: u64) -> Verdict {
     let day = Scenario::parse(include_str!("../../../scenarios/mixed.toml")).expect("a scenario").draw(seed);
     let day = day.expect("a day");
-    let mut referee = Referee::new(&day);
-    let sink = |at: Time, event: &Event| hallpin_simulation::trace::Sink::record(&mut referee, at, event);
-    let _ = World::new(&day, &policy::module, sink).expect("a world").run();
-    referee.verdict()
+    let mut checker = InvariantChecker::new(&day);
+    let sink = |at: Time, event: &Event| hallpin_simulation::trace::Sink::record(&mut checker, at, event);
+    let _ = World::new(&day, &policy::balancer_policy, sink).expect("a world").run();
+    checker.verdict()
 }
 
 /// Expensive requests reach boxes that restart with a cold cache: none of these boxes crashes from overload.
@@ -320,7 +321,7 @@
 fn cold_boxes_withstand_expensive_requests() {
     for seed in [11, 69, 205] {
         let verdict = run_mixed(seed);
-        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.told);
+        assert!(verdict.is_clean(), "seed {seed}: {:?}", verdict.first_violations);
     }
 }
 
@@ -329,5 +330,5 @@
 #[test]
 fn a_cold_and_slow_box_withstands_its_load() {
     let verdict = run_mixed(115);
-    assert!(verdict.is_clean(), "{:?}", verdict.told);
+    assert!(verdict.is_clean(), "{:?}", verdict.first_violations);
 }
