--- a/crates/balancer/src/interface/settings_error.rs
+++ b/crates/balancer/src/interface/settings_error.rs
@@ -49,7 +49,7 @@
     TooFew {
         /// Name of the list or count.
         what: &'static str,
-        /// The least number.
+        /// The smallest allowed number, as the message words it.
         expected: &'static str,
         /// The number that was found.
         found: &'static str,
--- a/crates/control-plane/tests/routing.rs
+++ b/crates/control-plane/tests/routing.rs
@@ -114,8 +114,8 @@
     };
     let mut garbled = good.clone();
     *garbled.last_mut().unwrap() ^= 1;
-    let mut newer = good.clone();
-    newer[2] += 1;
+    let mut newer_version = good.clone();
+    newer_version[2] += 1;
     let long = vec![0; MAX_DATAGRAM + 1];
     let from = |node| datagram(Kind::Placement, life(node, 9), 0, &[1]);
     let one = Some(NodeId(1));
@@ -129,7 +129,7 @@
         (one, datagram(Kind::Placement, life(1, 5), 0, &[0]), Rejection::Payload),
         (one, datagram(Kind::Quota, life(1, 5), 0, &[1]), Rejection::Kind),
         (one, garbled, Rejection::Corrupt),
-        (one, newer, Rejection::Version),
+        (one, newer_version, Rejection::Version),
         (one, long, Rejection::TooLong),
         (one, good[..9].into(), Rejection::Truncated),
         (one, vec![0; 100], Rejection::Foreign),
--- a/crates/fault-harness/benches/processes/run.rs
+++ b/crates/fault-harness/benches/processes/run.rs
@@ -83,7 +83,7 @@
     pub run: Run,
     /// The scenario file.
     pub spec: Spec,
-    /// The harness.
+    /// The fault harness that plays the scenario with real nodes.
     pub harness: Harness,
     /// Folder of the nodes' files.
     pub folder: PathBuf,
--- a/crates/fault-harness/src/fakes/connection.rs
+++ b/crates/fault-harness/src/fakes/connection.rs
@@ -131,7 +131,7 @@
     }
 }
 
-/// Records how a command ended when it is dropped.
+/// When dropped, records how its command ended: `Gone` unless an answer was set.
 struct AnswerRecorder<'a> {
     connection: &'a Connection,
     id: u64,
--- a/crates/fault-harness/src/judge/one_table_per_key.rs
+++ b/crates/fault-harness/src/judge/one_table_per_key.rs
@@ -84,16 +84,16 @@
     #[test]
     fn a_lagging_node_is_a_violation_unless_it_was_disconnected() {
         let by = |node, by: &[usize]| Placement { node, key: 1, by: by.to_vec() };
-        let check = |at, events| {
+        let violation_times = |at, events| {
             let rule = OneTablePerKey::new(2, Span::from_millis(300), Span::from_millis(2000), Rc::default());
             let lagging = |at| (at, by(1, &[0]));
             let placement = [(1000, by(0, &[0])), (3000, by(0, &[1]))];
             violation_times_with_placements(rule, events, [placement.to_vec(), vec![lagging(at); 3]].concat())
         };
-        assert_eq!(check(3300, vec![]), NONE);
-        assert_eq!(check(3301, vec![]), [3301]);
+        assert_eq!(violation_times(3300, vec![]), NONE);
+        assert_eq!(violation_times(3301, vec![]), [3301]);
         let out = vec![(100, Event::NodePaused { node: 1 }), (3200, Event::NodeResumed { node: 1 })];
-        assert_eq!(check(5200, out.clone()), NONE);
-        assert_eq!(check(5201, out), [5201]);
+        assert_eq!(violation_times(5200, out.clone()), NONE);
+        assert_eq!(violation_times(5201, out), [5201]);
     }
 }
--- a/crates/fault-harness/src/judge/table_history.rs
+++ b/crates/fault-harness/src/judge/table_history.rs
@@ -46,7 +46,7 @@
     ready: BTreeSet<usize>,
     tables: Vec<BTreeSet<usize>>,
     owners: BTreeMap<(usize, u64), Option<usize>>,
-    /// Requests that a box has received.
+    /// Ids of the reads that a box has received.
     received: BTreeSet<u64>,
     /// Number of first attempts that went to no table's owner of the key, and of all first attempts.
     unplaced: (u64, u64),
--- a/crates/fault-harness/src/process/host.rs
+++ b/crates/fault-harness/src/process/host.rs
@@ -63,7 +63,7 @@
     pub error: io::Error,
 }
 
-/// A node's host.
+/// Starts, signals and supervises the processes of one node, one at a time, and records how each ends.
 pub struct Host {
     /// The node's addresses and folder.
     pub addresses: NodeAddresses,
--- a/crates/fault-harness/src/spec/faults.rs
+++ b/crates/fault-harness/src/spec/faults.rs
@@ -159,10 +159,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Ends {
-    /// The first side, which sends.
+    /// The first side; the sending one if the action has a direction.
     #[schemars(with = "Vec<String>")]
     pub from: Vec<Spanned<Site>>,
-    /// The second side, which receives.
+    /// The second side; the receiving one if the action has a direction.
     #[schemars(with = "Vec<String>")]
     pub to: Vec<Spanned<Site>>,
 }
--- a/crates/hallpin/src/main.rs
+++ b/crates/hallpin/src/main.rs
@@ -56,7 +56,7 @@
         hallpin trial --days zone,join --seeds 20 --json trial.json --chart worst.svg\n  \
         hallpin trial --nodes 60 --soak 5m")]
     Trial(trial::Options),
-    /// Sends open-loop load to nodes and reports the results
+    /// Sends open-loop load to nodes and reports the results, or with --read reports saved results
     #[command(after_help = "Examples:\n  \
         hallpin load --target 127.0.0.1:7001 --target 127.0.0.1:7002 --rate 5000 --length 30s\n  \
         hallpin load --target 127.0.0.1:7001 --bursts 10s:1s:5 --class lookup:9 --class report:1:64 --tries 3\n  \
--- a/crates/hallpin/tests/faults.rs
+++ b/crates/hallpin/tests/faults.rs
@@ -205,8 +205,8 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("the command runs");
-    let nodes = nodes_of(&harness, 5);
+    let node_pids = node_pids_of(&harness, 5);
     harness.kill().expect("a signal");
     harness.wait().expect("it ends");
-    wait_until_gone(&nodes);
+    wait_until_gone(&node_pids);
 }
--- a/crates/hallpin/tests/processes/mod.rs
+++ b/crates/hallpin/tests/processes/mod.rs
@@ -12,8 +12,8 @@
     status.rsplit(") ").next().is_some_and(|rest| !rest.is_empty() && !rest.starts_with('Z'))
 }
 
-/// Waits until the process has started `count` children, and returns them.
-pub fn nodes_of(parent: &std::process::Child, count: usize) -> Vec<u32> {
+/// Waits until the process has started `count` children, and returns their process ids.
+pub fn node_pids_of(parent: &std::process::Child, count: usize) -> Vec<u32> {
     let start = std::time::Instant::now();
     loop {
         let nodes = children(parent.id());
--- a/crates/hallpin/tests/scale.rs
+++ b/crates/hallpin/tests/scale.rs
@@ -134,7 +134,7 @@
     check(&Bounds { usual: &usual, large: &large, thousands });
 }
 
-/// Uses about as many requests per server as the scenarios of the standing test.
+/// A fifth of the servers and of the length of the full-size test below, so as many requests per server.
 #[test]
 fn a_node_among_sixteen_times_the_servers_stays_within_bounds() {
     let run = UsualRun { servers: 40, seconds: 8, requests_per_second: 16 };
--- a/crates/hallpin/tests/sockets.rs
+++ b/crates/hallpin/tests/sockets.rs
@@ -57,14 +57,14 @@
 fn an_interrupt_ends_the_run_and_every_node() {
     let folder = Folder::new();
     let child = start_long_run(&folder);
-    let nodes = nodes_of(&child, 2);
+    let node_pids = node_pids_of(&child, 2);
     let pid = rustix::process::Pid::from_raw(child.id() as i32).expect("a process id");
     rustix::process::kill_process(pid, rustix::process::Signal::INT).expect("a signal");
     let output = child.wait_with_output().expect("it ends");
     let printed = text(&output.stdout);
     assert!(output.status.code().is_some(), "it ended by itself: {printed}{}", text(&output.stderr));
     assert!(printed.contains("ended early"), "{printed}");
-    assert!(nodes.iter().all(|pid| !is_running(*pid)), "left behind: {nodes:?}");
+    assert!(node_pids.iter().all(|pid| !is_running(*pid)), "left behind: {node_pids:?}");
 }
 
 /// A command killed by SIGKILL cannot stop its nodes; they must exit when their standard input closes.
@@ -72,10 +72,10 @@
 fn killing_the_command_leaves_no_node_running() {
     let folder = Folder::new();
     let mut child = start_long_run(&folder);
-    let nodes = nodes_of(&child, 2);
+    let node_pids = node_pids_of(&child, 2);
     child.kill().expect("a signal");
     child.wait().expect("it ends");
-    wait_until_gone(&nodes);
+    wait_until_gone(&node_pids);
 }
 
 /// During a partition between two depots no message crosses and the rules are kept; afterwards messages cross again.
--- a/crates/leader-lease/src/candidate.rs
+++ b/crates/leader-lease/src/candidate.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    pub(crate) fn raise(&mut self, ballot: u64) {
+    /// Raises the highest known ballot to this one, if it is higher.
+    pub(crate) fn raise_highest_ballot(&mut self, ballot: u64) {
         self.highest_ballot = self.highest_ballot.max(ballot);
     }
 
@@ -116,7 +117,7 @@
     pub(crate) fn start_round(&mut self, now: Moment) -> &mut VotingRound {
         let renewed = self.held.filter(|_| !self.last_round_lost).map(|lease| lease.epoch);
         let ballot = renewed.unwrap_or_else(|| self.highest_ballot.saturating_add(1));
-        self.raise(ballot);
+        self.raise_highest_ballot(ballot);
         self.rounds = self.rounds.wrapping_add(1);
         self.round.insert(VotingRound::new(ballot, self.rounds, now))
     }
--- a/crates/leader-lease/src/leader_lease.rs
+++ b/crates/leader-lease/src/leader_lease.rs
@@ -61,8 +61,8 @@
     /// in the meantime.
     pub fn restore(&mut self, highest_ballot: u64) {
         if self.is_plausible(highest_ballot) {
-            self.voter.raise(highest_ballot);
-            self.candidate.raise(highest_ballot);
+            self.voter.raise_highest_voted(highest_ballot);
+            self.candidate.raise_highest_ballot(highest_ballot);
         }
     }
 
@@ -154,7 +154,7 @@
     }
 
     fn on_vote_request(&mut self, now: Moment, from: NodeIncarnation, ballot: u64, round: u32, held: bool) {
-        self.candidate.raise(ballot);
+        self.candidate.raise_highest_ballot(ballot);
         if held {
             self.note_holder(from.node, ballot);
         }
@@ -171,7 +171,7 @@
 
     fn on_answer(&mut self, now: Moment, answer: Answer) {
         if let VoteDecision::Refused { highest_voted, .. } = answer.decision {
-            self.candidate.raise(highest_voted);
+            self.candidate.raise_highest_ballot(highest_voted);
         }
         let Some(round) = self.candidate.round_of_answer(answer.ballot, answer.round) else {
             return;
@@ -187,7 +187,7 @@
     /// expires.
     fn start_round(&mut self, now: Moment) {
         let this = self.config.this;
-        self.candidate.raise(self.voter.highest_voted());
+        self.candidate.raise_highest_ballot(self.voter.highest_voted());
         let round = self.candidate.start_round(now);
         match self.voter.decide(now, this, round.ballot, self.config.promise_length()) {
             VoteDecision::Granted => round.add_vote(this.node),
--- a/crates/leader-lease/src/voter.rs
+++ b/crates/leader-lease/src/voter.rs
@@ -38,7 +38,7 @@
     }
 
     /// From now on rejects ballots up to this one.
-    pub(crate) fn raise(&mut self, ballot: u64) {
+    pub(crate) fn raise_highest_voted(&mut self, ballot: u64) {
         self.highest_voted = self.highest_voted.max(ballot);
     }
 
@@ -59,7 +59,7 @@
         if ballot <= self.highest_voted && !repeated {
             return refused;
         }
-        self.raise(ballot);
+        self.raise_highest_voted(ballot);
         let expires_at = now.saturating_add(promise_length);
         self.current = Some(Vote { candidate, ballot, expires_at });
         VoteDecision::Granted
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -19,7 +19,8 @@
     pub bounds: Bounds,
 }
 
-/// Durations of the protocol. The suspicion times hold for up to 15 nodes and grow with the logarithm of their number.
+/// Durations and counts of the protocol. The suspicion times are as given here for up to 15 nodes; beyond, they grow
+/// with the logarithm of the number of nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// Interval between probes of one node each. 250 ms: of 5 nodes, one meets a crashed node within one interval.
--- a/crates/node/src/frontend/input.rs
+++ b/crates/node/src/frontend/input.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Merges the reads of the buffered `length` bytes: they are the start of one command, which counts from its
-    /// first byte.
+    /// Merges the reads of the `length` buffered bytes into the first one: the bytes are the start of one command,
+    /// whose arrival time is that of its first byte.
     fn merge_reads(&mut self, length: usize) {
         self.reads.truncate(1);
         if let Some(first) = self.reads.front_mut() {
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -22,7 +22,7 @@
     MAX_ERROR_DELAY.min(shortest / 10)
 }
 
-/// A client that reads nothing of its answers for this long is considered gone.
+/// The connection of a client that reads nothing of its answers for this long is closed.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Minimum rate, beyond the first stall timeout, at which a client reads its answers: one that reads a byte just
 /// within each timeout would otherwise hold its connection forever.
--- a/crates/node/src/plane/boxes.rs
+++ b/crates/node/src/plane/boxes.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// One listed box.
+/// What this node knows of one listed box (cache server): its incarnation and table weight, and the evidence that
+/// the attempts of this node gave.
 #[derive(Debug)]
 struct BoxRecord {
     life: BoxIncarnation,
--- a/crates/node/src/plane/permits.rs
+++ b/crates/node/src/plane/permits.rs
@@ -92,7 +92,7 @@
     /// Closes the connections beyond the node's allotment of one box.
     fn close_excess(&self, resource: Resource) {
         if self.cut_excess(resource) {
-            self.close_idle_cut();
+            self.close_cut_idle_connections();
         }
     }
 
@@ -102,7 +102,7 @@
         let all = self.usage.borrow().resources();
         // `filter` and `count` visit every box, even after one had connections to close.
         if all.into_iter().filter(|resource| self.cut_excess(*resource)).count() > 0 {
-            self.close_idle_cut();
+            self.close_cut_idle_connections();
         }
     }
 
@@ -123,15 +123,15 @@
     }
 
     /// Has the connection pool close idle connections that were cut.
-    fn close_idle_cut(&self) {
-        if let Some(close_idle_cut) = self.close_idle_cut.get() {
-            close_idle_cut();
+    fn close_cut_idle_connections(&self) {
+        if let Some(close_cut_idle_connections) = self.close_cut_idle_connections.get() {
+            close_cut_idle_connections();
         }
     }
 
     /// Sets the callback by which the connection pool closes idle connections that were cut.
-    pub fn set_idle_closer(&self, close_idle_cut: impl Fn() + 'static) {
-        let first = self.close_idle_cut.set(Box::new(close_idle_cut)).is_ok();
+    pub fn set_idle_closer(&self, close_cut_idle_connections: impl Fn() + 'static) {
+        let first = self.close_cut_idle_connections.set(Box::new(close_cut_idle_connections)).is_ok();
         debug_assert!(first, "the callback is set once");
     }
 }
--- a/crates/node/src/plane/runtime.rs
+++ b/crates/node/src/plane/runtime.rs
@@ -55,7 +55,7 @@
     /// When the next lease ends that open connections depend on.
     pub(super) next_expiry: Cell<Option<Moment>>,
     /// Closes idle connections that were cut.
-    pub(super) close_idle_cut: OnceCell<Box<dyn Fn()>>,
+    pub(super) close_cut_idle_connections: OnceCell<Box<dyn Fn()>>,
     /// How long after the start no datagram is sent.
     pub(super) quiet_period: Duration,
     pub(super) state: RefCell<Option<StateWriter>>,
--- a/crates/node/src/plane/socket/tests.rs
+++ b/crates/node/src/plane/socket/tests.rs
@@ -36,9 +36,10 @@
     Err(errno.into())
 }
 
-/// A pending error is cleared by the read that reports it; the datagrams behind it are read in the same batch.
+/// An error left by an earlier send, or an interruption, ends only the read that reports it; the datagrams behind it
+/// are read in the same batch.
 #[test]
-fn errors_of_earlier_sends_do_not_stop_a_batch() {
+fn errors_that_the_next_read_does_not_meet_do_not_stop_a_batch() {
     let from = "127.0.0.1:9".parse().unwrap();
     for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::INTR] {
         let mut reads = vec![failed(Errno::AGAIN), Ok((3, from)), failed(errno)];
--- a/crates/node/src/plane/start.rs
+++ b/crates/node/src/plane/start.rs
@@ -92,7 +92,7 @@
             connections_per_box: setup.file.budgets.map(|budgets| budgets.connections_per_box),
             usage: RefCell::default(),
             next_expiry: Cell::new(None),
-            close_idle_cut: OnceCell::new(),
+            close_cut_idle_connections: OnceCell::new(),
             quiet_period,
             state: RefCell::new(state),
             messages,
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -51,13 +51,13 @@
     mut bind: impl FnMut() -> io::Result<TcpListener>,
 ) -> io::Result<TcpListener> {
     let since = Instant::now();
-    let mut logged = false;
+    let mut address_in_use_logged = false;
     loop {
         match bind() {
             Err(error) if is_retryable_bind_error(&error) && since.elapsed() < BIND_TIMEOUT => {
                 if error.kind() != ErrorKind::AddrInUse {
                     report(Operation::Listen, &error, "trying again");
-                } else if !std::mem::replace(&mut logged, true) {
+                } else if !std::mem::replace(&mut address_in_use_logged, true) {
                     warn!("{address} is held by another process; waiting until it is released");
                 }
                 sleep(RETRY_DELAY).await;
--- a/crates/node/src/port/tests.rs
+++ b/crates/node/src/port/tests.rs
@@ -28,7 +28,7 @@
         FailingListener { default_failure: Some(errno), ..Self::once_each([], inner) }
     }
 
-    /// Number of calls that have returned.
+    /// Number of calls of `accept` that have returned, with a connection or an error.
     pub(crate) fn calls(&self) -> usize {
         self.calls.get()
     }
--- a/crates/node/src/system_error.rs
+++ b/crates/node/src/system_error.rs
@@ -160,7 +160,8 @@
     (Errno::TOOMANYREFS, "ETOOMANYREFS"),
 ];
 
-/// Name of the errno as in the manual pages, or its number if it is not in the table.
+/// Name of the errno as in the manual pages, its number if it is not in the table, or `none` if the error has no
+/// errno.
 fn errno_name(error: &io::Error) -> Cow<'static, str> {
     let Some(errno) = Errno::from_io_error(error) else { return "none".into() };
     match ERRNO_NAMES.iter().find(|(named, _)| *named == errno) {
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -26,7 +26,7 @@
 pub(super) const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
 
 /// Fraction of the drain grace left when the watch event of a drain arrives: a pushed endpoint list counts as
-/// notified earlier, and `discovery/manner.rs` may take the other seven tenths to detect a silent watch.
+/// notified earlier, and `discovery/timeouts.rs` may take the other seven tenths to detect a silent watch.
 const GRACE_FRACTION_AFTER_NOTICE: f64 = 0.3;
 
 /// Limits on connections, from the settings.
@@ -40,7 +40,7 @@
     pub grace: Duration,
 }
 
-/// The address of a cache server and the cached connections to it.
+/// The address of a cache server, until when it may be written to, and the cached connections to it.
 pub(super) struct Endpoint {
     address: SocketAddr,
     /// From when on the server may not be written to.
--- a/crates/node/src/upstream/tests/last_byte.rs
+++ b/crates/node/src/upstream/tests/last_byte.rs
@@ -23,7 +23,7 @@
     ServerId("s".into())
 }
 
-/// The second attempt of a request, which may go out until `WINDOW` after the first.
+/// The second attempt of a request. It may be written until `WINDOW` after the last byte of the first was written.
 fn second_attempt(text: &str) -> UpstreamCall {
     UpstreamCall { attempt: AttemptId(1), repeat_window: Some(WINDOW), ..test_call(text) }
 }
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -8,7 +8,8 @@
 
 /// Time after SIGHUP within which the endpoint list of the new discovery must be in use.
 const MAX_RELOAD_TIME: Duration = Duration::from_secs(4);
-/// Time within which a list that discovery has, and can be reached for, must be in use.
+/// Time within which a node must use discovery's list, from the node's start or from a change of the list, while
+/// discovery is slow or overloaded.
 const MAX_UPDATE_TIME: Duration = Duration::from_secs(6);
 
 /// A fake discovery with the cache server that it names, and a node configuration that points to it.
--- a/crates/placement/src/model/actions.rs
+++ b/crates/placement/src/model/actions.rs
@@ -218,9 +218,9 @@
     check("leader lease moves, partitions", Allowance { lease_moves: 1, partitions: 1, ..NO_FAULTS });
 }
 
-/// Node 2's lease has expired and it returns, but its grant is late. Meanwhile the coordinator, or a successor, hears
-/// that node 2 has no lease, and prepares a table that node 2 does not get. The late grant must not let node 2 place by
-/// its old table while the others switch.
+/// Node 2 resumes from a pause after its lease has expired, and the grant that renews the lease is late. Meanwhile the
+/// coordinator (with `lease_moves`, its successor as leader) hears that node 2 has no lease, and prepares a table that
+/// node 2 does not get. The late grant must not let node 2 place by its old table while the others switch.
 fn check_late_grant(lease_moves: bool) {
     let mut state = State::with_first_table(NO_FAULTS);
     state.nodes[2].paused = true;
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -100,7 +100,8 @@
     files.call_count()
 }
 
-/// Faults that start at each call of a run in turn, for each of `lengths` calls.
+/// For each call of a run and each of `lengths`: faults that start at that call and last that many calls, with 0 and
+/// with 100 bytes of the first call written. The kind of error changes from length to length.
 fn faults(lengths: &[u64]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for from in 0..calls_of_a_run() {
--- a/crates/store/tests/support/faulty.rs
+++ b/crates/store/tests/support/faulty.rs
@@ -45,8 +45,8 @@
         self.0.lock().unwrap().failed
     }
 
-    /// Makes all calls fail from now on: the process is killed, and nothing that it would still write reaches the
-    /// disk.
+    /// Makes all later calls except `len` fail, as if the process were killed: no byte of theirs reaches the disk, but
+    /// a failed `copy` leaves an empty target.
     pub fn kill(&self) {
         let mut calls = self.0.lock().unwrap();
         let (from, kind) = (calls.made, io::ErrorKind::Other);
