--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Applies the last list that the node cached; called before any request.
+    /// Applies the list that the configuration gives as the last known; called before any request.
     pub fn load_cached_roster(&mut self, roster: Roster) {
         self.apply_roster(roster, EndpointUpdate::Cached);
     }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -95,7 +95,7 @@
         reply.send(Answer::final_answer(request_guard, answer, end)).is_ok()
     }
 
-    /// Takes the reply channel, after which no answer can be given, and frees the client's id.
+    /// Takes the reply channel, after which no answer can be given, and frees the request's opaque id for another.
     pub(super) fn take_reply(&mut self, id: RequestId) -> Option<(oneshot::Sender<Answer>, RequestGuard)> {
         let active = self.requests.get_mut(&id)?;
         let reply = active.reply.take()?;
--- a/crates/node/src/driver/state.rs
+++ b/crates/node/src/driver/state.rs
@@ -24,6 +24,7 @@
 use crate::plane::{PlaneRuntime, QuotaUse, SentAttempt};
 use crate::upstream::{ExecutionTracker, Upstream};
 
+/// An attempt of a request, in flight or ended.
 pub(super) struct Attempt {
     pub(super) started_at: Instant,
     /// Whether the command has been written completely, and so may have run.
--- a/crates/node/src/frontend/client.rs
+++ b/crates/node/src/frontend/client.rs
@@ -26,7 +26,7 @@
     Waiting { id: RequestId, weight: usize, answer: oneshot::Receiver<Answer> },
 }
 
-/// Why a started command gets no answer, or only an error. Logged as `reason`.
+/// Why a command gets no answer, or only an error, whether it was started or is still in the input. Logged as `reason`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AbandonReason {
     /// The client has disconnected, or its connection is broken.
@@ -47,8 +47,10 @@
 pub(super) struct Client {
     pub(super) frontend: Rc<Frontend>,
     pub(super) stream: TcpStream,
-    /// Number that orders the connections that may be closed by age, and since when this one has been between requests.
+    /// Orders connections of one rank by age when one is closed to make room; renewed when output begins and with each
+    /// write.
     pub(super) sequence: u64,
+    /// Time of the last write to the client, or of the connection's start before the first one.
     pub(super) idle_since: Instant,
     pub(super) close: Rc<Notify>,
     /// Memory reserved for the buffered input.
@@ -59,13 +61,14 @@
     pub(super) last_answer_at: Option<Instant>,
     pub(super) input: InputBuffer,
     /// Start of the time limit for the command being received: its first byte, or the connection's start for the
-    /// first command.
+    /// first command; later if the node left input unread or commands waiting.
     pub(super) command_since: Option<Instant>,
     /// No command is started before this time.
     pub(super) paused_until: Instant,
     pub(super) output: BytesMut,
-    /// When output was last written, and since when, and at how many bytes written, there has been unsent output.
+    /// When output was last written, or when it was queued if none has been written since.
     pub(super) last_written_at: Instant,
+    /// Since when there has been unsent output without a break, and the value of `bytes_written` at that time.
     pub(super) unsent_since: (Instant, u64),
     /// Bytes written so far, and the requests that end once that many bytes are written.
     pub(super) bytes_written: u64,
@@ -89,7 +92,7 @@
     pub(super) final_read_done: bool,
     /// Bytes discarded after the input was closed.
     pub(super) bytes_discarded: usize,
-    /// The reason to log for commands that were started and get no answer.
+    /// The reason to log for commands that get no answer, or only an error.
     pub(super) abandon_reason: AbandonReason,
 }
 
--- a/crates/node/src/frontend/input.rs
+++ b/crates/node/src/frontend/input.rs
@@ -10,11 +10,12 @@
 
 /// Input is read this far ahead, however long commands wait: the longest possible command fits.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = MAX_LINE + 2 + MAX_WHOLE + 2;
-/// The same if no memory is left for commands.
+/// Input is read this far ahead while no memory is left for commands.
 pub(super) const MIN_READ_AHEAD_BYTES: usize = MAX_LINE;
 /// Bytes per read, so that one busy client does not occupy the core.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Reads tracked separately while commands wait; bytes of later ones count as received with the last of these.
+/// Most reads whose times are tracked separately while commands wait; bytes of later reads count as received with the
+/// last of these.
 const MAX_TRACKED_READS: usize = 32;
 
 /// The bytes of one read that are still buffered, and when they arrived.
@@ -57,7 +58,8 @@
         self.may_hold_command && !self.bytes.is_empty()
     }
 
-    /// Buffer space for a read of up to `most` bytes. Not reserved while no input arrives.
+    /// Reserves buffer space for a read of up to `most` bytes, limited to one chunk. Called only once input is
+    /// readable, so that idle connections hold no space.
     pub(super) fn reserve(&mut self, most: usize) -> Limit<&mut BytesMut> {
         let most = most.min(READ_CHUNK_BYTES);
         self.bytes.reserve(most);
@@ -73,7 +75,7 @@
         self.unread_since.get_or_insert_with(Instant::now);
     }
 
-    /// Records `read` bytes just read. If some of them were seen waiting earlier, all count from then.
+    /// Records `read` bytes just read. If input was seen waiting since the last read, all count from then.
     pub(super) fn record_read(&mut self, read: usize) {
         if !std::mem::replace(&mut self.may_hold_command, true) {
             self.merge_reads(self.bytes.len() - read);
@@ -143,7 +145,7 @@
         opaque_ids
     }
 
-    /// Number of bytes that certainly belong to the partial command.
+    /// Number of bytes still to come that certainly belong to the partial command.
     pub(super) fn missing_bytes(&self) -> usize {
         protocol::missing(&self.bytes)
     }
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -26,26 +26,27 @@
 use crate::port::{Accept, BACKLOG};
 use crate::system_error::{AcceptRetry, NextAccept, Operation, ACCEPT_PAUSE};
 
-/// Pauses after the end of accepting, 0.2 s in all: by then the connections between requests are closed and have
-/// freed their descriptors, or `accept` fails for another reason and must not delay the end.
+/// Most pauses after failures of `accept` once the time to accept is over, 0.2 s in all: by then the connections
+/// between requests are closed and have freed their descriptors, or `accept` fails for another reason and must not
+/// delay the end.
 const MAX_PAUSES_AT_END: u32 = 40;
 
 impl Frontend {
     /// Accepts until the listener fails for good. A connection accepted by the kernel counts as accepted by the node,
-    /// so a full node closes others to make room.
+    /// so a full node closes other connections to make room.
     pub async fn accept(self: Rc<Self>, listener: &impl Accept<Stream = TcpStream>) {
         self.accept_until(listener, None).await;
     }
 
     /// Accepts until `until`, and then whatever is still queued: closing a listener resets its queued connections,
-    /// and requests on them count as accepted.
+    /// and requests on them count as accepted. Ends earlier if the listener fails for good.
     pub async fn accept_until(
         self: Rc<Self>,
         listener: &impl Accept<Stream = TcpStream>,
         until: Option<Instant>,
     ) {
         let mut retry = AcceptRetry::new(Operation::AcceptClient);
-        // No more can have been queued at that time, so a continuing flood does not delay the end.
+        // After `until` no more than a full queue is accepted, so a continuing flood does not delay the end.
         let (mut remaining, mut pauses) = (BACKLOG, MAX_PAUSES_AT_END);
         while remaining > 0 && pauses > 0 {
             let Some(accepted) = next_connection(listener, until).await else { return };
@@ -68,7 +69,7 @@
                     NextAccept::Never => return,
                 },
             }
-            // Hundreds may arrive at once; lets the accepted ones run in between.
+            // Hundreds of connections may arrive at once; lets the accepted ones run in between.
             tokio::task::yield_now().await;
         }
     }
--- a/crates/node/src/frontend/output.rs
+++ b/crates/node/src/frontend/output.rs
@@ -13,11 +13,11 @@
 use crate::metrics::{RequestGuard, RequestOutcome};
 use crate::upstream::BrokenBody;
 
-/// Delay before the next command of a client whose command was rejected as faulty: it would retry at once.
+/// Longest delay before the next command of a client whose command was invalid: it would retry at once.
 const MAX_ERROR_DELAY: Duration = Duration::from_millis(100);
 
-/// Error delay for a node whose shortest request deadline is `shortest`: a command after an error keeps most of its
-/// time.
+/// Delay before the next command of a client whose command was invalid, for a node whose shortest request deadline is
+/// `shortest`: the next command keeps most of its time.
 pub fn error_delay(shortest: Duration) -> Duration {
     MAX_ERROR_DELAY.min(shortest / 10)
 }
--- a/crates/node/src/frontend/shared.rs
+++ b/crates/node/src/frontend/shared.rs
@@ -18,10 +18,11 @@
 
 /// Closing a connection that has been between requests for this long costs its client little.
 pub(super) const LONG_IDLE: Duration = Duration::from_secs(2);
-/// A client that reads nothing of its answers for this long, as long as it may take for a command, makes room for
-/// others if every slot is held by a client that waits for an answer.
+/// The connection of a client that reads nothing of its answers for this long, as long as it may take for a command,
+/// may be closed to make room for others if no other connection may be.
 pub(super) const STALL_EVICTION_DELAY: Duration = COMMAND_TIMEOUT;
-/// A younger connection may belong to a usual client whose first command is on its way, if such connections are few.
+/// A connection without a valid request that is younger than this is spared while such connections are few, as the
+/// first command of a usual client may be on its way.
 const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(100);
 
 /// State shared by all client connections.
@@ -36,10 +37,11 @@
     /// Number of open connections.
     pub(super) open: Cell<usize>,
     pub(super) closed: Notify,
-    /// Connections that may be closed to make room: first those that have sent no valid request yet, the oldest first.
+    /// Connections that may be closed to make room, by rank and the oldest of a rank first.
     pub(super) candidates: RefCell<BTreeMap<(Rank, u64), EvictionCandidate>>,
-    /// Rate limits of log lines: values that broke off, and clients that read nothing.
+    /// Limits log lines about values that broke off.
     pub(super) broken_value_log: LogThrottle,
+    /// Limits log lines about clients that read their answers too slowly.
     pub(super) stalled_client_log: LogThrottle,
 }
 
@@ -50,7 +52,7 @@
     Closing,
     /// No request, or only requests answered with an error of the client's own.
     Untrusted,
-    /// The connection is between requests.
+    /// The connection is between requests, or its commands wait to be started.
     Idle,
     /// The client has read nothing of its pending answers for the stall eviction delay. Closed only if no new client
     /// could be served otherwise.
@@ -95,8 +97,9 @@
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// Asks one connection to close, if any may be closed: first one that is already closing, then one long between
-    /// requests, as a half-open one may belong to a usual client that is slow.
+    /// Asks one connection to close and returns whether any may be closed: first one that is already closing, then one
+    /// that has been between requests for long, as one without a valid request may belong to a usual client that is
+    /// slow, and then the oldest without a valid request, or else between requests.
     pub(super) fn make_room(&self) -> bool {
         let mut candidates = self.candidates.borrow_mut();
         if let Some(closing) = candidates.first_entry().filter(|entry| entry.key().0 == Rank::Closing) {
@@ -121,8 +124,8 @@
         candidates.remove(&key).inspect(|c| c.close.notify_one()).is_some()
     }
 
-    /// Asks the connection to close whose client has read nothing for longest, if any client has stalled for too
-    /// long.
+    /// Asks the connection to close whose client has read nothing for longest, and returns whether any client has read
+    /// nothing for [`STALL_EVICTION_DELAY`].
     pub(super) fn evict_stalled(&self) -> bool {
         let mut candidates = self.candidates.borrow_mut();
         let longest_stalled = candidates.range(FIRST_STALLED..).next().map(|(key, _)| *key);
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -53,8 +53,8 @@
 pub(super) const FORWARDED_TIME_SLACK: Duration = Duration::from_millis(150);
 
 impl Upstream {
-    /// Health check: asks a server whether it is ready. The answer may take as long as a connection may take to come
-    /// up.
+    /// Health check: `Success` if the server answers that it is ready, `Error` if it answers that it is not. Connecting
+    /// and the answer together may take twice the dial timeout.
     pub async fn check_health(&self, server: &ServerId) -> Status {
         let until = Instant::now() + self.bounds.dial_timeout * 2;
         let check = async {
@@ -86,7 +86,7 @@
         let connection = match self.acquire(server, call.write_deadline(), call.repeat_window.is_some()).await
         {
             Ok(connection) => connection,
-            // The repeat window left it less than the dial timeout.
+            // The repeat window closed before a connection was up, which says nothing about the server.
             Err(Status::Unreachable) if call.is_past_repeat_window(Instant::now()) => {
                 return Status::Void.into()
             }
--- a/crates/node/src/upstream/body_stream.rs
+++ b/crates/node/src/upstream/body_stream.rs
@@ -24,11 +24,12 @@
 /// MiB) this allows some four minutes of waiting.
 const MIN_RATE_BYTES_PER_S: f64 = 16.0 * 1024.0;
 
-/// After its client's deadline, a server that has sent nothing for this long is considered dead. One that still
-/// sends, however slowly, is not cut: the node would lose what the server was about to finish.
+/// After the client's deadline, a server that has sent nothing for this long is considered dead. One that still sends,
+/// however slowly, is not cut: the node would lose what the server was about to finish.
 pub(super) const HANG_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The value ended early or lacks its terminator.
+/// The value ended early, lacks its terminator or took too long, the process ends, or the quota of the value's
+/// connection was revoked.
 #[derive(Debug)]
 pub struct BrokenBody;
 
@@ -44,8 +45,8 @@
     /// When the client stops waiting, and the phases of this process, which tell when it ends.
     deadline: Instant,
     phases: Receiver<Phase>,
-    /// When the answer's first line arrived, and when the client's output reached this value: in between it may have
-    /// waited for earlier answers, and the client does not count that time.
+    /// When the answer's first line arrived, and when the client's output reached this value: in between the value may
+    /// have waited for earlier answers, and that time is added to the deadline.
     started_at: Instant,
     output_reached_at: Option<Instant>,
     /// Since when the next bytes are waited for.
@@ -93,7 +94,8 @@
     /// The next piece, or `None` once the value is complete. Dropping the future loses nothing.
     ///
     /// # Errors
-    /// [`BrokenBody`] if the value ends early, lacks its terminator, or takes too long.
+    /// [`BrokenBody`] if the value ends early, lacks its terminator or takes too long, if the process ends, or if the
+    /// connection's quota is revoked.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BrokenBody> {
         let output_reached_at = *self.output_reached_at.get_or_insert_with(Instant::now);
         let deadline = self.deadline + output_reached_at.saturating_duration_since(self.started_at);
@@ -137,7 +139,7 @@
     }
 
     /// How long the server may take for its next piece: at most the stall timeout, and no more than keeps the total
-    /// wait within the stall timeout and the minimum rate.
+    /// wait within the stall timeout plus the time that the bytes received so far take at the minimum rate.
     fn read_timeout(&self) -> Duration {
         let allowed = STALL_TIMEOUT + Duration::from_secs_f64(self.received as f64 / MIN_RATE_BYTES_PER_S);
         allowed.saturating_sub(self.total_wait).min(STALL_TIMEOUT)
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -42,10 +42,10 @@
 
 /// Waits until the quota that counts this connection is revoked, so that the connection has to be closed.
 pub(super) fn revoked(opened: Option<&CountedConnection>) -> impl Future<Output = ()> {
-    let mark = opened.map(|opened| opened.permit.clone());
+    let permit = opened.map(|opened| opened.permit.clone());
     async move {
-        match mark {
-            Some(mark) => mark.cut().await,
+        match permit {
+            Some(permit) => permit.cut().await,
             None => std::future::pending().await,
         }
     }
@@ -159,6 +159,6 @@
 /// A cached connection.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
-    /// Since when the connection is cached; it has been quiet for no longer.
+    /// When the connection was cached; its settle time counts from here.
     pub(super) since: Instant,
 }
--- a/crates/node/src/upstream/dial.rs
+++ b/crates/node/src/upstream/dial.rs
@@ -11,7 +11,7 @@
 
 /// Delay before connecting again after a local failure.
 pub(super) const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Retries of one attempt after local failures, 0.1 s in all.
+/// Most retries of one attempt after local failures, 0.1 s in all.
 pub(super) const MAX_CONNECT_RETRIES: u32 = 20;
 
 /// Whether closing another connection frees what this machine lacks. Closing does not restore a route.
@@ -24,7 +24,7 @@
 /// freed a connection, otherwise after a delay, often enough to outlast a short shortage.
 ///
 /// # Errors
-/// `Unreachable` if the server is at fault, `Void` if this machine is.
+/// `Unreachable` if the server is at fault or has not accepted by `until`, `Void` if this machine is at fault.
 pub(super) async fn dial<T>(
     until: Instant,
     mut connect: impl AsyncFnMut() -> io::Result<T>,
--- a/crates/node/src/upstream/keep_alive.rs
+++ b/crates/node/src/upstream/keep_alive.rs
@@ -91,8 +91,8 @@
         self.may_stay_cached(idle, oldest, idle_timeout)
     }
 
-    /// Whether a cached connection may stay, learning from its close. A server's idle timeout closes the oldest
-    /// connection first.
+    /// Whether a cached connection may stay; if the server has closed it, learns from that. `oldest` tells whether no
+    /// other cached connection to the server has been unused for longer: a server's idle timeout closes that one first.
     fn may_stay_cached(
         &self,
         idle: &IdleConnection,
@@ -158,7 +158,7 @@
         while self.open_connections.get() > self.budget.max_server_connections() && self.close_oldest() {}
     }
 
-    /// Closes the cached connection that has been unused for longest.
+    /// Closes the connection that has been cached for longest; returns whether there was one.
     pub fn close_oldest(&self) -> bool {
         let mut endpoints = self.endpoints.borrow_mut();
         let with_idle = endpoints.values_mut().filter(|e| !e.idle.is_empty());
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -18,8 +18,8 @@
 use crate::plane::PlaneRuntime;
 use crate::roster::Roster;
 
-/// A connection is reused only this long after its last answer: surplus bytes of that answer may still arrive and
-/// would be read as the next one.
+/// A connection is reused no sooner than this after it was cached: surplus bytes of its last answer may still arrive
+/// and would be read as the next one.
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(5);
 
 /// Longest expected delay of the process between reading the clock and the write that follows.
@@ -43,7 +43,7 @@
 /// The address of a cache server, until when it may be written to, and the cached connections to it.
 pub(super) struct Endpoint {
     address: SocketAddr,
-    /// From when on the server may not be written to.
+    /// From when on the server may not be written to; `None` unless it drains or has left the list.
     pub(super) closes_at: Option<Instant>,
     /// Cached connections, the most recently used last.
     pub(super) idle: Vec<IdleConnection>,
@@ -88,14 +88,14 @@
         }
     }
 
-    /// Sets the processing quantum. It is left of each drain grace, as of the repeat windows, because a write takes
-    /// time to arrive.
+    /// Sets the processing quantum. Writes stop at least this long before the end of a drain grace, as of a repeat
+    /// window, because a write takes time to arrive.
     pub fn set_quantum(&self, quantum: Duration) {
         self.quantum.set(quantum);
     }
 
-    /// How long after the notification of a drain its server is written to: what the notification and one quantum
-    /// leave of the grace, less the possible scheduling delay of the write, but at least half of that remainder.
+    /// How long after the notification of a drain its server is written to: what the notification or one quantum leaves
+    /// of the grace, whichever is less, minus the possible scheduling delay of the write, but at least half of it.
     pub(super) fn drain_write_window(&self) -> Duration {
         let grace = self.bounds.grace;
         let remaining =
@@ -106,9 +106,9 @@
     /// From now on connections stay within this node's quotas.
     pub fn apply_quotas(self: &Rc<Self>, plane_runtime: Rc<PlaneRuntime>) {
         if plane_runtime.has_budgets() {
-            let keeper = Rc::downgrade(self);
+            let weak_upstream = Rc::downgrade(self);
             plane_runtime.set_idle_closer(move || {
-                if let Some(upstream) = keeper.upgrade() {
+                if let Some(upstream) = weak_upstream.upgrade() {
                     upstream.close_revoked();
                 }
             });
@@ -208,7 +208,8 @@
     /// Opens a connection within this node's connection limit and its quota of the server's connections.
     ///
     /// # Errors
-    /// `Void` if a limit or a shortage of this node prevents it, `Unreachable` if the server does not accept.
+    /// `Void` if a limit or a shortage of this node prevents it, `Unreachable` if the server is not listed or does not
+    /// accept in time.
     pub(super) async fn connect(&self, server: &ServerId, until: Instant) -> Result<Connection, Status> {
         let address = self.endpoints.borrow().get(server).map(|e| e.address).ok_or(Status::Unreachable)?;
         if self.open_connections.get() >= self.budget.max_server_connections() && !self.close_oldest() {
@@ -236,6 +237,10 @@
 
     /// A connection on which this server may be written to now. If `unambiguous` is set, an ambiguous one is used
     /// only if the node can open no other.
+    ///
+    /// # Errors
+    /// As [`Upstream::connect`]; also `Unreachable` if the server may no longer be written to, and `Void` if the
+    /// connection is no longer within the node's quota.
     pub(super) async fn acquire(
         &self,
         server: &ServerId,
