--- a/crates/node/src/clock/start_times.rs
+++ b/crates/node/src/clock/start_times.rs
@@ -43,7 +43,7 @@
 pub struct StartTimes {
     /// Offset of the wall clock from the monotonic clock at the process start.
     offset_at_start_ms: f64,
-    /// Smallest offset so far.
+    /// Smallest offset so far, of that at the process start and of those beyond the tolerance from it.
     least_offset_ms: f64,
     /// Whether the offset has ever differed from that at the process start by more than the tolerance.
     stepped: bool,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -34,9 +34,10 @@
     pub limits: Limits,
     /// The last list of cache servers that was known, in discovery's form.
     pub known: Option<Box<RawValue>>,
-    /// Address for datagrams from other nodes, and the addresses of the other nodes; used only with a control plane.
+    /// Address for datagrams from other nodes; used only with a control plane.
     #[serde(default)]
     pub peer_listen: Value,
+    /// Addresses of all nodes, this one included, by node number; used only with a control plane.
     #[serde(default)]
     pub peers: Value,
     /// Settings of the balancer.
@@ -50,9 +51,9 @@
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory for commands and answers, in MB.
+    /// Memory of the process, in MB; a quarter of it may hold commands and answers.
     pub memory_mb: usize,
-    /// Number of descriptors.
+    /// Maximum number of open descriptors.
     pub sockets: usize,
 }
 
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -46,7 +46,7 @@
     messages: UnboundedSender<Message>,
     /// Error of the last call, empty after a success; used to log repeated errors once.
     last_failure: RefCell<String>,
-    /// Servers that the list names, as passed on so far.
+    /// Servers that the list names and does not call gone, after all updates passed on so far.
     listed: RefCell<HashSet<ServerId>>,
 }
 
--- a/crates/node/src/discovery/timeouts.rs
+++ b/crates/node/src/discovery/timeouts.rs
@@ -14,7 +14,7 @@
     /// How long a watch asks discovery to wait for a change. It is the same for all watches of a connection, as
     /// discovery measures silence by the wait of a watch that is continued.
     pub watch_wait: Duration,
-    /// How long after its wait a watch's answer may be complete.
+    /// How long after the end of its wait a watch's answer must be complete, or the call has failed.
     pub watch_grace: Duration,
     /// First and longest delay before reconnecting after a failure.
     pub backoff: Duration,
@@ -35,10 +35,10 @@
     /// to the node at once, also during a silent watch, right after an outage and from the start of the process on. At
     /// most seven tenths of the drain grace pass until the next call; the rest is for its answer and for writes in
     /// progress.
-    fn pushed(drain_grace: f64) -> Self {
+    fn pushed(drain_grace_s: f64) -> Self {
         // Above 1 s fewer calls would save next to nothing, and new servers should be known sooner. Below 0.1 s slow
         // answers of a busy machine would be taken for silence.
-        let grace = Duration::from_secs_f64(drain_grace.clamp(0.1, 1.0));
+        let grace = Duration::from_secs_f64(drain_grace_s.clamp(0.1, 1.0));
         let share = |hundredths: u32| grace * hundredths / 100;
         CallTimeouts {
             full_list: share(55),
@@ -54,9 +54,9 @@
     /// discovery could be reached again, or four poll intervals if that is less. A call that hangs, the balancer's
     /// backoff and a call that succeeds fit into this time. So do a silent watch, that backoff and a call of 1 s, as a
     /// watch may follow a failed call.
-    fn polled(ask_every: f64) -> Self {
+    fn polled(poll_interval_s: f64) -> Self {
         // At least 3 s, as discovery may take a second for an answer.
-        let known_after = Duration::from_secs_f64((4.0 * ask_every).clamp(3.0, 6.0));
+        let known_after = Duration::from_secs_f64((4.0 * poll_interval_s).clamp(3.0, 6.0));
         CallTimeouts {
             full_list: known_after * 11 / 30,
             watch_wait: known_after / 3,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -36,7 +36,8 @@
     Request {
         id: RequestId,
         command: Command,
-        /// When the first byte of the command was read. The client's deadline counts from here.
+        /// When the first byte of the command was read, or was seen waiting to be read. The client's deadline counts
+        /// from here, or from the start of a scheduling delay in which the byte may have arrived.
         at: Instant,
         reply: oneshot::Sender<Answer>,
         gone: DisconnectFlag,
--- a/crates/node/src/plane/boxes.rs
+++ b/crates/node/src/plane/boxes.rs
@@ -44,8 +44,11 @@
     started: Option<Seconds>,
     /// Weight in a placement table, in thousandths; `None` where the box belongs in no table.
     table_weight: Option<u32>,
+    /// Attempts that the box answered since the last [`Boxes::take_facts`].
     answered: u32,
+    /// Attempts since then that timed out or whose connection failed.
     silent: u32,
+    /// Attempts in flight now.
     in_flight: u32,
     /// Whether anything has changed since the last [`Boxes::take_facts`].
     has_changes: bool,
--- a/crates/node/src/plane/metrics.rs
+++ b/crates/node/src/plane/metrics.rs
@@ -24,7 +24,7 @@
 ];
 
 /// All states of placement agreement, with their values of the label `state`.
-const ACCORD_STATES: [(PlacementState, &str); 4] = [
+const PLACEMENT_STATES: [(PlacementState, &str); 4] = [
     (PlacementState::InForce, "in_force"),
     (PlacementState::Preparing, "preparing"),
     (PlacementState::LeaseExpired, "out"),
@@ -37,7 +37,7 @@
     append_line(out, format_args!("app_table_epoch {}", id.epoch));
     append_line(out, format_args!("app_table_version {}", id.version));
     let state = placement.state(now);
-    for (listed_state, name) in ACCORD_STATES {
+    for (listed_state, name) in PLACEMENT_STATES {
         append_line(
             out,
             format_args!("app_table_state{{state=\"{name}\"}} {}", u8::from(listed_state == state)),
--- a/crates/node/src/plane/permits.rs
+++ b/crates/node/src/plane/permits.rs
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Cuts the connections beyond the node's allotment of one box; returns whether there were any.
     fn cut_excess(&self, resource: Resource) -> bool {
         let (now, mut plane) = (self.now(), self.plane.borrow_mut());
         let Some(budgets) = plane.budgets() else { return false };
--- a/crates/node/src/plane/runtime.rs
+++ b/crates/node/src/plane/runtime.rs
@@ -52,11 +52,12 @@
     /// Connections that a box accepts from all nodes together; `None` without budgets.
     pub(super) connections_per_box: Option<u32>,
     pub(super) usage: RefCell<Usage>,
-    /// When the next lease ends that open connections depend on.
+    /// When open connections are next checked against the allotments, shortly before the lease ends that the first of
+    /// them depend on; `None` if there is no such lease.
     pub(super) next_expiry: Cell<Option<Moment>>,
     /// Closes idle connections that were cut.
     pub(super) close_cut_idle_connections: OnceCell<Box<dyn Fn()>>,
-    /// How long after the start no datagram is sent.
+    /// How long after the start no datagram is sent or received.
     pub(super) quiet_period: Duration,
     pub(super) state: RefCell<Option<StateWriter>>,
     pub(super) messages: UnboundedSender<Message>,
@@ -70,7 +71,7 @@
         self.started.elapsed()
     }
 
-    /// Runs the receive, timer and send loop until the node ends.
+    /// Runs the receive, timer and send loop until the node ends. Ends earlier if the address cannot be bound.
     pub async fn run(self: Rc<Self>) {
         let Some(addresses) = self.addresses.take() else { return };
         sleep_until(self.started + self.quiet_period).await;
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Reads one batch of datagrams; returns the pause before the next, 0 if none is required.
     fn read(&self) -> Duration {
         let Some(socket) = self.socket.get() else { return Duration::ZERO };
         let pause = socket.read(|sender, bytes| {
--- a/crates/node/src/plane/socket.rs
+++ b/crates/node/src/plane/socket.rs
@@ -82,13 +82,13 @@
     listen: SocketAddr,
     mut bind: impl AsyncFnMut() -> io::Result<UdpSocket>,
 ) -> io::Result<UdpSocket> {
-    let mut logged = false;
+    let mut address_in_use_logged = false;
     loop {
         match bind().await {
             Err(error) if is_retryable_bind_error(&error) => {
                 if error.kind() != io::ErrorKind::AddrInUse {
                     report(Operation::Listen, &error, "retrying the bind");
-                } else if !std::mem::replace(&mut logged, true) {
+                } else if !std::mem::replace(&mut address_in_use_logged, true) {
                     warn!(%listen, "the plane's address is in use; waiting for it");
                 }
                 sleep(BIND_RETRY_INTERVAL).await;
--- a/crates/node/src/plane/start.rs
+++ b/crates/node/src/plane/start.rs
@@ -98,9 +98,9 @@
             messages,
             lost_datagrams: Cell::new(0),
         });
-        let shown = Rc::downgrade(&plane_runtime);
+        let weak_runtime = Rc::downgrade(&plane_runtime);
         metrics.set_extra(move |out| {
-            if let Some(plane_runtime) = shown.upgrade() {
+            if let Some(plane_runtime) = weak_runtime.upgrade() {
                 plane_runtime.write_metrics(out);
                 if let Some(state) = &*plane_runtime.state.borrow() {
                     state.write_metrics(out);
--- a/crates/node/src/plane/state.rs
+++ b/crates/node/src/plane/state.rs
@@ -49,7 +49,7 @@
 pub struct RestoredState {
     /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// How long no datagram may be sent.
+    /// How long after the process start no datagram may be sent.
     pub quiet_period: Duration,
     /// The state that the last process stored, or the default.
     pub cached: CachedState,
--- a/crates/node/src/plane/state/file.rs
+++ b/crates/node/src/plane/state/file.rs
@@ -12,7 +12,7 @@
 use super::report_set_aside;
 use crate::clock::source::{SystemClock, TimeSource};
 
-/// Eight times the size of a table of 4,096 boxes.
+/// Maximum length of the state file: eight times the size of a table of 4,096 boxes.
 const MAX_BYTES: u64 = 8 << 20;
 
 /// Path of a node's state file, the identity of the node, and limits.
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Writes a snapshot durably, together with the incarnation.
+    /// Writes a snapshot durably, together with the incarnation. Opens the store first if it is not open.
     pub(super) fn commit(&mut self, snapshot: &Snapshot) -> Result<(), StoreError> {
         let store = match &mut self.store {
             Some(store) => store,
--- a/crates/node/src/plane/state/writer.rs
+++ b/crates/node/src/plane/state/writer.rs
@@ -39,7 +39,8 @@
     /// Age at which unchanged contents are written again, well before they are too old to be used.
     rewrite_after: Duration,
     next_write_at: Moment,
-    /// The contents of the file with the start of their write; `None` if a write has failed since.
+    /// The contents last written by this process with the start of their write; `None` before the first write, or if a
+    /// write has failed since.
     written: Option<(CachedState, Moment)>,
     pub(super) pending: Option<PendingWrite>,
     retry: Retry,
@@ -79,7 +80,8 @@
         self.process().quiet_is_over();
     }
 
-    /// Starts a write where the contents have changed, their last write is old, or the last write failed.
+    /// Starts a write if the contents have changed, their last write is old or the last write failed, once the write
+    /// interval or the backoff is over and no write is in progress.
     pub fn write_if_due(&mut self, now: Moment, contents: impl FnOnce() -> CachedState) {
         self.take_outcome(now);
         if now < self.next_write_at || self.pending.is_some() {
--- a/crates/node/src/plane/usage.rs
+++ b/crates/node/src/plane/usage.rs
@@ -15,7 +15,7 @@
 /// How long a box may still count a connection after it was closed here.
 pub const CLOSING: Duration = Duration::from_millis(20);
 
-/// The state of one open connection, shared by its user and the budget.
+/// The state of one open connection, shared by the connection and [`Usage`].
 #[derive(Debug, Default)]
 pub struct ConnectionPermit {
     busy: Cell<bool>,
@@ -48,9 +48,9 @@
     gate: AdmissionGate,
     /// Permits of the open connections by box.
     open: BTreeMap<Resource, Vec<Weak<ConnectionPermit>>>,
-    /// Connections closed here that the box may still count, with the time until then.
+    /// Connections closed here that the box may still count, with the time until which it may.
     closing: VecDeque<(Moment, Resource)>,
-    /// Start of the current window of [`USE_TIME`], and rejections within it.
+    /// By box and tenant, the start of the current window of [`USE_TIME`] and the rejections within it.
     rejected: BTreeMap<(Resource, TenantIndex), (Moment, u32)>,
     /// Rejected requests since the start, by tenant.
     pub rejected_total: BTreeMap<TenantIndex, u64>,
@@ -158,7 +158,7 @@
         self.open.keys().copied().collect()
     }
 
-    /// Open connections and uses, over all boxes.
+    /// Connections that are open or that the boxes may still count, and uses, over all boxes.
     pub fn counts(&mut self, now: Moment) -> (u64, u64) {
         self.expire_closing(now);
         let counts = self.open.keys().map(|resource| self.gate.counts(*resource));
--- a/crates/node/src/plane/weights.rs
+++ b/crates/node/src/plane/weights.rs
@@ -7,7 +7,8 @@
 pub struct TableWeights {
     /// The entry kind of the planner, which is not a box.
     origin_kind: Option<String>,
-    /// Whether weights are the box's configured size, as opposed to live values that differ between lists.
+    /// Whether a box weighs what its list entry says, which is its configured size. Otherwise each box weighs 1, as
+    /// entries may carry live values that differ between lists.
     uses_entry_weight: bool,
 }
 
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -128,11 +128,11 @@
     listener: Option<TcpListener>,
 }
 
-/// The driver, and the receivers of messages to the driver and of poll requests to discovery.
+/// The driver, the receiver of its messages, and discovery's receiver of poll requests.
 struct Inboxes {
     driver: Driver,
     messages: UnboundedReceiver<Message>,
-    calls: Receiver<()>,
+    poll_requests: Receiver<()>,
 }
 
 /// Shared components of the node.
@@ -153,7 +153,7 @@
     predecessor: Cell<Option<Predecessor>>,
     successor: Cell<Option<watch::Sender<Successor>>>,
     successor_updates: watch::Receiver<Successor>,
-    /// Whether this process accepts: after a takeover it leaves connections to its predecessor at first.
+    /// Whether this process has begun to accept: after a takeover it leaves connections to its predecessor at first.
     accepts: Cell<bool>,
     closed: Rc<Notify>,
 }
@@ -194,7 +194,7 @@
         let bounds = configuration.upstream_bounds()?;
         let upstream = Rc::new(Upstream::new(bounds, budget.clone(), metrics.clone()));
         let (messages, inbox) = mpsc::unbounded_channel();
-        let (call, calls) = mpsc::channel(1);
+        let (poll_sender, poll_requests) = mpsc::channel(1);
         let plane_setup = configuration.fleet.clone();
         let plane_runtime =
             plane_setup.map(|setup| PlaneRuntime::new(setup, settings, *seed, &metrics, messages.clone()));
@@ -206,7 +206,7 @@
             clock: *clock,
             upstream: upstream.clone(),
             messages: messages.clone(),
-            poll_requests: call,
+            poll_requests: poll_sender,
             lifecycle: lifecycle.clone(),
             metrics: metrics.clone(),
             plane_runtime: plane_runtime.clone(),
@@ -225,7 +225,7 @@
             configuration.error_delay,
         );
         let node = Node { lifecycle, metrics, budget, upstream, frontend, plane_runtime, messages };
-        Ok((node, Inboxes { driver, messages: inbox, calls }))
+        Ok((node, Inboxes { driver, messages: inbox, poll_requests }))
     }
 
     fn start_operator(&self, operator: Option<BoundOperator>) {
@@ -241,7 +241,7 @@
         tokio::task::spawn_local(reload(path, hangup, address_sender, self.plane_runtime.clone()));
         let (list_sender, lists) = mpsc::unbounded_channel();
         let discovery = Discovery::new(discovery_address, &settings, clock, list_sender);
-        tokio::task::spawn_local(discovery.run(inboxes.calls));
+        tokio::task::spawn_local(discovery.run(inboxes.poll_requests));
         let driver = tokio::task::spawn_local(inboxes.driver.run(inboxes.messages, lists));
         tokio::task::spawn_local(close_excess_connections(self.upstream.clone(), self.frontend.clone()));
         if let Some(plane_runtime) = self.plane_runtime.clone() {
--- a/crates/node/src/system_error.rs
+++ b/crates/node/src/system_error.rs
@@ -305,7 +305,7 @@
 #[derive(Debug)]
 pub struct AcceptRetry {
     operation: Operation,
-    /// Failures since the last connection or pause.
+    /// Failures retried at once since the last accepted connection, or since the last pause after such failures.
     immediate_retries: u32,
 }
 
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -93,7 +93,8 @@
 /// Takes over the listening socket that a running process offers at `path`.
 ///
 /// # Errors
-/// Why there is no takeover, if anything else is at the path. It must not fail the start.
+/// Says why there is no takeover: no process of the same user offers a listener of the address at the path, or the
+/// claim takes too long. The caller must start all the same.
 pub async fn claim(path: &Path, address: SocketAddr) -> io::Result<(TcpListener, Predecessor)> {
     retry_claim(async || claim_once(path, address).await).await
 }
