--- a/crates/fault-harness/src/fakes/cache_box.rs
+++ b/crates/fault-harness/src/fakes/cache_box.rs
@@ -32,10 +32,14 @@
     planner: Rc<Planner>,
     generation: watch::Sender<ProcessGeneration>,
     slots: Semaphore,
+    /// Number of commands that wait for a slot.
     waiting: Cell<u32>,
     open_connections: Cell<u32>,
+    /// Number of connections accepted since the run started.
     connections: Cell<u64>,
+    /// Start time of the process; `None` if it counts as started before the run, or was never started.
     started: Cell<Option<Time>>,
+    /// Fetches in flight by key; each becomes true when the fetch is done.
     fetches: RefCell<BTreeMap<u64, watch::Receiver<bool>>>,
 }
 
@@ -91,7 +95,8 @@
         self.started.get()
     }
 
-    /// Starts the process with an empty store. With `started_before_run`, it counts as started before the run, and so as warm.
+    /// Starts the process with an empty store. With `started_before_run`, it counts as started before the run, and so
+    /// as warm.
     pub fn start(&self, started_before_run: bool) {
         self.stop();
         self.planner.clear(self.at);
@@ -173,7 +178,7 @@
             return (BoxAnswer::Hit, version);
         }
         let mut fetch = self.fetch(key);
-        // A fetch that breaks off ends with the box's process.
+        // Fails only if the box's process ends, which breaks off its fetches.
         let done = fetch.wait_for(|done| *done).await.is_ok();
         let answer = if done { BoxAnswer::Miss } else { BoxAnswer::Failed };
         (answer, self.planner.cached_version(self.at, key).unwrap_or(0))
--- a/crates/fault-harness/src/fakes/client.rs
+++ b/crates/fault-harness/src/fakes/client.rs
@@ -16,6 +16,7 @@
 /// A request, the same in all its tries.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
+    /// Id of the request in the trace.
     pub ask: u64,
     pub tenant: usize,
     pub name: String,
@@ -29,6 +30,7 @@
     stream: TcpStream,
     input: BytesMut,
     node: usize,
+    /// Whether a try has ended on this connection.
     used: bool,
 }
 
--- a/crates/fault-harness/src/fakes/discovery.rs
+++ b/crates/fault-harness/src/fakes/discovery.rs
@@ -23,6 +23,7 @@
     list: RefCell<list::List>,
     /// The revision that each node's agent has.
     agents: Vec<watch::Sender<u64>>,
+    /// 1 while the agents are silent, 0 otherwise.
     silence: watch::Sender<u32>,
     rng: RefCell<Chance>,
     /// `box_addresses[node][box]` is the address at which a node reaches a box.
--- a/crates/fault-harness/src/fakes/load.rs
+++ b/crates/fault-harness/src/fakes/load.rs
@@ -17,7 +17,8 @@
 
 /// Timeout for a new connection to a node, after which the client tries another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Delay between two requests on a persistent connection, and before it is opened again.
+/// Delay between two requests on a persistent connection, before it is opened again, and before a tenant without a rate
+/// or a request without an available node looks again.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of idle connections that clients keep to a node.
 const MAX_IDLE_CONNECTIONS: usize = 64;
@@ -160,6 +161,7 @@
     }
 
     /// Makes one try at a node, and repeats it on another connection each time the node had closed a reused one.
+    /// Returns `None` if a try did not reach the node.
     async fn make_try(&self, node: usize, request: &Request) -> Option<ClientAnswer> {
         let endpoint = &self.endpoints[node];
         loop {
@@ -237,7 +239,7 @@
     }
 }
 
-/// Maximum time that a request may take.
+/// Maximum time that a request may take over all its tries.
 pub(crate) fn max_request_duration(spec: &Spec) -> Duration {
     let tries = spec.tenants.iter().map(|t| t.tries.max(1)).max().unwrap_or(1);
     let each = spec.longest_deadline() + spec.rules.leeway;
--- a/crates/fault-harness/src/fakes/planner.rs
+++ b/crates/fault-harness/src/fakes/planner.rs
@@ -16,7 +16,9 @@
     recorder: Rc<Recorder>,
     slots: Semaphore,
     fetch_duration: Duration,
+    /// Version of each key that was written; others have version 0.
     versions: RefCell<BTreeMap<u64, u64>>,
+    /// For each box the keys of which it has a copy.
     cached_keys: RefCell<Vec<BTreeSet<u64>>>,
 }
 
--- a/crates/fault-harness/src/judge/connectivity.rs
+++ b/crates/fault-harness/src/judge/connectivity.rs
@@ -16,7 +16,8 @@
     cut: BTreeMap<(usize, usize), Time>,
     paused: BTreeSet<usize>,
     running: BTreeSet<usize>,
-    /// Time at which each node last rejoined: after a cut, a pause or a start.
+    /// Time at which each node last rejoined: a cut of one of its links healed, or it was resumed, started or became
+    /// ready.
     rejoined: BTreeMap<usize, Time>,
 }
 
@@ -69,9 +70,10 @@
         reachable.count() * 2 > self.node_count
     }
 
-    /// Whether the node is cut off or paused, or rejoined within the given time.
+    /// Whether a link of the node is cut, the node is paused, or it rejoined at most `within` before `at`.
     pub fn was_disconnected(&self, node: usize, at: Time, within: Span) -> bool {
         let cut = self.cut.keys().any(|(from, to)| *from == node || *to == node);
-        cut || self.paused.contains(&node) || self.rejoined.get(&node).is_some_and(|t| at.since(*t) <= within)
+        cut || self.paused.contains(&node)
+            || self.rejoined.get(&node).is_some_and(|rejoined| at.since(*rejoined) <= within)
     }
 }
--- a/crates/fault-harness/src/judge/counts.rs
+++ b/crates/fault-harness/src/judge/counts.rs
@@ -29,9 +29,11 @@
     pub opened: u64,
     /// For each tenant the maximum number of concurrent commands, each on its own connection.
     pub peak_used: Vec<u32>,
-    /// Number of commands by answer.
+    /// Number of finished commands by answer.
     pub answers: BTreeMap<BoxAnswer, u64>,
+    /// Number of connections that are open.
     open: u32,
+    /// For each tenant the number of commands in progress.
     used: Vec<u32>,
 }
 
@@ -150,7 +152,9 @@
 
     /// Number of requests of all tenants, and the number served.
     pub fn served(&self) -> (u64, u64) {
-        self.tenants.iter().fold((0, 0), |(all, served), (_, a, g)| (all + a, served + g))
+        self.tenants.iter().fold((0, 0), |(all, served), (_, tenant_all, tenant_served)| {
+            (all + tenant_all, served + tenant_served)
+        })
     }
 }
 
--- a/crates/fault-harness/src/judge/drain_honoured.rs
+++ b/crates/fault-harness/src/judge/drain_honoured.rs
@@ -20,10 +20,12 @@
 const HELD_WINDOW: Span = Span::from_millis(100);
 
 pub(super) struct DrainHonoured {
+    /// For each box the first box at its address.
     hosts: Vec<usize>,
     grace: Span,
     /// For each node the phase that it was notified of for each box, and since when.
     notified: BTreeMap<usize, BTreeMap<usize, (Phase, Time)>>,
+    /// For each direction of a link the time at which data that a cut held back was last delivered.
     held: BTreeMap<(Site, Site), Time>,
     delays: Rc<SchedulingDelay>,
 }
@@ -36,7 +38,7 @@
     fn notify(&mut self, node: usize, at: Time, complete: bool, entries: &[(usize, Phase)]) {
         let notified = self.notified.entry(node).or_default();
         if complete {
-            let is_listed = |of: &usize| entries.iter().any(|(is_listed, _)| is_listed == of);
+            let is_listed = |of: &usize| entries.iter().any(|(listed, _)| listed == of);
             for (_, entry) in
                 notified.iter_mut().filter(|(of, entry)| !is_listed(of) && entry.0 != Phase::Gone)
             {
--- a/crates/fault-harness/src/judge/one_final_answer.rs
+++ b/crates/fault-harness/src/judge/one_final_answer.rs
@@ -25,7 +25,9 @@
 #[derive(Clone, Copy)]
 struct AcceptedTry {
     node: usize,
+    /// Time at which its last byte was written.
     at: Time,
+    /// The client's deadline.
     until: Time,
 }
 
@@ -33,6 +35,7 @@
 struct UnansweredTry {
     id: u64,
     taken: AcceptedTry,
+    /// Time at which it ended for the client.
     at: Time,
     how: ClientAnswer,
     /// Whether a box has received the try.
--- a/crates/fault-harness/src/judge/one_table_per_key.rs
+++ b/crates/fault-harness/src/judge/one_table_per_key.rs
@@ -12,7 +12,9 @@
 use crate::trace::Record;
 
 pub(super) struct OneTablePerKey {
+    /// Maximum time from the first use of a table until all nodes use it or a newer one.
     spread: Span,
+    /// How long a node that rejoined may lag behind.
     catch_up: Span,
     connectivity: Connectivity,
     /// For each table the time at which a node first used it or a newer one.
--- a/crates/fault-harness/src/judge/tenant_unharmed.rs
+++ b/crates/fault-harness/src/judge/tenant_unharmed.rs
@@ -24,6 +24,7 @@
     open: BTreeMap<u64, (usize, bool)>,
     /// For each tenant the requests before and after the first raise.
     counts: Vec<[Counts; 2]>,
+    /// Time of the last record.
     last: Time,
     delays: Rc<SchedulingDelay>,
 }
--- a/crates/fault-harness/src/relay/network.rs
+++ b/crates/fault-harness/src/relay/network.rs
@@ -72,7 +72,7 @@
     resets: RefCell<BTreeMap<(Site, Site), watch::Sender<u64>>>,
 }
 
-/// One direction of a link, as used by one carrier of data over it.
+/// One direction of a link, as used by one carrier of data over it: a connection, a listener or a datagram socket.
 #[derive(Clone, Debug)]
 pub struct LinkDirection {
     conditions: watch::Receiver<Conditions>,
@@ -85,7 +85,8 @@
         Network { seed, directions: RefCell::default(), resets: RefCell::default() }
     }
 
-    /// A direction of a link, for the carrier with this number.
+    /// A direction of a link, for the carrier with this number, by which its random draws differ from those of others:
+    /// 0 for a listener or a datagram socket, from 1 for connections in the order in which a listener accepts them.
     pub fn direction(&self, from: Site, to: Site, carrier: u64) -> LinkDirection {
         let mut directions = self.directions.borrow_mut();
         let conditions = directions.entry((from, to)).or_default().subscribe();
--- a/crates/fault-harness/src/relay/tcp.rs
+++ b/crates/fault-harness/src/relay/tcp.rs
@@ -43,7 +43,8 @@
     pub recorder: Rc<Recorder>,
 }
 
-/// How the link treats new connections.
+/// How the link treats new connections: it forwards them, refuses them as no process listens at the other end, or
+/// leaves them without an answer as a direction is cut.
 #[derive(Clone, Copy, PartialEq)]
 enum ListenMode {
     Open,
--- a/crates/fault-harness/src/spec/check.rs
+++ b/crates/fault-harness/src/spec/check.rs
@@ -25,8 +25,8 @@
 
 impl Spec {
     pub(super) fn check(&self, text: &str) -> Result<(), ConfigError> {
-        // Unspanned values have only a path: the error points to the first `key =` in the file with the path's last
-        // segment.
+        // Values without a span have only a path: the error points to the first `key =` in the file where `key` is the
+        // path's last segment.
         let find = |key: &str| text.find(&format!("{key} =")).unwrap_or(0);
         let check = |ok: bool, path: &str, what: String| {
             let key = path.rsplit('.').next().unwrap_or(path);
@@ -106,8 +106,8 @@
                 self.sites(to, Kind::Any, path)?;
                 let start = from.first().map_or(0, |site| site.span().start);
                 let Conditions { drop, duplicate, reorder, .. } = conditions;
-                let bad = [drop, duplicate, reorder].into_iter().find(|s| !share(**s));
-                bad.map_or(Ok(()), |s| {
+                let invalid = [drop, duplicate, reorder].into_iter().find(|s| !share(**s));
+                invalid.map_or(Ok(()), |s| {
                     Err(error(start, path, format!("shares from 0 to 1 expected, got {s}")))
                 })
             }
--- a/crates/fault-harness/src/spec/expected.rs
+++ b/crates/fault-harness/src/spec/expected.rs
@@ -10,7 +10,7 @@
 pub struct Rules {
     /// Whether to check that the connections open at a box never exceed its connection limit.
     pub whole_kept: bool,
-    /// Time after which a node must send no new commands to a box that it was notified is draining or gone.
+    /// Time from the notification that a box is draining or gone until a node must send it no new commands.
     pub drain_grace: Span,
     /// Added to every time limit, for delays of the harness itself.
     pub leeway: Span,
@@ -34,7 +34,7 @@
     /// goes back to an older table.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub table_spread: Option<Span>,
-    /// How long a node that was cut off, paused or started may lag behind.
+    /// How long after a cut, a pause or a start a node may still place keys by an older table.
     pub table_catch_up: Span,
     /// Minimum time between a node being cut off and the end of its lease on the table, if placement tables are on.
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/crates/node/src/discovery/tests/outages.rs
+++ b/crates/node/src/discovery/tests/outages.rs
@@ -117,7 +117,7 @@
     slowest_after_longer(Duration::ZERO, settings, step, takes).await
 }
 
-/// The same with outages that are longer by `extra`.
+/// What [`slowest`] returns, for outages that are longer by `extra`.
 async fn slowest_after_longer(
     extra: Duration,
     settings: &Settings,
--- a/crates/node/src/frontend/tests/accept.rs
+++ b/crates/node/src/frontend/tests/accept.rs
@@ -165,7 +165,7 @@
         .await;
 }
 
-/// The same at SIGTERM: a lasting shortage must not keep an ending process from closing its listener.
+/// At SIGTERM, a lasting shortage must not keep an ending process from closing its listener.
 #[tokio::test(start_paused = true)]
 async fn a_lasting_shortage_does_not_delay_the_end() {
     for errno in SHORTAGES {
@@ -215,7 +215,7 @@
     }
 }
 
-/// The same with the system's own error, for a listener shut down by another process that shares the socket.
+/// Accepting ends also with the system's own error, for a listener shut down by another process that shares the socket.
 #[tokio::test]
 async fn accepting_ends_when_the_listener_was_shut_down() {
     LocalSet::new()
--- a/crates/node/src/frontend/tests/bounds.rs
+++ b/crates/node/src/frontend/tests/bounds.rs
@@ -155,13 +155,13 @@
     assert!((MAX_LINGER_BYTES..MORE).contains(&sent), "{sent} bytes sent within the linger timeout");
 }
 
-/// A connection that was long between requests makes room before a half-open one; one that became idle just now does
-/// not.
+/// A connection that was long between requests makes room before one without a valid request; one that became idle just
+/// now does not.
 #[tokio::test]
-async fn the_long_idle_make_room_before_the_half_open() {
+async fn the_long_idle_make_room_before_those_without_a_request() {
     let frontend = frontend(&Limits::default(), unbounded_channel().0);
     let (now, close) = (Instant::now(), Rc::new(Notify::new()));
-    let half_open =
+    let untrusted =
         EvictionEntry::take(&frontend, (Rank::Untrusted, 1), now - Duration::from_secs(1), &close);
     let _long_idle = EvictionEntry::take(&frontend, (Rank::Idle, 2), now - LONG_IDLE, &close);
     let _idle = EvictionEntry::take(&frontend, (Rank::Idle, 3), now, &close);
@@ -171,5 +171,5 @@
     assert_eq!(remaining_numbers(), [1, 3]);
     assert!(frontend.make_room());
     assert_eq!(remaining_numbers(), [3]);
-    drop(half_open);
+    drop(untrusted);
 }
--- a/crates/node/src/frontend/tests/closing.rs
+++ b/crates/node/src/frontend/tests/closing.rs
@@ -68,7 +68,8 @@
     .await;
 }
 
-/// The same for a request of which half had been read, from a client without an earlier request.
+/// A request of which half had been read, from a client without an earlier request, is answered if the other half
+/// arrives just as the connection is asked to make room.
 #[tokio::test(start_paused = true)]
 async fn a_first_request_whose_end_came_before_the_close_is_answered() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
@@ -85,7 +86,8 @@
     .await;
 }
 
-/// The same for a request that waits for its client's error delay to end: it has been read.
+/// A request that waits for its client's error delay to end is answered if the connection is asked to make room, as it
+/// has been read.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_waits_for_the_error_delay_is_answered_before_the_close() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
@@ -142,7 +144,8 @@
     .await;
 }
 
-/// If more arrives at that moment than one read takes, all of it is read.
+/// If more of a partial request arrives just as the connection is asked to make room than one read takes, all of it is
+/// read.
 #[tokio::test(start_paused = true)]
 async fn a_long_first_request_whose_end_came_before_the_close_is_answered() {
     let value = "v".repeat(60 * 1024);
--- a/crates/node/src/frontend/tests/final_answers.rs
+++ b/crates/node/src/frontend/tests/final_answers.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The same without time passing.
+/// Checks, without time passing, what [`expect_answers`] checks.
 async fn expect_answers_now(client: TcpStream, count: usize, context: &str) {
     let now = Instant::now();
     with_clock_held(expect_answers(client, count)).await;
@@ -82,7 +82,7 @@
     }
 }
 
-/// With so little time left that nothing may come of it.
+/// A request with so little time left that it may not even be sent on is answered by its deadline.
 #[tokio::test(start_paused = true)]
 async fn a_request_with_little_time_left_is_answered_within_it() {
     for wait in 0..=20 {
@@ -99,7 +99,8 @@
     }
 }
 
-/// The same if the node does not run for a while between reading the request and the answer.
+/// A request whose deadline passes while the node does not run, between reading it and the answer, is answered as soon
+/// as the node runs again.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_expires_while_the_node_is_paused_is_answered_at_once() {
     for wait in [1, 5, 20, 100] {
--- a/crates/node/src/frontend/tests/input.rs
+++ b/crates/node/src/frontend/tests/input.rs
@@ -52,7 +52,7 @@
     assert_eq!(arrival_times(&mut input, from), [103 * MS]);
 }
 
-/// The same if parsing is tried after each byte; the next command counts from its own first byte.
+/// A command counts from its first byte also if parsing is tried after each byte, and so does the next one.
 #[tokio::test(start_paused = true)]
 async fn a_command_in_many_pieces_counts_from_the_first() {
     let (mut input, from) = (InputBuffer::new(), Instant::now());
--- a/crates/node/src/frontend/tests/mod.rs
+++ b/crates/node/src/frontend/tests/mod.rs
@@ -35,7 +35,7 @@
     frontend_for(limits, messages, LONG)
 }
 
-/// The same with this shortest deadline.
+/// A frontend as [`frontend`] makes it, but for a node whose shortest request deadline is `shortest`.
 fn frontend_for(limits: &Limits, messages: UnboundedSender<Message>, shortest: Duration) -> Rc<Frontend> {
     let second = Duration::from_secs(1);
     let bounds = Bounds { dial_timeout: second, idle_timeout: second, grace: second };
@@ -73,7 +73,7 @@
     with_client_for(limits, LONG, scenario).await;
 }
 
-/// The same with this shortest deadline.
+/// Runs `scenario` as [`with_client`] does, for a node whose shortest request deadline is `shortest`.
 async fn with_client_for<F: Future<Output = ()>>(
     limits: &Limits,
     shortest: Duration,
--- a/crates/node/src/frontend/tests/slow_readers.rs
+++ b/crates/node/src/frontend/tests/slow_readers.rs
@@ -65,14 +65,15 @@
     LocalSet::new().run_until(run).await
 }
 
-/// Input from a client is no sign that it reads its answers. Less is left unread here than makes its commands wait.
+/// Input from a client is no sign that it reads its answers. The client leaves less of them unread here than would make
+/// its commands wait.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_only_sends_does_not_keep_its_connection() {
     let lifetime = connection_lifetime(100 * KIB, 1, Duration::from_secs(3600)).await;
     assert!(lifetime <= STALL_TIMEOUT + 3 * SECOND, "closed after {lifetime:?}");
 }
 
-/// Neither is a few bytes read now and then.
+/// A few bytes read now and then are no sign that a client reads its answers.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_reads_its_answer_in_drips_does_not_keep_its_connection() {
     let lifetime = connection_lifetime(KIB * KIB, 16 * KIB, 3 * SECOND).await;
--- a/crates/node/src/frontend/tests/slow_writers.rs
+++ b/crates/node/src/frontend/tests/slow_writers.rs
@@ -57,7 +57,7 @@
     .await;
 }
 
-/// The client's error delay does not change that, wherever in it the pieces arrive.
+/// A command of which pieces arrive during its client's error delay counts from its own first byte, too.
 #[tokio::test(start_paused = true)]
 async fn a_command_that_began_in_an_error_delay_counts_from_its_first_byte() {
     for pause in [20, 300] {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Neither does a lack of memory to read it: what the node left in the kernel has arrived.
+/// A command that lacks memory to be read counts from its first byte, too: what the node left in the kernel has arrived.
 #[tokio::test(start_paused = true)]
 async fn a_command_that_was_left_unread_counts_from_when_it_was_seen() {
     with_client(&Limits::default(), |mut client, _, mut inbox| async move {
--- a/crates/store/src/incarnation.rs
+++ b/crates/store/src/incarnation.rs
@@ -19,7 +19,8 @@
 pub enum Past {
     /// There is no stored state, or none that may be used.
     Unknown,
-    /// An incarnation is stored whose process did not know its predecessor, and whose silence was not over.
+    /// An incarnation is stored whose process did not know its predecessor, and whose silence was not over at the last
+    /// write.
     Unsettled(Incarnation),
     /// An incarnation is stored that the next one may follow directly.
     Settled(Incarnation),
--- a/crates/store/src/restored.rs
+++ b/crates/store/src/restored.rs
@@ -23,7 +23,7 @@
     /// What was set aside and why, in order; each entry is a log line.
     pub set_aside: Vec<SetAsideReason>,
     sections: BTreeMap<Section, EncodedSection>,
-    /// How many entries of `set_aside` have a file that preserves the data.
+    /// Number of entries of `set_aside`, from the first, whose data a file preserves or a later commit will preserve.
     preserved_count: usize,
 }
 
@@ -77,7 +77,7 @@
         Snapshot { taken_unix_ms: now_unix_ms, epoch: self.epoch, sections: self.sections.clone() }
     }
 
-    /// Whether `set_aside` has entries whose data no file preserves yet.
+    /// Whether `set_aside` has entries whose data no file preserves and no failed copy has left to a later commit.
     pub(crate) fn has_unpreserved(&self) -> bool {
         self.set_aside.len() > self.preserved_count
     }
--- a/crates/store/src/row_database.rs
+++ b/crates/store/src/row_database.rs
@@ -13,7 +13,7 @@
 const TABLE: TableDefinition<u8, &[u8]> = TableDefinition::new("hallpin");
 const INCARNATION_KEY: u8 = 0;
 const SNAPSHOT_KEY: u8 = 1;
-/// Size of the page cache: the whole database fits into it.
+/// Size of the page cache: four times the longest snapshot under the default limits.
 const CACHE_BYTES: usize = 256 * 1024;
 
 /// Encoded rows; `None` for a row that does not exist.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -29,7 +29,9 @@
     path: PathBuf,
     identity: Identity,
     limits: Limits,
+    /// What the file said of earlier incarnations when it was opened.
     past: Past,
+    /// The incarnation of this process and its row, once it was chosen or adopted.
     current: Option<(Start, IncarnationRow)>,
     /// `None` after a failed write; the next write opens the database again.
     database: Option<RowDatabase>,
