--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -12,9 +12,9 @@
 /// Socket and memory limits of this process, with the memory reserved so far.
 pub struct Budget {
     sockets: usize,
-    /// Bytes that commands and answers may occupy.
+    /// Bytes that commands and answers may occupy, in all processes that share the limits.
     memory_bytes: usize,
-    /// Processes that share the limits.
+    /// Number of processes that share the limits, this one included.
     processes: Cell<usize>,
     reserved_bytes: Cell<usize>,
 }
@@ -60,8 +60,8 @@
         (self.traffic_sockets() - self.traffic_sockets() / 3).max(1)
     }
 
-    /// Number of client connections from which on idle ones are closed. It is below the third of all sockets that
-    /// clients may use for requests, so that idle connections never take up that third.
+    /// Number of client connections from which on idle ones are closed for new ones: a quarter of this process's
+    /// sockets, below the limit of client connections unless few descriptors remain, so that idle ones do not fill it.
     pub fn idle_close_threshold(&self) -> usize {
         (self.process_sockets() / 4).clamp(1, self.max_client_connections())
     }
--- a/crates/node/src/budget/tests.rs
+++ b/crates/node/src/budget/tests.rs
@@ -26,7 +26,7 @@
 /// Where few descriptors remain besides the reserved ones, clients still leave a third of them to cache servers, so the
 /// idle threshold must stay within the clients' limit.
 #[test]
-fn clients_wanted_stays_within_the_client_limit_with_few_descriptors() {
+fn idle_close_threshold_stays_within_the_client_limit_with_few_descriptors() {
     for sockets in [RESERVED_DESCRIPTORS + 1, RESERVED_DESCRIPTORS + 3, 40, 51, 64, 1024] {
         let budget = Budget::new(&Limits { sockets, ..Limits::default() });
         assert!(budget.idle_close_threshold() <= budget.max_client_connections(), "of {sockets}");
--- a/crates/node/src/driver/state.rs
+++ b/crates/node/src/driver/state.rs
@@ -83,7 +83,7 @@
     pub(super) requests: HashMap<RequestId, ActiveRequest>,
     /// Opaque ids, chosen by clients, of the requests that have no answer yet.
     pub(super) open_opaques: HashSet<Bytes>,
-    /// Events not yet handed to the balancer.
+    /// Events not yet handed to the balancer, the oldest first.
     pub(super) events: VecDeque<Event>,
     /// Time of the current event. Actions count from this time, however late they are executed.
     pub(super) event_time: Instant,
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -76,8 +76,8 @@
 
     /// Serves a connection if there is capacity for it or another can be closed.
     fn admit(self: &Rc<Self>, stream: TcpStream) {
-        // Clients that keep their connections after a request hold part of the clients' total; once that is full
-        // nobody could connect, and nobody would make room.
+        // From the threshold on, each new connection closes another one if it may: if clients that keep their
+        // connections after a request filled the limit, nobody could connect.
         let has_slot = self.open.get() < self.budget.idle_close_threshold() || self.make_room();
         // With every connection in use, the remaining descriptors are for cache servers: the new connection is closed
         // at once, before anything is read from it.
--- a/crates/node/src/frontend/tests/slow_writers.rs
+++ b/crates/node/src/frontend/tests/slow_writers.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// A command that lacks memory to be read counts from its first byte, too: what the node left in the kernel has arrived.
+/// Commands that the node leaves in the kernel beyond its read-ahead limit count from when it saw them there.
 #[tokio::test(start_paused = true)]
 async fn a_command_that_was_left_unread_counts_from_when_it_was_seen() {
     with_client(&Limits::default(), |mut client, _, mut inbox| async move {
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -50,7 +50,7 @@
     servers_known: bool,
     /// Whether another process accepts at this address, so that clients that leave reach it when they reconnect.
     pub has_successor: bool,
-    /// Time from the start of draining or stopping until idle connections are closed.
+    /// Time from the start of draining or stopping until idle client connections are closed.
     close_idle_after: Duration,
     /// Time by which the last answer must be given, if the process ends.
     pub answer_deadline: Option<Instant>,
--- a/crates/node/src/upstream/tests/duplicate_answers.rs
+++ b/crates/node/src/upstream/tests/duplicate_answers.rs
@@ -128,8 +128,8 @@
     assert_eq!(status, Status::Success);
 }
 
-/// A command that must not run twice does not use the connection, either, if its last answer was a value and a duplicate
-/// `busy` may follow.
+/// A command that must not run twice does not use the connection, either, if its last answer was a value and a
+/// duplicate `busy` may follow.
 #[tokio::test(start_paused = true)]
 async fn a_duplicate_busy_after_a_value_does_not_prove_that_an_unsafe_command_never_ran() {
     for pause in [Duration::ZERO, SETTLE_TIME, NAMED_DUPLICATE_WINDOW - SETTLE_TIME] {
--- a/crates/store/tests/lives.rs
+++ b/crates/store/tests/lives.rs
@@ -33,7 +33,7 @@
 struct Node {
     /// Real time in ms.
     now: u64,
-    /// How far the wall clock is behind the furthest that it can be ahead, in ms; at most `MAX_STEP_BACK_MS`.
+    /// How far the wall clock is behind its greatest possible reading at `now`, in ms; at most `MAX_STEP_BACK_MS`.
     behind: u64,
     processes: u8,
     stage: Stage,
