--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,5 +1,5 @@
-//! Network faults between machines: lost answers, reset connections, lost messages and late lists. Used for days in
-//! virtual time and for days over sockets.
+//! Network faults between machines: lost answers, reset connections, lost messages and late lists. Used for runs in
+//! virtual time and for runs over sockets.
 
 use crate::random::RandomStream;
 use crate::run_spec::FaultEvent;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,9 @@
 //! Simulated environment of a node, without clocks or sockets: cache boxes, the origin (`planner`), the endpoint list,
 //! clients, scheduled faults (`incident`), and the invariant checker (`invariants`).
 //!
-//! A [`scenario`] and a seed give a [`run_spec::RunSpec`]. A [`world::World`] runs it with a [`policy::Policy`] and records the
-//! events in a [`trace::Sink`], such as a [`invariants::InvariantChecker`]. The same inputs give the same trace on every machine.
+//! A [`scenario`] and a seed give a [`run_spec::RunSpec`]. A [`world::World`] runs it with a [`policy::Policy`] and
+//! records the events in a [`trace::Sink`], such as an [`invariants::InvariantChecker`]. The same inputs give the same
+//! trace on every machine.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -67,7 +67,7 @@
         &mut self,
         now: Time,
         by: BoxId,
-        life: u32,
+        incarnation: u32,
         ask: PlannerCall,
         cold: bool,
         out: &mut Vec<OriginOutput>,
@@ -76,7 +76,7 @@
         self.last_call_id += 1;
         let id = self.last_call_id;
         if !self.planner.is_down() {
-            self.callers.insert(id, (by, life, ask.id));
+            self.callers.insert(id, (by, incarnation, ask.id));
         }
         self.planner.call(now, PlannerCall { id, ..ask }, &mut self.notifications);
         self.forward_notifications(now, out);
@@ -105,8 +105,8 @@
                     if let Some(version) = version.filter(|_| wrote) {
                         out.push(OriginOutput::Record(Event::Written { key, version }));
                     }
-                    if let Some((to, life, id)) = self.callers.remove(&id) {
-                        out.push(OriginOutput::Answer { to, incarnation: life, id, version });
+                    if let Some((to, incarnation, id)) = self.callers.remove(&id) {
+                        out.push(OriginOutput::Answer { to, incarnation, id, version });
                     }
                 }
                 PlannerNotification::Stopped => {
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -30,9 +30,9 @@
     pub load: f64,
 }
 
-/// True state of the world, for policies that may see it. Boxes are addressed by their index in the day.
+/// True state of the world, for policies that may see it. Boxes are addressed by their index in the run specification.
 pub trait WorldView {
-    /// Number of boxes in the day.
+    /// Number of boxes in the run.
     fn boxes(&self) -> usize;
 
     /// Depot of the node that this view is for.
--- a/crates/simulation/src/time.rs
+++ b/crates/simulation/src/time.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in simulated time, in microseconds since the start of the day.
+/// A point in simulated time, in microseconds since the start of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Time(pub u64);
@@ -15,10 +15,10 @@
 pub struct Span(pub u64);
 
 impl Time {
-    /// Start of the day.
+    /// Start of the run.
     pub const ZERO: Time = Time(0);
 
-    /// Seconds since the start of the day.
+    /// Seconds since the start of the run.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -28,7 +28,7 @@
         Span(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point `by` earlier, or the start of the day if that would be before it.
+    /// The point `by` earlier, or the start of the run if that would be before it.
     pub fn saturating_sub(self, by: Span) -> Time {
         Time(self.0.saturating_sub(by.0))
     }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of boxes, planner, endpoint list, network, clients and nodes in virtual time.
 //!
-//! The same day and policy give the same trace, byte for byte, on every machine. Components with non-trivial logic are
-//! separate state machines; this module passes events between them.
+//! The same run specification and policy give the same trace, byte for byte, on every machine. Components with
+//! non-trivial logic are separate state machines; this module passes events between them.
 
 mod answers;
 mod attempts;
@@ -59,7 +59,7 @@
 /// Simulated time after the last possible deadline, so that its events are still processed.
 const END_MARGIN: Span = Span(1_000_000);
 
-/// Why a day cannot be simulated.
+/// Why a run specification cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum WorldError {
     /// The settings of a node are invalid.
@@ -72,7 +72,7 @@
     #[error("keys: {0}")]
     Keys(#[from] rand_distr::weighted::Error),
 }
-/// State of one simulated day.
+/// State of one simulated run.
 pub struct World<'a, S: Sink> {
     run_spec: &'a RunSpec,
     start: PolicyFactory<'a>,
@@ -109,7 +109,7 @@
     sizes: Vec<(Time, Sizes)>,
 }
 
-/// Result of a simulated day.
+/// Result of a run.
 pub struct DayResult<S> {
     /// Number of events processed.
     pub events: u64,
@@ -122,7 +122,7 @@
 }
 
 impl<'a, S: Sink> World<'a, S> {
-    /// Runs the simulation to the end of the day.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> DayResult<S> {
         self.schedule_initial_events();
         let end = self.end_time();
@@ -135,7 +135,7 @@
         Time::ZERO + self.run_spec.length + self.run_spec.longest_deadline() + END_MARGIN
     }
 
-    /// Processes the next event due by `end`; without one, records the end of the day and returns false.
+    /// Processes the next event due by `end`; without one, records the end of the run and returns false.
     fn step(&mut self, end: Time) -> bool {
         match self.queue.pop_until(end) {
             Some((at, event)) => {
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -6,7 +6,7 @@
 /// State that the planes of all nodes share.
 pub(super) struct PlaneState {
     pub switch: Switch,
-    /// Separate from the network's random stream, so that the plane does not change any other draw of a day.
+    /// Separate from the network's random stream, so that the plane does not change any other draw of a run.
     rng: RandomStream,
     pub tally: Tally,
     /// When the first unanswered attempt at each box ended during its current silence.
@@ -24,7 +24,7 @@
     /// Enables these parts of the plane on every node.
     ///
     /// # Errors
-    /// If the day has more nodes than a plane supports.
+    /// If the run has more nodes than a plane supports.
     pub fn with_plane(mut self, switch: Switch) -> Result<Self, WorldError> {
         self.planes.switch = switch;
         for node in 0..self.nodes.len() {
--- a/crates/simulation/src/world/policy_view.rs
+++ b/crates/simulation/src/world/policy_view.rs
@@ -6,7 +6,7 @@
 pub(super) enum RequestKeys<'a> {
     /// From the tries that the node has accepted.
     Tries(&'a FxHashMap<TryId, AcceptedTry>),
-    /// The same key for any request, used before the day begins.
+    /// The same key for any request, used before the run begins.
     Fixed(KeyId),
 }
 
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -33,12 +33,12 @@
         let state = &mut self.nodes[node];
         state.start_count += 1;
         let seed = node_seed(self.run_spec.seed, node, state.start_count);
-        // Cannot fail: the same settings were accepted when the day began.
+        // Cannot fail: the same settings were accepted when the run began.
         if let Ok(policy) = (self.start)(state.settings.clone(), seed) {
             state.policy = policy;
             (state.alive, state.accepts_until, state.new_connections_until, state.unavailable_since) =
                 (true, None, None, None);
-            // Cannot fail: the number of nodes is the same as when the day began.
+            // Cannot fail: the number of nodes is the same as when the run began.
             self.nodes[node].plane = self.new_plane(node).ok().flatten();
             self.record(Event::NodeUp { node });
             self.start_process(node);
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -1,4 +1,4 @@
-//! Start of a day: construction of the world, filling of the stores, and the first events.
+//! Start of a run: construction of the world, filling of the stores, and the first events.
 
 use super::*;
 
@@ -7,9 +7,9 @@
 /// Limit on the requests drawn to fill the stores.
 const MAX_WARM_UP_DRAWS: f64 = 2e6;
 
-/// Components of a world at the start of its day, for callers that schedule events themselves.
+/// Components of a world at the start of its run, for callers that schedule events themselves.
 pub struct WorldParts {
-    /// All boxes of the day; the stores of those that run are filled.
+    /// All boxes of the run; the stores of those that run are filled.
     pub boxes: Vec<CacheBox>,
     /// The planner, without any calls.
     pub origin: Origin,
@@ -22,7 +22,7 @@
 }
 
 impl<'a, S: Sink> World<'a, S> {
-    /// Splits a world whose day has not begun into its components.
+    /// Splits a world whose run has not begun into its components.
     pub fn into_parts(self) -> WorldParts {
         let World { boxes, origin, list, clients, keys, .. } = self;
         WorldParts {
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Creates the world at the start of the day, with filled stores.
+    /// Creates the world at the start of the run, with filled stores.
     ///
     /// # Errors
-    /// If the day's settings or keys are invalid.
+    /// If the run's settings or keys are invalid.
     pub fn new(run_spec: &'a RunSpec, start: PolicyFactory<'a>, sink: S) -> Result<Self, WorldError> {
         let boxes: Vec<BoxState> = run_spec
             .boxes
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -1,6 +1,6 @@
-//! Random legal event sequences for the balancer, checked by the invariant checker of simulated days.
+//! Random legal event sequences for the balancer, checked by the invariant checker of simulated runs.
 //!
-//! The sequences are denser than any simulated day: frequent list changes, outcomes of every kind in any order, client
+//! The sequences are denser than any simulated run: frequent list changes, outcomes of every kind in any order, client
 //! cancellations and health checks. The balancer's actions are recorded as a trace, and only the trace is checked.
 
 use std::collections::BTreeMap;
@@ -17,12 +17,12 @@
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{Event, Sink, TryOutcome};
 
-/// Number of boxes on the node's list; the day has twelve.
+/// Number of boxes on the node's list; the run has twelve.
 const LISTED: usize = 8;
 /// Number of keys that requests are drawn from; few, so that requests share keys.
 const KEYS: u64 = 50;
 
-/// The default day, with one class for each effect: free, guarded and single-shot.
+/// The default run, with one class for each effect: free, guarded and single-shot.
 fn day() -> RunSpec {
     let mut day = Scenario::default().draw(1).expect("the defaults make a day");
     let read = day.classes[0].clone();
--- a/crates/simulation/tests/trouble.rs
+++ b/crates/simulation/tests/trouble.rs
@@ -12,7 +12,7 @@
 use hallpin_simulation::trace::{AttemptOutcome, Event, Sink, TryOutcome};
 use hallpin_simulation::world::World;
 
-/// A day of 12 s; its incidents begin at 3 s.
+/// A run of 12 s; its incidents begin at 3 s.
 fn day(rest: &str, seed: u64) -> RunSpec {
     let text = format!("version = 1\nlength = \"12s\"\n[nodes]\ncount = 8\n[clients]\nrate = 150.0\n{rest}");
     Scenario::parse(&text).expect("a scenario").draw(seed).expect("a day")
@@ -36,7 +36,7 @@
     Time::ZERO + Span::from_millis(ms)
 }
 
-/// Each of these days keeps the rules, on two seeds.
+/// Each of these runs keeps the rules, on two seeds.
 #[test]
 fn the_balancer_keeps_the_rules_under_severe_faults() {
     let silent_depot = incident("silent", "lasts = \"5s\"\ndepot = \"any\"");
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -1,4 +1,4 @@
-//! Full simulated days: deterministic for a seed, and without rule violations under any fault.
+//! Full simulated runs: deterministic for a seed, and without rule violations under any fault.
 
 use std::collections::BTreeSet;
 
