--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -121,7 +121,7 @@
         &mut seconds[index]
     }
 
-    /// Returns the result; complete once [`Event::DayOver`] has been recorded.
+    /// Returns the result; complete once [`Event::RunEnded`] has been recorded.
     pub fn verdict(self) -> Verdict {
         self.verdict
     }
