--- a/crates/balancer/src/balance/concurrency_limit.rs
+++ b/crates/balancer/src/balance/concurrency_limit.rs
@@ -14,6 +14,7 @@
 #[derive(Default)]
 pub(super) struct ConcurrencyLimit {
     value: f64,
+    /// Time of the last cut that took effect; 0 before the first.
     changed_at: Seconds,
 }
 
--- a/crates/balancer/src/balance/demand.rs
+++ b/crates/balancer/src/balance/demand.rs
@@ -20,7 +20,9 @@
     arrived: u32,
     /// Requests that were served since the last update.
     served: u32,
+    /// Requests that arrive, averaged over `RECENT_WINDOWS` windows.
     recent_rate: f64,
+    /// Requests that are served, averaged over `averaged_for`; in its first window, requests that arrive.
     usual_rate: f64,
     /// Time over which the usual demand has been averaged, up to `REMEMBERED_WINDOWS` windows.
     averaged_for: Seconds,
--- a/crates/balancer/src/balance/due_timers.rs
+++ b/crates/balancer/src/balance/due_timers.rs
@@ -22,6 +22,7 @@
 pub(super) struct DueTimers {
     /// Times are stored as their bit patterns, which sort like the (non-negative) times.
     queue: BTreeSet<(u64, TimerKind, RequestId)>,
+    /// Time for which the host timer was last set; `None` once that timer has fired.
     armed_for: Option<Seconds>,
 }
 
--- a/crates/balancer/src/balance/hedging.rs
+++ b/crates/balancer/src/balance/hedging.rs
@@ -13,7 +13,7 @@
 const LATE_ANSWER_TIME_FACTOR: f64 = 4.0;
 
 impl BalancerState {
-    /// Time after which an attempt counts as late.
+    /// Time from the sending of an attempt until it counts as late.
     pub(super) fn time_until_late(&self, request: &Request) -> Seconds {
         let by_objective = self.class(request).latency_objective * LATE_OBJECTIVE_SHARE;
         by_objective.max(LATE_ANSWER_TIME_FACTOR * self.latency.answer_time().max(request.work))
--- a/crates/balancer/src/balance/kind_latency.rs
+++ b/crates/balancer/src/balance/kind_latency.rs
@@ -11,17 +11,21 @@
 /// grouped by kind because a node sees too few answers from a single one.
 #[derive(Default)]
 pub(super) struct KindLatency {
+    /// Sum of the samples, each weighted less the older it is.
     sum: f64,
+    /// Sum of the weights.
     count: f64,
 }
 
 impl KindLatency {
+    /// Records the slowness of one answer.
     pub(super) fn learn(&mut self, slowness: f64) {
         let decay = 1.0 - 1.0 / MAX_SAMPLES;
         self.sum = self.sum * decay + slowness.min(1.0 / MIN_KIND_SPEED);
         self.count = self.count * decay + 1.0;
     }
 
+    /// The mean slowness, drawn towards 1 while there are few samples.
     pub(super) fn slowness(&self) -> f64 {
         (PRIOR_SAMPLES + self.sum) / (PRIOR_SAMPLES + self.count)
     }
--- a/crates/balancer/src/balance/latency_estimate.rs
+++ b/crates/balancer/src/balance/latency_estimate.rs
@@ -12,8 +12,11 @@
 
 /// Smoothed figures of answers from cache.
 pub(super) struct LatencyEstimate {
+    /// Time of an answer.
     answer_time: Seconds,
+    /// Time of an answer, divided by the work hint of its request.
     time_per_work: f64,
+    /// Work hint of a request; 0 until a request had one.
     usual_work: Seconds,
 }
 
--- a/crates/balancer/src/balance/observation.rs
+++ b/crates/balancer/src/balance/observation.rs
@@ -43,6 +43,7 @@
 }
 
 impl BalancerState {
+    /// Learns from the outcome of an attempt: may readmit or eject its server.
     pub(super) fn observe(&mut self, attempt: &EndedAttempt, outcome: &Outcome) {
         let location = (attempt.key, attempt.server.clone());
         let Some(evidence) = self.evidence(attempt, &location, outcome) else { return };
--- a/crates/balancer/src/balance/outcome.rs
+++ b/crates/balancer/src/balance/outcome.rs
@@ -7,6 +7,8 @@
 use crate::interface::{Outcome, RequestId, Seconds, Status};
 
 impl BalancerState {
+    /// Learns from the outcome of an attempt, then finishes its request, retries it or waits for its other
+    /// attempts.
     pub(super) fn on_outcome(&mut self, outcome: Outcome) {
         let Some(ended) = self.record_outcome(&outcome) else { return };
         self.observe(&ended, &outcome);
--- a/crates/balancer/src/balance/outlier_detection.rs
+++ b/crates/balancer/src/balance/outlier_detection.rs
@@ -24,10 +24,12 @@
 /// The ejected servers, and the error share of the fleet.
 #[derive(Default)]
 pub(super) struct OutlierDetection {
-    /// Smoothed share of attempts that ended in an error or without an answer.
+    /// Smoothed share of attempts that may have run but did not succeed; a time-out of a client that left
+    /// early does not count as a failure.
     error_share: f64,
     /// Ejected servers, in the order in which they are probed.
     ejected: VecDeque<ServerId>,
+    /// Time before which no ejected server is probed.
     next_probe_at: Seconds,
 }
 
@@ -37,6 +39,7 @@
         self.error_share >= FLEET_ERROR_SHARE
     }
 
+    /// Adds one ended attempt to the error share.
     pub(super) fn learn(&mut self, failed: bool) {
         self.error_share += SMOOTHING * (f64::from(failed) - self.error_share);
     }
--- a/crates/balancer/src/balance/routing.rs
+++ b/crates/balancer/src/balance/routing.rs
@@ -25,7 +25,9 @@
 
 /// Result of one probe.
 enum ProbeResult {
+    /// The request goes to this server.
     Take,
+    /// The search goes on with the next probe.
     Next,
     /// Ends the search: further servers are reserved for other requests too.
     Stop,
--- a/crates/balancer/src/balance/server.rs
+++ b/crates/balancer/src/balance/server.rs
@@ -29,10 +29,12 @@
     admitted_share: f64,
     /// Limit on attempts in flight, learnt from the times of answers.
     limit: ConcurrencyLimit,
+    /// Time of the last successful answer; 0 before the first.
     last_answer_at: Seconds,
     /// Smoothed ratio of the answers' time to the time expected, since the server last started cold.
     slowness: f64,
-    /// Weighted failures since the last success; an attempt that a hedged request overtook counts half.
+    /// Weighted failures since the last success; an error, or an attempt that a hedged request overtook,
+    /// counts half.
     failures: f64,
     /// Time until which reports of peers make the server suspected.
     suspected_until: Seconds,
@@ -111,8 +113,9 @@
         self.last_answer_at > time
     }
 
-    pub(super) fn answered_within(&self, now: Seconds, time: Seconds) -> bool {
-        self.last_answer_at > 0.0 && now < self.last_answer_at + time
+    /// Whether the last successful answer came less than this duration before `now`.
+    pub(super) fn answered_within(&self, now: Seconds, duration: Seconds) -> bool {
+        self.last_answer_at > 0.0 && now < self.last_answer_at + duration
     }
 
     /// Whether this start time is the listed one or a later one.
--- a/crates/balancer/src/balance/short_deadline_throttle.rs
+++ b/crates/balancer/src/balance/short_deadline_throttle.rs
@@ -30,6 +30,7 @@
         time_left < answer_time * SHORT_DEADLINE_ANSWER_TIMES
     }
 
+    /// Probability with which a request with a short deadline is admitted; 1 or more admits all.
     pub(super) fn admission_probability(&self) -> f64 {
         (self.served_share * OVERADMISSION_FACTOR).max(MIN_PROBABILITY)
     }
@@ -38,6 +39,7 @@
         self.served_share += SMOOTHING * (f64::from(served) - self.served_share);
     }
 
+    /// Moves the served share towards 1, for this much elapsed time.
     pub(super) fn recover(&mut self, elapsed: Seconds) {
         self.served_share += (1.0 - self.served_share) * elapsed / RECOVERY_TIME;
     }
--- a/crates/balancer/src/balance/tenant_quota.rs
+++ b/crates/balancer/src/balance/tenant_quota.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Seconds, Settings, TenantId};
 
-/// Longest time for which a bucket fills.
+/// Longest time since the last request of a tenant for which tokens are added to its bucket.
 const MAX_REFILL_TIME: Seconds = 1.0;
 
 struct TokenBucket {
--- a/crates/leader-lease/src/candidate.rs
+++ b/crates/leader-lease/src/candidate.rs
@@ -46,8 +46,10 @@
     pub(crate) candidacy: Candidacy,
     /// The greatest ballot that this node has heard of.
     highest_ballot: u64,
+    /// Number of rounds started by this incarnation, wrapping.
     rounds: u32,
     round: Option<VotingRound>,
+    /// Earliest time at which the next round may start.
     next_round_at: Moment,
     held: Option<HeldLease>,
     /// The last round was lost, so the next one needs a new ballot.
@@ -66,6 +68,7 @@
 pub(crate) struct VoteRequests {
     pub(crate) ballot: u64,
     pub(crate) round: u32,
+    /// Whether this node holds the lease, so that the requests renew it or replace it under a new ballot.
     pub(crate) held: bool,
     pub(crate) recipients: Vec<NodeId>,
 }
@@ -157,7 +160,8 @@
         None
     }
 
-    /// Ends the round without the lease. While an earlier lease lasts, its votes must stand, and none is released.
+    /// Ends the round without the lease; the next one starts after `wait` at the earliest. While an earlier lease
+    /// lasts, its votes must stand, and none is released.
     pub(crate) fn abandon_round(&mut self, now: Moment, wait: Duration) -> Option<AbandonedBallot> {
         self.next_round_at = now.saturating_add(wait);
         self.last_round_lost = true;
--- a/crates/leader-lease/src/config.rs
+++ b/crates/leader-lease/src/config.rs
@@ -55,6 +55,7 @@
 }
 
 impl LeaseConfig {
+    /// Returns the first setting that is out of range as an error.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         if self.configured == 0 || self.configured > MAX_CONFIGURED {
             return Err(ConfigError::NodeCount(self.configured));
--- a/crates/leader-lease/src/leader_lease.rs
+++ b/crates/leader-lease/src/leader_lease.rs
@@ -38,7 +38,7 @@
     /// of its retries.
     ///
     /// # Errors
-    /// A setting that the lease cannot work with.
+    /// A [`ConfigError`] if the number of nodes, this node's number, the term or the clock drift is out of range.
     pub fn new(config: LeaseConfig, now: Moment, seed: u64) -> Result<LeaderLease, ConfigError> {
         config.check()?;
         let silent_until = now.saturating_add(config.promise_length());
--- a/crates/leader-lease/src/voter.rs
+++ b/crates/leader-lease/src/voter.rs
@@ -25,7 +25,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VoteDecision {
     Granted,
-    Refused { highest_voted: u64, bound_for: Duration },
+    /// Holds the greatest ballot voted for, and how long the voter still gives this candidate no vote (zero if only the
+    /// ballot was too low).
+    Refused {
+        highest_voted: u64,
+        bound_for: Duration,
+    },
 }
 
 impl Voter {
--- a/crates/leader-lease/src/voting_round.rs
+++ b/crates/leader-lease/src/voting_round.rs
@@ -18,6 +18,7 @@
     /// Time before any request of the round was sent: the lease counts from here.
     pub(crate) began_at: Moment,
     pub(crate) next_send_at: Moment,
+    /// Number of times that requests were sent.
     pub(crate) sends: u8,
     pub(crate) votes: BTreeSet<NodeId>,
     /// Voters that refused, and how long each of them is still bound.
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -17,9 +17,9 @@
 pub struct OwnObservation {
     /// The box.
     pub of: BoxIncarnation,
-    /// Attempts that were answered since the last fact.
+    /// Attempts that were answered since the last observation.
     pub answered: u32,
-    /// Attempts that were not answered in time since the last fact.
+    /// Attempts that were not answered in time since the last observation.
     pub silent: u32,
     /// Attempts in flight now.
     pub in_flight: u32,
@@ -63,8 +63,11 @@
 /// How a box recently appeared to one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Observation {
+    /// No attempt was answered or timed out.
     Nothing,
+    /// Attempts timed out and none was answered.
     Silent,
+    /// At least one attempt was answered.
     Answering,
 }
 
--- a/crates/membership/src/membership/awareness.rs
+++ b/crates/membership/src/membership/awareness.rs
@@ -5,7 +5,9 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Awareness {
+    /// Recent failures less recent successes, 0 to `cap`.
     score: u8,
+    /// Greatest score.
     cap: u8,
 }
 
--- a/crates/membership/src/membership/gossip.rs
+++ b/crates/membership/src/membership/gossip.rs
@@ -6,6 +6,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gossip {
+    /// How often the claim about each queued node was sent.
     times_sent: BTreeMap<NodeId, u8>,
 }
 
--- a/crates/membership/src/membership/merge.rs
+++ b/crates/membership/src/membership/merge.rs
@@ -12,7 +12,7 @@
 impl Table {
     /// Applies what a node says about itself in its own datagram.
     pub fn apply_direct(&mut self, now: Moment, from: NodeIncarnation, sender: &SenderInfo) -> Effect {
-        let held = self.view.members.get(&from.node).copied().zip(self.details.get(&from.node).copied());
+        let known = self.view.members.get(&from.node).copied().zip(self.details.get(&from.node).copied());
         let state = if sender.leaving { MemberState::Left } else { MemberState::Alive };
         let details = MemberDetail {
             refutations: sender.refutations,
@@ -21,33 +21,33 @@
             last_heard_at: Some(now),
             rumor: None,
         };
-        let Some((member, held)) = held else {
+        let Some((member, known)) = known else {
             return self.upsert(now, from, sender.zone, state, details);
         };
         if from != member.node_incarnation {
-            if from.incarnation < member.node_incarnation.incarnation && held.confirmed {
+            if from.incarnation < member.node_incarnation.incarnation && known.confirmed {
                 return Effect::Stale;
             }
             return self.upsert(now, from, sender.zone, state, details);
         }
-        let refuted = sender.refutations > held.refutations;
+        let refuted = sender.refutations > known.refutations;
         let updated = MemberDetail {
-            refutations: held.refutations.max(sender.refutations),
-            rumor: held.rumor,
+            refutations: known.refutations.max(sender.refutations),
+            rumor: known.rumor,
             ..details
         };
         if sender.leaving && member.state != MemberState::Left
             || refuted
-            || !held.confirmed
+            || !known.confirmed
             || sender.zone != member.zone
         {
             // Claims about a node that was only a hint are void once it is heard itself.
-            let state = if refuted || sender.leaving || !held.confirmed { state } else { member.state };
+            let state = if refuted || sender.leaving || !known.confirmed { state } else { member.state };
             return self.upsert(now, from, sender.zone, state, updated);
         }
         self.details.insert(from.node, updated);
         let needs_refutation =
-            member.state != MemberState::Alive && !sender.leaving && sender.refutations == held.refutations;
+            member.state != MemberState::Alive && !sender.leaving && sender.refutations == known.refutations;
         if needs_refutation {
             Effect::Check
         } else {
@@ -58,23 +58,23 @@
     /// Applies a claim of `source` about a third node. `is_event` is false for claims on a page of a pull: a peer that
     /// lists a node as dead there may have been cut off itself without having noticed.
     pub fn apply_claim(&mut self, now: Moment, claim: &Claim, source: NodeId, is_event: bool) -> Effect {
-        let held = self.view.members.get(&claim.node).copied().zip(self.details.get(&claim.node).copied());
+        let known = self.view.members.get(&claim.node).copied().zip(self.details.get(&claim.node).copied());
         let can_be_hint = !matches!(claim.state, ClaimedState::Dead | ClaimedState::Left);
-        let Some((member, held)) = held else {
+        let Some((member, known)) = known else {
             return if can_be_hint { self.add_hint(now, claim, source) } else { Effect::Nothing };
         };
         if claim.incarnation < member.node_incarnation.incarnation {
             return Effect::Nothing;
         }
         if claim.incarnation > member.node_incarnation.incarnation {
-            return match held.confirmed {
+            return match known.confirmed {
                 false if can_be_hint => self.add_hint(now, claim, source),
                 _ => self.record_rumor(now, claim, RumorKind::Newer, source),
             };
         }
         let mut effect = Effect::Nothing;
-        if !held.confirmed && held.source != Some(source) {
-            self.details.insert(claim.node, MemberDetail { confirmed: true, source: None, ..held });
+        if !known.confirmed && known.source != Some(source) {
+            self.details.insert(claim.node, MemberDetail { confirmed: true, source: None, ..known });
             effect = Effect::Changed;
         }
         match self.apply_same_incarnation(now, claim, source, is_event) {
@@ -91,14 +91,14 @@
         source: NodeId,
         is_event: bool,
     ) -> Effect {
-        let (Some(member), Some(held)) =
+        let (Some(member), Some(known)) =
             (self.view.members.get(&claim.node).copied(), self.details.get(&claim.node).copied())
         else {
             return Effect::Nothing;
         };
-        let ahead = claim.refutations > held.refutations;
-        if claim.refutations < held.refutations
-            || ahead && held.confirmed && claim.refutations - held.refutations > MAX_REFUTATION_LEAD
+        let ahead = claim.refutations > known.refutations;
+        if claim.refutations < known.refutations
+            || ahead && known.confirmed && claim.refutations - known.refutations > MAX_REFUTATION_LEAD
         {
             return Effect::Nothing;
         }
@@ -106,7 +106,7 @@
         let state = if ahead { MemberState::Alive } else { member.state };
         let mut effect = Effect::Nothing;
         if ahead {
-            let details = MemberDetail { refutations: claim.refutations, ..held };
+            let details = MemberDetail { refutations: claim.refutations, ..known };
             effect = self.upsert(now, member.node_incarnation, member.zone, state, details);
         }
         match (claim.state, state) {
@@ -141,12 +141,12 @@
 
     /// Accepts a claim that a second node confirms; at the first, has the node itself pinged.
     fn record_rumor(&mut self, now: Moment, claim: &Claim, kind: RumorKind, source: NodeId) -> Effect {
-        let Some(held) = self.details.get_mut(&claim.node) else { return Effect::Nothing };
-        let second = held.rumor.is_some_and(|(incarnation, held_kind, by)| {
-            (incarnation, held_kind) == (claim.incarnation, kind) && by != source
+        let Some(known) = self.details.get_mut(&claim.node) else { return Effect::Nothing };
+        let second = known.rumor.is_some_and(|(incarnation, known_kind, by)| {
+            (incarnation, known_kind) == (claim.incarnation, kind) && by != source
         });
         if !second {
-            held.rumor = Some((claim.incarnation, kind, source));
+            known.rumor = Some((claim.incarnation, kind, source));
             return Effect::Check;
         }
         let state = match claim.state {
@@ -154,7 +154,7 @@
             ClaimedState::Dead => MemberState::Dead,
             ClaimedState::Left => MemberState::Left,
         };
-        let last_heard_at = if kind == RumorKind::Left { held.last_heard_at } else { None };
+        let last_heard_at = if kind == RumorKind::Left { known.last_heard_at } else { None };
         let details = MemberDetail {
             refutations: claim.refutations,
             confirmed: true,
--- a/crates/membership/src/membership/search.rs
+++ b/crates/membership/src/membership/search.rs
@@ -12,8 +12,11 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct MissingNodeSearch {
+    /// Nodes that others claim to be there, pinged first.
     queued: VecDeque<NodeId>,
+    /// The remaining nodes of the current pass, the next one last.
     order: Vec<NodeId>,
+    /// When the next missing node is to be pinged.
     pub next_at: Moment,
 }
 
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -20,10 +20,15 @@
 
 #[derive(Clone, Debug)]
 struct Suspicion {
+    /// Distinct nodes that suspect this one; the first opened the suspicion, the others confirmed it.
     accusers: Vec<NodeId>,
+    /// When the suspicion was opened, moved on by the pauses of this node.
     since: Moment,
+    /// Number of confirmations that shrink the timeout to `min`, 0 to 3.
     expected: usize,
+    /// Timeout once all expected confirmations have arrived.
     min: Duration,
+    /// Timeout without a confirmation.
     max: Duration,
 }
 
@@ -35,7 +40,8 @@
 }
 
 impl Suspicions {
-    /// Opens a suspicion or counts another accuser, and returns whether it was opened.
+    /// Opens a suspicion or counts another accuser, and returns whether there is only one accuser so far. `times` are
+    /// the shortest and the longest timeout of a new suspicion.
     pub fn accuse(
         &mut self,
         now: Moment,
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -142,7 +142,9 @@
         self.details.get(&self.view.this.node).map_or(0, |details| details.refutations)
     }
 
-    /// Refutes a claim about this incarnation of this node if that is needed, and returns whether it was.
+    /// Refutes a claim about this incarnation of this node, and returns whether it did: one that the node is not alive
+    /// with at least its own count of refutations, or any claim with more. The count is raised above that of the claim,
+    /// by at most [`MAX_REFUTATION_LEAD`] + 1.
     pub fn refute(&mut self, claim: &Claim) -> bool {
         let this = self.view.this;
         let Some(own) = self.details.get_mut(&this.node) else { return false };
--- a/crates/membership/src/rate.rs
+++ b/crates/membership/src/rate.rs
@@ -7,8 +7,11 @@
 /// A token bucket that allows `rate` tokens per second and `burst` at once.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
+    /// Time in which one token is added.
     token_interval: Duration,
+    /// Most tokens that the bucket holds.
     burst: u32,
+    /// When the bucket is full again if no more tokens are taken.
     full_at: Moment,
 }
 
