--- a/crates/balancer/src/balance/dispatch.rs
+++ b/crates/balancer/src/balance/dispatch.rs
@@ -74,6 +74,7 @@
         None
     }
 
+    /// Chooses the target of the next attempt; `None` if the request is unknown.
     fn target(&mut self, id: RequestId) -> Option<Target> {
         let probe_target = self.probe_by_request(id);
         let request = self.requests.get(&id)?;
@@ -117,6 +118,7 @@
         self.key_locations.contains(location, self.now)
     }
 
+    /// Records a new attempt and asks the host to send it to this server.
     pub(super) fn send(&mut self, id: RequestId, server: &ServerId, to_origin: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.attempts.push(Attempt { server: server.clone(), sent_at: self.now, to_origin, status: None });
@@ -143,6 +145,7 @@
         self.arm_timer();
     }
 
+    /// Sets the time at which the last attempt becomes late; returns the previous time.
     fn set_late_at(&mut self, id: RequestId, late_at: f64) -> f64 {
         let request: Option<&mut Request> = self.requests.get_mut(&id);
         request.map_or(0.0, |request| std::mem::replace(&mut request.late_at, late_at))
--- a/crates/balancer/src/balance/endpoint_subscription.rs
+++ b/crates/balancer/src/balance/endpoint_subscription.rs
@@ -18,7 +18,9 @@
     subscribed: bool,
     /// Time at which the pending call was made.
     called_at: Option<Seconds>,
+    /// Time before which discovery is not called, set by the backoff.
     next_call_at: Seconds,
+    /// Failed calls since the list or a change of it last arrived.
     failed_calls: u32,
 }
 
--- a/crates/balancer/src/balance/fleet_totals.rs
+++ b/crates/balancer/src/balance/fleet_totals.rs
@@ -6,8 +6,11 @@
 /// Totals over the servers in the slot array.
 #[derive(Default)]
 pub(super) struct FleetTotals {
+    /// Number of servers in the slot array.
     pub(super) ready: usize,
+    /// Sum of the effective shares.
     pub(super) share: f64,
+    /// Sum of the learnt limits on attempts in flight.
     pub(super) limit: f64,
     /// Servers that have warmed up.
     pub(super) warm: usize,
--- a/crates/balancer/src/balance/key_locations.rs
+++ b/crates/balancer/src/balance/key_locations.rs
@@ -18,6 +18,7 @@
 pub(super) struct KeyLocationCache {
     young: BTreeMap<KeyLocation, Seconds>,
     old: BTreeMap<KeyLocation, Seconds>,
+    /// Time at which the young generation last became the old one.
     rotated_at: Seconds,
 }
 
--- a/crates/leader-lease/src/lib.rs
+++ b/crates/leader-lease/src/lib.rs
@@ -22,10 +22,10 @@
 //! use std::time::Duration;
 //!
 //! use hallpin_leader_lease::{Candidacy, LeaderLease, LeaseConfig};
-//! use hallpin_membership::names::{Incarnation, Life, NodeId};
+//! use hallpin_membership::names::{Incarnation, NodeId, NodeIncarnation};
 //!
 //! # fn main() -> Result<(), hallpin_leader_lease::ConfigError> {
-//! let node = |number: u16| Life { node: NodeId(number), incarnation: Incarnation(1) };
+//! let node = |number: u16| NodeIncarnation { node: NodeId(number), incarnation: Incarnation(1) };
 //! let term = Duration::from_secs(2);
 //! let config = |number| LeaseConfig { this: node(number), configured: 3, term, drift_ppm: 200 };
 //! let mut candidate = LeaderLease::new(config(0), Duration::ZERO, 1)?;
--- a/crates/leader-lease/tests/virtual_time.rs
+++ b/crates/leader-lease/tests/virtual_time.rs
@@ -15,16 +15,20 @@
 struct Node {
     lease: LeaderLease,
     node_incarnation: NodeIncarnation,
-    /// Nanoseconds that the node's clock advances per millisecond of true time, and when the node started.
+    /// Nanoseconds that the node's clock advances per millisecond of true time.
     clock_rate: u64,
+    /// True time of the node's start, in nanoseconds.
     started_at: u64,
+    /// True time until which the node neither receives nor ticks, in nanoseconds.
     paused_until: u64,
 }
 
 struct Fleet {
     nodes: Vec<Node>,
+    /// True time in nanoseconds.
     now: u64,
     sequence: u64,
+    /// Sender, receiver and message, by the true time of arrival and the sequence of sending.
     in_flight: BTreeMap<(u64, u64), (NodeIncarnation, usize, LeaseMessage)>,
     rng: Pcg64Mcg,
     loss: f64,
--- a/crates/membership/src/digest/own_facts.rs
+++ b/crates/membership/src/digest/own_facts.rs
@@ -12,9 +12,12 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct OwnFacts {
+    /// Length of the sliding window.
     recent: Duration,
     max_boxes: usize,
+    /// The record of each box, by the box's id.
     boxes: BTreeMap<u64, BoxRecord>,
+    /// Number of observations of all boxes so far.
     seq: u64,
 }
 
@@ -24,7 +27,9 @@
     /// Step index, answered attempts and silent attempts, the newest step last.
     steps: Vec<(u64, u32, u32)>,
     in_flight: u32,
+    /// Number of the last observation among those of all boxes.
     seq: u64,
+    /// Time of the last observation.
     seen_at: Moment,
     /// Number of gossip datagrams that must still carry the last change.
     urgent_sends_left: u8,
@@ -32,6 +37,7 @@
 }
 
 impl BoxRecord {
+    /// Returns the answered and the silent attempts since the step `oldest`.
     fn totals(&self, oldest: u64) -> (u32, u32) {
         let fresh = self.steps.iter().filter(|(step, ..)| *step >= oldest);
         fresh.fold((0, 0), |(a, s), (_, answered, silent)| {
@@ -45,15 +51,15 @@
         OwnFacts { recent, max_boxes, boxes: BTreeMap::new(), seq: 0 }
     }
 
-    /// Counts an observation, and returns whether it changed how the box appears. Observations of an earlier
-    /// incarnation of a box are dropped; one of a newer incarnation starts from zero. A change is sent in
-    /// `retransmit_limit` gossip datagrams.
+    /// Counts an observation, and returns whether it changed how the box appears while some attempt in the window was
+    /// silent. Such a change is sent in `retransmit_limit` gossip datagrams. Observations of an earlier incarnation of a
+    /// box are dropped; one of a newer incarnation starts from zero.
     pub fn observe(&mut self, now: Moment, fact: OwnObservation, retransmit_limit: u8) -> bool {
-        let held = self.boxes.get(&fact.of.id);
-        if held.is_some_and(|held| held.started_unix_ms > fact.of.started_unix_ms) {
+        let known = self.boxes.get(&fact.of.id);
+        if known.is_some_and(|known| known.started_unix_ms > fact.of.started_unix_ms) {
             return false;
         }
-        if held.is_none_or(|held| held.started_unix_ms < fact.of.started_unix_ms) {
+        if known.is_none_or(|known| known.started_unix_ms < fact.of.started_unix_ms) {
             self.evict_if_full(fact.of.id);
             self.boxes.insert(fact.of.id, new_record(now, fact.of));
         }
--- a/crates/membership/src/digest/peer_facts.rs
+++ b/crates/membership/src/digest/peer_facts.rs
@@ -48,13 +48,14 @@
         let new = Reporter { incarnation: from.incarnation, boxes: BTreeMap::new() };
         let reporter = self.reporters.entry(from.node).or_insert(new);
         let id = u64::from_be_bytes(report.id);
-        let held = reporter.boxes.get(&id).copied();
-        let older =
-            |held: PeerEntry| report.seq <= held.seq || report.started_unix_ms < held.fact.of.started_unix_ms;
-        if from.incarnation < reporter.incarnation || held.is_some_and(older) {
+        let known = reporter.boxes.get(&id).copied();
+        let older = |known: PeerEntry| {
+            report.seq <= known.seq || report.started_unix_ms < known.fact.of.started_unix_ms
+        };
+        if from.incarnation < reporter.incarnation || known.is_some_and(older) {
             return;
         }
-        if held.is_none() && reporter.boxes.len() >= self.max_boxes {
+        if known.is_none() && reporter.boxes.len() >= self.max_boxes {
             let oldest =
                 reporter.boxes.iter().min_by_key(|(id, entry)| (entry.expires_at, **id)).map(|(id, _)| *id);
             oldest.and_then(|oldest| reporter.boxes.remove(&oldest));
@@ -64,7 +65,7 @@
         let fact = PeerFact { by: from.node, of, observation, in_flight: report.in_flight };
         let entry = PeerEntry { fact, seq: report.seq, expires_at: now + remaining };
         reporter.boxes.insert(id, entry);
-        self.dirty |= held.is_none_or(|held| held.fact != fact || held.expires_at <= now);
+        self.dirty |= known.is_none_or(|known| known.fact != fact || known.expires_at <= now);
         if observation == Observation::Silent
             && (self.contested.len() < self.max_boxes || self.contested.contains_key(&id))
         {
@@ -74,7 +75,7 @@
 
     /// Drops the reports of an earlier incarnation of a node.
     pub fn drop_older_incarnations(&mut self, current: NodeIncarnation) {
-        if self.reporters.get(&current.node).is_some_and(|held| held.incarnation < current.incarnation) {
+        if self.reporters.get(&current.node).is_some_and(|known| known.incarnation < current.incarnation) {
             self.reporters.remove(&current.node);
             self.dirty = true;
         }
@@ -108,31 +109,31 @@
         for entry in entries.filter(|entry| entry.expires_at > now) {
             by_box.entry(entry.fact.of.id).or_default().push(entry.fact);
         }
-        let mut out = Vec::new();
+        let mut evidence = Vec::new();
         for (id, facts) in by_box {
             let mut started: Vec<u64> = facts.iter().map(|fact| fact.of.started_unix_ms).collect();
             started.sort_unstable_by(|a, b| b.cmp(a));
             let newest = own(id).max(started.get(1).copied()).unwrap_or(0);
             started.dedup();
             let incarnations = started.into_iter().filter(|started| *started >= newest);
-            out.extend(
+            evidence.extend(
                 incarnations.map(|started_unix_ms| merge(BoxIncarnation { id, started_unix_ms }, &facts)),
             );
         }
-        out
+        evidence
     }
 }
 
 /// Merges the facts about one incarnation of a box. Each reporter occurs in `facts` once, so it counts once.
 fn merge(of: BoxIncarnation, facts: &[PeerFact]) -> BoxEvidence {
-    let mut out = BoxEvidence { of, silent: 0, answering: 0, in_flight: 0 };
+    let mut evidence = BoxEvidence { of, silent: 0, answering: 0, in_flight: 0 };
     for fact in facts.iter().filter(|fact| fact.of == of) {
         match fact.observation {
-            Observation::Silent => out.silent += 1,
-            Observation::Answering => out.answering += 1,
+            Observation::Silent => evidence.silent += 1,
+            Observation::Answering => evidence.answering += 1,
             Observation::Nothing => {}
         }
-        out.in_flight = out.in_flight.saturating_add(fact.in_flight.into());
+        evidence.in_flight = evidence.in_flight.saturating_add(fact.in_flight.into());
     }
-    out
+    evidence
 }
--- a/crates/membership/src/membership/probe_round.rs
+++ b/crates/membership/src/membership/probe_round.rs
@@ -13,12 +13,15 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeRound {
+    /// Nodes of the current round that are still to be probed, the next one last.
     order: Vec<NodeId>,
+    /// Nodes to be probed before the round continues, the next one first.
     urgent: VecDeque<NodeId>,
     /// The last target was urgent, so the next one is taken from the round: a flood of accusations cannot stop the
     /// round.
     last_was_urgent: bool,
     pub probe: Option<Probe>,
+    /// When the next probe may start.
     pub next_at: Moment,
 }
 
--- a/crates/membership/src/membership/pull.rs
+++ b/crates/membership/src/membership/pull.rs
@@ -19,8 +19,11 @@
 
 #[derive(Clone, Debug)]
 struct ActivePull {
+    /// The peer whose table is pulled.
     from: NodeId,
+    /// Node number from which the awaited page starts.
     at: u16,
+    /// Number of requests sent for this page.
     tries: u8,
     next_request_at: Moment,
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -30,36 +30,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Purpose {
     /// Requests an `Ack` with the same number.
-    Ping {
-        seq: u32,
-    },
-    Ack {
-        seq: u32,
-    },
+    Ping { seq: u32 },
+    /// Answers the `Ping` with the same number.
+    Ack { seq: u32 },
     /// Requests a ping of another node and a report of the result (SWIM ping-req).
     #[serde(rename = "PingFor")]
-    PingRequest {
-        seq: u32,
-        target: NodeId,
-    },
-    /// The target answered.
-    Relayed {
-        seq: u32,
-    },
-    /// The target has not answered, but the node that was asked is up (Lifeguard).
-    Nack {
-        seq: u32,
-    },
+    PingRequest { seq: u32, target: NodeId },
+    /// Answers a `PingRequest`: the target answered.
+    Relayed { seq: u32 },
+    /// Answers a `PingRequest`: the target has not answered, but the node that was asked is up (Lifeguard).
+    Nack { seq: u32 },
     /// Requests a page of the membership table from this node number on.
     #[serde(rename = "Ask")]
-    PullRequest {
-        from: u16,
-    },
+    PullRequest { from: u16 },
     /// Answers with the claims that fit; the next page starts at `next`, or there is none.
-    Page {
-        from: u16,
-        next: Option<u16>,
-    },
+    Page { from: u16, next: Option<u16> },
     /// Carries items only.
     #[serde(rename = "Note")]
     Gossip,
@@ -101,8 +86,11 @@
     pub started_unix_ms: u64,
     /// Grows with each observation of the sender, over all boxes.
     pub seq: u64,
+    /// Recent attempts that were answered.
     pub answered: u16,
+    /// Recent attempts that were not answered in time.
     pub silent: u16,
+    /// Attempts in flight at the last observation.
     pub in_flight: u16,
     /// Age of the last observation in milliseconds.
     pub age_ms: u16,
@@ -166,8 +154,8 @@
     }
 
     fn append<T: Serialize>(&mut self, value: &T, limit: usize) -> bool {
-        let mut room = [0; MAX_PAYLOAD];
-        let Ok(written) = postcard::to_slice(value, &mut room) else { return false };
+        let mut buffer = [0; MAX_PAYLOAD];
+        let Ok(written) = postcard::to_slice(value, &mut buffer) else { return false };
         let fits = self.bytes.len() + written.len() <= limit;
         if fits {
             self.bytes.extend_from_slice(written);
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -45,6 +45,7 @@
     probe_round: ProbeRound,
     search: MissingNodeSearch,
     pull: Pull,
+    /// Pings on behalf of other nodes, by the sequence number of the ping.
     relays: BTreeMap<u32, Relay>,
     own_facts: OwnFacts,
     peer_facts: PeerFacts,
@@ -54,6 +55,7 @@
     next_sweep_at: Moment,
     send_limiter: TokenBucket,
     answer_limiters: BTreeMap<NodeId, TokenBucket>,
+    /// Version of the view at the last event about it.
     reported_version: u64,
     outputs: Vec<Output<PeersEvent>>,
 }
@@ -64,7 +66,9 @@
 /// A ping on behalf of another node.
 #[derive(Clone, Debug)]
 struct Relay {
+    /// The node that asked for the ping.
     requester: NodeId,
+    /// Sequence number of its request, which the response repeats.
     seq: u32,
     target: NodeId,
     /// When the requester is told that the target has not answered; `None` once it was.
--- a/crates/membership/src/peers/receive.rs
+++ b/crates/membership/src/peers/receive.rs
@@ -16,8 +16,9 @@
     /// Processes a payload from any sender that claims to be `from`.
     ///
     /// # Errors
-    /// [`Rejection::UnknownPeer`] from a node that is not configured, from this node, or from an earlier incarnation of
-    /// a node; [`Rejection::Payload`] if the payload cannot be decoded. Then nothing has changed.
+    /// [`Rejection::UnknownPeer`] from a node that is not configured, from this node, or from an incarnation of a node
+    /// earlier than the confirmed one; [`Rejection::Payload`] if the payload cannot be decoded. Then nothing has
+    /// changed.
     pub fn receive(&mut self, now: Moment, from: NodeIncarnation, payload: &[u8]) -> Result<(), Rejection> {
         if from.node.0 >= self.config.configured || from.node == self.config.this.node {
             return Err(Rejection::UnknownPeer);
@@ -86,13 +87,13 @@
         let times = (timing.suspicion_min * scale / 4, timing.suspicion_max * scale / 4);
         let confirmations = usize::from(timing.confirmations);
         let others = self.table.active().filter(|other| *other != node).count();
-        let first = self.suspicions.accuse(now, node, by, confirmations.min(others), times);
-        match first {
+        let is_first_accuser = self.suspicions.accuse(now, node, by, confirmations.min(others), times);
+        match is_first_accuser {
             true => self.gossip.enqueue(node),
             false => self.gossip.requeue(node, self.retransmit_limit()),
         }
-        let chance = 2.0 * confirmations as f64 / (others + 1) as f64;
-        if by != self.config.this.node && self.rng.random::<f64>() < chance {
+        let probability = 2.0 * confirmations as f64 / (others + 1) as f64;
+        if by != self.config.this.node && self.rng.random::<f64>() < probability {
             self.probe_round.enqueue_urgent(node);
         }
     }
