--- a/crates/balancer/src/balance/endpoint_subscription.rs
+++ b/crates/balancer/src/balance/endpoint_subscription.rs
@@ -5,9 +5,11 @@
 
 /// Share of the poll interval after which a call without an answer counts as failed.
 const CALL_TIMEOUT_SHARE: f64 = 0.5;
-/// First backoff, as a share of the poll interval, and its bounds in seconds.
+/// Mean backoff after the first failure, as a share of the poll interval.
 const FIRST_BACKOFF_SHARE: f64 = 0.13;
+/// Least mean backoff after the first failure.
 const MIN_FIRST_BACKOFF: Seconds = 0.1;
+/// Greatest mean backoff after the first failure.
 const MAX_FIRST_BACKOFF: Seconds = 0.2;
 /// Number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 2;
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -56,9 +56,10 @@
     pub slow_start_duration: Seconds,
     /// Time within which sends to a draining server must end.
     pub drain_grace: Seconds,
-    /// Load that overloads a server which has just started, as a multiple of its present capacity ...
+    /// Load above which a server that has just started goes down if it lasts for `overload_window`, as a
+    /// multiple of the server's present capacity.
     pub overload_multiple: f64,
-    /// ... if the load stays above it for this long.
+    /// Time for which the load must stay above `overload_multiple` for the server to go down.
     pub overload_window: Seconds,
 }
 
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -92,7 +92,9 @@
 pub(crate) struct Node {
     pub balancer: Balancer,
     pub now: Seconds,
+    /// Server and time of each attempt, by request.
     pub sends: BTreeMap<RequestId, Vec<(ServerId, Seconds)>>,
+    /// Number of requests sent by `flush_recent_keys`.
     flush_count: u64,
 }
 
--- a/crates/balancer/tests/ramp/scenario.rs
+++ b/crates/balancer/tests/ramp/scenario.rs
@@ -22,6 +22,7 @@
     pub capacity: f64,
     /// Mean work of a request; sent as a hint where `hints` is set.
     pub work: Seconds,
+    /// Whether requests carry a work hint.
     pub hints: bool,
     pub keys: usize,
     /// The popularity of the key of rank r is (r + offset)^-zipf.
--- a/crates/balancer/tests/ramp/servers.rs
+++ b/crates/balancer/tests/ramp/servers.rs
@@ -24,12 +24,13 @@
 /// Measurements at the cold servers, and totals over all requests.
 #[derive(Default, Debug)]
 pub(crate) struct Measurements {
-    /// The largest work within a window as a share of what the server sustained then; and the same for work
-    /// from notified nodes only.
+    /// The largest work within an overload window, as a share of what the server sustained then.
     pub peak_load: f64,
+    /// The same for the work from nodes that had been notified of the server's start.
     pub peak_notified_load: f64,
-    /// Servers that failed, and those of them with over two thirds of the work from notified nodes.
+    /// Number of servers that failed.
     pub failed_servers: u64,
+    /// Number of failed servers with over two thirds of the work from notified nodes.
     pub overloaded_by_notified: u64,
     /// Work that reached cold servers; at the end of a run, as a share of their capacity.
     pub used_share: f64,
--- a/crates/membership/src/digest/own_facts.rs
+++ b/crates/membership/src/digest/own_facts.rs
@@ -52,8 +52,8 @@
     }
 
     /// Counts an observation, and returns whether it changed how the box appears while some attempt in the window was
-    /// silent. Such a change is sent in `retransmit_limit` gossip datagrams. Observations of an earlier incarnation of a
-    /// box are dropped; one of a newer incarnation starts from zero.
+    /// silent. Such a change is sent in `retransmit_limit` gossip datagrams. Observations of an earlier incarnation of
+    /// a box are dropped; one of a newer incarnation starts from zero.
     pub fn observe(&mut self, now: Moment, fact: OwnObservation, retransmit_limit: u8) -> bool {
         let known = self.boxes.get(&fact.of.id);
         if known.is_some_and(|known| known.started_unix_ms > fact.of.started_unix_ms) {
