--- a/crates/leader-lease/tests/model_check.rs
+++ b/crates/leader-lease/tests/model_check.rs
@@ -67,10 +67,11 @@
         lease
     }
 
+    /// Moves the outgoing messages of a node to those sent.
     fn collect(&self, state: &mut State, node: usize) {
         let from = state.incarnations[node];
-        let out = state.leases[node].take_outbox();
-        state.sent.extend(out.into_iter().map(|(to, message)| (from, to, message)));
+        let outbox = state.leases[node].take_outbox();
+        state.sent.extend(outbox.into_iter().map(|(to, message)| (from, to, message)));
     }
 }
 
--- a/crates/leader-lease/tests/virtual_time.rs
+++ b/crates/leader-lease/tests/virtual_time.rs
@@ -35,8 +35,9 @@
     late_share: f64,
     partition_at: usize,
     drift: u32,
+    /// Epoch of the last lease that was held.
     epoch: u64,
-    /// Whether nobody has held the lease since the last epoch.
+    /// Whether nobody has held the lease at some check since it was last held.
     vacant: bool,
     sent: u64,
 }
@@ -177,7 +178,7 @@
 
 #[test]
 fn renewal_among_300_nodes_takes_a_bounded_number_of_datagrams() {
-    for (loss, most) in [(0.0, 400), (0.3, 900)] {
+    for (loss, max_rate) in [(0.0, 400), (0.3, 900)] {
         let mut fleet = Fleet::new(300, 20_000, loss, 1);
         fleet.nodes[1..].iter_mut().for_each(|node| node.lease.set_candidacy(Candidacy::Withdrawn));
         let first = fleet.run_until(4_000 * NANOS_PER_MS, false);
@@ -187,7 +188,7 @@
         println!(
             "loss {loss}: lease held for {first} of the first 4 s, then for {held}; {rate} datagrams a second in the fleet"
         );
-        assert!(held > 0.99 && rate < most, "{held} {rate}");
+        assert!(held > 0.99 && rate < max_rate, "{held} {rate}");
     }
 }
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -34,6 +34,7 @@
     started_at: Duration,
     due: Option<Duration>,
     pub paused: bool,
+    /// Datagrams that arrived while the node was paused.
     waiting: Vec<Vec<u8>>,
     pub events: Vec<(Duration, PeersEvent)>,
 }
@@ -45,11 +46,12 @@
     pub loss: f64,
     pub duplication: f64,
     pub delay: (Duration, Duration),
-    /// Datagrams by sender. `second` counts them by sender in the current second, and `most` is the greatest count of
-    /// any second.
+    /// Number of datagrams sent, by sender.
     pub sent: BTreeMap<u16, u64>,
     pub bytes: u64,
+    /// The current second, and the number of datagrams sent in it, by sender.
     second: (u64, BTreeMap<u16, u64>),
+    /// Greatest number of datagrams that one node sent in one second.
     pub peak_per_second: u64,
     configured: u16,
     rng: Pcg64Mcg,
@@ -137,9 +139,9 @@
 
     pub fn call<T>(&mut self, node: u16, call: impl FnOnce(&mut Peers, Duration) -> T) -> T {
         let node_state = self.nodes.get_mut(&node).unwrap();
-        let out = call(&mut node_state.peers, self.now - node_state.started_at);
+        let result = call(&mut node_state.peers, self.now - node_state.started_at);
         self.process_outputs(node);
-        out
+        result
     }
 
     pub fn started_at(&self, node: u16) -> Duration {
@@ -218,12 +220,12 @@
 
     fn process_outputs(&mut self, node: u16) {
         let node_state = self.nodes.get_mut(&node).unwrap();
-        let (from, out) = (node_state.peers.view().this, node_state.peers.take_outputs());
+        let (from, outputs) = (node_state.peers.view().this, node_state.peers.take_outputs());
         let due = node_state.peers.due().map(|due| due + node_state.started_at);
         let old = std::mem::replace(&mut node_state.due, due);
         old.map(|due| self.timers.remove(&(due, node)));
         due.map(|due| self.timers.insert((due, node)));
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Send { to, payload } => self.send(from, to, payload),
                 Output::Event(events) => self.nodes.get_mut(&node).unwrap().events.push((self.now, events)),
