--- a/crates/placement/src/config.rs
+++ b/crates/placement/src/config.rs
@@ -44,7 +44,8 @@
         PlacementConfig { this, zone, zones, configured, lease, drift_ppm, retry, prepare_timeout }
     }
 
-    pub(crate) fn check(&self) -> Result<(), ConfigError> {
+    /// Returns the first setting, if any, that the state machine cannot work with.
+    pub(crate) fn validate(&self) -> Result<(), ConfigError> {
         let node = self.this.node.0;
         if node >= self.configured {
             return Err(ConfigError::Node { node, configured: self.configured });
@@ -61,7 +62,8 @@
         Ok(())
     }
 
-    /// Length of the lease by the clock of the node that holds it, from before it sent its report.
+    /// Length of the lease by the clock of the node that holds it, counted from when the node sent the report that
+    /// requested the lease.
     pub(crate) fn lease_length_at_replica(&self) -> Duration {
         self.lease * (1_000_000 - self.drift_ppm) / 1_000_000
     }
@@ -71,13 +73,13 @@
         self.lease * (1_000_000 + self.drift_ppm) / 1_000_000
     }
 
-    /// How often a node reports when nothing changes.
+    /// Time between two reports of a node while nothing changes.
     pub(crate) fn heartbeat_interval(&self) -> Duration {
         self.lease / 3
     }
 
-    /// When an unanswered report is repeated: after a quarter of the heartbeat interval while the node has a lease,
-    /// after half of it otherwise.
+    /// How long a node waits for an answer before it repeats a report: a quarter of the heartbeat interval while the
+    /// node has a lease, half of it otherwise.
     pub(crate) fn report_retry_interval(&self, leased: bool) -> Duration {
         if leased {
             self.heartbeat_interval() / 4
--- a/crates/placement/src/coordinator.rs
+++ b/crates/placement/src/coordinator.rs
@@ -21,7 +21,9 @@
 /// State of the coordinator during one holding of the leader lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Coordinator {
+    /// Fencing number of this holding.
     pub epoch: u64,
+    /// Time at which this holding began.
     started_at: Moment,
     /// The decisions of the predecessors are known, except whether `preparing` was one of them.
     history_known: bool,
@@ -29,20 +31,26 @@
     history_bounded: bool,
     /// The newest table found where no reporting node had a lease.
     recovered: Option<TableHeader>,
+    /// The newest table known to be decided.
     decided: Option<TableHeader>,
+    /// The version that nodes are fetching and that is not decided.
     preparing: Option<Preparing>,
     /// Time since which no node has reported a list as new as the last table.
     lists_older_since: Option<Moment>,
     /// The greatest version in any report or proposal.
     highest_version: u64,
+    /// Number of announcements sent in this holding; the last one carries it as its `number`.
     announcements_sent: u64,
+    /// One record per configured node, by node number.
     peers: Vec<Peer>,
+    /// Number of versions decided in this holding.
     pub decided_count: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Preparing {
     header: TableHeader,
+    /// Time at which the coordinator started to prepare the version.
     since: Moment,
 }
 
--- a/crates/placement/src/coordinator/decide.rs
+++ b/crates/placement/src/coordinator/decide.rs
@@ -19,15 +19,15 @@
         let Some(Preparing { header, since }) = self.preparing.clone() else {
             return;
         };
-        let own = self.own_replica_holds(config, &header);
+        let held_here = self.own_replica_holds(config, &header);
         let timed_out = now >= since + config.prepare_timeout;
-        if !own && now >= since + config.lease && self.all_accounted_for(now) {
+        if !held_here && now >= since + config.lease && self.all_accounted_for(now) {
             self.abandon_version(now);
             return;
         }
         let safe = self.peers.iter().all(|peer| !peer.may_be_leased(now) || peer.holds(&header));
         let is_waited_for = |peer: &Peer| self.reported_recently(config, now, peer) && !peer.holds(&header);
-        if !own || !safe || (!timed_out && self.peers.iter().any(is_waited_for)) {
+        if !held_here || !safe || (!timed_out && self.peers.iter().any(is_waited_for)) {
             return;
         }
         self.decided = Some(header);
--- a/crates/placement/src/coordinator/find.rs
+++ b/crates/placement/src/coordinator/find.rs
@@ -7,7 +7,7 @@
 use crate::peer::Peer;
 
 impl Coordinator {
-    /// Returns the newest reported list: its revision, its array's digest and the node that has it.
+    /// Returns the newest list of the nodes that reported recently: its revision, its array's digest and the node that has it.
     pub fn newest_list(&self, config: &PlacementConfig, now: Moment) -> Option<(u64, u64, NodeId)> {
         let lists =
             self.peers.iter().enumerate().filter(|(_, peer)| self.reported_recently(config, now, peer));
@@ -34,7 +34,8 @@
         self.decided.map(|header| header.revision)
     }
 
-    /// Returns the `nth` node, other than `except`, that reports an array with this digest.
+    /// Returns the `nth` of the nodes, other than `except`, whose last report names an array with this digest; counting
+    /// wraps around.
     pub fn source(&self, digest: u64, except: NodeId, nth: u32) -> Option<NodeId> {
         let holds = |peer: &Peer| {
             peer.report.as_ref().is_some_and(|report| {
--- a/crates/placement/src/coordinator/grant.rs
+++ b/crates/placement/src/coordinator/grant.rs
@@ -17,19 +17,19 @@
         stamp: u64,
         out: &mut Outbox,
     ) {
-        let may = self.may_grant(config, now, from.node);
+        let may_grant = self.may_grant(config, now, from.node);
         let (decided, preparing) = (self.decided, self.preparing_header());
         let Some(peer) = self.peers.get_mut(usize::from(from.node.0)) else {
             return;
         };
-        let grant = may.then_some(Grant { incarnation: from.incarnation.0, stamp });
+        let grant = may_grant.then_some(Grant { incarnation: from.incarnation.0, stamp });
         let granted_recently =
             peer.granted_at.is_some_and(|granted_at| now < granted_at + config.heartbeat_interval() / 8);
         let up_to_date = peer.is_up_to_date(decided, preparing);
-        if may && !(up_to_date && granted_recently) {
+        if may_grant && !(up_to_date && granted_recently) {
             peer.grant(now, now + config.lease_length_at_coordinator());
             self.announce(now, from.node, grant, out);
-        } else if !may && !up_to_date {
+        } else if !may_grant && !up_to_date {
             self.announce(now, from.node, None, out);
         }
     }
--- a/crates/placement/src/fetch.rs
+++ b/crates/placement/src/fetch.rs
@@ -15,9 +15,13 @@
 /// The transfer of one array to this node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Fetch {
+    /// Digest of the array being fetched.
     target: u64,
+    /// The array to which the fetched changes apply.
     base: Array,
+    /// Number of pages that the changes take; `None` until the first page arrives.
     page_count: Option<u16>,
+    /// The pages that have arrived, by index.
     pages: BTreeMap<u16, Vec<Change>>,
     /// When pages were last requested.
     pub requested_at: Option<Moment>,
@@ -63,8 +67,8 @@
             .all(|index| index >= end || self.pages.contains_key(&index))
     }
 
-    /// Adds a page, and returns the array once all pages are there. If the result does not match its digest, the fetch
-    /// starts again from the empty array.
+    /// Adds a page, and returns the array once all pages are there. A page of another transfer is ignored. If the
+    /// result is invalid or does not match its digest, the fetch starts again from the empty array.
     pub fn add_page(&mut self, page: Page, from: NodeId) -> Option<Array> {
         if page.target != self.target || page.of == 0 || page.of > MAX_PAGES || page.index >= page.of {
             return None;
@@ -97,7 +101,7 @@
     }
 }
 
-/// Returns the requested pages, made from the arrays on this node.
+/// Returns the requested pages, made from the arrays on this node; none if this node lacks the target array.
 pub(crate) fn pages_for(request: &PageRequest, find_array: impl Fn(u64) -> Option<Array>) -> Vec<Page> {
     let Some(target) = find_array(request.target) else {
         return Vec::new();
--- a/crates/placement/src/message.rs
+++ b/crates/placement/src/message.rs
@@ -95,9 +95,11 @@
 /// Requests pages of the changes that turn one array into another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PageRequest {
+    /// Digest of the array that the requester lacks.
     pub target: u64,
     /// Digest of the array that the requester has.
     pub base: u64,
+    /// Index of the first requested page.
     pub first: u16,
     /// Bit i stands for page `first + i`.
     pub mask: u16,
@@ -106,11 +108,13 @@
 /// One page of the changes that turn one array into another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Page {
+    /// Digest of the array that the changes lead to.
     pub target: u64,
-    /// The base of the request, or the empty array if the answering node does not have that base.
+    /// Digest of the array that the changes apply to: the base of the request, or the empty array if the answering node does not have that base.
     pub base: u64,
+    /// Position of this page, from 0.
     pub index: u16,
-    /// Number of pages.
+    /// Number of pages that the changes take.
     pub of: u16,
     pub changes: Vec<Change>,
 }
--- a/crates/placement/src/pages.rs
+++ b/crates/placement/src/pages.rs
@@ -28,10 +28,10 @@
 /// Returns the changes that turn `base` into `target`, sorted by id.
 pub(crate) fn changes(base: &[TableEntry], target: &[TableEntry]) -> Vec<Change> {
     let (mut old, mut new) = (base.iter().peekable(), target.iter().peekable());
-    let mut out = Vec::new();
+    let mut changes = Vec::new();
     loop {
         let order = match (old.peek(), new.peek()) {
-            (None, None) => return out,
+            (None, None) => return changes,
             (Some(_), None) => Ordering::Less,
             (None, Some(_)) => Ordering::Greater,
             (Some(old), Some(new)) => old.server.cmp(&new.server),
@@ -39,9 +39,9 @@
         let gone = if order.is_le() { old.next() } else { None };
         let here = if order.is_ge() { new.next() } else { None };
         match (gone, here) {
-            (Some(gone), None) => out.push(Change { server: gone.server.clone(), weight_milli: None }),
+            (Some(gone), None) => changes.push(Change { server: gone.server.clone(), weight_milli: None }),
             (gone, Some(here)) if gone.is_none_or(|gone| gone.weight_milli != here.weight_milli) => {
-                out.push(Change { server: here.server.clone(), weight_milli: Some(here.weight_milli) });
+                changes.push(Change { server: here.server.clone(), weight_milli: Some(here.weight_milli) });
             }
             _ => {}
         }
@@ -69,17 +69,17 @@
 /// Applies changes to `base`. Both must be sorted by id. Unsorted changes from another node give an invalid array,
 /// which the caller's check of the digest detects.
 pub(crate) fn apply<'a>(base: &[TableEntry], changes: impl Iterator<Item = &'a Change>) -> Vec<TableEntry> {
-    let mut out = Vec::with_capacity(base.len());
+    let mut entries = Vec::with_capacity(base.len());
     let mut old = base.iter().peekable();
     for change in changes {
         while let Some(unchanged) = old.next_if(|entry| entry.server < change.server) {
-            out.push(unchanged.clone());
+            entries.push(unchanged.clone());
         }
         old.next_if(|entry| entry.server == change.server);
         if let Some(weight_milli) = change.weight_milli {
-            out.push(TableEntry { server: change.server.clone(), weight_milli });
+            entries.push(TableEntry { server: change.server.clone(), weight_milli });
         }
     }
-    out.extend(old.cloned());
-    out
+    entries.extend(old.cloned());
+    entries
 }
--- a/crates/placement/src/peer.rs
+++ b/crates/placement/src/peer.rs
@@ -8,12 +8,17 @@
 /// The coordinator's record of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
+    /// Incarnation that sent the last accepted report; `None` before the first report.
     incarnation: Option<Incarnation>,
+    /// The newest report of `incarnation`.
     pub report: Option<Report>,
+    /// Time at which the coordinator accepted `report`.
     pub reported_at: Option<Moment>,
     /// Time from which the node certainly has no lease; `None` if it has none already.
     lease_ends_by: Option<Moment>,
+    /// Time of this coordinator's last grant to `incarnation`.
     pub granted_at: Option<Moment>,
+    /// Time of the last announcement to the node; cleared when a version is started or abandoned.
     pub announced_at: Option<Moment>,
     /// Time since which there is a version that the node does not hold.
     pub behind_since: Option<Moment>,
@@ -33,7 +38,8 @@
         }
     }
 
-    /// Takes a report under this coordinator's own fencing number, and returns whether it is newer than the last.
+    /// Stores a report under this coordinator's own fencing number, and returns `true`. A report of an older
+    /// incarnation, or no newer than the last one of the same incarnation, is ignored and gives `false`.
     ///
     /// A node that reports having no lease can get none from an earlier coordinator any more, because it ignores those.
     /// A grant of this coordinator may still be on its way, so such a lease always counts until its end.
@@ -63,6 +69,7 @@
         true
     }
 
+    /// Records a lease granted at `now` that ends no later than `lease_ends_by`, by the coordinator's clock.
     pub fn grant(&mut self, now: Moment, lease_ends_by: Moment) {
         self.granted_at = Some(now);
         self.lease_ends_by = Some(lease_ends_by);
@@ -78,6 +85,7 @@
         self.report.as_ref().is_some_and(|report| report.leased) && self.may_be_leased(now)
     }
 
+    /// Returns whether the last report lists this table or a newer decided one.
     pub fn holds(&self, header: &TableHeader) -> bool {
         self.report.as_ref().is_some_and(|report| report.holds(header))
     }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -30,9 +30,11 @@
     leader_lease: LeaderLease,
     pub(crate) protocol: TableProtocol,
     outbox: Outbox,
+    /// Time at which this state was created.
     started_at: Moment,
     /// When to check next whether this node should become a candidate for the leader lease.
     next_candidacy_check_at: Moment,
+    /// Number of endpoint lists rejected by [`Placement::set_endpoint_list`].
     lists_rejected: u64,
 }
 
@@ -48,7 +50,7 @@
         now: Moment,
         seed: u64,
     ) -> Result<Placement, ConfigError> {
-        config.check()?;
+        config.validate()?;
         let (this, configured, drift_ppm) = (config.this, config.configured, config.drift_ppm);
         let lease_config = LeaseConfig { this, configured, term: config.lease / 2, drift_ppm };
         let mut leader_lease =
@@ -143,6 +145,7 @@
         }
     }
 
+    /// Returns the fencing number of the leader lease while this node holds it.
     fn epoch(&self, now: Moment) -> Option<u64> {
         self.leader_lease.held(now).map(|lease| lease.epoch)
     }
--- a/crates/placement/src/protocol.rs
+++ b/crates/placement/src/protocol.rs
@@ -16,7 +16,8 @@
 use crate::replica::Replica;
 use crate::table::{Array, TableEntry};
 
-/// Most messages to itself that a node processes in one call; none is known to need more than a few.
+/// Most messages to itself that a node processes in one call; any others are dropped. No call is known to need more
+/// than a few.
 const MAX_SELF_MESSAGES: usize = 64;
 
 /// Page requests answered within `retry`; the rest are dropped, and the requesters ask another node.
@@ -28,17 +29,24 @@
     pub config: PlacementConfig,
     pub replica: Replica,
     pub coordinator: Option<Coordinator>,
+    /// The transfer in progress.
     fetch: Option<Fetch>,
+    /// The last page request sent.
     last_request: Option<PageRequest>,
     /// Start of the interval in which `answers_in_window` counts page requests.
     answer_window_started_at: Moment,
     answers_in_window: u32,
     reports_sent: u64,
-    /// The last report sent; one that differs is sent at once. `None` makes the next report due now.
+    /// The last report sent; one with another epoch, table or lease state is sent at once. `None` makes the next report
+    /// due now.
     last_report: Option<Report>,
+    /// Time at which `last_report` was sent.
     reported_at: Moment,
+    /// Time at which a report is due even if nothing has changed.
     next_report_at: Moment,
+    /// Time from which [`TableProtocol::tick`] runs the coordinator; `None` means at the next call.
     next_tick_at: Option<Moment>,
+    /// Selects the first node that is asked for pages when no better source is known.
     seed: u64,
     /// Versions decided by this node in earlier holdings of the leader lease.
     pub decided_in_past_terms: u64,
@@ -200,6 +208,7 @@
         out.events.append(&mut self.replica.events);
     }
 
+    /// Reports to the coordinator if the epoch, a table or the lease state has changed or a report is due.
     fn report(&mut self, now: Moment, out: &mut Outbox) {
         let Some(leader) = self.replica.leader_node() else {
             return;
--- a/crates/placement/src/protocol/pull.rs
+++ b/crates/placement/src/protocol/pull.rs
@@ -10,11 +10,13 @@
 use crate::table::{Array, TableHeader};
 
 impl TableProtocol {
+    /// Returns the array with this digest if this node has it; every node has the empty array.
     pub(super) fn find_array(&self, digest: u64) -> Option<Array> {
         let empty = Array::new(Vec::new());
         self.replica.find_array(digest).or_else(|| (digest == empty.digest).then_some(empty))
     }
 
+    /// Ends the fetch, and stores the array as the wanted endpoint list or with its table.
     pub(super) fn on_array_fetched(&mut self, now: Moment, array: Array) {
         self.fetch = None;
         if let Some((revision, ..)) = self.wanted_list(now).filter(|(_, digest, _)| *digest == array.digest) {
@@ -24,12 +26,13 @@
         self.replica.on_array_fetched(now, array);
     }
 
-    /// Returns the newest list of other nodes, if this node is the coordinator and has only older ones.
+    /// Returns the revision, digest and holder of the newest list of other nodes, if this node is the coordinator and has only older ones.
     fn wanted_list(&self, now: Moment) -> Option<(u64, u64, NodeId)> {
         let lists = [&self.replica.endpoint_list, &self.replica.fetched_list].into_iter().flatten();
         self.coordinator.as_ref()?.newer_list(&self.config, now, lists.map(|(revision, _)| *revision).max())
     }
 
+    /// Fetches the missing table, else the wanted list; repeats the request when no page has come within `retry`.
     pub(super) fn fetch_missing(&mut self, now: Moment, view: &View, out: &mut Outbox) {
         let list = self.wanted_list(now).map(|(_, digest, _)| digest);
         let Some(target) = self.replica.missing_table().map(|header: TableHeader| header.digest).or(list)
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -13,8 +13,9 @@
 /// The coordinator that this node obeys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Leader {
+    /// Fencing number of the coordinator.
     pub epoch: u64,
-    /// `None` after a start from stored state, when only the fencing number is known.
+    /// The coordinator's node. `None` after a start from stored state, when only the fencing number is known.
     pub node_incarnation: Option<NodeIncarnation>,
     /// Number of its newest announcement.
     pub number: u64,
@@ -24,20 +25,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Replica {
     pub leader: Leader,
+    /// Time at which the last announcement was accepted.
     pub last_announced_at: Option<Moment>,
+    /// End of the newest lease by this node's clock; stays set after the lease has expired.
     lease_until: Option<Moment>,
     /// The table that the node places by.
     in_force: Option<LocalTable>,
     /// A decided and complete table that comes into force with the next lease.
     awaiting_lease: Option<LocalTable>,
+    /// The complete table that is not decided as far as this node knows.
     prepared: Option<LocalTable>,
+    /// The newest decided table, by the last announcement of a coordinator that knew its predecessors' decisions.
     decided: Option<TableHeader>,
+    /// The table being prepared, by the last such announcement; `None` after a change of coordinator.
     preparing: Option<TableHeader>,
+    /// Revision and array of this node's own list.
     pub endpoint_list: Option<(u64, Array)>,
-    /// A newer list, fetched from another node.
+    /// Revision and array of a newer list, fetched from another node.
     pub fetched_list: Option<(u64, Array)>,
     /// An array that has just been fetched, until it is stored with its table.
     fetched_array: Option<Array>,
+    /// `LeaseExpired` was reported, and no lease has been granted since.
     expiry_reported: bool,
     pub events: Vec<PlacementEvent>,
     pub metrics: Metrics,
@@ -77,10 +85,12 @@
         self.base().into_iter().chain(&self.prepared).map(|held| held.header.id)
     }
 
+    /// Returns whether this node has a lease at `now`, by its own clock.
     pub fn is_leased(&self, now: Moment) -> bool {
         self.lease_until.is_some_and(|until| now < until)
     }
 
+    /// Returns the end of the lease; `None` before the first lease or once its expiry was reported.
     pub fn lease_until(&self) -> Option<Moment> {
         self.lease_until.filter(|_| !self.expiry_reported)
     }
@@ -137,8 +147,8 @@
         self.preparing.filter(|header| held != Some(header.id) && base < Some(header.id))
     }
 
-    /// Applies an announcement of the coordinator. Returns `false`, and changes nothing, if it is outdated or
-    /// implausible.
+    /// Applies an announcement of the coordinator. Returns `false`, and changes nothing, if it is outdated, implausible
+    /// or from another node under the same fencing number.
     pub fn on_announcement(
         &mut self,
         config: &PlacementConfig,
@@ -231,6 +241,7 @@
         }
     }
 
+    /// Puts the table that awaits a lease in force if there is a lease, and reports a regained lease.
     fn switch(&mut self, now: Moment) {
         if !self.is_leased(now) {
             return;
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -57,7 +57,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct TableHeader {
     pub id: TableId,
+    /// Revision of the endpoint list from which the table was made.
     pub revision: u64,
+    /// See [`Table::digest`].
     pub digest: u64,
 }
 
@@ -122,7 +124,7 @@
         && entries.is_sorted_by(|one, other| one.server < other.server)
 }
 
-/// Returns the XXH3 hash over each entry's length, id and weight.
+/// Returns the XXH3 hash over each entry's id length in bytes, id and weight.
 pub(crate) fn digest(entries: &[TableEntry]) -> u64 {
     let mut bytes = Vec::with_capacity(entries.len() * 24);
     for entry in entries {
