--- a/crates/quota/src/budgets.rs
+++ b/crates/quota/src/budgets.rs
@@ -43,17 +43,21 @@
 pub struct Budgets {
     quota: NodeQuota,
     leader_lease: LeaderLease,
+    /// Varies the jitter of request times between nodes.
     seed: u64,
+    /// State as grantor while this node holds the leader lease.
     granting: Option<GrantorRole>,
     /// Requests that may still be answered, with the time just before each was sent.
     pending: VecDeque<(u32, Moment)>,
     /// Identifier of the last request.
     request_id: u32,
+    /// Time at which this node next reports its demand.
     next_request_at: Moment,
     /// Consecutive requests without an answer.
     unanswered: u32,
     /// The grantor that this node knows of.
     known_grantor: Option<KnownGrantor>,
+    /// Messages and events, in order, until the driver takes them.
     outbox: Vec<Output<BudgetsEvent>>,
 }
 
@@ -61,6 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownGrantor {
     node: NodeId,
+    /// Time after which the node is no longer taken for the grantor.
     expires_at: Moment,
     /// The grantor has granted to this node. Otherwise only a redirect named it, and this node redirects nobody to it.
     confirmed: bool,
@@ -72,6 +77,7 @@
     ledger: Grantor,
     /// Before this time the grantor only collects demand.
     grants_from: Moment,
+    /// Time at which the targets are next recomputed.
     next_round_at: Moment,
 }
 
@@ -163,7 +169,7 @@
         self.leader_lease.last_known_holder()
     }
 
-    /// A deterministic jitter: 0.5 to 1.5 times `length`, by seed and request.
+    /// Returns 0.5 to 1.5 times `length`, always the same for one seed and request id.
     fn jitter(&self, length: Duration) -> Duration {
         let hash = FxBuildHasher.hash_one((self.seed, self.request_id));
         length.mul_f64(0.5 + (hash >> 11) as f64 / (1u64 << 53) as f64)
--- a/crates/quota/src/budgets/exchange.rs
+++ b/crates/quota/src/budgets/exchange.rs
@@ -19,7 +19,7 @@
 
 /// Periods that a new grantor waits for demand reports from the nodes of its view.
 const LISTEN_PERIODS: u32 = 2;
-/// Requests without an answer that are followed by a retry after a third of a period.
+/// Number of consecutive requests without an answer up to which the next one follows after a third of a period.
 const MAX_FAST_RETRIES: u32 = 3;
 
 impl Budgets {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The node to send demand to: this node if it grants, else the last grantor if alive, else in turn the last known
-    /// lease holder and the lowest node that is alive.
+    /// The node to send demand to: this node if it grants, else the known grantor if alive, else in turn the last known
+    /// lease holder and the lowest node that is alive; `None` if that is this node, which does not grant.
     fn choose_grantor(&self, now: Moment, view: &View) -> Option<NodeId> {
         let this = self.quota.config.this.node;
         if self.granting.is_some() {
@@ -88,11 +88,14 @@
         last_grantor.or(last_holder).or(lowest_alive(view)).filter(|node| *node != this)
     }
 
+    /// The known grantor, if that knowledge has not expired.
     fn known_grantor(&self, now: Moment) -> Option<KnownGrantor> {
         self.known_grantor.filter(|known| now < known.expires_at)
     }
 
-    /// Handles a demand report: grants if this node is the grantor, else redirects to a confirmed grantor.
+    /// Handles a demand report. As grantor, this node records the demand and, from `grants_from` on, answers with grants,
+    /// except to an earlier incarnation or beyond a node's answers per round. Otherwise it redirects to a confirmed
+    /// grantor, if it knows one.
     pub(super) fn handle_demand(
         &mut self,
         now: Moment,
@@ -128,7 +131,8 @@
         }
     }
 
-    /// Handles a redirect. It is ignored while the known grantor is confirmed, unless the new grantor itself sent it.
+    /// Handles a redirect: the demand is reported to `node` soon. It is ignored if `node` is this node or not
+    /// configured, and while the known grantor is confirmed, unless the new grantor itself sent it.
     pub(super) fn handle_redirect(&mut self, now: Moment, sender: NodeId, node: NodeId) {
         let config = &self.quota.config;
         let confirmed = self.known_grantor(now).is_some_and(|known| known.confirmed && sender != node);
@@ -140,7 +144,8 @@
         }
     }
 
-    /// Stores a grant. It lasts from just before the request was sent, shortened for clock drift.
+    /// Stores a grant. It lasts from just before the request was sent, shortened for clock drift. A grant whose request
+    /// is no longer pending is ignored; an expired one only confirms the grantor.
     pub(super) fn handle_grant(&mut self, now: Moment, sender: NodeId, grant: Grant) {
         let Some(&(_, sent_at)) = self.pending.iter().find(|(request_id, _)| *request_id == grant.request_id)
         else {
@@ -169,9 +174,13 @@
 
 /// The fields of a grant message.
 pub(super) struct Grant {
+    /// The request that the grant answers.
     pub(super) request_id: u32,
+    /// Epoch of the grantor's leader lease.
     pub(super) epoch: u64,
+    /// Digest of the grantor's contracts.
     pub(super) contracts: u32,
+    /// Duration from the sending of the request, in true time.
     pub(super) length: Duration,
     pub(super) page: QuotaPage,
 }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -36,6 +36,7 @@
 }
 
 const MIN_LEASE: Duration = Duration::from_millis(40);
+/// The whole, in millionths.
 const PPM: u64 = 1_000_000;
 
 impl BudgetsConfig {
@@ -44,6 +45,7 @@
         BudgetsConfig { this, configured, lease, drift_ppm: 20_000, minimum_ppm: 250_000 }
     }
 
+    /// Checks the lease and the safe minimums; the leader lease checks the other settings itself.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
         if self.lease < MIN_LEASE {
             return Err(ConfigError::Lease(self.lease));
@@ -54,6 +56,7 @@
         Ok(())
     }
 
+    /// Settings of the grantor's leader lease.
     pub(crate) fn leader_lease(&self) -> LeaseConfig {
         let BudgetsConfig { this, configured, lease, drift_ppm, .. } = *self;
         LeaseConfig { this, configured, term: lease, drift_ppm }
--- a/crates/quota/src/contracts.rs
+++ b/crates/quota/src/contracts.rs
@@ -50,10 +50,12 @@
         TenantIndex(found.unwrap_or(self.tenants.len() - 1) as u8)
     }
 
+    /// The index of `others`, which stands for all tenants that the file does not name.
     pub(crate) fn others_index(&self) -> usize {
         self.tenants.len() - 1
     }
 
+    /// CRC-32 of names and shares, by which nodes compare their contracts.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
@@ -63,7 +65,8 @@
         self.tenants.iter().map(|tenant| newer.tenant(&tenant.name).0.into()).collect()
     }
 
-    /// Divides a node's own quota among its tenants by demand, with a demand of at least one each, for the next use.
+    /// Divides a node's own quota among its tenants by share and demand. Each tenant counts with a demand of at least
+    /// one, so that quota is left for its next use.
     pub(crate) fn divide(&self, amount: u32, demands: &[u32]) -> Vec<u32> {
         let demand = |index: usize| demands.get(index).copied().unwrap_or(0).max(1);
         let claims: Vec<Claim> = self
--- a/crates/quota/src/contracts/read.rs
+++ b/crates/quota/src/contracts/read.rs
@@ -58,7 +58,7 @@
         let field = if path == "." { "file" } else { path };
         error_at(text, start(error.inner()), field, single_line(error.inner()))
     })?;
-    check(&file).map_err(|(at, field, expected)| error_at(text, at, &field, expected))?;
+    validate(&file).map_err(|(at, field, expected)| error_at(text, at, &field, expected))?;
     let mut tenants: Vec<Tenant> = file
         .tenants
         .into_iter()
@@ -71,12 +71,12 @@
 /// Byte offset, field path, and what was expected.
 type Fault = (usize, String, String);
 
-/// Checks what the types alone cannot express.
-fn check(file: &File) -> Result<(), Fault> {
+/// Checks version, names and shares, and returns the first fault.
+fn validate(file: &File) -> Result<(), Fault> {
     if *file.version.get_ref() != VERSION {
         return Err((file.version.span().start, "version".into(), format!("{VERSION} expected")));
     }
-    share(&file.others.share, "others.share")?;
+    validate_share(&file.others.share, "others.share")?;
     for (index, entry) in file.tenants.iter().enumerate() {
         let field = format!("tenants[{index}].name");
         let at = entry.name.span().start;
@@ -90,12 +90,12 @@
         if file.tenants[..index].iter().any(|earlier| earlier.name.get_ref() == name) {
             return Err((at, field, "a name that no earlier tenant has expected".into()));
         }
-        share(&entry.share, &format!("tenants[{index}].share"))?;
+        validate_share(&entry.share, &format!("tenants[{index}].share"))?;
     }
     Ok(())
 }
 
-fn share(share: &Spanned<u32>, field: &str) -> Result<(), Fault> {
+fn validate_share(share: &Spanned<u32>, field: &str) -> Result<(), Fault> {
     if (1..=MAX_SHARE).contains(share.get_ref()) {
         return Ok(());
     }
--- a/crates/quota/src/demand.rs
+++ b/crates/quota/src/demand.rs
@@ -9,11 +9,12 @@
 
 /// Upper bound of a single demand.
 const MAX_DEMAND: u32 = 1 << 20;
-/// Largest demand that [`quantize`] reports exactly at coarseness 0.
+/// [`quantize`] reports demands up to this number exactly at coarseness 0; each degree of coarseness halves it.
 const MAX_EXACT_DEMAND: u32 = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct DemandEstimate {
+    /// Estimated demand at `updated_at`.
     level: f64,
     updated_at: Moment,
 }
@@ -25,6 +26,8 @@
         self.level * (1.0 - (elapsed.as_secs_f64() / span.as_secs_f64()).min(1.0))
     }
 
+    /// Raises the level to `demand` at once, or lowers it towards `demand` in proportion to the time since the
+    /// last update: fully after one `span`.
     fn record(&mut self, now: Moment, demand: u32, span: Duration) {
         let elapsed = now.saturating_sub(self.updated_at);
         let old_weight = 1.0 - (elapsed.as_secs_f64() / span.as_secs_f64()).min(1.0);
@@ -37,6 +40,7 @@
 /// Demand estimates of all tenants for all resources.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DemandTracker {
+    /// Estimates by resource, and within it by tenant index.
     rows: BTreeMap<Resource, Vec<DemandEstimate>>,
 }
 
--- a/crates/quota/src/gate.rs
+++ b/crates/quota/src/gate.rs
@@ -23,9 +23,9 @@
 struct ResourceUse {
     /// Concurrent uses by tenant.
     in_use: Vec<u32>,
-    /// By tenant, when one with an allotment below one last began a use beyond its `max_uses`.
+    /// By tenant: when it last began a use beyond its `max_uses`, as a tenant with an allotment below one may.
     last_extra_use: Vec<Option<Moment>>,
-    /// Open connections.
+    /// Number of open connections.
     open: u32,
 }
 
@@ -35,6 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct AdmissionGate {
     resources: BTreeMap<Resource, ResourceUse>,
+    /// Returned with a rejection unless a better value is known.
     default_retry_after: Duration,
 }
 
@@ -106,7 +107,7 @@
             .map_or(0, |resource_use| resource_use.open.saturating_sub(allotment.node_max_uses))
     }
 
-    /// Open connections, and uses by all tenants.
+    /// Numbers of open connections and of uses in progress by all tenants.
     pub fn counts(&self, resource: Resource) -> (u32, u32) {
         self.resources
             .get(&resource)
--- a/crates/quota/src/grantor/account.rs
+++ b/crates/quota/src/grantor/account.rs
@@ -11,6 +11,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Account {
+    /// The node and the newest incarnation that reported.
     pub(crate) life: NodeIncarnation,
     /// When the node last reported its demand.
     pub(crate) last_report_at: Moment,
@@ -27,6 +28,7 @@
 
 #[derive(Clone, Debug)]
 struct ActiveGrant {
+    /// Latest time at which the node may still use the grant, by the grantor's clock.
     expires_at: Moment,
     /// Granted amount by slot, summed over tenants.
     counts: Vec<u32>,
@@ -51,6 +53,7 @@
         !self.active_grants.is_empty()
     }
 
+    /// Drops grants that are certainly over.
     pub(crate) fn expire(&mut self, now: Moment) {
         let before = self.active_grants.len();
         self.active_grants.retain(|grant| now < grant.expires_at);
@@ -59,6 +62,7 @@
         }
     }
 
+    /// Records a grant of `counts` by slot until `expires_at`, by the grantor's clock.
     pub(crate) fn record_grant(&mut self, expires_at: Moment, counts: Vec<u32>) {
         if self.active_grants.len() < MAX_GRANTS {
             self.active_grants.push(ActiveGrant { expires_at, counts });
@@ -83,8 +87,9 @@
         self.demands = sources.iter().map(|from| first_source(&self.demands, from)).collect();
         self.targets = sources.iter().map(|from| first_source(&self.targets, from)).collect();
         for grant in &mut self.active_grants {
-            let most = |from: &Vec<usize>| from.iter().map(|&index| grant.counts[index]).max().unwrap_or(0);
-            grant.counts = sources.iter().map(most).collect();
+            let highest_count =
+                |from: &Vec<usize>| from.iter().map(|&index| grant.counts[index]).max().unwrap_or(0);
+            grant.counts = sources.iter().map(highest_count).collect();
         }
         self.recompute_reserved();
         self.reserved.resize(sources.len(), 0);
@@ -103,8 +108,8 @@
 
     fn recompute_reserved(&mut self) {
         let slots = self.demands.len();
-        let most =
+        let highest_count =
             |index: usize| self.active_grants.iter().map(|grant| grant.counts[index]).max().unwrap_or(0);
-        self.reserved = (0..slots).map(most).collect();
+        self.reserved = (0..slots).map(highest_count).collect();
     }
 }
--- a/crates/quota/src/grantor/slots.rs
+++ b/crates/quota/src/grantor/slots.rs
@@ -16,7 +16,9 @@
 /// Identifies a slot. The derived order puts classes before resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum SlotKey {
+    /// All unlisted resources of this capacity.
     Class(u32),
+    /// One resource.
     Resource(Resource),
 }
 
@@ -73,11 +75,12 @@
         })
     }
 
-    /// The index of a slot's class.
+    /// The index of the class of a slot's capacity, if there is one.
     pub(crate) fn class_index(&self, slot: &Slot) -> Option<usize> {
         self.index_of(SlotKey::Class(slot.capacity))
     }
 
+    /// Replaces one node's reserved amounts, by slot, in the sums over all nodes.
     pub(crate) fn update_reserved(&mut self, before: &[u32], after: &[u32]) {
         for (slot, (before, after)) in self.slots.iter_mut().zip(before.iter().zip(after)) {
             slot.reserved = slot.reserved - before + after;
@@ -136,7 +139,8 @@
         self.slots.binary_search_by_key(&key, |slot| slot.key).ok()
     }
 
-    /// Drops retired resources whose grants equal those of their class at all nodes.
+    /// Drops retired resources whose grants equal those of their class at all nodes, by `has_equal_grants`. Returns the
+    /// sources of the slots that stay, or `None` if all do.
     pub(crate) fn drop_retired(
         &mut self,
         has_equal_grants: impl Fn(usize, Option<usize>) -> bool,
--- a/crates/quota/src/leases.rs
+++ b/crates/quota/src/leases.rs
@@ -6,7 +6,7 @@
 use crate::names::Resource;
 use crate::quota_page::{QuotaPage, Row};
 
-/// Most leases stored; a grantor's answers to one request are far fewer.
+/// Most leases stored, beyond which the oldest is dropped; a grantor's answers to one request are far fewer.
 const MAX_LEASES: usize = 64;
 
 /// One granted page.
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -52,6 +52,7 @@
         postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MAX_PAYLOAD)
     }
 
+    /// Decodes a payload; rejects a row longer than `MAX_ROW_LENGTH` and bytes after the message.
     pub(crate) fn decode(payload: &[u8]) -> Result<Self, Rejection> {
         let (message, rest) = postcard::take_from_bytes(payload).map_err(|_| Rejection::Payload)?;
         let fits = match &message {
--- a/crates/quota/src/node_quota.rs
+++ b/crates/quota/src/node_quota.rs
@@ -28,6 +28,7 @@
         self.capacities.keys().map(|resource| (*resource, self.row(now, *resource))).collect()
     }
 
+    /// What the tenant may use at `now`; nothing for an unknown resource or tenant.
     pub(crate) fn allotment(&self, now: Moment, resource: Resource, tenant: TenantIndex) -> Allotment {
         let index = usize::from(tenant.0);
         let Some(&capacity) =
@@ -50,6 +51,7 @@
         }
     }
 
+    /// The demand of this node's tenants for a resource.
     fn row(&self, now: Moment, resource: Resource) -> Row {
         self.demands.row(now, resource, self.config.period(), self.contracts.tenants().len())
     }
--- a/crates/quota/src/quota_page.rs
+++ b/crates/quota/src/quota_page.rs
@@ -24,6 +24,7 @@
         (self.from..=self.to).contains(&resource.0)
     }
 
+    /// Greatest number of tenants in any row of the page.
     pub(crate) fn longest_row(&self) -> usize {
         let classes = self.classes.iter().map(|(_, row)| row.len());
         classes.chain(self.rows.iter().map(|(_, row)| row.len())).max().unwrap_or(0)
