--- a/crates/control-plane/src/counters.rs
+++ b/crates/control-plane/src/counters.rs
@@ -1,4 +1,5 @@
-//! Datagram counters of the plane. Each datagram received, sent or dropped is counted in exactly one of them.
+//! Datagram counters of the plane. An incoming datagram counts as received and, if it is dropped, under the cause as
+//! well; an outgoing one counts as exactly one of sent, held back and unsendable.
 
 use std::collections::BTreeMap;
 
@@ -16,6 +17,7 @@
     /// Payloads dropped because they exceed a datagram or are not for another configured node, which is a bug in a
     /// state machine.
     pub unsendable: u64,
+    /// Incoming datagrams dropped, by cause.
     refused: BTreeMap<Rejection, u64>,
 }
 
--- a/crates/control-plane/src/file.rs
+++ b/crates/control-plane/src/file.rs
@@ -78,7 +78,7 @@
         crc32fast::hash(self.realm.as_bytes())
     }
 
-    /// The first invalid field and what was expected.
+    /// The first invalid field and what was expected; `None` if all fields are valid.
     fn first_fault(&self) -> Option<(String, String)> {
         let checks = [
             ("version", self.version == VERSION, "1 expected"),
--- a/crates/control-plane/src/file/sections.rs
+++ b/crates/control-plane/src/file/sections.rs
@@ -10,10 +10,12 @@
 /// Path of an invalid field and what was expected.
 pub(super) type Fault = (&'static str, &'static str);
 
+/// A duration of `count` milliseconds.
 fn ms(count: u64) -> FileDuration {
     FileDuration(Duration::from_millis(count))
 }
 
+/// The field and the expectation of the first check that is not met.
 fn first_failed(checks: &[(bool, &'static str, &'static str)]) -> Option<Fault> {
     checks.iter().find(|(is_valid, _, _)| !is_valid).map(|(_, field, what)| (*field, *what))
 }
--- a/crates/control-plane/src/plane.rs
+++ b/crates/control-plane/src/plane.rs
@@ -48,6 +48,7 @@
 /// `B` divides capacities.
 pub struct Plane<A, B> {
     filter: DatagramFilter,
+    /// Limits outgoing datagrams of all state machines together.
     rate_limit: TokenBucket,
     counters: Counters,
     peers: Peers,
@@ -86,8 +87,8 @@
     /// Handles a received datagram. `sender` is the node whose configured address it came from.
     ///
     /// # Errors
-    /// Returns the cause for which the datagram was dropped. The refusal has been counted, and nothing else
-    /// has changed.
+    /// Returns the cause for which the datagram was dropped. The datagram and the refusal have been counted; otherwise
+    /// only the plane's time has advanced.
     pub fn receive(&mut self, now: Moment, sender: Option<NodeId>, datagram: &[u8]) -> Result<(), Rejection> {
         let now = self.advance_clock(now);
         self.counters.received += 1;
@@ -99,6 +100,7 @@
         result
     }
 
+    /// Passes a valid datagram's payload to the state machine of its kind, or returns why it was dropped.
     fn route(&mut self, now: Moment, envelope: &Envelope) -> Result<(), Rejection> {
         let Envelope { kind, from, payload, .. } = envelope;
         match kind {
@@ -123,21 +125,21 @@
     }
 
     /// Takes the outputs since the last call. Datagrams beyond the rate limit are dropped and counted; membership has
-    /// priority, then leases, then tables.
+    /// priority, then budgets, then placement.
     pub fn take(&mut self, now: Moment) -> Vec<PlaneOutput<A::Event, B::Event>> {
         let now = self.advance_clock(now);
         self.follow_view(now);
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         for output in self.peers.take_outputs() {
-            out.extend(self.emit(now, Kind::Peers, output, PlaneEvent::Peers));
+            outputs.extend(self.emit(now, Kind::Peers, output, PlaneEvent::Peers));
         }
         for output in self.budgets.as_mut().map(StateMachine::take_outputs).unwrap_or_default() {
-            out.extend(self.emit(now, Kind::Quota, output, PlaneEvent::Budgets));
+            outputs.extend(self.emit(now, Kind::Quota, output, PlaneEvent::Budgets));
         }
         for output in self.placement.as_mut().map(StateMachine::take_outputs).unwrap_or_default() {
-            out.extend(self.emit(now, Kind::Placement, output, PlaneEvent::Placement));
+            outputs.extend(self.emit(now, Kind::Placement, output, PlaneEvent::Placement));
         }
-        out
+        outputs
     }
 
     /// This node's membership view.
@@ -165,6 +167,7 @@
         self.budgets.as_mut()
     }
 
+    /// Returns the later of `now` and the latest time passed in before, so that time never runs backwards.
     fn advance_clock(&mut self, now: Moment) -> Moment {
         self.now = self.now.max(now);
         self.now
@@ -177,6 +180,7 @@
         }
     }
 
+    /// Ticks placement and budgets with the current view.
     fn tick_machines(&mut self, now: Moment) {
         let view = self.peers.view();
         self.ticked_version = view.version;
@@ -188,6 +192,8 @@
         }
     }
 
+    /// Converts a state machine's output. Returns `None` for a payload that cannot be sent or exceeds the rate limit; it
+    /// is dropped and counted.
     fn emit<N>(
         &mut self,
         now: Moment,
--- a/crates/control-plane/src/token_bucket.rs
+++ b/crates/control-plane/src/token_bucket.rs
@@ -9,6 +9,7 @@
 pub(crate) struct TokenBucket {
     /// Time after which one token is added.
     interval: Duration,
+    /// Most tokens that the bucket holds.
     burst: u32,
     /// Tokens available.
     tokens: u32,
@@ -30,13 +31,13 @@
 
     /// Takes a token; returns whether one was available.
     pub fn try_take(&mut self, now: Moment) -> bool {
-        let due = now.saturating_sub(self.refilled_at).as_nanos() / self.interval.as_nanos().max(1);
-        let due = u32::try_from(due).unwrap_or(u32::MAX);
-        if due >= self.burst - self.tokens {
+        let new_tokens = now.saturating_sub(self.refilled_at).as_nanos() / self.interval.as_nanos().max(1);
+        let new_tokens = u32::try_from(new_tokens).unwrap_or(u32::MAX);
+        if new_tokens >= self.burst - self.tokens {
             (self.tokens, self.refilled_at) = (self.burst, now);
         } else {
-            self.tokens += due;
-            self.refilled_at += self.interval * due;
+            self.tokens += new_tokens;
+            self.refilled_at += self.interval * new_tokens;
         }
         let taken = self.tokens > 0;
         self.tokens -= u32::from(taken);
--- a/crates/loadgen/src/load/connection.rs
+++ b/crates/loadgen/src/load/connection.rs
@@ -86,10 +86,14 @@
 
 struct Connection<'a> {
     shared: &'a Shared,
+    /// Index of the connection slot within the worker thread.
     slot: usize,
     stream: TcpStream,
+    /// Encoded requests that are not written yet.
     output: BytesMut,
+    /// Bytes read that are not decoded yet.
     input: BytesMut,
+    /// Requests taken and not answered, oldest first.
     in_flight: VecDeque<InFlightRequest>,
     /// Requests taken for this connection so far.
     requests_taken: u64,
@@ -122,6 +126,7 @@
         }
     }
 
+    /// Sends requests and handles answers until the connection ends.
     async fn serve(mut self) {
         let close_reason = loop {
             self.take_requests();
@@ -140,6 +145,7 @@
     }
 
     /// Writes pending bytes, then waits for and handles one event: readiness, queued work, or the oldest deadline.
+    /// Returns why the connection must be closed, or `None` to go on.
     async fn wait_for_event(&mut self) -> Option<CloseReason> {
         // Written without waiting for readiness: the socket buffer nearly always has room.
         if !self.output.is_empty() && !self.write() {
@@ -184,6 +190,7 @@
         }
     }
 
+    /// Reads what the socket has and handles it; returns why the connection must be closed, or `None` to go on.
     fn read(&mut self) -> Option<CloseReason> {
         match self.stream.try_read_buf(&mut self.input) {
             Ok(0) => {
@@ -195,7 +202,8 @@
         }
     }
 
-    /// Handles every complete answer in the input buffer.
+    /// Handles every complete answer in the input buffer; `Broken` if one is malformed or belongs to no request that it
+    /// could answer.
     fn read_answers(&mut self) -> Option<CloseReason> {
         loop {
             match next_answer(&mut self.input) {
@@ -234,7 +242,8 @@
         true
     }
 
-    /// Ends the connection and every request still in flight on it.
+    /// Ends the connection. Requests in flight on it are retried, except one that timed out and those that are left when
+    /// the run is stopped, which end.
     fn finish(self, close_reason: &CloseReason) {
         if matches!(close_reason, CloseReason::Broken) {
             self.shared.results.borrow_mut().counts.broken_connections += 1;
--- a/crates/loadgen/src/load/shared.rs
+++ b/crates/loadgen/src/load/shared.rs
@@ -33,17 +33,21 @@
 /// Shared state of one worker thread.
 pub(super) struct Shared {
     pub spec: LoadSpec,
+    /// Start of the run, from which all times are measured.
     pub start: Instant,
     /// Index of the worker thread.
     pub number: usize,
+    /// Requests waiting for a connection, in the order in which they were queued.
     pub queue: RefCell<VecDeque<Pending>>,
     /// Requests waiting for a retry, by time and request id.
     pub retries: RefCell<BTreeMap<(Duration, u64), Pending>>,
+    /// Number of ids given out.
     ids: Cell<u64>,
     /// Stack of connections that can take a request; the most recently freed one is last.
     free: RefCell<Vec<usize>>,
     /// Whether each connection is in `free`.
     is_free: Vec<Cell<bool>>,
+    /// By connection: notified when it should take a request or the run is over.
     pub wakeups: Vec<Notify>,
     pub results: RefCell<RunResults>,
     /// Number of requests that have not ended.
@@ -79,10 +83,12 @@
         }
     }
 
+    /// Time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
+    /// Converts a time since the start of the run.
     pub fn instant(&self, at: Duration) -> tokio::time::Instant {
         (self.start + at).into()
     }
@@ -98,7 +104,7 @@
         self.finished.get()
     }
 
-    /// Takes the next queued request whose client still waits.
+    /// Takes the next queued request whose client still waits, and ends the expired ones before it.
     pub fn next_request(&self) -> Option<Pending> {
         self.end_expired(self.now());
         self.queue.borrow_mut().pop_front()
@@ -145,8 +151,8 @@
     /// Schedules a retry after `retry_after` or an exponential backoff, or ends the request if its tries or its time
     /// are used up. A write is retried only if it was rejected, because otherwise it may have been executed.
     pub fn retry(&self, pending: Pending, outcome: Outcome, retry_after: Option<Duration>) {
-        let writes = self.spec.mix.classes[pending.request_spec.class].writes.is_some();
-        let is_safe_to_retry = outcome == Outcome::Refused || !writes;
+        let is_write = self.spec.mix.classes[pending.request_spec.class].writes.is_some();
+        let is_safe_to_retry = outcome == Outcome::Refused || !is_write;
         let backoff = INITIAL_BACKOFF * 2u32.saturating_pow(pending.tries.saturating_sub(1).min(16));
         let at = self.now() + retry_after.unwrap_or(backoff);
         if !is_safe_to_retry || pending.tries >= self.spec.tries || at >= pending.deadline {
@@ -164,7 +170,7 @@
         retries.keys().next().map(|(at, _)| *at)
     }
 
-    /// Ends queued requests whose clients have given up before a connection was free.
+    /// Ends the requests at the front of the queue whose clients have given up before a connection was free.
     pub fn end_expired(&self, now: Duration) {
         let mut queue = self.queue.borrow_mut();
         while let Some(pending) = queue.pop_front_if(|pending| pending.deadline <= now) {
--- a/crates/protocol/src/cache_server.rs
+++ b/crates/protocol/src/cache_server.rs
@@ -69,10 +69,10 @@
 pub fn value(opaque: &str, value: &[u8], metadata: &AnswerMetadata) -> Vec<u8> {
     let mut line = format!("VA {} O{opaque}", value.len());
     metadata.write(&mut line);
-    let mut out = line.into_bytes();
-    out.extend_from_slice(value);
-    out.extend_from_slice(b"\r\n");
-    out
+    let mut bytes = line.into_bytes();
+    bytes.extend_from_slice(value);
+    bytes.extend_from_slice(b"\r\n");
+    bytes
 }
 
 /// Encodes a receipt as the answer to the write with this id.
@@ -98,13 +98,13 @@
 
 /// Encodes the answer to `stats load`.
 pub fn load(report: &[(String, f64)]) -> Vec<u8> {
-    let mut out = String::new();
+    let mut text = String::new();
     for (name, value) in report {
         // Writing to a `String` cannot fail.
-        let _ = write!(out, "STAT {name} {value}\r\n");
+        let _ = write!(text, "STAT {name} {value}\r\n");
     }
-    out.push_str("END\r\n");
-    out.into_bytes()
+    text.push_str("END\r\n");
+    text.into_bytes()
 }
 
 #[cfg(test)]
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -51,13 +51,13 @@
         if self.retry {
             add_parameter("r", &1);
         }
-        let mut out = line.into_bytes();
-        out.extend_from_slice(b"\r\n");
+        let mut bytes = line.into_bytes();
+        bytes.extend_from_slice(b"\r\n");
         if let Some(value) = self.value {
-            out.extend_from_slice(value);
-            out.extend_from_slice(b"\r\n");
+            bytes.extend_from_slice(value);
+            bytes.extend_from_slice(b"\r\n");
         }
-        out
+        bytes
     }
 }
 
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -34,10 +34,13 @@
     pub wait: Duration,
     /// The client's estimate of the work that the command needs.
     pub work_hint: Option<Duration>,
+    /// The command's line without its line end.
     line: Bytes,
+    /// Position of the opaque id in the line.
     opaque: Range<usize>,
     /// Position of the digits of `d` in the line.
     wait_digits: Range<usize>,
+    /// The value of a write; empty for a read.
     value: Bytes,
 }
 
@@ -67,7 +70,8 @@
 pub(crate) const INVALID_BLOCK: Input =
     Input::Invalid { answer: "CLIENT_ERROR bad data chunk\r\n", close: true };
 
-/// Removes the next complete command from `buf`; `None` while it is incomplete.
+/// Removes the next complete command from `buf`; `None` while it is incomplete. After an invalid one with `close`, the
+/// bytes left in `buf` cannot be read as commands.
 pub fn next_input(buf: &mut BytesMut) -> Option<Input> {
     let end = match line_length(buf) {
         Ok(end) => end?,
@@ -127,6 +131,8 @@
     (end + 1 + length.map_or(0, |length| length + 2)).saturating_sub(buf.len()).max(1)
 }
 
+/// Parses a command from its line and the value behind it; `None` if a word, flag or parameter is missing, repeated or
+/// invalid. Unknown parameters are ignored.
 fn parse_command(line: Bytes, value: Bytes) -> Option<Command> {
     let text = std::str::from_utf8(&line).ok()?;
     // The range of the line that `part`, a slice of it, occupies.
@@ -216,15 +222,15 @@
 
     /// Encodes the command for a cache server: unchanged except for how long the answer is waited for.
     pub fn encode_for_server(&self, wait: Duration) -> Vec<u8> {
-        let mut out = Vec::with_capacity(self.memory_bytes() + 16);
-        out.extend_from_slice(&self.line[..self.wait_digits.start]);
-        out.extend_from_slice(wait.as_millis().to_string().as_bytes());
-        out.extend_from_slice(&self.line[self.wait_digits.end..]);
-        out.extend_from_slice(b"\r\n");
+        let mut bytes = Vec::with_capacity(self.memory_bytes() + 16);
+        bytes.extend_from_slice(&self.line[..self.wait_digits.start]);
+        bytes.extend_from_slice(wait.as_millis().to_string().as_bytes());
+        bytes.extend_from_slice(&self.line[self.wait_digits.end..]);
+        bytes.extend_from_slice(b"\r\n");
         if self.verb == Verb::Set {
-            out.extend_from_slice(&self.value);
-            out.extend_from_slice(b"\r\n");
+            bytes.extend_from_slice(&self.value);
+            bytes.extend_from_slice(b"\r\n");
         }
-        out
+        bytes
     }
 }
--- a/crates/protocol/src/reply.rs
+++ b/crates/protocol/src/reply.rs
@@ -121,32 +121,32 @@
 /// Converts a cache server's answer to the client's; of a long value only the line. Returns `None` if it is not an
 /// answer to this command: forwarding it would give one client the answer to another.
 pub fn client_answer(command: &Command, opaque: &[u8], body: &Body) -> Option<Bytes> {
-    let mut out = Vec::new();
+    let mut answer = Vec::new();
     match (command.verb, body) {
         _ if opaque != command.opaque() => return None,
         (Verb::Get, Body::Streamed(length)) => {
-            out.extend_from_slice(format!("VA {length} O").as_bytes());
-            out.extend_from_slice(opaque);
+            answer.extend_from_slice(format!("VA {length} O").as_bytes());
+            answer.extend_from_slice(opaque);
         }
         (Verb::Get, Body::Value(value)) => {
-            out.extend_from_slice(format!("VA {} O", value.len()).as_bytes());
-            out.extend_from_slice(opaque);
-            out.extend_from_slice(b"\r\n");
-            out.extend_from_slice(value);
+            answer.extend_from_slice(format!("VA {} O", value.len()).as_bytes());
+            answer.extend_from_slice(opaque);
+            answer.extend_from_slice(b"\r\n");
+            answer.extend_from_slice(value);
         }
         (Verb::Set, Body::Receipt(receipt)) => {
-            out.extend_from_slice(b"HD O");
-            out.extend_from_slice(opaque);
-            out.extend_from_slice(b" c");
-            out.extend_from_slice(receipt);
+            answer.extend_from_slice(b"HD O");
+            answer.extend_from_slice(opaque);
+            answer.extend_from_slice(b" c");
+            answer.extend_from_slice(receipt);
         }
         _ => return None,
     }
-    out.extend_from_slice(b"\r\n");
-    Some(out.into())
+    answer.extend_from_slice(b"\r\n");
+    Some(answer.into())
 }
 
-/// Encodes a rejection, with the time after which the client may retry.
+/// Encodes a rejection, with the time after which the client may retry, rounded up to milliseconds.
 pub fn busy(retry_after: Option<Duration>) -> Bytes {
     match retry_after {
         Some(after) => format!("SERVER_ERROR busy {}\r\n", after.as_micros().div_ceil(1000)).into(),
