--- a/crates/hallpin/src/emulate.rs
+++ b/crates/hallpin/src/emulate.rs
@@ -138,6 +138,7 @@
     Ok(ExitCode::from(u8::from(played.iter().any(broke_a_rule))))
 }
 
+/// The policies to run, in the order given, each once.
 fn kinds(policies: &[Policy]) -> Vec<Kind> {
     let mut kinds = Vec::new();
     for policy in policies {
--- a/crates/hallpin/src/failure.rs
+++ b/crates/hallpin/src/failure.rs
@@ -16,7 +16,7 @@
     /// A file cannot be read or written.
     #[error("{path}: {error}", path = .0.display(), error = .1)]
     File(PathBuf, #[source] std::io::Error),
-    /// A file is not a valid scenario.
+    /// A file is not a valid scenario or fault scenario.
     #[error("{path}:{error}", path = .0.display(), error = .1)]
     InvalidScenario(PathBuf, #[source] Unreadable),
     /// A history cannot be checked.
--- a/crates/hallpin/src/faults.rs
+++ b/crates/hallpin/src/faults.rs
@@ -68,6 +68,7 @@
     Ok(ExitCode::from(u8::from(!report.is_good())))
 }
 
+/// Prints the tables, each violation, each missing result and the verdict.
 fn print_report(report: &Report) {
     println!("{}\n\n{}\n", box_table(&report.counts), totals_table(&report.counts));
     for violation in &report.violations {
@@ -80,6 +81,7 @@
     }
 }
 
+/// One row per box: its connections, the most used by each tenant, and its answers by kind.
 fn box_table(counts: &Counts) -> Table {
     let mut table = Table::new();
     let answers = ["hit", "miss", "wrote", "busy", "failed", "gone"];
@@ -105,6 +107,7 @@
     table
 }
 
+/// The counts that concern no single box.
 fn totals_table(counts: &Counts) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_HORIZONTAL_ONLY).set_header(["counted", ""]);
--- a/crates/hallpin/src/terminal.rs
+++ b/crates/hallpin/src/terminal.rs
@@ -17,8 +17,8 @@
     bar
 }
 
-/// Calls `then` at the first SIGINT or SIGTERM, on a thread of its own; returns once the handlers are installed. Later
-/// signals have no effect, because tokio's handlers stay installed.
+/// Calls `then` at the first SIGINT or SIGTERM, on a thread of its own; returns once the handlers are installed
+/// or cannot be. Signals after the first have no effect, because tokio's handlers stay installed.
 pub fn on_signal(then: impl FnOnce() + Send + 'static) {
     let (ready, is_ready) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
--- a/crates/loadgen/src/load/fake_server.rs
+++ b/crates/loadgen/src/load/fake_server.rs
@@ -36,6 +36,7 @@
 pub struct FakeServer {
     /// Listening address.
     pub address: SocketAddr,
+    /// Dropped to stop the thread.
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
@@ -77,6 +78,7 @@
     }
 }
 
+/// Accepts and serves connections without end.
 async fn accept(listener: TcpListener, behavior: Behavior) {
     let received = Arc::new(AtomicU64::new(0));
     let stall_lock = Arc::new(tokio::sync::RwLock::new(()));
@@ -105,6 +107,7 @@
 const VALUE: &[u8; 100] = &[b'v'; 100];
 
 impl FakeConnection {
+    /// Answers requests as `behavior` says, until either side closes the connection.
     async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let (mut input, mut output) = (BytesMut::with_capacity(64 * 1024), Vec::new());
--- a/crates/loadgen/src/load/mod.rs
+++ b/crates/loadgen/src/load/mod.rs
@@ -145,10 +145,10 @@
         })
         .collect();
     // Joins every thread before any error is returned.
-    let ended: Vec<_> = threads.into_iter().map(std::thread::JoinHandle::join).collect();
+    let joined: Vec<_> = threads.into_iter().map(std::thread::JoinHandle::join).collect();
     let mut total = RunResults::default();
-    for (number, ended) in ended.into_iter().enumerate() {
-        total.merge(&ended.map_err(|_| LoadError::WorkerPanicked(number))??);
+    for (number, result) in joined.into_iter().enumerate() {
+        total.merge(&result.map_err(|_| LoadError::WorkerPanicked(number))??);
     }
     Ok(total)
 }
--- a/crates/loadgen/src/load/results.rs
+++ b/crates/loadgen/src/load/results.rs
@@ -11,7 +11,7 @@
 pub enum Outcome {
     /// Answered with the requested value or, for a write, its receipt.
     Completed,
-    /// Requests rejected.
+    /// Rejected without execution, at its last try.
     Refused,
     /// Answered with an error.
     Failed,
@@ -118,6 +118,7 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
+/// Records a duration; one beyond the histogram's range counts as the longest.
 fn record(histogram: &mut Histogram<u64>, span: Duration) {
     histogram.saturating_record(micros(span));
 }
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Counters of the second that contains `at`, a time since the start of the run.
     fn second_mut(&mut self, at: Duration) -> &mut Second {
         let at = at.as_secs() as usize;
         if self.seconds.len() <= at {
--- a/crates/loadgen/src/load/slow_connections.rs
+++ b/crates/loadgen/src/load/slow_connections.rs
@@ -32,6 +32,8 @@
     }
 }
 
+/// Sends one request, with key `number`, and reads its answer, byte by byte; fails if the connection ends before or
+/// the answer is malformed.
 async fn exchange_slowly(shared: &Shared, stream: &mut TcpStream, number: usize) -> std::io::Result<()> {
     let request_spec = RequestSpec { class: 0, tenant: None, key: number as u32 };
     // Far longer than a normal request's timeout: the exchange itself is slow by design.
