--- a/crates/hallpin/src/trial.rs
+++ b/crates/hallpin/src/trial.rs
@@ -82,6 +82,7 @@
 }
 
 impl Options {
+    /// The plan that the options describe, or the first option that is out of range.
     fn plan(&self) -> Result<Plan, Failure> {
         let late_ms = match self.late {
             None => LATE_MS,
@@ -142,6 +143,7 @@
     }))
 }
 
+/// Draws the worst result as a chart, if one is asked for and there is a result.
 fn draw_worst(options: &Options, trial: &Trial) -> Result<(), Failure> {
     if let (Some(path), Some(worst)) = (&options.chart, trial.worst()) {
         let title = format!("fleet trial, {}, seed {}", worst.day.name(), worst.seed);
--- a/crates/loadgen/src/table.rs
+++ b/crates/loadgen/src/table.rs
@@ -7,6 +7,7 @@
 
 use crate::statistics::quartiles;
 
+/// An empty table with a header; all columns but the first are aligned to the right.
 fn new_table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_preset(NOTHING).set_header(header.iter().copied());
@@ -16,6 +17,7 @@
     table
 }
 
+/// Formats microseconds as whole milliseconds.
 fn format_ms(us: u64) -> String {
     format!("{:.0} ms", us as f64 / 1000.0)
 }
@@ -61,7 +63,7 @@
         ]);
     }
     let (worst, since) = verdict.worst_window;
-    let mut out = format!(
+    let mut summary = format!(
         "{classes}\n\nserved worth {:.3}, in the worst 10 s (from {:.0} s) {worst:.3}; G {:.3} after prices of {:.3}\n\
          attempts {}, rejected {}, timed out {}; hits {:.1} %; planner calls {} (cold {}), peak {} a second, stops {}\n\
          boxes fallen {}, new connections {}, stale reads {}\n",
@@ -87,10 +89,10 @@
             format!("{loss:?} {:.1} %", worth * 100.0 / asked)
         };
         let losses: Vec<String> = verdict.losses.iter().map(loss_share).collect();
-        out.push_str(&format!("worth lost: {}\n", losses.join(", ")));
+        summary.push_str(&format!("worth lost: {}\n", losses.join(", ")));
     }
-    out.push_str(&rules_summary(verdict));
-    out
+    summary.push_str(&rules_summary(verdict));
+    summary
 }
 
 /// Lists each rule as kept or broken, and describes the first five violations.
@@ -100,11 +102,11 @@
         None => format!("{}: kept", rule_name(*checked)),
         Some(times) => format!("{}: BROKEN {times} times", rule_name(*checked)),
     };
-    let mut out = format!("rules: {}\n", all.iter().map(describe).collect::<Vec<_>>().join("; "));
+    let mut summary = format!("rules: {}\n", all.iter().map(describe).collect::<Vec<_>>().join("; "));
     for violation in verdict.told.iter().take(5) {
-        out.push_str(&format!("  {}: {}\n", violation.at, violation.what));
+        summary.push_str(&format!("  {}: {}\n", violation.at, violation.what));
     }
-    out
+    summary
 }
 
 /// Compares policies: median and quartiles of each metric over all seeds.
