--- a/crates/balancer/tests/rules/slow_start.rs
+++ b/crates/balancer/tests/rules/slow_start.rs
@@ -102,8 +102,8 @@
     Node::with(settings, 1, (1..=8).map(cold).collect())
 }
 
-/// With no warm server to take over, the share that the servers sustain is sent and the rest, read or write,
-/// is rejected at once with a `retry_after`.
+/// With no warm server to take over, part of the load that the servers sustain is sent, and the rest, read or
+/// write, is rejected at once with a `retry_after`.
 #[test]
 fn load_beyond_the_capacity_of_a_cold_fleet_is_rejected_at_once() {
     let mut limits = settings().limits;
--- a/crates/baselines/src/pick.rs
+++ b/crates/baselines/src/pick.rs
@@ -17,7 +17,7 @@
     pub id: RequestId,
     /// Key of the request.
     pub key: Key,
-    /// Whether it changes the key at the planner.
+    /// Whether the request changes its key at the planner, the origin of the cached values.
     pub write: bool,
     /// Time until its deadline.
     pub time_left: Seconds,
--- a/crates/fault-harness/src/invariants/one_final_answer.rs
+++ b/crates/fault-harness/src/invariants/one_final_answer.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy)]
 struct AcceptedTry {
     node: usize,
-    /// Time at which its last byte was written.
+    /// Time at which the last byte of the try was written to the node's connection.
     at: Time,
     /// The client's deadline.
     until: Time,
--- a/crates/fault-harness/src/invariants/one_table_per_key.rs
+++ b/crates/fault-harness/src/invariants/one_table_per_key.rs
@@ -1,5 +1,5 @@
-//! Rule `one-table-per-key`: once a node uses a placement table, all others do within a bound, except nodes that are or
-//! recently were cut off, paused or started.
+//! Rule `one-table-per-key`: once a node uses a placement table, all others use it or a newer one within a
+//! bound, except nodes that are or recently were cut off, paused or started.
 
 use std::rc::Rc;
 
--- a/crates/fault-harness/src/trace/event.rs
+++ b/crates/fault-harness/src/trace/event.rs
@@ -102,7 +102,8 @@
     Closed { of: usize, connection: u64 },
     /// A box has read a complete command; `id` is that of the try.
     Attempt { of: usize, node: usize, connection: u64, id: u64, tenant: Option<usize>, key: u64, write: bool },
-    /// The box has finished the command.
+    /// The box's work on the command of try `id` has ended; `how` covers rejections, failed fetches and
+    /// connections that ended before the answer too.
     Answer { of: usize, connection: u64, id: u64, how: BoxAnswer },
     /// A box starts to fetch a key from the planner; `cold` says whether its store is still filling.
     Fetch { of: usize, key: u64, cold: bool },
--- a/crates/loadgen/tests/load.rs
+++ b/crates/loadgen/tests/load.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Runs the load and checks that every request that came due has exactly one outcome.
+/// Runs the load and checks that there are as many outcomes as requests that came due, and that the requests
+/// of all seconds add up to that number.
 fn run_and_check(spec: &LoadSpec) -> RunResults {
     let progress = Arc::new(Progress::default());
     let results = run(spec, &progress).expect("a run");
--- a/crates/membership/src/peers/time.rs
+++ b/crates/membership/src/peers/time.rs
@@ -156,7 +156,8 @@
 
     /// Suspects a node that did not answer, unless it was heard itself since the probe started.
     fn on_probe_failed(&mut self, now: Moment, probe: &Probe) {
-        // Nodes that were asked always respond; if none did, the fault may be on this side.
+        // Nodes that were asked to ping the target respond even if it does not answer (`Nack`); if none did,
+        // the fault may be on this side.
         if !probe.pending_helpers.is_empty() && !probe.helper_responded {
             self.awareness.record_failure();
         }
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -159,6 +159,6 @@
 /// A cached connection.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
-    /// When the connection was cached; its settle time counts from here.
+    /// When the connection was cached; it is reused no sooner than `SETTLE_TIME` after this.
     pub(super) since: Instant,
 }
--- a/crates/node/src/upstream/tests/last_byte.rs
+++ b/crates/node/src/upstream/tests/last_byte.rs
@@ -116,7 +116,8 @@
     assert!(!first.written.get());
 }
 
-/// A command that must not run twice goes out once, whichever of two attempts gets its connection first.
+/// A command that must not run twice is not written for an attempt whose connection comes up after another
+/// attempt of the request was written, even if that one was started later.
 #[tokio::test(start_paused = true)]
 async fn of_two_attempts_that_must_not_both_run_one_is_written() {
     let call = UpstreamCall { repeat_window: Some(Duration::ZERO), ..test_call(READ) };
--- a/crates/placement/tests/federation/checker.rs
+++ b/crates/placement/tests/federation/checker.rs
@@ -35,7 +35,8 @@
         if *digests.entry(id).or_insert(digest) != digest {
             return Err((Violation::TwoTablesUnderOneVersion, sample.clone()));
         }
-        // The previous sample may be of an earlier incarnation, which had a table in force.
+        // The node's previous sample may be of an earlier incarnation, whose table in force counts too: a
+        // restart must not lead to an older one.
         let before = last.insert(sample.node, sample).and_then(|before| before.in_force);
         if before.is_some_and(|(before, _)| before > id) {
             return Err((Violation::OlderAfterNewer, sample.clone()));
--- a/crates/simulation/src/world/connections.rs
+++ b/crates/simulation/src/world/connections.rs
@@ -47,7 +47,8 @@
         self.schedule_after(handshake, ScheduledEvent::ConnectionUp(token));
     }
 
-    /// Handles an established connection; fails the attempt if the box is down or accepts no more connections.
+    /// Handles the end of a connection's handshake: writes the command, or fails the attempt if the box is
+    /// down or accepts no more connections. If the box has gone silent, the dial times out instead.
     pub(super) fn connection_up(&mut self, token: u64) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let to = in_flight.to;
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -33,7 +33,8 @@
     attempted: Option<u64>,
 }
 
-/// A folder in which a process with a settled incarnation committed generation 1.
+/// A folder in which a process committed generation 1 after its silence was over, so that the next process
+/// may follow without silence.
 fn folder_with_state() -> Folder {
     let folder = Folder::new();
     let (mut store, _) = open(&folder);
