--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -113,6 +113,7 @@
         }
     }
 
+    /// Handles the request timers that are due, then sets the host's timer for the next one.
     fn on_due(&mut self) {
         self.timers.fired(self.now);
         while let Some((kind, request)) = self.timers.pop_due(self.now) {
--- a/crates/balancer/src/balance/tests/bounds.rs
+++ b/crates/balancer/src/balance/tests/bounds.rs
@@ -44,8 +44,8 @@
     assert_eq!(was_sent, [true, true, true, true, false, false], "the floor of the cap");
     // Capacity frees: the first held request is sent; the other stays held and is rejected in time, with
     // `retry_after`.
-    let served = end_attempt(&mut node, keys[0], 0, Status::Success, true);
-    assert_eq!(sent(&served), [id(3)]);
+    let actions = end_attempt(&mut node, keys[0], 0, Status::Success, true);
+    assert_eq!(sent(&actions), [id(3)]);
     assert_eq!(attempts_in_flight(&node, keys[4]), [0]);
     let rejections = node.advance(settings().classes[0].latency_objective * HOLD_TIME_SHARE + TICK_INTERVAL);
     let retry_after = rejections.iter().find_map(|a| match a {
--- a/crates/loadgen/src/load/shared.rs
+++ b/crates/loadgen/src/load/shared.rs
@@ -42,7 +42,7 @@
     /// Requests waiting for a retry, by time and request id.
     pub retries: RefCell<BTreeMap<(Duration, u64), Pending>>,
     /// Number of ids given out.
-    ids: Cell<u64>,
+    issued_id_count: Cell<u64>,
     /// Stack of connections that can take a request; the most recently freed one is last.
     free: RefCell<Vec<usize>>,
     /// Whether each connection is in `free`.
@@ -72,7 +72,7 @@
             number,
             queue: RefCell::default(),
             retries: RefCell::default(),
-            ids: Cell::new(0),
+            issued_id_count: Cell::new(0),
             free: RefCell::default(),
             is_free: vec![Cell::new(false); connections],
             wakeups: (0..connections).map(|_| Notify::new()).collect(),
@@ -95,8 +95,8 @@
 
     /// Returns an id that is unique over all worker threads of the run.
     pub fn next_id(&self) -> u64 {
-        self.ids.set(self.ids.get() + 1);
-        (self.number as u64) << 48 | self.ids.get()
+        self.issued_id_count.set(self.issued_id_count.get() + 1);
+        (self.number as u64) << 48 | self.issued_id_count.get()
     }
 
     /// Whether the run is over: nothing more is sent or waited for.
--- a/crates/quota/tests/fair.rs
+++ b/crates/quota/tests/fair.rs
@@ -25,6 +25,7 @@
     fleet
 }
 
+/// Demand of a tenant at each node if `a` and `b` are the total demands of A and B, spread evenly.
 fn demand_per_node(nodes: u16, tenant: TenantIndex, a: u32, b: u32) -> u32 {
     [a, b, 0][usize::from(tenant.0)].div_ceil(nodes.into())
 }
--- a/crates/simulation/src/scenario/draw/incidents.rs
+++ b/crates/simulation/src/scenario/draw/incidents.rs
@@ -155,19 +155,19 @@
             IncidentKind::Replace => {
                 let (mut targets, mut begins) = (target_boxes, at);
                 for _ in 0..file.rounds.unwrap_or(1) {
-                    let mut joined = Vec::new();
+                    let mut new_boxes = Vec::new();
                     let groups = split_into_groups(targets);
                     let last = groups.last().map_or(Span::ZERO, |(after, _)| *after);
                     for (after, group) in groups {
                         let replacing = |old: &usize| self.add_replacement(file, *old, &mut run.boxes, rng);
                         let joining: Vec<usize> = group.iter().map(replacing).collect();
-                        joined.extend(&joining);
+                        new_boxes.extend(&joining);
                         add(begins + after, duration, FaultEvent::Drain(group));
                         add(begins + after + duration, Span::ZERO, FaultEvent::Join(joining));
                     }
                     // The next round starts once the last replacement has joined.
                     (targets, begins) =
-                        (joined, begins + last + duration.max(file.each.unwrap_or_default()) + Span(1));
+                        (new_boxes, begins + last + duration.max(file.each.unwrap_or_default()) + Span(1));
                 }
             }
             IncidentKind::Burst => add(at, duration, FaultEvent::Burst { factor, share, keys }),
--- a/crates/simulation/tests/referee/overload.rs
+++ b/crates/simulation/tests/referee/overload.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn stopping_the_planner_by_misses_at_cold_boxes_is_a_violation() {
-    let planner_stop = |cold: u64, warm: u64, reads: u64| {
+    let events_until_planner_stop = |cold: u64, warm: u64, reads: u64| {
         let up = |of, cold, from| Event::BoxUp {
             of,
             capacity: 2.0,
@@ -51,11 +51,11 @@
         events.extend((0..warm).map(|n| (10_500 + n, call(false))));
         with(events, vec![(12_000, Event::PlannerStopped { overdriven: true })])
     };
-    assert_violates("mostly cold misses", Rule::Cold, planner_stop(400, 100, 300));
-    assert_clean("few cold misses", planner_stop(100, 400, 10));
+    assert_violates("mostly cold misses", Rule::Cold, events_until_planner_stop(400, 100, 300));
+    assert_clean("few cold misses", events_until_planner_stop(100, 400, 10));
     // A half-warm box beside a warm one accounts for about a third of 900 reads.
-    assert_clean("no more than the box accounts for", planner_stop(300, 300, 900));
-    let mut events = planner_stop(400, 100, 300);
+    assert_clean("no more than the box accounts for", events_until_planner_stop(300, 300, 900));
+    let mut events = events_until_planner_stop(400, 100, 300);
     events.last_mut().expect("the stop").1 = Event::PlannerStopped { overdriven: false };
     assert_clean("a fault event stopped it", events);
 }
