--- a/crates/simulation/src/cache_box/requests.rs
+++ b/crates/simulation/src/cache_box/requests.rs
@@ -37,7 +37,7 @@
     /// For a write: its idempotency key, if it has one. `None` for a read.
     pub write: Option<Option<u64>>,
     pub retries: u32,
-    /// The call timed out: no request waits for it, but the planner's reply is still cached.
+    /// The call timed out: no request waits for it, but the planner's reply to a read can still be cached.
     pub abandoned: bool,
 }
 
--- a/crates/simulation/src/cache_box/service.rs
+++ b/crates/simulation/src/cache_box/service.rs
@@ -61,7 +61,7 @@
     }
 
     /// Looks up a request that got its first slot: serves a write or a hit, and lets a miss join or start a fetch.
-    /// Expired requests, and misses beyond the fetch limit, are rejected.
+    /// Expired requests, if the box drops those, and misses over the fetch limit that cannot join, are rejected.
     pub(super) fn dispatch(&mut self, now: Time, index: usize, planner: &Planner, out: &mut Vec<BoxOutput>) {
         let job = self.requests[index].job;
         if self.spec.drops_expired && now >= job.deadline {
@@ -156,7 +156,7 @@
             }
             self.fetch_order.pop_front();
             if let Some(fetch) = self.fetches.get_mut(&id).filter(|_| is_live) {
-                // The planner still works on the call, and its reply is cached.
+                // The planner still works on the call; the reply to a read can still be cached.
                 let waiters = std::mem::take(&mut fetch.waiters);
                 let (key, write) = (fetch.key, fetch.write);
                 fetch.abandoned = true;
--- a/crates/simulation/src/cache_box/spec.rs
+++ b/crates/simulation/src/cache_box/spec.rs
@@ -35,9 +35,9 @@
     pub cores: f64,
     /// Work that one core does per second, in seconds of a standard core.
     pub speed: f64,
-    /// Slots: most requests in service at once.
+    /// Slots: most requests in service at once, counting those that keep a slot during a write or a fetch.
     pub slots: u32,
-    /// Most requests that wait for a slot.
+    /// Most requests that wait for their first slot; requests whose fetch succeeded do not count.
     pub waiting: u32,
     /// Requests held per core above which efficiency drops.
     pub crowd_from: f64,
@@ -67,7 +67,8 @@
     pub warm_by: WarmBy,
     /// Work allowed during the warm-up, as a multiple of the capacity available then; 0 for no limit.
     pub fall_multiple: f64,
-    /// Window in which that work is counted; above the [`overload_limit`] for it, the box falls over and stays down.
+    /// Window in which work offered during the warm-up is counted. Above the [`overload_limit`] for it,
+    /// the box falls over and stays down.
     pub fall_for: Span,
     /// Mean work of a request in the scenario; the limit is counted in requests of this size.
     pub mean_work: Span,
@@ -77,11 +78,11 @@
     pub evict: Evict,
     /// Time to live of a copy.
     pub ttl: Span,
-    /// Most fetches in flight; misses beyond that are rejected.
+    /// Most fetches in flight; a miss beyond that is rejected unless it joins a fetch in flight.
     pub fetch_places: u32,
-    /// Time after which a fetch has failed.
+    /// Time after which a call to the planner, a read or a write, fails the requests that wait for it.
     pub fetch_timeout: Span,
-    /// Most retries of a failed fetch.
+    /// Most retries of a failed read at the planner; a failed write is not retried.
     pub fetch_retries: u32,
     /// Whether misses of the same key share a fetch.
     pub joins: bool,
@@ -93,7 +94,7 @@
     pub drops_cancelled: bool,
     /// Whether requests past their deadline are rejected when they get a slot.
     pub drops_expired: bool,
-    /// Share of the requests that end in an error.
+    /// Share of the requests that fail at the end of their service; failed planner calls are not included.
     pub error_rate: f64,
 }
 
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Sends a box's answer to the node; network faults may drop it or reset the connection.
+    /// Sends a box's answer to the node. A partition between their depots drops the answer; network faults
+    /// may drop it or reset the connection.
     pub(super) fn box_answers(&mut self, at: BoxId, token: u64, answer: BoxAnswer) {
         // The attempt is gone if its node has abandoned it or died.
         let Some(in_flight) = self.find_in_flight(token) else { return };
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Resets the connections that attempts hold to earlier processes of a box.
+    /// Schedules a connection reset at the node for each attempt in flight whose command was written to an
+    /// earlier process of a box.
     pub(super) fn reset_connections(&mut self, at: BoxId) {
         let generation = self.boxes[at].generation;
         let broken: Vec<(u64, NodeId)> = self
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -56,7 +56,7 @@
 const ACCEPT_AFTER_STOP: Span = Span(500_000);
 /// Time from the longest deadline to the exit of a stopping node, and from its exit or kill to its next start.
 const LEAVE_DELAY: Span = Span(600_000);
-/// Simulated time after the last possible deadline, so that its events are still processed.
+/// Simulated time after the last possible deadline, so that events at that deadline are processed.
 const END_MARGIN: Span = Span(1_000_000);
 
 /// Why a run specification cannot be simulated.
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::plane::{NodePlane, SentAttempt};
 
-/// Low bits of an attempt's token that hold its slab index.
+/// Number of low bits of an attempt's token that hold the attempt's slab index.
 pub(super) const SLAB_INDEX_BITS: u32 = 28;
 
 /// A scheduled event and its target. `generation` is the target's process generation; an event for an earlier
@@ -35,7 +35,7 @@
         id: TryId,
         attempt: u32,
     },
-    /// A node answers a try that is still open shortly before its deadline with a failure.
+    /// Shortly before the deadline of a try that is still open, its node answers the try with a failure.
     AnswerDeadline {
         node: NodeId,
         generation: u32,
