--- a/crates/simulation/src/cache_box/service.rs
+++ b/crates/simulation/src/cache_box/service.rs
@@ -61,7 +61,7 @@
     }
 
     /// Looks up a request that got its first slot: serves a write or a hit, and lets a miss join or start a fetch.
-    /// Expired requests, if the box drops those, and misses over the fetch limit that cannot join, are rejected.
+    /// Rejected: expired requests, if the box drops those, and misses over the fetch limit that cannot join.
     pub(super) fn dispatch(&mut self, now: Time, index: usize, planner: &Planner, out: &mut Vec<BoxOutput>) {
         let job = self.requests[index].job;
         if self.spec.drops_expired && now >= job.deadline {
--- a/crates/simulation/src/cache_box/speed.rs
+++ b/crates/simulation/src/cache_box/speed.rs
@@ -30,7 +30,7 @@
         self.spec.capacity() * self.slow_start_factor(now) / self.slowness
     }
 
-    /// Work that each request in service attains per microsecond.
+    /// Work that each request in service attains per microsecond, in microseconds of a standard core.
     pub(super) fn rate(&self, now: Time) -> f64 {
         let requests_per_core = self.requests.len() as f64 / self.spec.cores.max(1.0);
         let excess_per_core = (requests_per_core - self.spec.crowd_from).max(0.0);
--- a/crates/simulation/src/plane/boxes.rs
+++ b/crates/simulation/src/plane/boxes.rs
@@ -23,10 +23,10 @@
     table_weight_milli: Option<u32>,
     /// Attempts answered since the last observation was taken.
     answered: u32,
-    /// Attempts that ended unanswered since then.
+    /// Attempts that ended unanswered since the last observation was taken.
     silent: u32,
     in_flight: u32,
-    /// Whether anything changed since then.
+    /// Whether a count changed since the last observation was taken.
     is_changed: bool,
 }
 
@@ -147,7 +147,7 @@
     XxHash3_64::oneshot(server.0.as_bytes())
 }
 
-/// Start of a box in milliseconds of simulated time; 0 if it started before.
+/// Start of a box in milliseconds of simulated time; 0 if the list gives no start.
 fn milliseconds(started: Option<Seconds>) -> u64 {
     started.map_or(0, |at| (at * 1000.0).round() as u64)
 }
--- a/crates/simulation/src/plane/mod.rs
+++ b/crates/simulation/src/plane/mod.rs
@@ -19,7 +19,7 @@
     Off,
     /// Membership, and the peers' evidence about boxes.
     Peers,
-    /// Membership and a placement table that all nodes agree on.
+    /// Membership, the peers' evidence about boxes, and a placement table that all nodes agree on.
     Table,
 }
 
--- a/crates/simulation/src/plane/node.rs
+++ b/crates/simulation/src/plane/node.rs
@@ -107,7 +107,7 @@
         }))
     }
 
-    /// Time since the start of the node.
+    /// Time since the start of the node's current process.
     fn moment(&self, now: Time) -> Moment {
         Duration::from_micros(now.since(self.started).0)
     }
--- a/crates/simulation/src/plane/tally.rs
+++ b/crates/simulation/src/plane/tally.rs
@@ -35,7 +35,7 @@
     pub unanswered: u64,
     /// Unanswered attempts that were sent after the first unanswered attempt of that silence had ended at any node.
     pub after_evidence: u64,
-    /// Calls to the planner.
+    /// Calls from boxes to the planner: reads, writes and retries.
     pub fetches: u64,
     /// Calls that read a key which another box had read less than 10 s before.
     pub double_fetches: u64,
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -67,12 +67,14 @@
                 self.start_health_check(node, &server)
             }
             Action::Broadcast(bytes) if self.run_spec.limits.peers => self.broadcast(node, bytes),
-            // The simulated list is pushed without a subscription, and log lines are not simulated.
+            // Health checks and broadcasts have no effect if the run's limits switch them off. The simulated
+            // list is pushed without a subscription, and log lines are not simulated.
             Action::HealthCheck(_) | Action::Broadcast(_) | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
-    /// Starts an attempt at a box. Its outcome is `Void` if the try is answered or has no attempts or time left.
+    /// Starts an attempt at a box; an unknown box or try is ignored. The outcome is `Void` if the try is
+    /// answered or has no attempts left, or if the attempt has no time left.
     pub(super) fn start_attempt(&mut self, node: NodeId, id: TryId, server: &ServerId, timeout: Option<f64>) {
         let (now, generation, max) =
             (self.now, self.nodes[node].generation, self.run_spec.limits.max_attempts as usize);
@@ -109,7 +111,7 @@
             accepted.attempts.push(Attempt { sent_at: now, to, sent, token: Some(token) });
         }
         let crosses = self.nodes[node].depot != self.run_spec.boxes[to].depot;
-        // Not recorded: the wait announced to the box is the job's deadline, which is never beyond the client's.
+        // `wait` is not recorded: the box is told the job's deadline, which is never after the client's.
         self.record(Event::Sent { id, attempt, node, to, crosses, wait: None });
         self.schedule_at(until, ScheduledEvent::AttemptDeadline { node, generation, id, attempt });
         match self.take_idle_connection(node, to) {
@@ -185,7 +187,7 @@
     pub(super) fn abandon_attempt(&mut self, node: NodeId, id: TryId, attempt: u32, status: Status) {
         let Some(accepted) = self.nodes[node].tries.get(&id) else { return };
         let Some(token) = accepted.attempts.get(attempt as usize).and_then(|a| a.token) else { return };
-        // A command that was not completely written cannot have run.
+        // A command that was not completely written cannot have run, so its timeout counts as `Unreachable`.
         let written = self.find_in_flight(token).is_some_and(|f| f.written);
         let status = if status == Status::TimedOut && !written { Status::Unreachable } else { status };
         self.close_connection(token);
@@ -193,7 +195,7 @@
         self.remove_finished_try(node, id);
     }
 
-    /// Handles a box's answer at the node; the connection becomes idle.
+    /// Handles a box's answer at the node, unless the node's process has ended; the connection becomes idle.
     pub(super) fn answer_at_node(&mut self, token: u64, answer: BoxAnswer) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, generation, id, attempt, to) =
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -41,8 +41,8 @@
         self.schedule_after(delay + extra_delay, ScheduledEvent::AgentNotified { node, until });
     }
 
-    /// Updates a node's agent, which passes the list on to a node with a working watch. For a node whose watch is
-    /// silent, the trace records that the update was available.
+    /// Updates a node's agent, unless discovery is down or the agent or node has a later revision. A working
+    /// watch gets the list at once; for a silent watch, the trace records that the update was available.
     pub(super) fn agent_notified(&mut self, node: NodeId, until: Option<u64>) {
         let until = until.unwrap_or(self.list.revision());
         let state = &mut self.nodes[node];
@@ -59,7 +59,8 @@
         self.notify_node(node);
     }
 
-    /// Sends a node with a working watch what its agent has.
+    /// Sends a running node with a working watch the list changes that its agent has and the node lacks,
+    /// unless discovery is down.
     pub(super) fn notify_node(&mut self, node: NodeId) {
         let state = &self.nodes[node];
         if !state.alive
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Ends an outage of discovery; agents answer at once with what they had before it.
+    /// Ends one outage of discovery. If no other is active, agents answer running nodes with a working watch
+    /// at once with the list that the agents had before the outage.
     pub(super) fn discovery_recovers(&mut self) {
         self.list_outages -= 1;
         let waiting = |state: &NodeState| self.list_outages == 0 && state.alive && !state.watch_silent;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Makes the list watches of some nodes silent.
+    /// Makes the list watches of the running nodes named by the silence with this index silent.
     pub(super) fn watches_silent(&mut self, at: usize) {
         let silence = &self.run_spec.watch_silences[at];
         for &node in &silence.nodes {
--- a/crates/simulation/src/world/incidents.rs
+++ b/crates/simulation/src/world/incidents.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Ends an incident: reverts its effect, or stops the boxes of a drain.
+    /// Ends an incident: reverts its effect, or stops the boxes of a drain. A node restart and a join stay.
     pub(super) fn incident_ends(&mut self, at: usize) {
         self.record(Event::FaultEnds { incident: at });
         let mut outputs = Vec::new();
@@ -96,7 +96,8 @@
         self.apply_origin_outputs(outputs);
     }
 
-    /// Makes a box's machine unresponsive: connections stay open without an answer, and the list notices late.
+    /// Makes a box's machine unresponsive: connections stay open without an answer, and the list
+    /// notices after `list.silent_detection_delay`.
     pub(super) fn silence_box(&mut self, at: BoxId) {
         self.boxes[at].silence_count += 1;
         if self.boxes[at].silence_count > 1 || !self.boxes[at].cache.is_up() {
@@ -114,7 +115,8 @@
         self.revive_box(at);
     }
 
-    /// Kills the process of a box: its machine resets connections, and the list notices after its usual delay.
+    /// Kills the process of a box, if it runs and the box is not silent: its machine resets connections, and
+    /// the list notices after `list.notice`.
     pub(super) fn kill_box(&mut self, at: BoxId) {
         if self.boxes[at].silence_count == 0 && self.boxes[at].cache.is_up() {
             self.stop_box(at);
--- a/crates/simulation/src/world/network.rs
+++ b/crates/simulation/src/world/network.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Sends a health check from a node to a box.
+    /// Sends a health check from a node to a box. If the box is silent or a partition cuts either direction,
+    /// the check ends as `TimedOut` after `probe_timeout`.
     pub(super) fn start_health_check(&mut self, node: NodeId, server: &ServerId) {
         let Some(of) = self.servers.get(server).copied() else { return };
         self.record(Event::Probed { of });
--- a/crates/simulation/src/world/plane.rs
+++ b/crates/simulation/src/world/plane.rs
@@ -24,7 +24,7 @@
     /// Enables these parts of the plane on every node.
     ///
     /// # Errors
-    /// If the run has more nodes than a plane supports.
+    /// If the run has more nodes than a plane supports, or membership or placement rejects its configuration.
     pub fn with_plane(mut self, switch: Switch) -> Result<Self, WorldError> {
         self.planes.switch = switch;
         for node in 0..self.nodes.len() {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Forgets unanswered attempts at a box whose silence has ended.
+    /// Forgets when the first unanswered attempt at a box ended; called when one of the box's silences ends.
     pub(super) fn clear_silence_evidence(&mut self, at: BoxId) {
         self.planes.silent_since.remove(&at);
     }
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -6,7 +6,8 @@
 const SIZES_INTERVAL: Span = Span(10_000_000);
 
 impl<S: Sink> World<'_, S> {
-    /// Starts a node's work with its cached endpoint list; discovery's current list follows shortly.
+    /// Starts a node's work with its cached endpoint list. Discovery's list follows after a random delay of
+    /// at most `list.spread`, or later if an incident delays it or discovery is down.
     pub(super) fn start_process(&mut self, node: NodeId) {
         let cached = self.nodes[node].cached_endpoints.clone();
         let generation = self.nodes[node].generation;
--- a/crates/simulation/src/world/tries.rs
+++ b/crates/simulation/src/world/tries.rs
@@ -37,8 +37,8 @@
         let notice = self.run_spec.clients.front_detection_delay;
         let is_open = |state: &NodeState| match state.new_connections_until {
             _ if entry == Entry::Own => true,
-            // A stopping node gets new connections until that time, and tries on kept ones for as long as it accepts,
-            // whether or not the front has noticed the stop.
+            // A stopping node gets new connections until `until`, and tries on kept connections for as long
+            // as it accepts tries, whether or not the front has noticed the stop.
             Some(until) => now < until || state.alive && state.accepts_until.is_some_and(|at| now < at),
             None => state
                 .unavailable_since
@@ -52,7 +52,8 @@
         self.schedule_at(deadline, ScheduledEvent::TryDeadline(id));
     }
 
-    /// Handles a try whose last byte has reached its node; the node accepts it if it runs and is not stopping.
+    /// Handles a try whose last byte has reached its node; the node accepts it if it runs and still accepts
+    /// tries, as a stopping node does until `accepts_until`.
     pub(super) fn accept_try(&mut self, id: TryId) {
         let Some(t) = self.clients.open_try(id) else { return };
         let (node, ask, until, first_byte) = (t.node, t.ask, t.until, self.now.saturating_sub(t.writing));
