--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -22,7 +22,7 @@
         /// Retry-after advice of a rejection.
         advice: Option<Span>,
     },
-    /// The try reached no node.
+    /// The try reached no node that accepts it.
     Unreached,
     /// The connection broke after the request was sent.
     Reset,
--- a/crates/simulation/src/invariants/attempt_limits.rs
+++ b/crates/simulation/src/invariants/attempt_limits.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl InvariantChecker {
-    /// Checks a further attempt of a try. `check_target` checks the choice of its box.
+    /// Checks an attempt of a try, the first or a further one, against the limits of the try's class.
+    /// `check_target` checks the choice of the attempt's box.
     pub(super) fn check_attempt(&mut self, at: Time, id: TryId, attempt: u32, node: NodeId) {
         let (hedging_allowed, max_attempts) = (self.parameters.second_copies, self.parameters.max_attempts);
         let client_left = self.check_departed(at, id);
--- a/crates/simulation/src/invariants/cold.rs
+++ b/crates/simulation/src/invariants/cold.rs
@@ -12,7 +12,8 @@
 
 /// Below this number of allowed requests the margin for random variation is larger.
 const FEW_REQUESTS: f64 = 30.0;
-/// Margins beyond the allowed requests, in square roots of them plus as many requests: for many and for few.
+/// Factor m in the margin m sqrt(N) + m beyond N allowed requests: here for N of at least `FEW_REQUESTS`, and
+/// in `MARGIN_OF_FEW` for a smaller N.
 const MARGIN_OF_MANY: f64 = 2.0;
 const MARGIN_OF_FEW: f64 = 3.0;
 
--- a/crates/simulation/src/invariants/departed_clients.rs
+++ b/crates/simulation/src/invariants/departed_clients.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-/// An attempt that starts within this time may have crossed the client's disconnect.
+/// An attempt that starts within this time after its client left may have crossed the client's disconnect.
 const CROSSING_TIME: Span = Span::from_millis(100);
 /// Number of remembered tries beyond which old ones are dropped.
 const MAX_DEPARTED_TRIES: usize = 10_000;
--- a/crates/simulation/src/invariants/drains.rs
+++ b/crates/simulation/src/invariants/drains.rs
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub(super) struct NotifiedBox {
     pub phase: Option<Phase>,
-    /// Time of the first notification that the box drains or is gone.
+    /// Time of the first notification, since the box was last ready, that the box drains or is gone.
     pub closing_since: Option<Time>,
     /// Start of the process, if it started during the run.
     pub started: Option<Time>,
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -1,8 +1,9 @@
 //! Invariant checker: checks the rules, sums the worth that was served and attributes the worth that was lost, from
 //! a trace alone. Each rule has its own module.
 //!
-//! It shares no code with the components that it checks. Its memory grows with the number of open requests, not with
-//! the length of the scenario.
+//! It shares no code with the components that it checks. Its memory grows with the number of open requests
+//! and of keys written; with the length of the scenario grow only the totals per second and window and the
+//! incidents.
 
 mod attempt_limits;
 mod cold;
@@ -68,7 +69,8 @@
     planner: PlannerLoad,
     /// Last version written to each key.
     written: FxHashMap<KeyId, u64>,
-    /// Last version of each key whose write was acknowledged to its client.
+    /// Version of each key that was the last written when a write of the key was last acknowledged to its
+    /// client.
     acknowledged: FxHashMap<KeyId, u64>,
     window_worth: Vec<Worth>,
     tenant_worth: Vec<Worth>,
--- a/crates/simulation/src/invariants/planner.rs
+++ b/crates/simulation/src/invariants/planner.rs
@@ -2,12 +2,15 @@
 
 use super::*;
 
-/// Misses at cold boxes are at fault beyond this share of the planner's calls, if they exceed the expected reads too.
+/// Misses at cold boxes are at fault beyond this share of the planner's calls, if they also exceed
+/// `MAX_COLD_CALLS_PER_EXPECTED_READ`.
 const MAX_COLD_CALL_SHARE: f64 = 0.3;
-/// Ratio of misses at cold boxes to the reads that the cold boxes' weight accounts for.
+/// Most misses at cold boxes without fault, as a multiple of the reads that the cold boxes' weight accounts
+/// for.
 const MAX_COLD_CALLS_PER_EXPECTED_READ: f64 = 1.25;
 
-/// Recent calls to the planner, with whether the caller was cold, and recent reads at boxes.
+/// Recent calls to the planner, with whether the caller was cold, and recent reads at boxes
+/// that arrived while any box was cold.
 #[derive(Default)]
 pub(super) struct PlannerLoad {
     calls: VecDeque<(Time, bool)>,
--- a/crates/simulation/src/invariants/prompt_answers.rs
+++ b/crates/simulation/src/invariants/prompt_answers.rs
@@ -1,8 +1,10 @@
-//! Prompt rejections: a rejected or failed try is answered without delay, and a rejection carries a retry-after time.
+//! Prompt rejections: a rejected or failed try is answered without delay, and a rejection carries a
+//! retry-after time if the run sends such times.
 
 use super::*;
 
-/// Longest time without an attempt in flight before a rejection or failure, as a share of the latency objective.
+/// Longest time without an attempt in flight before a rejection or failure, as a share of the latency
+/// objective; `max_unseen_time` is added to it.
 const MAX_IDLE_SHARE: f64 = 0.5;
 /// Number of remembered keys beyond which idle keys are dropped once they have been idle for the longest objective.
 const MAX_IDLE_KEYS: usize = 10_000;
--- a/crates/simulation/src/invariants/verdict.rs
+++ b/crates/simulation/src/invariants/verdict.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each accepted request gets exactly one final answer, in time.
+    /// Each accepted request gets exactly one final answer, in time. An attempt whose wait exceeds its
+    /// client's remaining time, and a trace that goes back in time, count here too.
     Lost,
     /// Retries and hedged requests stay within the limits of the class.
     Repeated,
@@ -22,7 +23,7 @@
     Cold,
     /// Rejections and failures are answered without delay, and a rejection carries a retry-after time.
     Waited,
-    /// No attempt starts for a client that has disconnected or cancelled.
+    /// No attempt starts more than 0.1 s after its client disconnected or cancelled.
     Gone,
     /// Restarted nodes become ready in time.
     Ready,
@@ -47,11 +48,11 @@
     Refused,
     /// Rejected or failed after more than half of its time, without an attempt that reached a box.
     RefusedLate,
-    /// Answered with a failure.
+    /// Answered with a failure, or open at a stopping node when that node was killed.
     Failed,
     /// The client stopped waiting before an answer came.
     NoAnswer,
-    /// The node was down, or ended while the request was open.
+    /// The node was down, or ended while the request was open, except by a kill of a stopping node.
     NodeDown,
     /// Served after its latency objective.
     Late,
@@ -122,7 +123,7 @@
     pub within_objective: u64,
     /// Requests served after the latency objective.
     pub late: u64,
-    /// Requests that earned nothing.
+    /// Requests that were not served by the end of the run.
     pub unserved: u64,
     /// Tries whose final answer was a completion.
     pub completed: u64,
@@ -150,7 +151,8 @@
     /// Totals of all requests.
     #[serde(rename = "whole")]
     pub all_requests: Worth,
-    /// Served share of the worst 10 s window, and the start of that window.
+    /// Served share of the worst 10 s window, and the start of that window. Windows with at most 20% of the
+    /// mean window's worth are ignored.
     pub worst_window: (f64, Time),
     /// Result of each class.
     pub classes: Vec<ClassVerdict>,
@@ -182,7 +184,8 @@
     pub crashed_boxes: u64,
     /// Connections opened to boxes.
     pub connections: u64,
-    /// Reads that were served a version older than one whose write had been acknowledged before.
+    /// Tries of reads that were served a version older than the last acknowledged one when the try was
+    /// accepted.
     pub stale: u64,
     /// Totals of each second.
     pub seconds: Vec<Second>,
--- a/crates/simulation/src/invariants/worth.rs
+++ b/crates/simulation/src/invariants/worth.rs
@@ -7,7 +7,7 @@
 /// Windows with at most this share of the mean window's worth are ignored.
 const MIN_WINDOW_SHARE: f64 = 0.2;
 
-/// A request that its client has neither received nor given up.
+/// A request whose answer its client has not received and that the client has not given up.
 pub(super) struct OpenRequest {
     pub class: usize,
     pub tenant: Option<usize>,
@@ -66,7 +66,8 @@
         );
     }
 
-    /// Takes a token from the tenant's bucket, which holds one second of its quota; false if it is empty.
+    /// Takes a token from the tenant's bucket, which holds one second of its quota and at least one
+    /// token; false if the bucket is empty.
     pub(super) fn take_quota_token(&mut self, at: Time, tenant: usize) -> bool {
         let quota = self.parameters.quotas[tenant];
         let (tokens, since) = &mut self.quota_buckets[tenant];
--- a/crates/simulation/src/list.rs
+++ b/crates/simulation/src/list.rs
@@ -26,7 +26,7 @@
     pub cache_box: BoxId,
     /// State of the box.
     pub phase: Phase,
-    /// Start of the process; `None` if it started before the simulated time.
+    /// Start of the process; `None` if it started before the simulated time or the box is gone.
     pub started: Option<Time>,
 }
 
@@ -95,8 +95,8 @@
         self.changes_between(revision, self.revision())
     }
 
-    /// Like [`List::changes_since`], for the list as it was at revision `until`. Where the complete list is due, that is the
-    /// current one.
+    /// Like [`List::changes_since`], for the list as it was at revision `until`; but a complete list is
+    /// always the current one.
     pub fn changes_between(&self, revision: u64, until: u64) -> WatchEvent {
         let until = until.min(self.revision());
         let index = |revision| usize::try_from(revision).ok();
--- a/crates/simulation/src/origin.rs
+++ b/crates/simulation/src/origin.rs
@@ -26,7 +26,7 @@
         /// Version of the key, or `None` if the call failed.
         version: Option<u64>,
     },
-    /// Call [`Origin::wake`] at this time. It replaces an earlier request.
+    /// Call [`Origin::wake`] at this time, which replaces the time of an earlier `WakeAt`.
     WakeAt(Time),
 }
 
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -62,12 +62,14 @@
         self.copies.get(&key).is_some_and(|copy| copy.version == version && now < copy.expires)
     }
 
-    /// Stores a copy that expires after the TTL, unless it is larger than the memory.
+    /// Removes the key's old copy, and stores one that expires after the TTL, unless it is larger than the
+    /// memory.
     pub fn insert(&mut self, key: KeyId, version: u64, bytes: u64, now: Time) {
         self.insert_until(key, version, bytes, now + self.ttl);
     }
 
-    /// Stores a copy that expires at the given time, unless it is larger than the memory.
+    /// Removes the key's old copy, and stores one that expires at the given time, unless it is larger than
+    /// the memory.
     pub fn insert_until(&mut self, key: KeyId, version: u64, bytes: u64, expires: Time) {
         self.drop_copy(key);
         if bytes > self.memory {
--- a/crates/simulation/src/world/connections.rs
+++ b/crates/simulation/src/world/connections.rs
@@ -83,7 +83,8 @@
         self.schedule_after(delay, ScheduledEvent::AttemptAtBox(token));
     }
 
-    /// Closes an attempt's connection; the box notices after one network delay.
+    /// Removes an attempt in flight and closes its connection. The box notices after one network delay if the
+    /// command was written; before that there is no connection.
     pub(super) fn close_connection(&mut self, token: u64) {
         let Some(in_flight) = self.find_in_flight(token) else { return };
         let (node, to, generation, written) =
--- a/crates/simulation/src/world/start.rs
+++ b/crates/simulation/src/world/start.rs
@@ -181,7 +181,7 @@
         Ok(())
     }
 
-    /// Starts the nodes, and schedules incidents and the first arrivals and key changes.
+    /// Starts the nodes, and schedules incidents, watch silences, and the first arrival and key change.
     pub(super) fn schedule_initial_events(&mut self) {
         for b in 0..self.boxes.len() {
             if self.boxes[b].cache.is_up() {
