--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -101,7 +101,8 @@
     bursts: Vec<(usize, Burst)>,
     /// Depot of each node.
     depots: Vec<usize>,
-    /// Present share of the requests that goes to each node.
+    /// Present weight of each node in the requests; a traffic shift multiplies the weights of its depot's
+    /// nodes.
     shares: Vec<f64>,
     /// By incident: share of tries that clients abandon, and the factor by which they shorten the backoff.
     impatient: Vec<(usize, f64, f64)>,
@@ -264,9 +265,9 @@
         }
     }
 
-    /// Time of the next try, if the class allows a retry and the deadline leaves time for it. The backoff is
-    /// exponential with jitter, and at least the retry-after advice, up to `max_retry_after`, for clients that honour it.
-    /// Hasty clients retry after a short fixed delay instead.
+    /// Time of the next try, if the class and the limit of retries allow one and the deadline leaves time for
+    /// it. The backoff is exponential with jitter, and at least the retry-after advice, up to
+    /// `max_retry_after`, for clients that honour it. Hasty clients retry after a short fixed delay instead.
     fn retry_time(&mut self, now: Time, ask: AskId, reply: Reply) -> Option<Time> {
         let request = self.asks.get(&ask)?;
         let class = &self.classes[request.class];
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -49,7 +49,8 @@
     pub what: String,
 }
 
-/// Returns the run with every time limit of its rules extended by the leeway.
+/// Returns the run with the graces for answers and drains and the slack of waits extended by the leeway. With
+/// any leeway, attempts may also be unseen for the leeway and all dials of a try, and may cross a disconnect.
 pub fn with_leeway(run_spec: &RunSpec, leeway: Span) -> RunSpec {
     let mut extended = run_spec.clone();
     extended.rules.answer_grace = extended.rules.answer_grace + leeway;
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -165,7 +165,8 @@
         self.slowness *= factor;
     }
 
-    /// Begins or ends an incident in which the planner does not answer.
+    /// Begins or ends an incident in which the planner does not answer; calls held when it goes down are
+    /// lost.
     pub fn silence(&mut self, now: Time, silent: bool, notifications: &mut Vec<PlannerNotification>) {
         let was_down = self.is_down();
         self.active_silences =
--- a/crates/simulation/src/random.rs
+++ b/crates/simulation/src/random.rs
@@ -88,7 +88,8 @@
         }
     }
 
-    /// A number from `spread` with this mean and a standard deviation of `cv` times the mean.
+    /// A number from `spread` with this mean and a standard deviation of `cv` times the mean; `Fixed` ignores
+    /// `cv`.
     pub fn spread(&mut self, spread: Spread, mean: f64, cv: f64) -> f64 {
         if cv <= 0.0 || mean <= 0.0 {
             return mean.max(0.0);
--- a/crates/simulation/src/run_spec/incident.rs
+++ b/crates/simulation/src/run_spec/incident.rs
@@ -8,7 +8,7 @@
 /// and almost none of them is served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HastyClients {
-    /// Share of clients that behave this way.
+    /// Share of new requests whose clients behave this way.
     pub share: f64,
     /// Time that these clients wait for a try.
     pub try_timeout: Span,
@@ -179,7 +179,7 @@
 pub struct ScheduledFault {
     /// Start of the fault event.
     pub at: Time,
-    /// Duration of the fault event.
+    /// Duration of the fault event; zero if it has no end.
     pub lasts: Span,
     /// The fault event.
     pub incident: FaultEvent,
--- a/crates/simulation/src/run_spec/mod.rs
+++ b/crates/simulation/src/run_spec/mod.rs
@@ -92,19 +92,20 @@
 pub struct ClientsSpec {
     /// Request rate over all nodes, in requests per second.
     pub rate: f64,
-    /// Multiples of the rate at points in time, interpolated linearly between them.
+    /// Multiples of the rate at points in time, interpolated linearly between the points and flat beyond
+    /// them.
     pub curve: Vec<(Time, f64)>,
     /// Weight of each node in the requests.
     pub node_shares: Vec<f64>,
     /// How clients reach nodes.
     pub entry: Entry,
-    /// Time after which the front detects a dead node.
+    /// Time after which the front detects that a node is dead or stops accepting clients.
     pub front_detection_delay: Span,
     /// Maximum number of tries after the first one.
     pub retries: u32,
     /// Share of the class's deadline after which a client gives up a try.
     pub try_share: f64,
-    /// Backoff before the first retry; doubled for each further one.
+    /// Mean backoff before the first retry, doubled for each further one; each is varied by up to 50%.
     pub backoff: Span,
     /// Share of clients that honour the retry-after time of a rejection.
     pub honours: f64,
--- a/crates/simulation/src/run_spec/rules.rs
+++ b/crates/simulation/src/run_spec/rules.rs
@@ -13,7 +13,7 @@
     pub cold_from: f64,
     /// Longest time until a started box is warm.
     pub ramp: Span,
-    /// Multiple of its present capacity that a cold box may be sent within `fall_for`.
+    /// Multiple of its present capacity that a cold box may be sent within `fall_for`; 0 for no limit.
     pub fall_multiple: f64,
     /// Time over which the work sent to a cold box is counted.
     pub fall_for: Span,
--- a/crates/simulation/src/trace/ends.rs
+++ b/crates/simulation/src/trace/ends.rs
@@ -10,7 +10,7 @@
     Completed,
     /// Rejected; a retry is safe.
     Rejected,
-    /// Failed.
+    /// Answered with a failure; the request may have run.
     Failed,
 }
 
--- a/crates/simulation/src/trace/event.rs
+++ b/crates/simulation/src/trace/event.rs
@@ -149,7 +149,7 @@
         /// New version of the key.
         version: u64,
     },
-    /// A node's process runs.
+    /// A node's process has started.
     NodeUp { node: NodeId },
     /// A running node is ready for clients; recorded only where this takes time.
     NodeReady { node: NodeId },
@@ -190,8 +190,9 @@
     /// A node has ended.
     NodeDown {
         node: NodeId,
-        /// True if the node exited after SIGTERM. False if it was killed; its open requests then count as failed or
-        /// lost with the node, not as a violation.
+        /// True if the node exited after SIGTERM. False if it was killed; its open requests then count as
+        /// failed or lost with the node, and are a violation only if accepted more than 0.7 s after a
+        /// SIGTERM.
         planned: bool,
     },
     /// A connection was opened to a box.
