--- a/crates/simulation/src/keys.rs
+++ b/crates/simulation/src/keys.rs
@@ -20,7 +20,7 @@
     /// Hash of each key's name, as a node computes it.
     hashed: Vec<Key>,
     rng: RandomStream,
-    /// Swaps of ranks that are due, with a fraction carried over between seconds.
+    /// Number of swaps of ranks that are due; its fraction is carried over to the next second.
     pending_swaps: f64,
 }
 
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -28,7 +28,7 @@
     pub thrash: f64,
     /// Load at which the planner stops, as a multiple of its capacity; 0 for no limit.
     pub fall_multiple: f64,
-    /// Window over which that load is averaged.
+    /// Window over which the load is averaged for `fall_multiple`.
     pub fall_for: Span,
     /// Time that the planner stays down after it stopped.
     pub down_for: Span,
--- a/crates/simulation/src/range.rs
+++ b/crates/simulation/src/range.rs
@@ -87,7 +87,7 @@
 pub struct Range<T> {
     /// Smallest value drawn.
     pub low: T,
-    /// Largest value drawn.
+    /// Largest value drawn; for an `f64` range, the bound below which values are drawn.
     pub high: T,
 }
 
--- a/crates/simulation/src/scenario/boxes.rs
+++ b/crates/simulation/src/scenario/boxes.rs
@@ -25,7 +25,7 @@
     pub size: f64,
     /// Requests in service at once, per core.
     pub slots_per_core: Range<f64>,
-    /// Requests that may wait, per core.
+    /// Requests that may wait for their first slot, per core.
     pub waiting_per_core: Range<f64>,
     /// Requests in service and waiting, per core, above which efficiency falls.
     pub crowd_from: Range<f64>,
@@ -59,11 +59,11 @@
     pub evict: Evict,
     /// Time for which a copy is valid.
     pub ttl: Range<Span>,
-    /// Fetches in flight at once, per slot.
+    /// Most fetches in flight at once, per slot.
     pub fetches_per_slot: Range<f64>,
-    /// Time after which a fetch fails.
+    /// Time after which a call to the planner, a read or a write, fails.
     pub fetch_timeout: Range<Span>,
-    /// Maximum number of retries of a failed fetch.
+    /// Maximum number of retries of a failed read at the planner; a failed write is not retried.
     pub fetch_retries: Range<u32>,
     /// Whether concurrent misses of a key share one fetch.
     pub joins: bool,
@@ -75,7 +75,7 @@
     pub drops_cancelled: f64,
     /// Whether requests are rejected if their deadline has passed when they reach a slot.
     pub drops_expired: bool,
-    /// Share of requests that fail with an error.
+    /// Share of requests that fail at the end of their service; failed planner calls are not included.
     pub error_rate: Range<f64>,
 }
 
--- a/crates/simulation/src/scenario/fleet.rs
+++ b/crates/simulation/src/scenario/fleet.rs
@@ -61,7 +61,7 @@
     pub thrash: Range<f64>,
     /// Multiple of its capacity above which the planner stops; 0 for no limit.
     pub fall_multiple: f64,
-    /// Time for which the load must exceed `fall_multiple` before the planner stops.
+    /// Window over which the load is averaged for `fall_multiple`.
     pub fall_for: Span,
     /// Duration of a stop.
     pub down_for: Range<Span>,
--- a/crates/simulation/src/scenario/request_load.rs
+++ b/crates/simulation/src/scenario/request_load.rs
@@ -30,13 +30,13 @@
     /// How clients reach nodes: "own" for a node per client process, "front" for a load balancer that distributes
     /// tries.
     pub entry: Entry,
-    /// Time after which the front detects a dead node.
+    /// Time after which the front detects that a node is dead or stops accepting clients.
     pub front_notice: Range<Span>,
     /// Maximum number of tries after the first one.
     pub retries: Range<u32>,
     /// Share of the class's deadline after which a client gives up a try.
     pub try_share: Range<f64>,
-    /// Backoff before the first retry; doubled for each further one.
+    /// Mean backoff before the first retry, doubled for each further one; each is varied by up to 50%.
     pub backoff: Range<Span>,
     /// Share of clients that honour the retry-after time of a rejection.
     pub honours: Range<f64>,
--- a/crates/simulation/src/scenario/scaling.rs
+++ b/crates/simulation/src/scenario/scaling.rs
@@ -35,7 +35,8 @@
         scaled
     }
 
-    /// Returns the scenario with an earlier end, without the fault events that could begin after it.
+    /// Returns the scenario with this length, without the fault events that could begin after its end. A
+    /// scenario whose shortest length is not above this one is unchanged.
     #[must_use]
     pub fn shortened(&self, length: Span) -> Scenario {
         let mut shortened = self.clone();
