--- a/crates/simulation/src/scenario/incident.rs
+++ b/crates/simulation/src/scenario/incident.rs
@@ -50,7 +50,7 @@
     /// Clients abandon `share` of their tries early, and retry `factor` times sooner.
     Impatient,
     /// `share` of the clients wait at most `by` for each try and retry at once, without regard to retry-after times,
-    /// up to `rounds` times (8 if not set) and within the request's deadline.
+    /// up to `rounds` times, 8 if not set, and within the request's deadline.
     Hasty,
     /// `share` of the commands are written in pieces, with up to `by` from the first byte to the last.
     SlowWriters,
--- a/crates/simulation/src/world/boxes.rs
+++ b/crates/simulation/src/world/boxes.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Sends a box's answer to the node. A partition between their depots drops the answer; network faults
-    /// may drop it or reset the connection.
+    /// Sends a box's answer to the node. A partition from the box's depot to the node's drops the answer;
+    /// network faults may drop the answer or reset the connection.
     pub(super) fn box_answers(&mut self, at: BoxId, token: u64, answer: BoxAnswer) {
         // The attempt is gone if its node has abandoned it or died.
         let Some(in_flight) = self.find_in_flight(token) else { return };
