--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -8,7 +8,7 @@
         self.box_states[box_id].mode.subscribe()
     }
 
-    /// Number of incidents that partition the nodes of a depot from a box.
+    /// Subscribes to the number of current incidents that partition the nodes of depot `from` from a box.
     pub fn link(&self, from: usize, box_id: BoxId) -> watch::Receiver<u32> {
         self.links[from * self.run_spec.depots.len() + self.run_spec.boxes[box_id].depot].subscribe()
     }
@@ -33,7 +33,7 @@
         taken
     }
 
-    /// Registers the end of a connection, unless its incarnation of the process has ended.
+    /// Registers the end of a connection, unless the box process that accepted it has ended or is silent.
     pub fn disconnected(&mut self, box_id: BoxId, incarnation: u32) {
         let now = self.now();
         if self.box_states[box_id].incarnation == incarnation && self.box_states[box_id].cache.is_up() {
@@ -60,7 +60,8 @@
     }
 
     /// Handles a command that a box's socket has received completely. The answer is sent to `reply`, unless `heard` is
-    /// false (the depots are partitioned) or the box is silent or down. `None` if the command names no open try.
+    /// false (the depots are partitioned) or the box is silent or down. Returns the attempt's token and the try's
+    /// node, or `None` if the command names no known try.
     pub fn handle_command(
         &mut self,
         box_id: BoxId,
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Ends a box's process: all attempts that wait for it have lost their connection.
+    /// Ends a box's process, records all attempts that wait for the box as broken, and sets the machine's mode.
     pub(super) fn end_process(&mut self, box_id: BoxId, mode: MachineMode) {
         self.box_states[box_id].incarnation += 1;
         self.box_states[box_id].wakes = None;
--- a/crates/emulator/src/sockets/environment/incidents.rs
+++ b/crates/emulator/src/sockets/environment/incidents.rs
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Reverts an incident.
+    /// Reverts an incident, except that the end of a drain stops its boxes and that a node restart and a join
+    /// have nothing to revert.
     pub(super) fn incident_ends(&mut self, index: usize) {
         self.record(Event::FaultEnds { incident: index });
         let run_spec = self.run_spec.clone();
@@ -139,7 +140,8 @@
         self.process_box_outputs(box_id, Vec::new());
     }
 
-    /// Silences a box's machine and announces its end to the endpoint list.
+    /// Silences a box's machine and announces the box's end to the endpoint list; only counts the incident if the
+    /// machine is silent already or the box is down.
     pub(super) fn silence_box(&mut self, box_id: BoxId) {
         self.box_states[box_id].silent += 1;
         if self.box_states[box_id].silent > 1 || !self.box_states[box_id].cache.is_up() {
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Environment {
-    /// Applies a change to the endpoint list, unless the box's state has changed since the change was scheduled.
+    /// Applies a change to the endpoint list, unless it lists a running box as gone, or as ready or draining a
+    /// box that is down on a machine that answers.
     pub(super) fn apply_list_change(&mut self, listing: Listing) {
         let box_state = &self.box_states[listing.cache_box];
         let (up, silent) = (box_state.cache.is_up(), box_state.silent > 0);
@@ -26,8 +27,8 @@
         }
     }
 
-    /// Gives an agent the list as of this revision, or the current one, unless discovery is silent or the list is not
-    /// newer.
+    /// Gives an agent the list as of revision `until` (`None`: the current list), unless discovery is silent or
+    /// that list is not newer than the agent's.
     pub(super) fn update_agent(&mut self, node: NodeId, until: Option<u64>) {
         let list = match until {
             Some(until) => self.list.at_revision(until),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Records an answered call: the first one after a failed call reopens the watch.
+    /// Records that the node's watch is open again if this answered call is the first after a failed call.
     pub fn call_answered(&mut self, node: NodeId) {
         if std::mem::take(&mut self.agents[node].failed) {
             self.record(Event::WatchOpened { node });
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -41,7 +41,7 @@
 /// Shared state of all fakes of a run.
 pub(super) struct Environment {
     pub run_spec: Rc<RunSpec>,
-    /// Start of the run; its clock stays at 0 until then.
+    /// Start of the run, `None` before `begin`; the time of the run stays at 0 until then.
     start: Option<Instant>,
     start_unix_ms: f64,
     pub clients: Clients,
@@ -49,17 +49,17 @@
     box_states: Vec<BoxState>,
     origin: Origin,
     list: List,
-    /// Number of incidents that silence service discovery.
+    /// Number of current incidents that silence service discovery.
     pub list_silent: watch::Sender<u32>,
     pub agents: Vec<Agent>,
     /// Listen addresses by box and depot of the connecting node.
     pub addresses: Vec<Vec<SocketAddr>>,
-    /// Number of incidents that partition each pair of depots, at `from * depots + to`.
+    /// Number of current incidents that partition each pair of depots, at `from * depots + to`.
     links: Vec<watch::Sender<u32>>,
     pub node_orders: Vec<watch::Sender<NodeOrder>>,
     /// By node: it accepts clients.
     pub nodes_up: Vec<bool>,
-    /// By node: its process runs.
+    /// By node: its process has started and still takes requests.
     pub nodes_alive: Vec<bool>,
     /// All node processes that were started, including ended ones.
     pub node_processes: Vec<Pid>,
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Starts the clock of the run and schedules its incidents.
+    /// Starts the clock of the run, records the boxes that are up, and schedules the incidents, the first drift
+    /// of key popularity and the first key change.
     pub fn begin(&mut self) {
         self.start = Some(Instant::now());
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -238,12 +239,12 @@
                 self.origin.planner_mut().change(key);
                 self.schedule_key_change();
             }
-            // The wake-up was rescheduled.
+            // The box's wake-up was moved to an earlier time, or the box's process has ended.
             ScheduledEvent::BoxWakes(_) => {}
         }
     }
 
-    /// Schedules the next key change at the planner, as a Poisson process.
+    /// Schedules the next key change at the planner, as a Poisson process; none if the rate of changes is 0.
     fn schedule_key_change(&mut self) {
         if self.run_spec.keys.changes > 0.0 {
             let wait = Span::from_secs(self.rng.exponential(1.0 / self.run_spec.keys.changes));
--- a/crates/emulator/src/sockets/environment/types.rs
+++ b/crates/emulator/src/sockets/environment/types.rs
@@ -12,7 +12,7 @@
     PlannerAnswers { to: BoxId, incarnation: u32, id: u64, version: Option<u64> },
     /// A change reaches the endpoint list.
     ListChanged(Listing),
-    /// Sends the list to a node's agent: as it was at this revision, or the current one.
+    /// Sends the list to a node's agent: as it was at this revision, or the current list if `None`.
     AgentUpdated(NodeId, Option<u64>),
     /// The incident of this index begins.
     IncidentBegins(usize),
@@ -92,7 +92,7 @@
 pub(in crate::sockets) struct Agent {
     pub list: List,
     pub changed: watch::Sender<u64>,
-    /// The node has abandoned a call, and none has been answered since.
+    /// The node has abandoned a call to this agent, and the agent has answered no call since.
     pub(super) failed: bool,
 }
 
