--- a/crates/emulator/src/footprint.rs
+++ b/crates/emulator/src/footprint.rs
@@ -11,7 +11,7 @@
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// Resource use of one node, over all of its processes.
+/// Resource use of one node, over all of its processes; use after a process's last sample is not included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Footprint {
     /// Largest sampled number of open file descriptors.
--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -103,7 +103,7 @@
     due: Option<(Vec<u8>, Instant)>,
     /// Token of the attempt; `None` for answers that need no work.
     token: Option<u64>,
-    /// Emulated round-trip time.
+    /// Emulated round-trip time; zero for answers that need no work.
     delay: Duration,
 }
 
@@ -122,6 +122,7 @@
 }
 
 /// Reads commands and answers them in order, until either side closes or the incarnation of the process ends.
+/// Resets the connection at once if the box's connection table is full or another incarnation runs.
 async fn connection(
     environment: SharedEnvironment,
     incarnation: u32,
@@ -181,7 +182,8 @@
     }
 }
 
-/// Handles one command of a connection; `None` for health checks and load requests while the machine is silent.
+/// Handles one call of a connection; `None` for every call but a command while the machine is silent or the
+/// depots are partitioned.
 fn handle_call(
     environment: &SharedEnvironment,
     path: &BoxPath,
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Counts a health check, which costs the box work.
+    /// Counts a health check or a load request as a health check, which costs the box work.
     pub fn health_checked(&mut self, box_id: BoxId) {
         let (now, mut outputs) = (self.now(), Vec::new());
         self.record(Event::Probed { of: box_id });
--- a/crates/emulator/src/sockets/loopback.rs
+++ b/crates/emulator/src/sockets/loopback.rs
@@ -9,10 +9,11 @@
 
 /// Length of the accept queue.
 const BACKLOG: u32 = 1024;
-/// Delay before a failed bind or accept is repeated.
+/// Delay before a failed bind or accept is repeated; also the time limit for a connection that fills a queue.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Finds free TCP ports at this loopback address, which no other program of the machine should use.
+/// Finds this many free TCP ports at a loopback address. The ports are not held after the return, so no other
+/// program of the machine should use the address.
 ///
 /// # Errors
 /// If a socket cannot be bound.
@@ -23,7 +24,8 @@
     listeners.iter().map(std::net::TcpListener::local_addr).collect()
 }
 
-/// Listens at this address, and repeats the bind while an earlier listener still holds it.
+/// Listens at this address; a failed bind is repeated until it succeeds, as an earlier listener may still hold
+/// the address.
 pub async fn listen(address: SocketAddr) -> TcpListener {
     listen_with(address, BACKLOG).await
 }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -47,7 +47,7 @@
 
 /// Leeway on sockets: every time limit of the invariants is this much longer than in virtual time.
 const RULE_LEEWAY: Span = Span::from_millis(50);
-/// Time for which a run continues after the last deadline.
+/// Time for which a run continues after the scenario's length plus the longest request deadline.
 const RUN_TAIL: Span = Span::from_millis(1000);
 
 /// Options of a scenario run on sockets.
@@ -67,7 +67,8 @@
 /// Runs the scenario once on loopback sockets. All processes that it starts have ended when it returns.
 ///
 /// # Errors
-/// If the scenario is invalid, a file or socket cannot be created, or a node cannot be started or ends unexpectedly.
+/// If the scenario is invalid, a file cannot be written, a socket cannot be created, or a node cannot be started
+/// or ends unexpectedly.
 pub fn run_on_sockets(
     scenario: &Scenario,
     seed: u64,
--- a/crates/emulator/src/sockets/node.rs
+++ b/crates/emulator/src/sockets/node.rs
@@ -21,7 +21,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between two readiness checks.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for a graceful stop beyond the longest request deadline.
+/// Time for a graceful stop beyond the longest request deadline, or beyond 3 s if that deadline is shorter.
 const STOP_GRACE: Duration = Duration::from_millis(700);
 /// Half of the delay between the end of a process and the event that records it.
 const HALF_READ_DELAY: Duration = Duration::from_millis(5);
--- a/crates/emulator/src/sockets/process.rs
+++ b/crates/emulator/src/sockets/process.rs
@@ -65,7 +65,7 @@
 impl Running {
     /// Sends a signal; does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
-        // After the wait, the system may have given the process id to another process.
+        // Once the child has been waited for, the system may have given the process id to another process.
         if self.child.id().is_some() {
             let _ = rustix::process::kill_process(self.pid, signal);
         }
--- a/crates/emulator/src/virtual_time.rs
+++ b/crates/emulator/src/virtual_time.rs
@@ -44,7 +44,7 @@
     pub seed: u64,
     /// Verdict of the invariant checker.
     pub verdict: Verdict,
-    /// Number of events that were processed.
+    /// Number of events that were processed in virtual time, or recorded in a run on sockets.
     pub events: u64,
     /// Largest table sizes of any node's policy in each 10 s; empty if sizes were not sampled.
     pub sizes: Vec<(Time, Sizes)>,
@@ -66,7 +66,7 @@
 /// nodes; it is off for every policy but the decision module.
 ///
 /// # Errors
-/// If the scenario is invalid or the trace could not be written completely.
+/// If the scenario is invalid, its world cannot be built, or the trace could not be written completely.
 pub fn run_scenario(
     scenario: &Scenario,
     seed: u64,
