--- a/crates/baselines/src/boxes.rs
+++ b/crates/baselines/src/boxes.rs
@@ -4,7 +4,8 @@
 use hallpin_simulation::policy::{TrueBox, TruePlanner, WorldView};
 use rustc_hash::FxHashMap;
 
-/// Consecutive failures after which a box is ejected.
+/// Failures without a success in between after which a box is ejected; only attempts that found the box
+/// unreachable, timed out or broke off count as failures.
 const EJECTION_FAILURES: u32 = 3;
 /// Duration of an ejection.
 const EJECTION_TIME: Seconds = 5.0;
@@ -17,7 +18,7 @@
     true_index: Option<usize>,
     /// Requests of this node in flight.
     in_flight: u32,
-    /// Consecutive failures.
+    /// Failures since the latest success or ejection.
     failures: u32,
     /// End of the latest ejection.
     ejected_until: Seconds,
@@ -146,7 +147,7 @@
         self.now >= self.entry(index).ejected_until && !self.tried.contains(&self.number(index))
     }
 
-    /// Actual current state of the box in the simulation.
+    /// Actual current state of the box in the simulation; `None` if the policy cannot see the simulation.
     pub fn true_state(&self, index: usize) -> Option<TrueBox> {
         self.entry(index).true_index.map(|at| self.world.look(at))
     }
--- a/crates/baselines/src/late.rs
+++ b/crates/baselines/src/late.rs
@@ -55,10 +55,10 @@
     }
 }
 
-/// Sends a read to a box that has cached or is fetching its key, and any other request to the first owner of the key,
-/// by rendezvous hashing, that was up and had capacity in the snapshot. It sends the planner no more calls than the
-/// snapshot allows. Cache contents change slowly and are seen without delay; the load of boxes and planner is seen
-/// delayed.
+/// Sends a read to a box that has cached or is fetching its key, and any other request to the first owner of
+/// the key, by rendezvous hashing, that was up and had capacity in the snapshot. It holds calls to the
+/// planner back at random while the snapshot's planner load exceeds 1.5. Cache contents change slowly and are
+/// seen without delay; the load of boxes and planner is seen delayed.
 pub struct LateSeeing {
     owners: Rendezvous,
     history: SnapshotHistory,
@@ -89,8 +89,9 @@
         Some(requests / seen.current_slots.max(1.0))
     }
 
-    /// Picks one of these boxes at random, weighted by its spare capacity. Not simply the least loaded one, since all
-    /// nodes would send to the box that was idlest a second ago for that whole second (herding).
+    /// Picks one of these boxes at random, weighted by its spare capacity in the snapshot. Not simply the
+    /// least loaded one, since all nodes would send to the box that was idlest then for the whole delay
+    /// (herding).
     fn pick_by_capacity(
         boxes: View,
         snapshot: &Snapshot,
--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -1,9 +1,10 @@
 //! Textbook load-balancing policies behind the interface of the decision module, for comparison with it.
 //!
-//! All share one request lifecycle ([`Textbook`]): an attempt at the box that the policy picks, further attempts at the
-//! next picks while the class allows a repeat, and ejection of a box for a while after three failures in a row. They
-//! differ in how they pick ([`Pick`]). They have no notion of cold boxes, quotas or an overloaded planner. The
-//! omniscient policy sees the current state of all boxes and the late-seeing one a past state, which no real node can.
+//! All share one request lifecycle ([`Textbook`]): an attempt at the box that the policy picks, further
+//! attempts at the next picks while the class allows a repeat, and ejection of a box for 5 s after three
+//! failures in a row. They differ in how they pick ([`Pick`]). They have no notion of cold boxes or quotas,
+//! and only the omniscient and the late-seeing policy take the planner's load into account. The omniscient
+//! policy sees the current state of all boxes and the late-seeing one a past state, which no real node can.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -31,9 +32,10 @@
 pub enum PolicyKind {
     /// The decision module.
     Module,
-    /// A random box.
+    /// A random box that is neither ejected nor tried before by the request.
     Random,
-    /// Of two random boxes, the one with fewer requests of this node in flight (power of two choices).
+    /// Of two random boxes, the one with fewer requests of this node in flight per weight (power of two
+    /// choices).
     LeastOfTwo,
     /// Rendezvous hashing (highest random weight).
     Rendezvous,
@@ -43,7 +45,8 @@
     Maglev,
     /// Sees the current state of all boxes.
     Omniscient,
-    /// Sees the state of all boxes as it was some time ago.
+    /// Sees the load of all boxes and of the planner as it was some time ago, and cache contents without
+    /// delay.
     LateSeeing {
         /// Age of the state that it sees, in milliseconds.
         delay_ms: u32,
--- a/crates/baselines/src/pick.rs
+++ b/crates/baselines/src/pick.rs
@@ -19,7 +19,7 @@
     pub key: Key,
     /// Whether the request changes its key at the planner, the origin of the cached values.
     pub write: bool,
-    /// Time until its deadline.
+    /// Time until its deadline, less two event intervals of the settings.
     pub time_left: Seconds,
     /// Time since its arrival.
     pub age: Seconds,
@@ -51,7 +51,8 @@
     /// Decides the next step of a request.
     fn pick(&mut self, request: RoutingRequest, boxes: View, random: &mut Pcg64Mcg) -> Choice;
 
-    /// Timeout of an attempt, as a share of the time left; the rest is for another attempt.
+    /// Timeout of an attempt, as a share of the time left; the rest is for another attempt. The timeout is
+    /// all of the time left if the share is not longer than the event interval.
     fn attempt_time_share(&self) -> f64 {
         0.5
     }
@@ -76,7 +77,8 @@
 }
 
 impl<T> SharedTables<T> {
-    /// Number of lists that nodes may hold at once, since updates reach them at different times.
+    /// Number of tables that are kept: nodes may hold so many lists at once, since list updates reach the
+    /// nodes at different times.
     const MAX_TABLES: usize = 8;
 
     /// Returns the table for the boxes' current list and builds it if no node has done so.
@@ -123,7 +125,7 @@
     })
 }
 
-/// A random box.
+/// A random open box: one that is neither ejected nor tried before by the request.
 pub struct Random;
 
 impl Pick for Random {
@@ -132,7 +134,8 @@
     }
 }
 
-/// Of two random boxes, the one with fewer requests in flight per weight (power of two choices, Mitzenmacher).
+/// Of two random open boxes, the one with fewer requests of this node in flight per weight, the new request
+/// included (power of two choices, Mitzenmacher).
 pub struct LeastOfTwo;
 
 impl Pick for LeastOfTwo {
@@ -195,7 +198,7 @@
 }
 
 /// Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam): overflow goes to the next box on the
-/// ring.
+/// ring, or to the first open one if all open boxes are at the bound.
 #[derive(Default)]
 pub struct BoundedLoad {
     shared: SharedTables<Ring>,
@@ -213,7 +216,7 @@
 impl BoundedLoad {
     /// Ring points of a box of mean weight.
     const MEAN_POINTS: f64 = 128.0;
-    /// Bound on a box's requests in flight, relative to its share by weight.
+    /// Bound on this node's requests in flight at a box, relative to the box's share of them by weight.
     const LOAD_BOUND: f64 = 1.25;
 
     pub(crate) fn new(shared: SharedTables<Ring>) -> Self {
@@ -313,7 +316,8 @@
     }
 
     fn pick(&mut self, request: RoutingRequest, boxes: View, _: &mut Pcg64Mcg) -> Choice {
-        // If the owner is not open, the owner of the key's next hash is taken.
+        // If the owner is not open, the owner of the key's next hash is taken; after 64 hashes without an
+        // open owner, the request is rejected.
         Choice::from_index((0..64u64).find_map(|n| {
             let slot = hash_pair(request.key.0, n) % Self::SLOTS;
             let owner = self.table.get(slot as usize).map(|i| *i as usize);
@@ -350,7 +354,8 @@
     /// Maximum number of planner calls, relative to the number that it can process at once.
     const MAX_PLANNER_LOAD: f64 = 1.0;
 
-    /// Share of the box's slots that are free, if the box is up and has a free slot.
+    /// Share of the box's slots that are free; `None` if the box is down, not open to the request or has none
+    /// free.
     fn free_share(boxes: View, index: usize) -> Option<f64> {
         let state = boxes.true_state(index).filter(|t| t.up && boxes.is_open(index))?;
         let free = state.current_slots - state.demanded_slots as f64;
--- a/crates/baselines/src/textbook.rs
+++ b/crates/baselines/src/textbook.rs
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Ends a request: fails it if an attempt may have been executed and the class is not idempotent, or else rejects
-    /// it.
+    /// Ends a request: fails it if an attempt may have been executed and the class is unknown or has the
+    /// effect `NonIdempotent`, or else rejects it.
     fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(&id) else { return };
         let ran = state.attempts.iter().any(|t| t.may_have_run != Some(false));
@@ -183,7 +183,7 @@
             Event::Timer(TimerToken(token)) if token & RETRY_TIMER_BIT != 0 => {
                 self.route(now, RequestId(token & !RETRY_TIMER_BIT), world, actions);
             }
-            // The deadline is near.
+            // The request's deadline is at most two event intervals away.
             Event::Timer(TimerToken(id)) => self.end(RequestId(id), actions),
             Event::ClientLeft(id) => self.remove(id),
             Event::StreamStarted { .. }
--- a/crates/emulator/src/sockets/agent.rs
+++ b/crates/emulator/src/sockets/agent.rs
@@ -25,7 +25,8 @@
     fn silence_count(&self) -> watch::Receiver<u32>;
     /// Revision of the list that the agent holds.
     fn revision(&self) -> watch::Receiver<u64>;
-    /// Called for each request that is not rejected as malformed: for the complete list, or for the changes after a revision.
+    /// Called for each request that is not rejected as malformed: for the complete list, or for the changes
+    /// after a revision.
     fn request_received(&self, after: Option<u64>);
     /// Called when the node has abandoned a call or has ended before the call was answered.
     fn call_abandoned(&self) {}
--- a/crates/emulator/src/sockets/box_server.rs
+++ b/crates/emulator/src/sockets/box_server.rs
@@ -122,7 +122,7 @@
 }
 
 /// Reads commands and answers them in order, until either side closes or the incarnation of the process ends.
-/// Resets the connection at once if the box's connection table is full or another incarnation runs.
+/// Resets the connection at once if the box's connection table is full or the box no longer listens.
 async fn connection(
     environment: SharedEnvironment,
     incarnation: u32,
--- a/crates/emulator/src/sockets/environment/boxes.rs
+++ b/crates/emulator/src/sockets/environment/boxes.rs
@@ -59,9 +59,9 @@
         fields.into_iter().map(rounded).collect()
     }
 
-    /// Handles a command that a box's socket has received completely. The answer is sent to `reply`, unless `heard` is
-    /// false (the depots are partitioned) or the box is silent or down. Returns the attempt's token and the try's
-    /// node, or `None` if the command names no known try.
+    /// Handles a command that a box's socket has received completely. The answer is sent to `reply`, unless
+    /// `heard` is false (the depots are partitioned) or the box is silent or down. Returns the attempt's
+    /// token and the try's node, or `None` if the command names no known try.
     pub fn handle_command(
         &mut self,
         box_id: BoxId,
@@ -216,7 +216,8 @@
         }
     }
 
-    /// Ends a box's process, records all attempts that wait for the box as broken, and sets the machine's mode.
+    /// Ends a box's process, records all attempts that wait for the box as broken, and sets the machine's
+    /// mode.
     pub(super) fn end_process(&mut self, box_id: BoxId, mode: MachineMode) {
         self.box_states[box_id].incarnation += 1;
         self.box_states[box_id].wakes = None;
--- a/crates/emulator/src/sockets/environment/incidents.rs
+++ b/crates/emulator/src/sockets/environment/incidents.rs
@@ -140,8 +140,8 @@
         self.process_box_outputs(box_id, Vec::new());
     }
 
-    /// Silences a box's machine and announces the box's end to the endpoint list; only counts the incident if the
-    /// machine is silent already or the box is down.
+    /// Silences a box's machine and announces the box's end to the endpoint list; only counts the incident if
+    /// the machine is silent already or the box is down.
     pub(super) fn silence_box(&mut self, box_id: BoxId) {
         self.box_states[box_id].silent += 1;
         if self.box_states[box_id].silent > 1 || !self.box_states[box_id].cache.is_up() {
--- a/crates/emulator/src/sockets/environment/list.rs
+++ b/crates/emulator/src/sockets/environment/list.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Environment {
-    /// Applies a change to the endpoint list, unless it lists a running box as gone, or as ready or draining a
-    /// box that is down on a machine that answers.
+    /// Applies a change to the endpoint list, unless it lists a running box as gone, or as ready or draining
+    /// a box that is down on a machine that answers.
     pub(super) fn apply_list_change(&mut self, listing: Listing) {
         let box_state = &self.box_states[listing.cache_box];
         let (up, silent) = (box_state.cache.is_up(), box_state.silent > 0);
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Gives an agent the list as of revision `until` (`None`: the current list), unless discovery is silent or
-    /// that list is not newer than the agent's.
+    /// Gives an agent the list as of revision `until` (`None`: the current list), unless discovery is silent
+    /// or that list is not newer than the agent's.
     pub(super) fn update_agent(&mut self, node: NodeId, until: Option<u64>) {
         let list = match until {
             Some(until) => self.list.at_revision(until),
--- a/crates/emulator/src/sockets/environment/mod.rs
+++ b/crates/emulator/src/sockets/environment/mod.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Starts the clock of the run, records the boxes that are up, and schedules the incidents, the first drift
-    /// of key popularity and the first key change.
+    /// Starts the clock of the run, records the boxes that are up, and schedules the incidents, the first
+    /// drift of key popularity and the first key change.
     pub fn begin(&mut self) {
         self.start = Some(Instant::now());
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
--- a/crates/emulator/src/sockets/loopback.rs
+++ b/crates/emulator/src/sockets/loopback.rs
@@ -24,8 +24,8 @@
     listeners.iter().map(std::net::TcpListener::local_addr).collect()
 }
 
-/// Listens at this address; a failed bind is repeated until it succeeds, as an earlier listener may still hold
-/// the address.
+/// Listens at this address; a failed bind is repeated until it succeeds, as an earlier listener may still
+/// hold the address.
 pub async fn listen(address: SocketAddr) -> TcpListener {
     listen_with(address, BACKLOG).await
 }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -67,8 +67,8 @@
 /// Runs the scenario once on loopback sockets. All processes that it starts have ended when it returns.
 ///
 /// # Errors
-/// If the scenario is invalid, a file cannot be written, a socket cannot be created, or a node cannot be started
-/// or ends unexpectedly.
+/// If the scenario is invalid, a file cannot be written, a socket cannot be created, or a node cannot be
+/// started or ends unexpectedly.
 pub fn run_on_sockets(
     scenario: &Scenario,
     seed: u64,
--- a/crates/emulator/tests/histories.rs
+++ b/crates/emulator/tests/histories.rs
@@ -103,7 +103,8 @@
     lines
 }
 
-/// Index of the last notification of a node about a box, as ready, to which the node still sends over 1.1 s later.
+/// Index of the first notification of a box as ready that is the node's last about this box, and over 1.1 s
+/// after which the node still sends to the box.
 fn last_notification(lines: &[String]) -> usize {
     let records: Vec<Value> = lines.iter().map(|line| value(line)).collect();
     let of =
--- a/crates/fleet-test/src/gate/floors.rs
+++ b/crates/fleet-test/src/gate/floors.rs
@@ -11,7 +11,8 @@
 pub(super) const MIN_SHARE_OF_LATE: f64 = 0.5;
 /// Minimum served share of a tenant inside its quota, relative to the late-seeing policy.
 const MIN_TENANT_SHARE_OF_LATE: f64 = 1.0 / 3.0;
-/// Minimum share of the requests or of the priority weight for a class or tenant to have a floor.
+/// Minimum share of the requests or of the priority weight for a class to have a floor; for a tenant, of the
+/// priority weight inside quotas.
 const MIN_WEIGHT_SHARE: f64 = 0.05;
 /// A class of which the late-seeing policy serves less than this share has no floor.
 const MIN_LATE_SHARE: f64 = 0.3;
@@ -82,7 +83,7 @@
         .collect()
 }
 
-/// Thirds of a run, by time.
+/// Thirds of a run, by time; a third in which nothing was asked for counts as fully served.
 fn thirds(verdict: &Verdict, late: &Verdict) -> Vec<Served> {
     // Both runs have the same length, but the last second may be recorded in only one of them.
     let length = verdict.seconds.len().max(late.seconds.len());
--- a/crates/fleet-test/src/gate/growth.rs
+++ b/crates/fleet-test/src/gate/growth.rs
@@ -13,7 +13,8 @@
 /// Minimum number of samples for a result.
 const MIN_SAMPLES: usize = 9;
 
-/// Findings for the tables that grew from the second third of the run to the last.
+/// Findings for the tables that grew beyond the bound from the second third of the run to the last; none if
+/// there are fewer than 9 samples.
 pub(super) fn growing_tables(sizes: &[(Time, Sizes)]) -> Vec<Finding> {
     if sizes.len() < MIN_SAMPLES {
         return Vec::new();
--- a/crates/fleet-test/src/gate/metrics.rs
+++ b/crates/fleet-test/src/gate/metrics.rs
@@ -18,11 +18,11 @@
     pub classes: Vec<(String, f64)>,
     /// Sum of the prices, which are deducted from the goal value.
     pub prices: f64,
-    /// Client tries per request.
+    /// Completed, rejected and failed client tries per request.
     pub tries: f64,
     /// Attempts at boxes per request.
     pub attempts: f64,
-    /// Share of the client tries that were rejected.
+    /// Share of the completed, rejected and failed client tries that were rejected.
     pub refused: f64,
     /// Share of the attempts that were rejected by a box.
     pub turned_away: f64,
--- a/crates/fleet-test/src/gate/mod.rs
+++ b/crates/fleet-test/src/gate/mod.rs
@@ -18,7 +18,7 @@
 /// In the calm scenario, how far the served share may be below that of the simplest policy.
 const CALM_MARGIN_TO_SIMPLEST: f64 = 0.05;
 /// In the calm scenario, how far the served share may be below that of the late-seeing policy. The lower of the two
-/// bounds applies.
+/// bounds applies, but at least half of the late-seeing policy's share is required.
 const CALM_MARGIN_TO_LATE: f64 = 0.1;
 
 /// An acceptance criterion that was not met.
--- a/crates/fleet-test/src/play.rs
+++ b/crates/fleet-test/src/play.rs
@@ -135,10 +135,11 @@
 }
 
 /// Runs a trial and calls `ended` after each run. Once `stop` is set no further run is started, and the result covers
-/// the completed ones. The result does not depend on the number of parallel runs.
+/// the completed ones. Unless it is stopped, the result does not depend on the number of parallel runs.
 ///
 /// # Errors
-/// The first error, in the order in which the runs were queued.
+/// An invalid scenario, before any run; or else the first error of a run, in the order in which the runs were
+/// queued.
 pub fn trial(
     plan: &TrialPlan,
     stop: &AtomicBool,
--- a/crates/fleet-test/src/report.rs
+++ b/crates/fleet-test/src/report.rs
@@ -19,7 +19,8 @@
     out.push('\n');
 }
 
-/// Table cells of a scenario over its seeds: mean values, plus the lowest share served and the highest share required.
+/// Table cells of a scenario over its seeds: mean values, plus the lowest share that the decision module
+/// served and the highest share required of it.
 fn row(day: Day, results: &[&Result]) -> [String; 12] {
     let mean = |metric: &dyn Fn(&Result) -> f64| {
         results.iter().map(|r| metric(r)).sum::<f64>() / results.len() as f64
@@ -43,7 +44,8 @@
     ]
 }
 
-/// Renders the table, the findings, and the verdict as the last line.
+/// Renders the table, the decision module's losses if there are any, the findings, and the verdict as the
+/// last line.
 pub fn text(trial: &Trial) -> String {
     let mut out = String::new();
     let header = [
@@ -101,7 +103,8 @@
     days.join(", ")
 }
 
-/// Table of the lost weighted requests by cause, as shares of what was asked for.
+/// Table of the decision module's lost weighted requests by cause, as shares of what was asked for (mean over
+/// the seeds).
 fn losses(trial: &Trial) -> String {
     const ALL: [Loss; 7] = [
         Loss::Refused,
