--- a/crates/simulation/tests/cache_box.rs
+++ b/crates/simulation/tests/cache_box.rs
@@ -143,7 +143,7 @@
     harness.cache.preload(1, 100, Time(u64::MAX));
     harness.read(1, 1, 10);
     harness.read(2, 1, 30);
-    // Both run at half speed until the first ends; then the second gets the whole core.
+    // Both requests run at half speed until the first ends; then the second gets the whole core.
     assert_eq!(
         harness.run_until(100),
         [(20, served(1, CacheNote::Hit, 0)), (40, served(2, CacheNote::Hit, 0))]
--- a/crates/simulation/tests/plane.rs
+++ b/crates/simulation/tests/plane.rs
@@ -1,4 +1,5 @@
-//! Nodes with a control plane exchange their evidence about boxes over the simulated network; nodes without do not.
+//! Nodes with a control plane exchange their evidence about boxes over the simulated network; nodes without a
+//! control plane do not.
 
 use std::sync::{Arc, Mutex};
 
@@ -11,7 +12,7 @@
 use hallpin_simulation::trace::{Event as TraceEvent, Sink};
 use hallpin_simulation::world::World;
 
-/// The balancer module, wrapped to count the reports of silent boxes that its plane gives it.
+/// The balancer module, wrapped to count the reports of silent boxes that the control plane gives it.
 struct RecordingPolicy {
     inner: Box<dyn Policy>,
     silent_reports: Arc<Mutex<usize>>,
@@ -26,8 +27,8 @@
     }
 }
 
-/// Runs a scenario of 12 s with 8 nodes; returns its events, verdict and tally, and how often a node got a report of a
-/// silent box from peers.
+/// Runs a scenario of 12 s with 8 nodes; returns its events, verdict and tally, and the number of reports of
+/// silent boxes that all nodes together got from peers.
 fn run_scenario(extra_toml: &str, seed: u64, switch: Switch) -> (String, Verdict, Tally, usize) {
     let text =
         format!("version = 1\nlength = \"12s\"\n[nodes]\ncount = 8\n[clients]\nrate = 150.0\n{extra_toml}");
--- a/crates/simulation/tests/random_lives.rs
+++ b/crates/simulation/tests/random_lives.rs
@@ -17,7 +17,7 @@
 use hallpin_simulation::time::{Span, Time};
 use hallpin_simulation::trace::{Event, Sink, TryOutcome};
 
-/// Number of boxes on the node's list; the run has twelve.
+/// Number of boxes on the node's list; the run has twelve boxes.
 const LISTED: usize = 8;
 /// Number of keys that requests are drawn from; few, so that requests share keys.
 const KEYS: u64 = 50;
--- a/crates/simulation/tests/referee/departed_clients.rs
+++ b/crates/simulation/tests/referee/departed_clients.rs
@@ -25,7 +25,7 @@
     events
 }
 
-/// Violations of a number of such requests, as seen through sockets.
+/// Violations of `times` requests of `attempt_after_leaving`, with a leeway of 50 ms as on sockets.
 fn violations(times: u64, after: u64, first: bool) -> Vec<(Rule, u64)> {
     let listed = (0..2).map(|of| (0, box_notified(of, Phase::Ready, None))).collect();
     let events = (1..=times).fold(listed, |events, id| with(events, attempt_after_leaving(id, after, first)));
@@ -67,8 +67,8 @@
     }
 }
 
-/// In virtual time a node is notified at once, so no attempt can cross the disconnect and the first one violates rule
-/// one.
+/// In virtual time a node is notified at once, so no attempt can cross the disconnect and the first attempt
+/// after it violates `Rule::Lost`.
 #[test]
 fn a_notified_node_starts_no_attempt() {
     let listed = vec![(0, box_notified(0, Phase::Ready, None)), (0, box_notified(1, Phase::Ready, None))];
--- a/crates/simulation/tests/referee/notifications.rs
+++ b/crates/simulation/tests/referee/notifications.rs
@@ -74,7 +74,7 @@
     let hup = |at| vec![(1000, Event::Reconfigured { node: 0 }), (at, available(Phase::Draining, false))];
     counts_from("after SIGHUP", 5000, hup(2000));
     counts_from("long after SIGHUP", 9000, hup(9000));
-    // The previous process had the silent watch; the agent has the drain as soon as the new one starts.
+    // The node's previous process had the silent watch; the agent has the drain when the new process starts.
     let mut restarted = vec![(1000, silent(Some(10_000))), (1500, available(Phase::Draining, false))];
     restarted.push((2000, Event::NodeDown { node: 0, planned: false }));
     restarted.push((2500, Event::NodeUp { node: 0 }));
--- a/crates/simulation/tests/referee/overload.rs
+++ b/crates/simulation/tests/referee/overload.rs
@@ -60,7 +60,8 @@
     assert_clean("a fault event stopped it", events);
 }
 
-/// A box that is allowed N requests tolerates N + 2 sqrt(N) + 2 requests of mean work; one more is an overload.
+/// A box that is allowed N requests, N at least 30, tolerates N + 2 sqrt(N) + 2 requests of mean work; one
+/// more is an overload.
 #[test]
 fn a_cold_box_is_overloaded_beyond_its_limit_and_the_first_overload_counts() {
     let day = day();
--- a/crates/simulation/tests/referee/planned_restarts.rs
+++ b/crates/simulation/tests/referee/planned_restarts.rs
@@ -34,7 +34,7 @@
     let mut answered_first = cut_off(900, kill, false);
     answered_first.push((kill - 1, answered(1, hallpin_simulation::trace::TryOutcome::Failed)));
     assert_clean("answered by then", answered_first);
-    // For the next process, the time counts from its own SIGTERM.
+    // For the node's next process, the 0.7 s count from the SIGTERM that this process receives.
     let mut next = vec![(0, Event::Stopping { node: 0 }), (500, Event::NodeDown { node: 0, planned: false })];
     next.push((600, Event::NodeUp { node: 0 }));
     next.extend(cut_off(700, kill, false));
--- a/crates/simulation/tests/referee/rules.rs
+++ b/crates/simulation/tests/referee/rules.rs
@@ -61,7 +61,7 @@
         (1121, answered(1, TryOutcome::Failed)),
     ];
     let verdict = check(&day(), &events);
-    // Two violations: it is overdue, and then answered after it counts as lost.
+    // Two violations: the request's answer is overdue, and then comes after the request counts as lost.
     assert_eq!(verdict.violations.get(&Rule::Lost), Some(&2));
 }
 
@@ -85,7 +85,7 @@
         check(&day, &events).violations.get(&Rule::Lost).copied().unwrap_or(0)
     };
     assert_eq!(broken(FIRST_BYTE + TIME + 500), 0);
-    // Two violations: it is overdue, and then answered after it counts as lost.
+    // Two violations: the request's answer is overdue, and then comes after the request counts as lost.
     assert_eq!(broken(FIRST_BYTE + TIME + 501), 2);
     assert_eq!(broken(LAST_BYTE + TIME + 500), 2, "a deadline from the last byte would be too late");
 }
