--- a/crates/balancer/src/balance/arrival.rs
+++ b/crates/balancer/src/balance/arrival.rs
@@ -48,9 +48,9 @@
         }
     }
 
-    /// The index at which a request starts on its key's probe sequence. To each of many nodes, a hot key's
-    /// owner looks idle even if it is far too small for the key, so the cap on what one server holds is also
-    /// applied to the last requests.
+    /// The index at which a request starts on its key's probe sequence: one more for each cap of the mean
+    /// server that recent requests for the key fill. By attempts in flight alone, each of many nodes would
+    /// see a hot key's owner as idle, even if the owner is far too small for the key.
     fn first_probe(&mut self, key: Key) -> u64 {
         let request_count = self.popularity.record(key, self.servers.totals().ready);
         let fair_share = ((1.0 + EPSILON) * self.servers.next_mean_in_flight()).ceil();
--- a/crates/balancer/src/balance/completion.rs
+++ b/crates/balancer/src/balance/completion.rs
@@ -19,8 +19,8 @@
         self.on_finished(id);
     }
 
-    /// When a rejected client should retry: capacity frees within about one answer time, and clients must not
-    /// retry at the same moment.
+    /// Delay after which a rejected client should retry; `None` if it is 0. Capacity frees within about
+    /// one answer time, and the jitter keeps clients from retrying at the same moment.
     fn retry_after(&self, jitter_factor: f64) -> Option<Seconds> {
         let delay = (self.latency.answer_time() * jitter_factor).min(self.settings.limits.max_retry_after);
         (delay > 0.0).then_some(delay)
--- a/crates/balancer/src/balance/concurrency_limit.rs
+++ b/crates/balancer/src/balance/concurrency_limit.rs
@@ -40,8 +40,8 @@
     }
 
     /// Cuts the limit to `factor` times the load, after the load is clamped between half the limit and the
-    /// limit. An attempt that was sent before the last cut says nothing about the limit since, so it is
-    /// ignored.
+    /// limit; the result is at least `MIN_LIMIT`. An attempt that was sent before the last cut says
+    /// nothing about the limit since that cut, so such an attempt is ignored.
     pub(super) fn cut(&mut self, factor: f64, load: f64, now: Seconds, elapsed: Seconds) {
         if now - elapsed > self.changed_at {
             self.value = (load.clamp(self.value / 2.0, self.value) * factor).max(MIN_LIMIT);
--- a/crates/balancer/src/balance/demand.rs
+++ b/crates/balancer/src/balance/demand.rs
@@ -58,7 +58,8 @@
         let served = f64::from(std::mem::take(&mut self.served)) * per_server;
         let recent_window = (fleet.window * RECENT_WINDOWS).max(elapsed);
         self.recent_rate += (arrived - self.recent_rate) * (elapsed / recent_window);
-        // A node that has just started, or was idle, takes its first arrivals as its usual demand.
+        // A node that has just started, or was idle, takes the arrivals of its first overload window as
+        // its usual demand.
         if self.usual_rate * fleet.ready as f64 * fleet.window < MIN_KNOWN_REQUESTS {
             self.averaged_for = 0.0;
         }
--- a/crates/balancer/src/balance/dispatch.rs
+++ b/crates/balancer/src/balance/dispatch.rs
@@ -100,8 +100,8 @@
         self.next_to_probe_by_read()
     }
 
-    /// Whether a request that no server has capacity for is held: only while its latency objective can still
-    /// be met.
+    /// Whether a request that no server has capacity for is held: only during its hold time, and only if
+    /// one more attempt of it may still be sent.
     fn may_hold(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let class = self.class(request);
--- a/crates/balancer/src/balance/endpoint_subscription.rs
+++ b/crates/balancer/src/balance/endpoint_subscription.rs
@@ -46,9 +46,9 @@
         self.failed_calls = 0;
     }
 
-    /// A call has failed, or the subscription broke. Nodes whose calls failed together must not repeat them
-    /// together; yet a call that hangs, this backoff and a call that succeeds fit into 6 s, or into four poll
-    /// intervals if that is less. `random` is from 0 to 1.
+    /// A call has failed, or the subscription broke. Nodes whose calls failed at the same moment must not
+    /// call again at the same moment; yet a call that hangs, this backoff and a call that succeeds fit
+    /// into 6 s, or into four poll intervals if that is less. `random` is from 0 to 1.
     pub(super) fn failed(&mut self, now: Seconds, poll_interval: Seconds, random: f64) {
         let first = (FIRST_BACKOFF_SHARE * poll_interval).clamp(MIN_FIRST_BACKOFF, MAX_FIRST_BACKOFF);
         let doubled = first * f64::from(2u32 << self.failed_calls.min(MAX_DOUBLINGS));
--- a/crates/balancer/src/balance/hedging.rs
+++ b/crates/balancer/src/balance/hedging.rs
@@ -47,8 +47,8 @@
         let is_over = request.ended || request.streaming || request.give_up_at <= self.now + TIMER_TOLERANCE;
         let late_at = last.sent_at + self.time_until_late(request) - self.settings.event_interval;
         let is_late = last.is_in_flight() && self.now >= late_at;
-        // If the origin is slow, all attempts are late; if the server answered another attempt since, it is
-        // alive and only this request is slow.
+        // If the origin is slow, attempts are late whatever their server; a server that answered another
+        // attempt since this one was sent is alive, and only this request is slow.
         let server = self.servers.get(&last.server);
         let is_alive = server.is_none_or(|server| server.answered_since(last.sent_at));
         let is_excused = is_alive || self.origin.is_slow();
--- a/crates/balancer/src/balance/key_popularity.rs
+++ b/crates/balancer/src/balance/key_popularity.rs
@@ -4,8 +4,8 @@
 
 use crate::interface::Key;
 
-/// A key is hot when it recurs within the last (ready servers / this factor) requests, that is, at this
-/// multiple of its fair share.
+/// A key is hot when it recurs within the last (ready servers / this factor) requests, that is, when its
+/// share of the requests is this multiple of one server's fair share.
 pub(super) const HOT_KEY_FACTOR: f64 = 4.0;
 
 /// The keys of the last requests and their counts.
--- a/crates/balancer/src/balance/observation.rs
+++ b/crates/balancer/src/balance/observation.rs
@@ -90,8 +90,9 @@
         server.attempt_ended();
         let shows_slowness = match status {
             Status::Success => from_cache,
-            // The attempt would have taken even longer. A node with little traffic knows no locations of keys
-            // at a server that has just restarted, so it cannot distinguish a hit from a fetch.
+            // An attempt that ended unanswered would have taken even longer, so its time counts only where
+            // it raises the slowness. Fetches count too: a node with little traffic knows no locations of
+            // keys at a server that has just restarted, so it cannot distinguish a hit from a fetch.
             Status::TimedOut | Status::Cancelled => evidence.slowness > server.slowness(),
             _ => false,
         };
--- a/crates/balancer/src/balance/outcome.rs
+++ b/crates/balancer/src/balance/outcome.rs
@@ -77,8 +77,8 @@
         }
         request.missed |= outcome.status == Status::Absent;
         let was_cancelled = matches!(outcome.status, Status::Cancelled | Status::Void);
-        // A fetch that failed at the origin fails at other servers too; while most attempts of the fleet
-        // succeed, the error is taken for the server's own.
+        // A fetch that failed at the origin fails at other servers too. Unless the fleet is failing (see
+        // `is_fleet_failing`), the error is taken for the server's own.
         let origin_fails = outcome.status == Status::Error && to_origin && self.outliers.is_fleet_failing();
         // An attempt that never ran cost no server any work.
         let cost_no_work = matches!(outcome.status, Status::Absent | Status::Unreachable);
--- a/crates/balancer/src/balance/outlier_detection.rs
+++ b/crates/balancer/src/balance/outlier_detection.rs
@@ -14,9 +14,9 @@
 /// Time between probes of ejected servers, of which one is probed at a time: each probe costs a health check
 /// or risks a request.
 const PROBE_INTERVAL: Seconds = 1.0;
-/// Most consecutive failures that are needed to eject a server; the number needed is 1 plus the attempts in
-/// flight at the mean server. With a fixed number, a node that sends a server one request a minute would lose
-/// as many requests to its death as a busy node.
+/// Most consecutive failures that are needed to eject a server; the number needed is 1 plus the attempts
+/// in flight at the mean server. With a fixed number, a node that sends a server one request a minute
+/// would lose as many requests to the server's death as a busy node.
 const MAX_FAILURES_TO_EJECT: f64 = 3.0;
 /// Failures needed to eject a server that peers suspect.
 const FAILURES_TO_EJECT_SUSPECTED: f64 = 0.5;
--- a/crates/balancer/src/balance/routing.rs
+++ b/crates/balancer/src/balance/routing.rs
@@ -66,8 +66,8 @@
     fn route(&self, request: &Request) -> Route {
         let totals = self.servers.totals();
         // A node that takes over for others that are down or drained sees more than its share of a quota.
-        // While the fleet has spare capacity that harms nobody; at its limits, requests within their quota go
-        // first.
+        // While the fleet has spare capacity, serving the excess harms nobody; once the fleet is at its
+        // limits, requests within their quota go first.
         let is_full = f64::from(self.servers.in_flight()) > totals.limit;
         let is_expensive = request.work > HEAVY_WORK_FACTOR * self.latency.usual_work();
         Route { is_low_priority: request.over_quota && is_full, is_heavy: is_expensive && totals.warm > 0 }
--- a/crates/balancer/src/balance/servers.rs
+++ b/crates/balancer/src/balance/servers.rs
@@ -122,8 +122,8 @@
     }
 
     /// Whether all servers have just started by their listed start times. Readmitted servers also count as
-    /// just started, but only by assumption: while a server is warm by the list, no request is rejected on
-    /// that ground.
+    /// just started, but only by assumption: while a server is warm by the list, no request is rejected
+    /// because the fleet is cold.
     pub(super) fn is_cold_fleet(&self) -> bool {
         self.totals.warm == 0 && self.totals.listed_warm == 0
     }
--- a/crates/balancer/src/balance/short_deadline_throttle.rs
+++ b/crates/balancer/src/balance/short_deadline_throttle.rs
@@ -12,7 +12,7 @@
 const MIN_PROBABILITY: f64 = 0.02;
 /// Weight of one outcome in the served share.
 const SMOOTHING: f64 = 0.05;
-/// Time in which a low served share recovers without any outcomes.
+/// Time constant with which a low served share moves towards 1 by itself, without any outcomes.
 const RECOVERY_TIME: Seconds = 60.0;
 
 /// Smoothed share of attempts with a short deadline that succeeded.
