--- a/crates/balancer/src/balance/slow_start.rs
+++ b/crates/balancer/src/balance/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start: the share of the requests for its keys that a server admits while it warms up, such that the
-//! sum over all nodes stays within its capacity. No node sees what the others send: each admits the same
-//! share of what it sees.
+//! Slow start: the share of the requests for its keys that a server admits while it warms up, such that
+//! the sum over all nodes stays within the server's capacity. No node sees what the others send: each
+//! admits the same share of the requests that it sees.
 
 use super::hash_ring::hash_key;
 use super::request::Request;
@@ -92,9 +92,9 @@
         self.owner(request, request.first_probe).is_none_or(|(id, _)| was_tried(id))
     }
 
-    /// Whether this node probes an ejected server with a read now. At 300 nodes, one read a second from each
-    /// is more than a server that is warming up can serve. After the slow start, each node probes the server
-    /// on its own.
+    /// Whether this node probes an ejected server with a read now. At 300 nodes, one read a second from
+    /// each is more than a server that is warming up can serve, so all nodes together then send at most
+    /// about `PROBES_PER_SECOND`. After the slow start, the number of nodes no longer counts.
     pub(super) fn may_probe_by_read(&mut self, id: &ServerId, interval: Seconds) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
         if !server.is_warming_up(self.now, &self.settings.guarantees) {
--- a/crates/balancer/src/balance/tests/bounds.rs
+++ b/crates/balancer/src/balance/tests/bounds.rs
@@ -42,8 +42,8 @@
     node.flush_recent_keys();
     let was_sent: Vec<bool> = keys.iter().map(|k| !sent(&node.request(read(*k, *k))).is_empty()).collect();
     assert_eq!(was_sent, [true, true, true, true, false, false], "the floor of the cap");
-    // Capacity frees: the first held request is sent; the other stays held and is rejected in time, with
-    // `retry_after`.
+    // One attempt at the owner ends: the first held request is sent; the other stays held and is rejected
+    // at the end of its hold time, with `retry_after`.
     let actions = end_attempt(&mut node, keys[0], 0, Status::Success, true);
     assert_eq!(sent(&actions), [id(3)]);
     assert_eq!(attempts_in_flight(&node, keys[4]), [0]);
@@ -68,7 +68,7 @@
         fleet(5).into_iter().filter(|e| e.server != owner).collect(),
     )));
     check_invariants(&node);
-    // Listed again under the same id: its attempts in flight still count.
+    // The server is listed again under the same id: its attempts in flight still count.
     node.event(Event::Endpoints(EndpointUpdate::Full(fleet(5))));
     check_invariants(&node);
     node.event(Event::Endpoints(EndpointUpdate::Full(vec![])));
--- a/crates/balancer/src/balance/tests/churn.rs
+++ b/crates/balancer/src/balance/tests/churn.rs
@@ -55,7 +55,8 @@
         sizes.push(table_sizes(&node));
     }
     assert_eq!(sizes.get(1), sizes.last(), "sizes in the second hour and in the last");
-    // Ejections of the last hour remain until a probe ends them, so the list is cleared.
+    // Ejections of the last hour remain until a probe readmits the server or the server leaves the list,
+    // so the list is cleared.
     node.event(Event::Endpoints(EndpointUpdate::Full(vec![])));
     let after = (owners(&mut node, 1 << 52), hold_time_in_ticks(&mut node, 1 << 53));
     assert_eq!(before.0, after.0);
--- a/crates/balancer/src/balance/tests/interruptions.rs
+++ b/crates/balancer/src/balance/tests/interruptions.rs
@@ -10,10 +10,10 @@
 enum Stage {
     /// No server is listed.
     Held,
-    /// Another request's fetch of its key is in flight.
+    /// Another request's fetch of request 1's key is in flight.
     Waiting,
     Sent,
-    /// Its first attempt was rejected and a second one is in flight.
+    /// A server rejected the first attempt as overloaded, and a second attempt is in flight.
     ServerRejected,
     /// A second attempt is in flight beside the first.
     Hedged,
--- a/crates/balancer/src/balance/tests/mod.rs
+++ b/crates/balancer/src/balance/tests/mod.rs
@@ -34,7 +34,8 @@
     );
     assert!(state.timers.len() <= 2 * state.requests.len());
     assert!(state.key_locations.len() <= MAX_LOCATIONS);
-    // Trimmed at the next request, so the bound follows from the largest fleet of these tests.
+    // The recent requests are trimmed only when the next request arrives, so the bound follows from the
+    // largest fleet of these tests: 8 servers.
     let (recent_requests, recent_keys) = state.popularity.sizes();
     assert!(recent_requests as f64 <= 8.0 / HOT_KEY_FACTOR + 1.0);
     assert!(recent_keys <= recent_requests);
--- a/crates/balancer/src/balance/tests/recovery.rs
+++ b/crates/balancer/src/balance/tests/recovery.rs
@@ -63,8 +63,8 @@
     assert_idle(&mut node);
 }
 
-/// The origin fails and recovers: its limit falls to 1 at the least and is restored by the answers that
-/// follow.
+/// The origin fails and recovers: the fetch limit falls, but never below 1, and the answers that follow
+/// raise the limit again and refill the retry budget.
 #[test]
 fn the_fetch_limit_and_the_retry_budget_recover() {
     let mut node = common::Node::with(settings(), 1, fleet(8));
@@ -98,8 +98,8 @@
     check_invariants(&node);
 }
 
-/// A read that waits for another's fetch is sent on its own once that fetch is late, so that it is served in
-/// time.
+/// A read that waits for another request's fetch is sent on its own once that fetch is late, so that the
+/// read is served in time.
 #[test]
 fn a_read_that_waits_for_a_late_fetch_is_sent_on_its_own() {
     let mut limits = settings().limits;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -172,8 +172,8 @@
         self.owner_if_sent(request, key).expect("a read is sent")
     }
 
-    /// Like `owner`; `None` where the read is rejected because no server is warm. At the same time, a key
-    /// draws the same slow-start sample again.
+    /// Like `owner`; `None` where the read is rejected because no server is warm. As long as the node's
+    /// time stands still, a key draws the same slow-start sample again.
     pub(crate) fn owner_if_sent(&mut self, request: u64, key: u64) -> Option<ServerId> {
         self.flush_recent_keys();
         let sent = sent(&self.request(read(request, key)));
--- a/crates/balancer/tests/ramp/ejected_server_probes.rs
+++ b/crates/balancer/tests/ramp/ejected_server_probes.rs
@@ -38,7 +38,7 @@
     panic!("server 1 was not ejected");
 }
 
-/// Reads that probed server 1, by the second, over all nodes, until some seconds after it is warm.
+/// Number of reads in each second, over all nodes, that probed server 1, until 4 s after the slow start.
 fn probes_by_second(scenario: &Scenario) -> Vec<usize> {
     let mut nodes: Vec<Node> =
         (0..u64::from(scenario.nodes)).map(|seed| node_without_server_one(scenario, seed)).collect();
@@ -81,7 +81,7 @@
         );
         let total: usize = cold.iter().sum();
         assert!(total >= ramp, "{nodes} nodes: too few probes to find a recovery: {probes:?}");
-        // Once the server must be warm, each node probes it on its own.
+        // Once the slow start is over, each node probes the server without regard to the number of nodes.
         let warm: usize = probes[ramp..].iter().sum();
         assert!(warm >= 2 * nodes as usize, "{nodes} nodes: {probes:?}");
     }
--- a/crates/balancer/tests/rules/origin.rs
+++ b/crates/balancer/tests/rules/origin.rs
@@ -106,8 +106,9 @@
     assert!((1..10).contains(&writes), "{writes} sent");
 }
 
-/// Where many nodes share an origin, each uses little of its limit. When the origin is slow, the limit must
-/// fall from the load in use; otherwise it takes tens of cuts before it has an effect.
+/// Where many nodes share an origin, each uses little of its own fetch limit. When the origin is slow, the
+/// limit must be cut from the load in use; otherwise it takes tens of cuts until the limit holds back a
+/// fetch.
 #[test]
 fn a_fetch_limit_far_above_the_load_falls_fast() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -140,8 +141,8 @@
     assert!(unknown_sent > 25, "{unknown_sent} sent");
 }
 
-/// How many unknown keys are sent at once after reads of ever new keys have all timed out after `time_left`, at
-/// one server that does or does not answer another read meanwhile.
+/// How many unknown keys are sent at once after reads of ever new keys have all timed out 0.02 s or
+/// 0.04 s before `left` was over, at one server that does or does not answer another read meanwhile.
 fn sent_after_time_outs(left: Seconds, answers: bool) -> usize {
     let mut node = Node::with(settings(), 1, fleet(1));
     for n in 0..200 {
@@ -173,8 +174,8 @@
     assert!(sent_if_silent > 40 && sent_if_alive < 10, "{sent_if_silent}, {sent_if_alive}");
 }
 
-/// One of many nodes knows the location of almost no key. While the origin is slow, reads that servers answer
-/// from cache must not wait for the few that it fetches.
+/// One of many nodes knows the location of almost no key. While the origin is slow, reads that servers
+/// answer from cache must not wait for the few reads that the servers fetch from the origin.
 #[test]
 fn a_fetch_limit_counts_reads_by_how_many_of_them_are_misses() {
     let mut node = Node::with(settings(), 1, fleet(64));
--- a/crates/balancer/tests/rules/slow_start.rs
+++ b/crates/balancer/tests/rules/slow_start.rs
@@ -51,7 +51,7 @@
         [(false, 0.05, true), (false, 0.3, true), (false, 1.0, false), (true, 1.0, true)]
     {
         let mut node = started(all);
-        // At the same time, a request for the same key draws the same slow-start sample.
+        // While the node's time stands still, a request for the same key draws the same slow-start sample.
         let mut is_sent_there = |key: &u64| node.owner_if_sent(1000 + key, *key) == Some(id(3));
         let key = (0..200).find(|key| is_sent_there(key)).expect("a key that server 3 owns");
         node.flush_recent_keys();
--- a/crates/membership/src/membership/gossip.rs
+++ b/crates/membership/src/membership/gossip.rs
@@ -21,7 +21,8 @@
         self.times_sent.insert(node, 0);
     }
 
-    /// Queues a node about which there is more to send: behind new changes, and for half the number of sends.
+    /// Queues a node about which there is more to send: behind new changes, for half of `limit` sends
+    /// (rounded up), or for the sends that are left where those are more.
     pub fn requeue(&mut self, node: NodeId, limit: u8) {
         let times_sent = self.times_sent.entry(node).or_insert(limit);
         *times_sent = (*times_sent).min(limit / 2);
--- a/crates/membership/src/membership/merge.rs
+++ b/crates/membership/src/membership/merge.rs
@@ -139,7 +139,8 @@
         Effect::Hint
     }
 
-    /// Accepts a claim that a second node confirms; at the first, has the node itself pinged.
+    /// Accepts a claim once a second node makes the same one; after the first node's claim, the node that
+    /// it is about is to be pinged.
     fn record_rumor(&mut self, now: Moment, claim: &Claim, kind: RumorKind, source: NodeId) -> Effect {
         let Some(known) = self.details.get_mut(&claim.node) else { return Effect::Nothing };
         let second = known.rumor.is_some_and(|(incarnation, known_kind, by)| {
--- a/crates/membership/src/membership/pull.rs
+++ b/crates/membership/src/membership/pull.rs
@@ -53,7 +53,7 @@
         Some((active.from, active.at))
     }
 
-    /// Processes a page; one that was not requested is ignored.
+    /// Processes a page; any page but the awaited one is ignored.
     pub fn on_page(&mut self, now: Moment, from: NodeId, at: u16, next: Option<u16>) {
         let Some(active) = self.active.as_mut().filter(|active| (active.from, active.at) == (from, at))
         else {
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -79,7 +79,7 @@
         self.open.remove(&node);
     }
 
-    /// Returns one of the accusers, a different one for each value of `time`.
+    /// Returns one of the accusers; as `time` counts up, each accuser has its turn.
     pub fn accuser(&self, node: NodeId, time: usize) -> Option<NodeId> {
         let accusers = &self.open.get(&node)?.accusers;
         accusers.get(time % accusers.len().max(1)).copied()
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -105,7 +105,7 @@
         details.confirmed.then_some(claim)
     }
 
-    /// Marks an alive node as suspected.
+    /// Marks an alive node as suspected; returns `Accused` for any node that is then suspected.
     pub fn suspect(&mut self, now: Moment, node: NodeId, by: NodeId) -> Effect {
         if self.state(node) == Some(MemberState::Alive) {
             self.set_state(now, node, MemberState::Suspect);
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -82,7 +82,7 @@
         let hello = gossip_payload(1, 1, &[0], &[0]);
         peers.receive(ms(0), node_incarnation(1, 1), &hello).unwrap();
         let before = format!("{peers:?}");
-        // Few random payloads decode beyond the first bytes; with a valid start more do.
+        // Few random payloads decode beyond the first bytes; more do if they begin with a valid header.
         let started = [&[0, 0, 0, 9, 9, 9, 9, head], bytes.as_slice()].concat();
         for payload in [bytes, started] {
             if peers.receive(ms(1), node_incarnation(1, 1), &payload).is_err() {
