--- a/crates/balancer/src/balance/observation.rs
+++ b/crates/balancer/src/balance/observation.rs
@@ -27,7 +27,8 @@
 
 /// Facts derived from an outcome and from the state of its server before it.
 struct Evidence {
-    /// The client left early: its time-out is no sign of a faulty server or origin.
+    /// The client left within `LATE_OBJECTIVE_SHARE` of the tightest latency objective: such a time-out is
+    /// no sign of a faulty server or origin.
     is_early_timeout: bool,
     /// The server has answered another attempt since this one was sent. Without such an answer, a time-out
     /// may come from a lost zone and does not count as a late fetch.
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Updates the latency estimates with an answer from cache.
+    /// Updates the latency estimates with an answer from cache; that of the server's kind only if the
+    /// server has warmed up.
     fn learn_latency(&mut self, attempt: &EndedAttempt, elapsed: Seconds, evidence: &Evidence) {
         if evidence.is_warm {
             self.servers.learn_kind(&attempt.server, evidence.slowness);
@@ -154,7 +156,8 @@
         }
     }
 
-    /// Updates the location of the key. A write invalidates the cached value.
+    /// Updates the location of the key. A write invalidates the cached value, and after an error the key
+    /// is not assumed to be cached.
     fn observe_location(&mut self, attempt: &EndedAttempt, location: KeyLocation, status: Status) {
         let is_through = self.settings.cache == CacheMode::Through;
         match status {
--- a/crates/balancer/src/balance/origin_load.rs
+++ b/crates/balancer/src/balance/origin_load.rs
@@ -10,7 +10,8 @@
 
 /// Initial limit on reads in flight of keys that are not known to be cached; adapted from then on.
 const INITIAL_FETCH_LIMIT: f64 = 64.0;
-/// The origin is slow when this share of fetches is late. Their mean time varies too much to tell.
+/// The fetch limit is cut while more than this share of fetches is late or fails; at half of this share,
+/// the origin counts as slow. The mean time of fetches varies too much to tell.
 const SLOW_ORIGIN_LATE_SHARE: f64 = 0.6;
 /// Limit of writes as a multiple of the limit of fetches.
 const WRITE_LIMIT_FACTOR: f64 = 2.0;
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Whether the origin has capacity for one more write or fetch. Writes go first, and cache hits must not
-    /// queue with either.
+    /// Whether the origin has capacity for one more write or fetch. Writes may use `WRITE_LIMIT_FACTOR`
+    /// times the limit, so that they go before fetches; cache hits must not wait for either.
     pub(super) fn has_capacity(&self, hold: HoldReason) -> bool {
         let factor = if hold == HoldReason::Write { WRITE_LIMIT_FACTOR } else { 1.0 };
         self.expected_fetches(self.in_flight) < self.limit.value() * factor
@@ -99,7 +100,7 @@
         self.miss_share += MISS_SMOOTHING * (f64::from(missed) - self.miss_share);
     }
 
-    /// Records a fetch that was late or in time.
+    /// Records a fetch that was in time, or was late or failed, and adapts the limit.
     pub(super) fn learn_fetch(&mut self, late: bool, now: Seconds, elapsed: Seconds) {
         self.late_share += SMOOTHING * (f64::from(late) - self.late_share);
         let load = self.expected_fetches(self.in_flight + 1);
--- a/crates/balancer/src/balance/outlier_detection.rs
+++ b/crates/balancer/src/balance/outlier_detection.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Takes a server out of the slot array; its keys fall to the next server clockwise, as when the list
-    /// drops it.
+    /// Takes a server out of the slot array, unless too many servers are ejected already. Its keys fall to
+    /// the next server clockwise, as when the list drops the server.
     pub(super) fn eject(&mut self, id: &ServerId) {
         if !self.outliers.may_eject(self.servers.totals().ready) {
             return;
@@ -107,7 +107,8 @@
         self.outliers.ejected.retain(|id| servers.get(id).is_some_and(|server| server.is_ejected()));
     }
 
-    /// The ejected server to probe now: one for each interval, in turn.
+    /// The ejected server to probe now: one for each interval, in turn; `None` if the one whose turn it is
+    /// cannot answer.
     pub(super) fn next_to_probe(&mut self) -> Option<ServerId> {
         if self.now < self.outliers.next_probe_at {
             return None;
--- a/crates/balancer/src/balance/routing.rs
+++ b/crates/balancer/src/balance/routing.rs
@@ -29,7 +29,7 @@
     Take,
     /// The search goes on with the next probe.
     Next,
-    /// Ends the search: further servers are reserved for other requests too.
+    /// Ends the search: a low-priority request leaves the capacity of further servers to other requests.
     Stop,
 }
 
@@ -49,7 +49,9 @@
         self.servers.owner(request.key, probe, |server| self.admits(server, request))
     }
 
-    /// The first server below its cap on the key's probe sequence; `None` if all are full.
+    /// The first server below its cap on the key's probe sequence; `None` if `MAX_PROBES` probes find
+    /// none, if no server admits the request, or if a low-priority request meets a server at its
+    /// low-priority limit.
     pub(super) fn choose(&self, request: &Request) -> Option<ServerId> {
         let route = self.route(request);
         for probe in request.first_probe..request.first_probe + MAX_PROBES {
--- a/crates/balancer/src/balance/server.rs
+++ b/crates/balancer/src/balance/server.rs
@@ -27,7 +27,7 @@
     active_points: u16,
     /// Share of the requests for its keys that the server admits while it is warming up.
     admitted_share: f64,
-    /// Limit on attempts in flight, learnt from the times of answers.
+    /// Limit on attempts in flight, learnt from the times of answers, from time-outs and from rejections.
     limit: ConcurrencyLimit,
     /// Time of the last successful answer; 0 before the first.
     last_answer_at: Seconds,
@@ -144,7 +144,7 @@
         self.entry.state = ServerState::Gone;
     }
 
-    /// Sets the size of its share of the slot array; `true` if the number of points changed.
+    /// Sets the size of the server's share of the slot array; `true` if the number of points changed.
     pub(super) fn resize(&mut self, size: f64, takes_points: bool) -> bool {
         self.size = size;
         let points = if takes_points { point_count(size) } else { 0 };
--- a/crates/balancer/src/balance/servers/array.rs
+++ b/crates/balancer/src/balance/servers/array.rs
@@ -48,7 +48,7 @@
             return;
         }
         self.ring.remove(changed);
-        // In the order of the server table, which breaks ties between points with equal hashes.
+        // Points are added in the order of the server table, which breaks ties between equal hashes.
         for (id, server) in &self.servers {
             if changed.contains(id) {
                 self.ring.add(id, server.points());
@@ -65,7 +65,8 @@
         self.kinds.retain(|kind, _| listed.contains(kind.as_str()));
     }
 
-    /// Updates slow start, ejections and the totals over the fleet, so that no request has to.
+    /// Updates slow start, ejections and the totals over the fleet, so that no request has to compute
+    /// them.
     pub(in crate::balance) fn refresh_shares(&mut self, settings: &Settings, now: Seconds) {
         let learns_kinds = settings.weights != WeightSource::Nominal;
         let fastest = self.kinds.values().map(KindLatency::slowness).fold(f64::MAX, f64::min);
