--- a/crates/membership/src/membership/merge.rs
+++ b/crates/membership/src/membership/merge.rs
@@ -1,8 +1,10 @@
 //! Merges claims about nodes into the membership table: those of a node about itself and those of others.
 //!
-//! Within one incarnation, claims are ordered by refutations and then by state, so the result does not depend on the
-//! order of arrival. A claim that would remove a node at once (a newer incarnation, or its leaving) is accepted from
-//! the node itself or from two others that agree. From one other it is a rumor, and the node itself is pinged.
+//! Within one incarnation, claims are ordered by refutations and then by state, so the result does not
+//! depend on the order of arrival. A claim that would remove a node at once (a newer incarnation, or its
+//! leaving) is accepted from the node itself or from two others that agree. From one other it is a rumor,
+//! and the node itself is pinged; only a node that is itself known as a hint is replaced by the hint of a
+//! newer incarnation.
 
 use crate::membership::table::{Effect, MemberDetail, RumorKind, Table, MAX_REFUTATION_LEAD};
 use crate::message::{Claim, ClaimedState, SenderInfo};
@@ -41,7 +43,7 @@
             || !known.confirmed
             || sender.zone != member.zone
         {
-            // Claims about a node that was only a hint are void once it is heard itself.
+            // Claims about a node that was only a hint are void once the node itself is heard.
             let state = if refuted || sender.leaving || !known.confirmed { state } else { member.state };
             return self.upsert(now, from, sender.zone, state, updated);
         }
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -94,7 +94,7 @@
         self.open.iter().filter(|(node, open)| is_expired(**node, open)).map(|(node, _)| *node).collect()
     }
 
-    /// Returns the nodes to ping again, once in each interval `every`.
+    /// Returns the suspected nodes, which are pinged again, once in each interval `every`; else none.
     pub fn due_pings(&mut self, now: Moment, every: Duration) -> Vec<NodeId> {
         if now < self.next_ping_at || self.open.is_empty() {
             return Vec::new();
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -23,7 +23,7 @@
     pub refutations: u32,
     /// Whether the node itself or two others announced this incarnation. Until then it is a hint and is not gossiped.
     pub confirmed: bool,
-    /// The node that announced it, while it is a hint.
+    /// The node that announced this incarnation, while the incarnation is a hint.
     pub source: Option<NodeId>,
     /// Time of the last datagram from this incarnation of the node.
     pub last_heard_at: Option<Moment>,
@@ -51,7 +51,7 @@
     Changed,
     /// The node is suspected; the accuser may be a new one.
     Accused(NodeId),
-    /// The node itself is to be pinged.
+    /// The node that the claim is about is to be pinged.
     Check,
     /// The claim is from an earlier incarnation.
     Stale,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -164,7 +164,7 @@
         })
     }
 
-    /// Runs until all agree, checking every 100 ms, and returns how long that took.
+    /// Runs until all agree, checking every 100 ms, and returns how long that took; `None` after `length`.
     pub fn time_until_all_agree(&mut self, length: Duration) -> Option<Duration> {
         let start = self.now;
         while !self.all_agree() {
@@ -180,7 +180,7 @@
         self.until(length, |_| false);
     }
 
-    /// Runs until `done`, for at most `length`, and returns how long that took.
+    /// Runs until `done`, for at most `length`; returns how long that took, or `None` if it never was done.
     pub fn until(&mut self, length: Duration, done: impl Fn(&World) -> bool) -> Option<Duration> {
         let start = self.now;
         while !done(self) {
