--- a/crates/balancer/src/balance/routing.rs
+++ b/crates/balancer/src/balance/routing.rs
@@ -29,7 +29,7 @@
     Take,
     /// The search goes on with the next probe.
     Next,
-    /// Ends the search: further servers are reserved for other requests too.
+    /// Ends the search: a low-priority request leaves the capacity of further servers to other requests.
     Stop,
 }
 
@@ -49,7 +49,9 @@
         self.servers.owner(request.key, probe, |server| self.admits(server, request))
     }
 
-    /// The first server below its cap on the key's probe sequence; `None` if all are full.
+    /// The first server below its cap on the key's probe sequence; `None` if `MAX_PROBES` probes find
+    /// none, if no server admits the request, or if a low-priority request meets a server at its
+    /// low-priority limit.
     pub(super) fn choose(&self, request: &Request) -> Option<ServerId> {
         let route = self.route(request);
         for probe in request.first_probe..request.first_probe + MAX_PROBES {
@@ -66,8 +68,8 @@
     fn route(&self, request: &Request) -> Route {
         let totals = self.servers.totals();
         // A node that takes over for others that are down or drained sees more than its share of a quota.
-        // While the fleet has spare capacity that harms nobody; at its limits, requests within their quota go
-        // first.
+        // While the fleet has spare capacity, serving the excess harms nobody; once the fleet is at its
+        // limits, requests within their quota go first.
         let is_full = f64::from(self.servers.in_flight()) > totals.limit;
         let is_expensive = request.work > HEAVY_WORK_FACTOR * self.latency.usual_work();
         Route { is_low_priority: request.over_quota && is_full, is_heavy: is_expensive && totals.warm > 0 }
