--- a/crates/fault-harness/src/harness/wait.rs
+++ b/crates/fault-harness/src/harness/wait.rs
@@ -71,7 +71,7 @@
     /// Waits until `count` records from a position on satisfy the predicate.
     ///
     /// # Errors
-    /// Fails if there are fewer within `bound`.
+    /// Fails if fewer than `count` records satisfy the predicate within `bound`.
     pub async fn wait_count(
         &self,
         from: usize,
@@ -92,7 +92,7 @@
     /// Waits until the current process of each of these nodes accepts clients.
     ///
     /// # Errors
-    /// Fails if one does not within `bound`, or has ended by itself.
+    /// Fails if one of the processes does not accept clients within `bound`, or has ended by itself.
     pub async fn wait_ready(&self, nodes: &[usize], bound: Duration) -> Result<(), HarnessError> {
         for node in nodes {
             let generation = self.hosts[*node].next_generation() - 1;
@@ -113,7 +113,7 @@
     /// Waits until the processes of these nodes have ended.
     ///
     /// # Errors
-    /// Fails if one has not within `bound`.
+    /// Fails if one of the processes has not ended within `bound`.
     pub async fn wait_ended(&self, nodes: &[usize], bound: Duration) -> Result<(), HarnessError> {
         let end = Instant::now() + bound;
         for node in nodes {
--- a/crates/node/src/frontend/commands.rs
+++ b/crates/node/src/frontend/commands.rs
@@ -32,7 +32,7 @@
     }
 
     /// Starts the complete commands while there is capacity; the others wait until an answer on this connection frees
-    /// some.
+    /// capacity.
     pub(super) fn start_commands(&mut self, now: Instant, closing: bool) {
         while self.may_start_command(now, closing) {
             let Some((input, at)) = self.input.take_command() else { break };
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -113,7 +113,7 @@
     if let Ok(accepted) = timeout_at(until, listener.accept()).await {
         return Some(accepted);
     }
-    // After this the runtime has been notified of everything that arrived in time.
+    // After this yield the runtime has been notified of everything that arrived in time.
     tokio::task::yield_now().await;
     timeout(Duration::ZERO, listener.accept()).await.ok()
 }
--- a/crates/node/src/frontend/tests/disconnects.rs
+++ b/crates/node/src/frontend/tests/disconnects.rs
@@ -38,7 +38,8 @@
     assert!(matches!(with_clock_held(inbox.recv()).await, Some(Message::ClientLeft(_))));
 }
 
-/// With as many commands in flight as allowed and more waiting, up to the read-ahead limit and beyond it.
+/// A disconnect is noticed with as many commands in flight as allowed and more waiting, up to the read-ahead
+/// limit and beyond it.
 #[tokio::test(start_paused = true)]
 async fn behind_more_commands_than_may_be_open() {
     for commands in [65, 1000, MAX_READ_AHEAD_BYTES / READ.len() + 1500] {
@@ -53,7 +54,7 @@
     }
 }
 
-/// With the memory for commands used up.
+/// A disconnect is noticed with the memory for commands used up.
 #[tokio::test(start_paused = true)]
 async fn without_room_for_commands() {
     with_client(&Limits { memory_mb: 1, ..Limits::default() }, |mut client, _, mut inbox| async move {
@@ -67,7 +68,7 @@
     .await;
 }
 
-/// During the error delay after a rejected command.
+/// A disconnect is noticed during the error delay after a rejected command.
 #[tokio::test(start_paused = true)]
 async fn during_its_error_delay() {
     with_client(&Limits::default(), |mut client, _, mut inbox| async move {
@@ -82,7 +83,8 @@
     .await;
 }
 
-/// With its answers unread. The client only shuts down writing, as its kernel would reset the connection otherwise.
+/// A disconnect is noticed with the client's answers unread. The client only shuts down writing, as its
+/// kernel would reset the connection otherwise.
 #[tokio::test(start_paused = true)]
 async fn with_its_answers_unread() {
     with_client(&Limits::default(), |mut client, _, mut inbox| async move {
@@ -98,7 +100,8 @@
     .await;
 }
 
-/// During a stop, when no further command is started, with its request in flight.
+/// A disconnect is noticed during a stop, when no further command is started, with the client's request in
+/// flight.
 #[tokio::test(start_paused = true)]
 async fn in_a_stop() {
     with_client(&Limits::default(), |mut client, frontend, mut inbox| async move {
--- a/crates/node/src/frontend/tests/eviction.rs
+++ b/crates/node/src/frontend/tests/eviction.rs
@@ -39,7 +39,7 @@
 }
 
 async fn expect_close(client: &mut TcpStream) {
-    // If its input is unread, the close is a reset.
+    // If the node has left the client's input unread, the close is a reset.
     let read = with_clock_held(client.read(&mut [0])).await;
     assert_eq!(read.unwrap_or(0), 0, "closed");
 }
--- a/crates/node/src/upstream/body_stream.rs
+++ b/crates/node/src/upstream/body_stream.rs
@@ -42,7 +42,7 @@
     buf: BytesMut,
     /// Bytes of the value that have not been returned yet.
     remaining: usize,
-    /// When the client stops waiting, and the phases of this process, which tell when it ends.
+    /// When the client stops waiting, and the phases of this process, which tell when the process ends.
     deadline: Instant,
     phases: Receiver<Phase>,
     /// When the answer's first line arrived, and when the client's output reached this value: in between the value may
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -20,8 +20,8 @@
 /// the milliseconds that a duplicate takes: a command that it would wrongly report as never run can use another
 /// connection.
 pub(super) const DUPLICATE_ANSWER_WINDOW: Duration = Duration::from_millis(250);
-/// The same after an answer that carries the opaque id of its command. A few milliseconds are usual; a longer window
-/// would make every write open its own connection.
+/// How long after an answer with the opaque id of its command a duplicate answer to that command may arrive.
+/// A few milliseconds are usual; a longer window would make every write open its own connection.
 pub(super) const NAMED_DUPLICATE_WINDOW: Duration = Duration::from_millis(50);
 
 /// A slot among the open connections, taken before connecting and released on drop.
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -125,7 +125,7 @@
     }
 
     /// Updates the endpoints from the endpoint list. A server is identified by its id, but at a new address it is
-    /// another process; returns the ids of those.
+    /// another process; returns the ids of the servers whose address has changed.
     pub fn update_endpoints(&self, roster: &Roster) -> Vec<ServerId> {
         let mut moved = Vec::new();
         let mut endpoints = self.endpoints.borrow_mut();
@@ -217,7 +217,7 @@
             return Err(Status::Void);
         }
         let opened = match self.plane_runtime.get() {
-            // Neither does its quota of the server's connections.
+            // The node's own quota of the server's connections says nothing about the server.
             Some(plane_runtime) => Some(plane_runtime.open_connection(server).ok_or(Status::Void)?),
             None => None,
         };
--- a/crates/node/src/upstream/tests/deadlines.rs
+++ b/crates/node/src/upstream/tests/deadlines.rs
@@ -33,8 +33,8 @@
     peer
 }
 
-/// If a server drops such a request silently, the node stops waiting in time and does not reuse the connection, where
-/// an answer might still arrive.
+/// If a server silently drops a request with little time left, the node stops waiting in time and does not
+/// reuse the connection, where an answer might still arrive.
 #[tokio::test(start_paused = true)]
 async fn a_silently_dropped_request_ends_its_connection() {
     for left in [1, 2, 5, 20].map(Duration::from_millis) {
--- a/crates/node/src/upstream/tests/duplicate_answers.rs
+++ b/crates/node/src/upstream/tests/duplicate_answers.rs
@@ -121,7 +121,7 @@
     // One `busy` may have been taken for the other, so that the other's own is still to come, however late.
     let status = unsafe_command_after(&[("a", BUSY), ("b", BUSY)], DUPLICATE_ANSWER_WINDOW * 9).await.status;
     assert_eq!(status, Status::Success);
-    // The same holds if a failure arrived twice.
+    // A failure has no id either: if the first read's failure arrived twice, the second read's is still to come.
     let failed = "SERVER_ERROR failed\r\n";
     let status =
         unsafe_command_after(&[("a", failed), ("b", failed)], DUPLICATE_ANSWER_WINDOW * 9).await.status;
@@ -141,8 +141,9 @@
     }
 }
 
-/// The connection is used again for such commands once it has been quiet, if its last answer was the first without an
-/// id, or carries its id: all earlier answers have arrived by then.
+/// The connection is used again for a command that must not run twice once it has been quiet, if its last
+/// answer was the first without an id, or carries the id of its command: all earlier answers have arrived by
+/// then.
 #[tokio::test(start_paused = true)]
 async fn a_busy_is_trusted_if_it_can_only_be_the_commands_own() {
     let named = [("a", BUSY), ("b", BUSY), ("c", "VA 1 Oc\r\n1\r\n")];
--- a/crates/node/src/upstream/tests/idle_closes.rs
+++ b/crates/node/src/upstream/tests/idle_closes.rs
@@ -108,7 +108,8 @@
     assert!(harness.stays_cached(LONG_IDLE).await);
 }
 
-/// If a new connection is closed a moment after its `busy`, the server had no capacity for it either.
+/// If a new connection is closed a moment after its `busy`, the server had no capacity for it, as if the
+/// close had come with the `busy`.
 #[tokio::test]
 async fn a_close_shortly_after_a_busy_means_no_capacity() {
     let harness = Harness::new().await;
--- a/crates/node/src/upstream/tests/last_byte.rs
+++ b/crates/node/src/upstream/tests/last_byte.rs
@@ -44,7 +44,7 @@
 /// Everything that the server receives until the connection ends.
 async fn received(mut stream: TcpStream) -> Vec<u8> {
     let mut seen = Vec::new();
-    // A reset ends it too.
+    // A reset ends the connection too.
     let _ = stream.read_to_end(&mut seen).await;
     seen
 }
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -59,8 +59,9 @@
     }
 }
 
-/// Requests beyond the tenant's quota are rejected while the box still withholds the answers to the others, so they
-/// wait for nothing. In the end each client is served, and the box never had more connections open than it accepts.
+/// Requests beyond the tenant's quota are rejected at once, while the box still withholds the answers to the
+/// requests within the quota. In the end each client is served, and the box never had more connections open
+/// than it accepts.
 #[test]
 fn requests_beyond_the_quota_are_rejected_at_once_and_the_box_limit_is_kept() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
--- a/crates/node/tests/node/connection_limits.rs
+++ b/crates/node/tests/node/connection_limits.rs
@@ -97,8 +97,9 @@
     }
 }
 
-/// Clients may hold a third of the descriptors. If connections that served one request filled them, no client could
-/// connect any more, so they are closed well before that and before their idle time is over.
+/// Clients may hold two thirds of the descriptors that are not reserved. If connections that served one
+/// request filled that share, no client could connect any more, so such connections are closed well before
+/// that and before their idle time is over.
 #[test]
 fn connections_that_served_one_request_are_closed_early() {
     let server = FakeCacheServer::start(|_| ServerAction::Serve);
--- a/crates/node/tests/node/kill.rs
+++ b/crates/node/tests/node/kill.rs
@@ -14,14 +14,15 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Time after SIGTERM up to which requests sent on an open connection are read. Connections are closed 0.05 s later
-/// at the earliest.
+/// Time after SIGTERM up to which requests sent on an open connection are read if no successor has taken over
+/// the address. Connections are then closed 0.05 s later at the earliest.
 const READ_UNTIL: Duration = ms(550);
 /// Time after SIGTERM from which new connections may be refused, as the node no longer listens.
 const ACCEPTING_UNTIL: Duration = ms(400);
 /// Time of traffic before SIGTERM, so that requests are in flight and the balancer has used the servers.
 const TRAFFIC_BEFORE_SIGTERM: Duration = ms(300);
-/// The attempt answer comes at least this long before the kill; connections open for longer would be cut off.
+/// Every answer that a client receives comes at least this long before the kill, which would cut off a
+/// connection that is still open.
 const KILL_MARGIN: Duration = ms(50);
 /// Tolerance by which a final answer may come after its client's deadline.
 const ANSWER_GRACE: Duration = ms(500);
--- a/crates/node/tests/node/malformed.rs
+++ b/crates/node/tests/node/malformed.rs
@@ -33,7 +33,8 @@
     assert_eq!(client.request(&read_command("k", "m3", 9000)), served_answer("m3"));
 }
 
-/// Cache servers reject such commands or close the connection, and the balancer would count that against the server.
+/// The node itself rejects commands that no cache server accepts: a server would reject them or close the
+/// connection, and the balancer would count that against the server.
 #[test]
 fn commands_that_no_cache_server_accepts_are_not_forwarded() {
     let (node, server, _list) =
@@ -55,7 +56,8 @@
         let answer = client.request(line);
         assert!(answer.starts_with("CLIENT_ERROR "), "{line:?}: {answer}");
     }
-    // The id is free again once its request is gone; the rejected commands with that id have not freed it before.
+    // Id `u1` is free again once its pending request is gone; the rejected command with that id did not free
+    // it.
     drop(pending);
     while !matches!(server.next_event(), ServerEvent::Closed(_)) {}
     for id in ["u1", "u2"] {
--- a/crates/node/tests/node/operators.rs
+++ b/crates/node/tests/node/operators.rs
@@ -54,7 +54,7 @@
     let mut client = node.connect();
     assert_eq!(client.request(&read_command("k", "f1", 9000)), served_answer("f1"));
     assert_eq!(client.request(&open_command("bad", "f2", 9000)), "SERVER_ERROR failed\r\n");
-    // Neither of these counts as a request.
+    // Neither `mn` nor a command that the node rejects as invalid counts as a request.
     client.request("mn\r\n");
     client.request("mg k v Of3 Pc=odd,d=9000\r\n");
     client.send(&read_command("held", "f4", 400));
--- a/crates/node/tests/node/partial_requests.rs
+++ b/crates/node/tests/node/partial_requests.rs
@@ -6,7 +6,7 @@
 use crate::harness::*;
 use crate::start_with_one_server;
 
-/// Time within which such a client gets an error or a close.
+/// Time within which a client that stopped sending in the middle of a request gets an error or a close.
 const MAX_TIME_TO_CLOSE: Duration = Duration::from_secs(3);
 /// Incomplete commands, up to all but the last byte.
 const INCOMPLETE_COMMANDS: [&str; 6] = [
--- a/crates/node/tests/node/requests.rs
+++ b/crates/node/tests/node/requests.rs
@@ -81,7 +81,8 @@
     assert_eq!(client.read_answer(), "SERVER_ERROR busy\r\n");
     assert_eq!(client.read_answer(), "SERVER_ERROR failed\r\n");
     assert_eq!(client.read_answer(), "MN\r\n");
-    // Not early either, as the answer might still have come. A busy machine may be late by much.
+    // The answers must not come well before the deadline of 1 s, as the server might still have answered. On
+    // a busy machine they may come much later.
     let took = sent_at.elapsed();
     assert!(took.as_millis() > 900 && took < TEST_TIMEOUT / 2, "answered after {took:?}");
     let mut closed = 0;
--- a/crates/node/tests/node/stop.rs
+++ b/crates/node/tests/node/stop.rs
@@ -96,7 +96,7 @@
     for (n, client) in queued.iter_mut().enumerate() {
         client.send(&read_command("k", &format!("w{n}"), 9000));
     }
-    // Until the node would accept no more; any longer time does as well.
+    // The node stays halted until it would accept no more connections; any longer time does as well.
     std::thread::sleep(std::time::Duration::from_millis(700));
     node.signal("-CONT");
     for (n, client) in queued.iter_mut().enumerate() {
--- a/crates/node/tests/node/takeover.rs
+++ b/crates/node/tests/node/takeover.rs
@@ -65,7 +65,7 @@
     old.signal("-TERM");
     assert_eq!(persistent.request(&read_command("k", "t3", 9000)), served_answer("t3"));
     assert_eq!(persistent.read_answer(), "", "still open after its answer");
-    // Without delay: connections that send no request for long are closed.
+    // The clients send without delay, as connections that send no request for long are closed.
     let serves_all = |waiting: &mut [Client], name: &str| {
         for (n, client) in waiting.iter_mut().enumerate() {
             let id = format!("{name}{n}");
