--- a/crates/node/src/frontend/tests/final_answers.rs
+++ b/crates/node/src/frontend/tests/final_answers.rs
@@ -48,8 +48,8 @@
     assert_eq!(now.elapsed(), Duration::ZERO, "{context}");
 }
 
-/// A client that sends many commands at once gets an answer to each when their time is over, whatever its
-/// cache server does with them.
+/// A client that sends many commands at once gets an answer to each by the end of their deadline, whatever
+/// its cache server does with them.
 #[tokio::test(start_paused = true)]
 async fn every_request_is_answered_whatever_its_cache_server_does() {
     for server in SERVER_BEHAVIOURS {
--- a/crates/node/src/upstream/tests/duplicate_answers.rs
+++ b/crates/node/src/upstream/tests/duplicate_answers.rs
@@ -121,8 +121,8 @@
     // One `busy` may have been taken for the other, so that the other's own is still to come, however late.
     let status = unsafe_command_after(&[("a", BUSY), ("b", BUSY)], DUPLICATE_ANSWER_WINDOW * 9).await.status;
     assert_eq!(status, Status::Success);
-    // A failure has no id either: if the first read's failure arrived twice, the second read's own is still to
-    // come.
+    // A failure has no id either: if the first read's failure arrived twice, the second read's own is still
+    // to come.
     let failed = "SERVER_ERROR failed\r\n";
     let status =
         unsafe_command_after(&[("a", failed), ("b", failed)], DUPLICATE_ANSWER_WINDOW * 9).await.status;
