--- a/crates/balancer/src/balance/outlier_detection.rs
+++ b/crates/balancer/src/balance/outlier_detection.rs
@@ -14,9 +14,9 @@
 /// Time between probes of ejected servers, of which one is probed at a time: each probe costs a health check
 /// or risks a request.
 const PROBE_INTERVAL: Seconds = 1.0;
-/// Most consecutive failures that are needed to eject a server; the number needed is 1 plus the attempts in
-/// flight at the mean server. With a fixed number, a node that sends a server one request a minute would lose
-/// as many requests to its death as a busy node.
+/// Most consecutive failures that are needed to eject a server; the number needed is 1 plus the attempts
+/// in flight at the mean server. With a fixed number, a node that sends a server one request a minute
+/// would lose as many requests to the server's death as a busy node.
 const MAX_FAILURES_TO_EJECT: f64 = 3.0;
 /// Failures needed to eject a server that peers suspect.
 const FAILURES_TO_EJECT_SUSPECTED: f64 = 0.5;
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Takes a server out of the slot array; its keys fall to the next server clockwise, as when the list
-    /// drops it.
+    /// Takes a server out of the slot array, unless too many servers are ejected already. Its keys fall to
+    /// the next server clockwise, as when the list drops the server.
     pub(super) fn eject(&mut self, id: &ServerId) {
         if !self.outliers.may_eject(self.servers.totals().ready) {
             return;
@@ -107,7 +107,8 @@
         self.outliers.ejected.retain(|id| servers.get(id).is_some_and(|server| server.is_ejected()));
     }
 
-    /// The ejected server to probe now: one for each interval, in turn.
+    /// The ejected server to probe now: one for each interval, in turn; `None` if the one whose turn it is
+    /// cannot answer.
     pub(super) fn next_to_probe(&mut self) -> Option<ServerId> {
         if self.now < self.outliers.next_probe_at {
             return None;
